--- a/internal/rehearsal/all_away_test.go
+++ b/internal/rehearsal/all_away_test.go
@@ -35,7 +35,7 @@
 at %g expect req-000002 done
 at %g expect req-000004 done
 `, 17+away, 17+away+4, 17+away+20, 17+away+80, 17+away+80, 17+away+80)
-		w, err := RunTrace(text, nil)
+		w, err := playTrace(text, nil)
 		if err != nil {
 			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
--- a/internal/rehearsal/cancel_at_end_test.go
+++ b/internal/rehearsal/cancel_at_end_test.go
@@ -12,7 +12,7 @@
 // service, when its replica first ends by itself.
 func endOf(t *testing.T, scene string) float64 {
 	t.Helper()
-	w, err := RunTrace(scene+"at 40 expect leader some\n", nil)
+	w, err := playTrace(scene+"at 40 expect leader some\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 					text += fmt.Sprintf("at %.4f ask-everywhere req-000001\n", from+later)
 				}
 				text += fmt.Sprintf("at %.4f start all\nat %.4f expect over req-000001\nat %.4f expect on req-000001/0 nowhere\n", from+9, from+12, from+12)
-				w, err := RunTrace(text, nil)
+				w, err := playTrace(text, nil)
 				if err != nil {
 					t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
--- a/internal/rehearsal/chains_test.go
+++ b/internal/rehearsal/chains_test.go
@@ -163,7 +163,7 @@
 func TestChains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawChains(t)
-		if w, err := RunTrace(text, nil); err != nil {
+		if w, err := playTrace(text, nil); err != nil {
 			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
--- a/internal/rehearsal/changes_test.go
+++ b/internal/rehearsal/changes_test.go
@@ -123,7 +123,7 @@
 func TestChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawChanges(t)
-		if w, err := RunTrace(text, nil); err != nil {
+		if w, err := playTrace(text, nil); err != nil {
 			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
--- a/internal/rehearsal/closelooks_test.go
+++ b/internal/rehearsal/closelooks_test.go
@@ -86,7 +86,7 @@
 							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, after+2.6, b.over)
 						}
 						text := fmt.Sprintf(lookScene, lines)
-						if w, err := RunTrace(text, nil); err != nil {
+						if w, err := playTrace(text, nil); err != nil {
 							t.Fatalf("%s, after %g, answered %g later: %v\nthe trace:\n%s\nwhat happened:\n%s", key, after, answered, err, text, strings.Join(w.Log, "\n"))
 						}
 					}
--- /dev/null
+++ b/internal/rehearsal/digest.go
@@ -0,0 +1,46 @@
+package rehearsal
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+
+	"mapleslip/internal/coordination"
+)
+
+// effectDigest is a running hash of all that leaves the controllers of a World: their calls
+// and their replies, with who emitted them and when. Two programs that behave alike on a
+// trace have the same digest. It depends neither on log text nor on names of Go types.
+type effectDigest struct{ sum hash.Hash }
+
+// RecordDigest has the world keep a digest of what its controllers emit from now on.
+func (w *World) RecordDigest() { w.digest = &effectDigest{sum: sha256.New()} }
+
+// Digest is the digest of what the controllers emitted since RecordDigest was called, or "".
+func (w *World) Digest() string {
+	if w.digest == nil {
+		return ""
+	}
+	return hex.EncodeToString(w.digest.sum.Sum(nil))
+}
+
+// add takes one effect of a controller into the digest.
+func (d *effectDigest) add(now micros, node string, effect coordination.Effect) {
+	if d == nil {
+		return
+	}
+	fmt.Fprintf(d.sum, "%d %q ", now, node)
+	switch e := effect.(type) {
+	case coordination.Reply:
+		fmt.Fprintf(d.sum, "reply %d %t %d %d %t %q\n", e.To.Conn, e.To.Peer, e.Status, e.RetryAfter, e.Frame, e.Body)
+	case coordination.Call:
+		fmt.Fprintf(d.sum, "call %d %q %q %q %d %d %d %q\n", e.Target, e.Addr, e.Method, e.Path, e.Timeout, e.Priority, e.Changes, e.Body)
+	case coordination.Share:
+		fmt.Fprintf(d.sum, "share %t\n", e.Leads)
+	case coordination.WriteRate:
+		fmt.Fprintf(d.sum, "write rate %v %t\n", e.PerSecond, e.Lowered)
+	case coordination.LogLevel:
+		fmt.Fprintf(d.sum, "log level %q\n", e.Level)
+	}
+}
--- a/internal/rehearsal/drawn_jobs_test.go
+++ b/internal/rehearsal/drawn_jobs_test.go
@@ -114,7 +114,7 @@
 func TestDrawnJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawJobHistory(t)
-		if w, err := RunTrace(text, nil); err != nil {
+		if w, err := playTrace(text, nil); err != nil {
 			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
--- a/internal/rehearsal/freshmachine_test.go
+++ b/internal/rehearsal/freshmachine_test.go
@@ -78,7 +78,7 @@
 				ends := 5.4 + 4.4*float64(i)/float64(*freshSteps)
 				since := strings.NewReplacer("ENDS+5", fmt.Sprintf("%g", ends+5), "ENDS+4", fmt.Sprintf("%g", ends+4), "ENDS", fmt.Sprintf("%g", ends))
 				text := inOrder(fmt.Sprintf(freshMachines, since.Replace(trouble.begins), ends, backs[i%2], trouble.ends, starts))
-				w, err := RunTrace(text, func(w *World) {
+				w, err := playTrace(text, func(w *World) {
 					w.Operator.IdleReturn = 15 * protocol.Second
 					if trouble.lease > 0 {
 						w.Operator.LeaderLease = protocol.FromSeconds(trouble.lease)
--- a/internal/rehearsal/handover_test.go
+++ b/internal/rehearsal/handover_test.go
@@ -107,7 +107,7 @@
 func (h handOver) givesBackAt(t *testing.T, user string) float64 {
 	const later = 35.0
 	text, _ := h.trace(later, user)
-	w, _ := RunTrace(text, nil) // it ends at later, where node-2 leads no more
+	w, _ := playTrace(text, nil) // it ends at later, where node-2 leads no more
 	first := "-- cancel-at " + user + " req-000001"
 	for _, line := range w.Log {
 		var at float64
@@ -159,7 +159,7 @@
 					begins = h.givesBackAt(t, user)
 				}
 				text, cancelled := h.trace(begins, user)
-				w, err := RunTrace(text, nil)
+				w, err := playTrace(text, nil)
 				if err != nil {
 					t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
--- a/internal/rehearsal/limits_test.go
+++ b/internal/rehearsal/limits_test.go
@@ -125,7 +125,7 @@
 // playLimits plays a case.
 func playLimits(t *testing.T, c limitCase) (*World, [3]limitTimes) {
 	t.Helper()
-	w, err := RunTrace(limitScene, nil)
+	w, err := playTrace(limitScene, nil)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
@@ -300,7 +300,7 @@
 }
 
 func checkOutOfReach(t *testing.T, until, cancel float64, cloud bool) {
-	w, err := RunTrace(`
+	w, err := playTrace(`
 nodes 3 a b c
 team red max=8
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a,b
--- a/internal/rehearsal/lostanswers_test.go
+++ b/internal/rehearsal/lostanswers_test.go
@@ -201,7 +201,7 @@
 			t.Run(k.name+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				text := k.trace(then)
-				if w, err := RunTrace(text, nil); err != nil {
+				if w, err := playTrace(text, nil); err != nil {
 					t.Errorf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
 			})
@@ -235,7 +235,7 @@
 			ended := 0
 			for by := 0.3; by < 1.45; by += 0.05 {
 				text := fmt.Sprintf(scene, by) + lines + "at 30 expect lost-answers 1\nat 30 expect req-000001 cancelled\nat 30 expect starts 0\n"
-				w, err := RunTrace(text, nil)
+				w, err := playTrace(text, nil)
 				if err != nil {
 					t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
@@ -283,7 +283,7 @@
 		t.Run(name, func(t *testing.T) {
 			for by := 0.9; by < 1.3; by += 0.01 {
 				text := fmt.Sprintf(scene, fmt.Sprintf(lines, by))
-				if w, err := RunTrace(text, nil); err != nil {
+				if w, err := playTrace(text, nil); err != nil {
 					t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
 			}
--- a/internal/rehearsal/oldreports_test.go
+++ b/internal/rehearsal/oldreports_test.go
@@ -66,7 +66,7 @@
 					came := make(map[string]int)
 					play := func(on string, after float64, order string) outcome {
 						text := fmt.Sprintf(oldReportsTrace, dies, on, after, order, slow, way[0], way[1])
-						w, err := RunTrace(text, nil)
+						w, err := playTrace(text, nil)
 						if err != nil {
 							t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 						}
--- a/internal/rehearsal/overlap_test.go
+++ b/internal/rehearsal/overlap_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"strconv"
 	"strings"
@@ -18,7 +19,12 @@
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", strconv.Itoa(defaultChecks))
 	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
+	code := m.Run()
+	if err := writeDigests(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		code = 1
+	}
+	os.Exit(code)
 }
 
 const defaultChecks = 60
@@ -46,7 +52,7 @@
 		t.Run(strconv.Itoa(seed+i), func(t *testing.T) {
 			t.Parallel()
 			text := drawn.Example(seed + i)
-			w, err := RunTrace(text, nil)
+			w, err := playTrace(text, nil)
 			if err == nil {
 				return
 			}
@@ -55,7 +61,7 @@
 				return
 			}
 			small := shrinkTrace(text, kindOf(err))
-			w, err = RunTrace(small, nil)
+			w, err = playTrace(small, nil)
 			t.Errorf("seed %d, shrunk: %v\nthe trace:\n%s\nwhat happened:\n%s", seed+i, err, small, strings.Join(w.Log, "\n"))
 		})
 	}
--- a/internal/rehearsal/shrink_test.go
+++ b/internal/rehearsal/shrink_test.go
@@ -38,7 +38,7 @@
 	whole := func(lines []string) string { return strings.Join(slices.Concat(scene, lines), "") }
 	fails := func(lines []string) bool {
 		trials++
-		_, err := RunTrace(whole(lines), nil)
+		_, err := playTrace(whole(lines), nil)
 		return err != nil && kindOf(err) == kind
 	}
 	for size := len(lines) / 2; size > 0 && trials < mostTrials; {
@@ -71,7 +71,7 @@
 at 30 expect req-000001 done
 at 31 expect req-000002 done
 `
-	_, err := RunTrace(text, nil)
+	_, err := playTrace(text, nil)
 	if err == nil {
 		t.Fatal("the trace does not fail")
 	}
@@ -81,7 +81,7 @@
 			t.Errorf("%s is still there:\n%s", line, small)
 		}
 	}
-	if _, err = RunTrace(small, nil); err == nil || !strings.Contains(small, "submit req-000002") {
+	if _, err = playTrace(small, nil); err == nil || !strings.Contains(small, "submit req-000002") {
 		t.Errorf("what fails is gone:\n%s", small)
 	}
 }
--- a/internal/rehearsal/smallest_limits_test.go
+++ b/internal/rehearsal/smallest_limits_test.go
@@ -69,7 +69,7 @@
 func TestEveryRecordAtTheSmallestLimits(t *testing.T) {
 	written := make(map[string]int) // the largest value, by kind of record
 	most := 0
-	w, err := RunTrace(walk(), func(w *World) {
+	w, err := playTrace(walk(), func(w *World) {
 		w.quiet = true
 		w.Platform.ValueBytes, w.Platform.TxnOps = protocol.MinValueBytes, protocol.MinTxnOps
 		w.Platform.StateRate, w.Platform.StateWriteRate = 1000, 200
--- a/internal/rehearsal/state_limits_test.go
+++ b/internal/rehearsal/state_limits_test.go
@@ -234,7 +234,7 @@
 		for _, ends := range []string{"", "at 1 ends-in leading 3 after=0.3 back=0.2\n", "at 1 ends-in leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
 			text := "nodes 3\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nlimits changes=35\n" + scene + "fleet 60 large a\n" + earlierRecords(t) +
 				"at 0 limits-fall\n" + ends + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
-			w, err := RunTrace(text, nil)
+			w, err := playTrace(text, nil)
 			if err != nil {
 				t.Errorf("%q %q: %v\n%s", scene, ends, err, strings.Join(w.Log, "\n"))
 			}
@@ -262,7 +262,7 @@
 		j.Complete(k, true)
 	}
 	text += fmt.Sprintf("record dp/10 %s\nat 20 expect starts 2\nat 20 expect kept f/req-000001 yes\n", bookkeeping.EncodeCompletions([]*bookkeeping.Job{j}))
-	if w, err := RunTrace(text, nil); err != nil {
+	if w, err := playTrace(text, nil); err != nil {
 		t.Errorf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
 }
--- a/internal/rehearsal/trace_test.go
+++ b/internal/rehearsal/trace_test.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, err := RunTrace(string(text), func(w *World) {
+			w, err := playTrace(string(text), func(w *World) {
 				if os.Getenv("LOG_LEVEL") == "debug" {
 					w.Logger = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 				}
@@ -38,7 +38,7 @@
 // at every try to lead, and it stays as it is.
 func TestDamagedRecordIsToldOnce(t *testing.T) {
 	var log bytes.Buffer
-	w, err := RunTrace(`
+	w, err := playTrace(`
 nodes 2
 team red
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a
--- a/internal/rehearsal/upgrade_in_trouble_test.go
+++ b/internal/rehearsal/upgrade_in_trouble_test.go
@@ -99,7 +99,7 @@
 		t.Run(strconv.Itoa(seed+i), func(t *testing.T) {
 			t.Parallel()
 			text := drawn.Example(seed + i)
-			if w, err := RunTrace(text, nil); err != nil {
+			if w, err := playTrace(text, nil); err != nil {
 				t.Errorf("seed %d: %v\nthe trace:\n%s\nwhat happened:\n%s", seed+i, err, text, strings.Join(w.Log, "\n"))
 			}
 		})
--- a/internal/rehearsal/versions_test.go
+++ b/internal/rehearsal/versions_test.go
@@ -81,7 +81,7 @@
 func TestOverlapOfVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawUpgrade(t, drawHistory(t))
-		if w, err := RunTrace(text, nil); err != nil {
+		if w, err := playTrace(text, nil); err != nil {
 			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	spoilt := strings.Replace(string(text), "at 7 downgrade node-2\n", "at 7 downgrade node-2\nat 8 spoil-record epoch {\"form\":2,\"epoch\":9}\n", 1)
-	if w, err := RunTrace(spoilt, nil); err == nil || !strings.Contains(strings.Join(w.Broken, "\n"), "serves up to 0 and leads") {
+	if w, err := playTrace(spoilt, nil); err == nil || !strings.Contains(strings.Join(w.Broken, "\n"), "serves up to 0 and leads") {
 		t.Errorf("%v, %s", err, w.Broken)
 	}
 }
--- a/internal/rehearsal/world.go
+++ b/internal/rehearsal/world.go
@@ -91,6 +91,7 @@
 	changes    *changes                   // of the configuration, nil: they are off
 	live       *Live                      // real connections, nil: all is simulated
 	stepped    func(*node, time.Duration) // what a controller's step took, for measurements
+	digest     *effectDigest              // of what the controllers emit, nil: none is kept
 }
 
 type event struct {
@@ -350,6 +351,7 @@
 
 func (w *World) perform(n *node, effects []coordination.Effect) {
 	for _, e := range effects {
+		w.digest.add(w.now, n.name, e)
 		switch e := e.(type) {
 		case coordination.Reply:
 			fn := w.answers[e.To.Conn]
