--- a/cmd/mapleslip/check_test.go
+++ b/cmd/mapleslip/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/transport"
 )
@@ -87,9 +87,9 @@
 		{"TCP, nobody listens", "", closed.Addr().String(), 0, true},
 	}
 	// Two sockets in all: a single one that is kept would show.
-	d := &driver{dialers: map[coordination.Target]*transport.Dialer{coordination.ToInstance: {MaxOpen: 2, MaxPer: 2}}}
-	run := func(method, addr string) coordination.CallDone {
-		return d.exchange(coordination.Call{Target: coordination.ToInstance, Method: method, Path: "/healthz", Timeout: 60 * protocol.Millisecond}, addr)
+	d := &driver{dialers: map[controller.Target]*transport.Dialer{controller.ToInstance: {MaxOpen: 2, MaxPer: 2}}}
+	run := func(method, addr string) controller.CallDone {
+		return d.exchange(controller.Call{Target: controller.ToInstance, Method: method, Path: "/healthz", Timeout: 60 * protocol.Millisecond}, addr)
 	}
 	for range 3 {
 		for _, c := range cases {
@@ -107,7 +107,7 @@
 		t.Errorf("beside one that hangs: %+v", got)
 	}
 	slow.Wait()
-	if done := (&driver{}).exchange(coordination.Call{Target: coordination.ToInstance}, good); !done.Unsent || done.Refused {
+	if done := (&driver{}).exchange(controller.Call{Target: controller.ToInstance}, good); !done.Unsent || done.Refused {
 		t.Errorf("off: %+v", done)
 	}
 }
--- a/cmd/mapleslip/demo.go
+++ b/cmd/mapleslip/demo.go
@@ -14,7 +14,7 @@
 
 	"mapleslip/internal/client"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/rehearsal"
+	"mapleslip/internal/simulation"
 )
 
 // demo plays a demonstration on a deployment of one machine.
@@ -273,7 +273,7 @@
 
 // roll plays a roll-out, and watches how many instances are healthy meanwhile.
 func (m *demo) roll(ctx context.Context, id, image, adopt string) (s *protocol.RolloutStatus, lowest int, err error) {
-	body, _, err := protocol.ParseRolloutFile(fmt.Appendf(nil, demoRollout, id, adopt, image, rehearsal.InstanceAt), "")
+	body, _, err := protocol.ParseRolloutFile(fmt.Appendf(nil, demoRollout, id, adopt, image, simulation.InstanceAt), "")
 	if err != nil {
 		return nil, 0, err
 	}
--- a/cmd/mapleslip/dev.go
+++ b/cmd/mapleslip/dev.go
@@ -18,7 +18,7 @@
 
 	"mapleslip/internal/loopback"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/rehearsal"
+	"mapleslip/internal/simulation"
 	"mapleslip/internal/transport"
 )
 
@@ -75,7 +75,7 @@
 			}
 			fmt.Fprintf(out, "controllers: %s\n  export %s=%s\n", strings.Join(d.clients, ", "), serverVariable, strings.Join(d.clients, ","))
 			fmt.Fprintf(out, "teams: red (8 GPUs guaranteed, 64 at most), blue (the same)\nmachine types: small (8 cores), big (32 cores, 8 GPUs), zones a, b, c\n")
-			fmt.Fprintf(out, "address of a service's instance, for its check: %s\nlogs: %s\nCtrl-C ends it\n", rehearsal.InstanceAt, d.dir)
+			fmt.Fprintf(out, "address of a service's instance, for its check: %s\nlogs: %s\nCtrl-C ends it\n", simulation.InstanceAt, d.dir)
 			return keep(d.wait(ctx))
 		},
 	}
@@ -89,7 +89,7 @@
 
 // dev is a deployment on one machine.
 type dev struct {
-	live          *rehearsal.Live
+	live          *simulation.Live
 	cancel        context.CancelFunc
 	network       *loopback.Network // of the machines
 	dir           string
@@ -161,7 +161,7 @@
 		return nil, err
 	}
 	p := devPlatform()
-	if d.live, err = rehearsal.StartLive(ctx, rehearsal.LiveSettings{State: addr(0), Cloud: addr(1), Names: d.names, Clients: d.clients, Network: d.network.Prefix, Platform: p, Types: devTypes()}); err != nil {
+	if d.live, err = simulation.StartLive(ctx, simulation.LiveSettings{State: addr(0), Cloud: addr(1), Names: d.names, Clients: d.clients, Network: d.network.Prefix, Platform: p, Types: devTypes()}); err != nil {
 		return nil, err
 	}
 	d.rollout = filepath.Join(d.dir, "rollout.toml")
--- a/cmd/mapleslip/devupgrade.go
+++ b/cmd/mapleslip/devupgrade.go
@@ -14,8 +14,8 @@
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/client"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/transport"
-	"mapleslip/internal/upgrade"
 )
 
 const (
@@ -80,7 +80,7 @@
 	if err := u.play(ctx, upgradeLimit, steps); err != nil {
 		return err
 	}
-	u.say("upgraded: %d controllers, feature level %d active on all, a chain done, a chain cancelled, %d jobs in all", len(d.names), upgrade.Build.High, u.jobs)
+	u.say("upgraded: %d controllers, feature level %d active on all, a chain done, a chain cancelled, %d jobs in all", len(d.names), featuregate.Build.High, u.jobs)
 	return nil
 }
 
@@ -158,7 +158,7 @@
 // active counts the controllers whose log says that the highest feature level is active.
 func (u *upgradeDemo) active() (n int, err error) {
 	for _, name := range u.d.names {
-		said, err := u.d.logged(name, `"feature level is active"`, fmt.Sprintf("level=%d ", upgrade.Build.High))
+		said, err := u.d.logged(name, `"feature level is active"`, fmt.Sprintf("level=%d ", featuregate.Build.High))
 		if err != nil {
 			return 0, err
 		}
@@ -173,10 +173,10 @@
 func (u *upgradeDemo) level(ctx context.Context) error {
 	err := u.until(ctx, "the feature level is not active everywhere", func() (string, bool, error) {
 		n, err := u.active()
-		return fmt.Sprintf("feature level %d is active on %d controllers", upgrade.Build.High, n), n == len(u.d.names), err
+		return fmt.Sprintf("feature level %d is active on %d controllers", featuregate.Build.High, n), n == len(u.d.names), err
 	})
 	if err == nil {
-		u.check("the feature level becomes active", true, "level %d, on %d controllers", upgrade.Build.High, len(u.d.names))
+		u.check("the feature level becomes active", true, "level %d, on %d controllers", featuregate.Build.High, len(u.d.names))
 	}
 	return err
 }
--- a/cmd/mapleslip/scalepart.go
+++ b/cmd/mapleslip/scalepart.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mapleslip/internal/scale/part"
+	"mapleslip/internal/scale/process"
 )
 
 // scalePartCommand runs a process of a scale run. The supervisor starts it.
@@ -17,7 +17,7 @@
 		Args:   cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			log, _ := logger(os.Getenv("LOG_LEVEL"))
-			return part.Part(args[0], cmd.InOrStdin(), cmd.OutOrStdout(), log)
+			return process.Part(args[0], cmd.InOrStdin(), cmd.OutOrStdout(), log)
 		},
 	}
 }
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -9,25 +9,25 @@
 	"time"
 
 	"mapleslip/internal/configuration"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/telemetry"
 	"mapleslip/internal/transport"
-	"mapleslip/internal/upgrade"
 )
 
 // driver joins the controller, which does no I/O, to the transport.
 type driver struct {
 	log      *slog.Logger
 	platform *protocol.Platform
-	ctl      *coordination.Controller
+	ctl      *controller.Controller
 	server   *transport.Server
 	started  time.Time
-	in       chan any // transport.Inbound or coordination.CallDone
-	meters   map[coordination.Target]*transport.Meter
-	dialers  map[coordination.Target]*transport.Dialer
-	addrs    map[coordination.Target]string
+	in       chan any // transport.Inbound or controller.CallDone
+	meters   map[controller.Target]*transport.Meter
+	dialers  map[controller.Target]*transport.Dialer
+	addrs    map[controller.Target]string
 	shown    *telemetry.Recorder // nil: telemetry is off
 
 	level      *slog.LevelVar // of the log
@@ -42,8 +42,8 @@
 	bindWait = 2 * time.Second
 )
 
-var targetNames = map[coordination.Target]string{coordination.ToState: "state", coordination.ToCloud: "cloud",
-	coordination.ToPeer: "controller", coordination.ToWorker: "worker", coordination.ToInstance: "instance"}
+var targetNames = map[controller.Target]string{controller.ToState: "state", controller.ToCloud: "cloud",
+	controller.ToPeer: "controller", controller.ToWorker: "worker", controller.ToInstance: "instance"}
 
 // features are what operators' files switch on, nil where they don't.
 type features struct {
@@ -65,25 +65,25 @@
 		}
 	}
 	seed := rand.Uint64()
-	d := &driver{log: log, platform: p, ctl: coordination.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
+	d := &driver{log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
 		level: level, startLevel: level.Level(),
-		meters: map[coordination.Target]*transport.Meter{
-			coordination.ToState: transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps),
-			coordination.ToCloud: transport.NewMeter(p.CloudRate, 0, 2, 0),
+		meters: map[controller.Target]*transport.Meter{
+			controller.ToState: transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps),
+			controller.ToCloud: transport.NewMeter(p.CloudRate, 0, 2, 0),
 		},
-		addrs: map[coordination.Target]string{coordination.ToState: p.StateAddr, coordination.ToCloud: p.CloudAddr},
+		addrs: map[controller.Target]string{controller.ToState: p.StateAddr, controller.ToCloud: p.CloudAddr},
 	}
 	plan := planSockets(p.MaxConnections, len(p.Siblings), r != nil)
-	d.dialers = map[coordination.Target]*transport.Dialer{
-		coordination.ToState:  {MaxOpen: plan.state, MaxPer: plan.state, KeepIdle: 20 * time.Second},
-		coordination.ToCloud:  {MaxOpen: plan.cloud, MaxPer: plan.cloud, KeepIdle: 20 * time.Second},
-		coordination.ToPeer:   {MaxOpen: plan.peers, MaxPer: plan.perPeer, KeepIdle: 20 * time.Second},
-		coordination.ToWorker: {MaxOpen: plan.workers, MaxPer: 2, KeepIdle: 20 * time.Second},
+	d.dialers = map[controller.Target]*transport.Dialer{
+		controller.ToState:  {MaxOpen: plan.state, MaxPer: plan.state, KeepIdle: 20 * time.Second},
+		controller.ToCloud:  {MaxOpen: plan.cloud, MaxPer: plan.cloud, KeepIdle: 20 * time.Second},
+		controller.ToPeer:   {MaxOpen: plan.peers, MaxPer: plan.perPeer, KeepIdle: 20 * time.Second},
+		controller.ToWorker: {MaxOpen: plan.workers, MaxPer: 2, KeepIdle: 20 * time.Second},
 	}
-	d.ctl.ServeLevels(upgrade.Build, version)
+	d.ctl.ServeLevels(featuregate.Build, version)
 	if r != nil {
 		// Connections of checks are not kept: an instance may be gone at any time.
-		d.dialers[coordination.ToInstance] = &transport.Dialer{MaxOpen: plan.instances, MaxPer: 4}
+		d.dialers[controller.ToInstance] = &transport.Dialer{MaxOpen: plan.instances, MaxPer: 4}
 		d.ctl.EnableRollouts(*r)
 		log.Info("roll-outs are on", "checks_per_s", r.ChecksPerS)
 	}
@@ -119,9 +119,9 @@
 // share keeps to this node's part of the rates that all controllers share.
 func (d *driver) share(leads bool) {
 	nodes := len(d.platform.Siblings) + 1
-	writes := coordination.WriteShare(nodes, leads)
-	d.meters[coordination.ToState].SetShare(coordination.ReadShare(nodes, leads), writes, coordination.LargestChange(d.platform.TxnOps, leads))
-	d.meters[coordination.ToCloud].SetShare(writes, 0, 0)
+	writes := controller.WriteShare(nodes, leads)
+	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.LargestChange(d.platform.TxnOps, leads))
+	d.meters[controller.ToCloud].SetShare(writes, 0, 0)
 }
 
 func (d *driver) deliver(m transport.Inbound) bool {
@@ -158,12 +158,12 @@
 		if now := d.now(); now.Steady-ticked >= protocol.Micros(tickEvery/time.Microsecond)*9/10 {
 			ticked = now.Steady
 			backlog := len(d.in)
-			d.step("tick", coordination.Tick{Backlog: backlog})
+			d.step("tick", controller.Tick{Backlog: backlog})
 			for _, m := range d.meters {
 				m.Run(ticked)
 			}
 			if d.shown != nil {
-				d.shown.Waiting(backlog, map[string]int{"state": d.meters[coordination.ToState].Waiting(), "cloud": d.meters[coordination.ToCloud].Waiting()})
+				d.shown.Waiting(backlog, map[string]int{"state": d.meters[controller.ToState].Waiting(), "cloud": d.meters[controller.ToCloud].Waiting()})
 				d.shown.Snapshot(now.Steady, d.ctl.Snapshot)
 			}
 		}
@@ -172,19 +172,19 @@
 
 func (d *driver) handle(m any) {
 	switch e := m.(type) {
-	case coordination.CallDone:
+	case controller.CallDone:
 		d.step("answer", e)
 	case transport.Inbound:
 		if e.HTTP != nil {
 			d.route(e)
 			return
 		}
-		to := coordination.Address{Conn: uint64(e.Conn), Peer: true}
+		to := controller.Address{Conn: uint64(e.Conn), Peer: true}
 		msg, err := protocol.ParsePeer(e.Frame)
-		ev := coordination.PeerEvent(to, msg)
+		ev := controller.PeerEvent(to, msg)
 		if err != nil || ev == nil {
 			d.log.Info("malformed message", "from", "controller", "err", err)
-			d.reply(coordination.Reply{To: to})
+			d.reply(controller.Reply{To: to})
 			return
 		}
 		d.step("controller", ev)
@@ -192,7 +192,7 @@
 }
 
 // step has the controller handle an event, and does what follows.
-func (d *driver) step(kind string, ev coordination.Event) {
+func (d *driver) step(kind string, ev controller.Event) {
 	if d.shown == nil {
 		d.perform(d.ctl.Step(d.now(), ev))
 		return
@@ -232,74 +232,74 @@
 
 // route finds what an HTTP request asks for.
 func (d *driver) route(e transport.Inbound) {
-	to := coordination.Address{Conn: uint64(e.Conn)}
+	to := controller.Address{Conn: uint64(e.Conn)}
 	r := e.HTTP
-	var ev coordination.Event
+	var ev controller.Event
 	want, kind := "POST", "user"
 	switch {
 	case r.Path == "/healthz":
 		want, kind = "GET", "health"
-		ev = coordination.HealthCall{Reply: to}
+		ev = controller.HealthCall{Reply: to}
 	case r.Path == "/hello":
 		kind = "report"
-		ev = coordination.WorkerReport{Reply: to, Body: r.Body}
+		ev = controller.WorkerReport{Reply: to, Body: r.Body}
 	case r.Path == "/api/jobs":
-		ev = coordination.UserCall{Reply: to, Op: protocol.OpSubmit, Body: r.Body}
+		ev = controller.UserCall{Reply: to, Op: protocol.OpSubmit, Body: r.Body}
 	case strings.HasPrefix(r.Path, "/api/jobs/"):
 		ref := strings.TrimPrefix(r.Path, "/api/jobs/")
 		if id, ok := strings.CutSuffix(ref, "/cancel"); ok {
-			ev = coordination.UserCall{Reply: to, Op: protocol.OpCancel, Ref: id}
+			ev = controller.UserCall{Reply: to, Op: protocol.OpCancel, Ref: id}
 		} else {
 			want = "GET"
-			ev = coordination.UserCall{Reply: to, Op: protocol.OpQuery, Ref: ref}
+			ev = controller.UserCall{Reply: to, Op: protocol.OpQuery, Ref: ref}
 		}
 	case configOps[r.Path].op > 0:
 		o := configOps[r.Path]
 		if r.Path == "/api/config" && r.Method == "POST" {
 			o = configOps["/api/config/apply"]
 		}
-		want, ev = o.method, coordination.UserCall{Reply: to, Op: o.op, Ref: argument(r.Query, o.arg), Body: r.Body}
+		want, ev = o.method, controller.UserCall{Reply: to, Op: o.op, Ref: argument(r.Query, o.arg), Body: r.Body}
 	case r.Path == "/api/rollouts":
-		ev = coordination.UserCall{Reply: to, Op: protocol.OpRollout, Body: r.Body}
+		ev = controller.UserCall{Reply: to, Op: protocol.OpRollout, Body: r.Body}
 		if r.Method == "GET" {
-			want, ev = "GET", coordination.UserCall{Reply: to, Op: protocol.OpRollouts}
+			want, ev = "GET", controller.UserCall{Reply: to, Op: protocol.OpRollouts}
 		}
 	case strings.HasPrefix(r.Path, "/api/rollouts/"):
 		service, what, _ := strings.Cut(strings.TrimPrefix(r.Path, "/api/rollouts/"), "/")
 		op, known := rolloutOps[what]
 		if !known {
-			d.reply(coordination.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
+			d.reply(controller.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
 			return
 		}
 		if what == "" {
 			want = "GET"
 		}
-		ev = coordination.UserCall{Reply: to, Op: op, Ref: service}
+		ev = controller.UserCall{Reply: to, Op: op, Ref: service}
 	default:
-		d.reply(coordination.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
+		d.reply(controller.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
 		return
 	}
 	if r.Method != want {
-		d.reply(coordination.Reply{To: to, Status: 405, Body: protocol.ErrorBody("method not allowed")})
+		d.reply(controller.Reply{To: to, Status: 405, Body: protocol.ErrorBody("method not allowed")})
 		return
 	}
 	d.step(kind, ev)
 }
 
-func (d *driver) perform(effects []coordination.Effect) {
+func (d *driver) perform(effects []controller.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case coordination.Reply:
+		case controller.Reply:
 			d.reply(e)
-		case coordination.Call:
+		case controller.Call:
 			d.call(e)
-		case coordination.Share:
+		case controller.Share:
 			d.share(e.Leads)
-		case coordination.WriteRate:
-			d.meters[coordination.ToState].SetWrites(e.PerSecond, e.Lowered)
-		case coordination.LogLevel:
+		case controller.WriteRate:
+			d.meters[controller.ToState].SetWrites(e.PerSecond, e.Lowered)
+		case controller.LogLevel:
 			d.setLevel(e.Level)
-		case coordination.Span:
+		case controller.Span:
 			d.shown.Span(e, d.started)
 		}
 	}
@@ -318,7 +318,7 @@
 	}
 }
 
-func (d *driver) reply(r coordination.Reply) {
+func (d *driver) reply(r controller.Reply) {
 	d.server.Answer(transport.ConnID(r.To.Conn), func(closing bool) []byte {
 		if r.To.Peer && r.Frame {
 			return r.Body
@@ -331,7 +331,7 @@
 }
 
 // call makes an outbound call, in its turn where the service is metered.
-func (d *driver) call(c coordination.Call) {
+func (d *driver) call(c controller.Call) {
 	send := func() { go d.send(c) }
 	m := d.meters[c.Target]
 	if m == nil {
@@ -339,17 +339,17 @@
 		return
 	}
 	changes := c.Changes
-	if c.Target == coordination.ToCloud {
+	if c.Target == controller.ToCloud {
 		changes = 0
 	}
 	m.Add(transport.Metered{Priority: transport.Priority(c.Priority), Changes: changes, Expires: d.now().Steady + c.Timeout, Send: send,
 		Expire: func() {
-			go func() { d.in <- coordination.CallDone{ID: c.ID, Unsent: true} }()
+			go func() { d.in <- controller.CallDone{ID: c.ID, Unsent: true} }()
 		}})
 	m.Run(d.now().Steady)
 }
 
-func (d *driver) send(c coordination.Call) {
+func (d *driver) send(c controller.Call) {
 	addr := c.Addr
 	if addr == "" {
 		addr = d.addrs[c.Target]
@@ -366,17 +366,17 @@
 // exchange sends a call to an address and waits for the answer. A check of an instance
 // is a connection that is accepted, or the answer to a GET: the time-out covers all of
 // it, an answer that comes a byte at a time too, and the socket is closed with it.
-func (d *driver) exchange(c coordination.Call, addr string) coordination.CallDone {
-	done := coordination.CallDone{ID: c.ID}
+func (d *driver) exchange(c controller.Call, addr string) controller.CallDone {
+	done := controller.CallDone{ID: c.ID}
 	dialer, timeout := d.dialers[c.Target], time.Duration(c.Timeout)*time.Microsecond
 	var err error
 	switch {
 	case dialer == nil:
 		err = transport.ErrSockets // roll-outs are off here
-	case c.Target == coordination.ToInstance && c.Method == "":
+	case c.Target == controller.ToInstance && c.Method == "":
 		err = dialer.Probe(addr, timeout)
 		done.Status = 200
-	case c.Target == coordination.ToPeer:
+	case c.Target == controller.ToPeer:
 		err = dialer.Do(addr, c.Body, timeout, func(buf []byte, _ bool) (int, bool, error) {
 			frame, used, err := protocol.SplitPeer(buf)
 			if used > 0 {
@@ -385,7 +385,7 @@
 			return used, true, err
 		})
 	default:
-		check := c.Target == coordination.ToInstance
+		check := c.Target == controller.ToInstance
 		payload := transport.AppendRequest(nil, c.Method, addr, c.Path, c.Body)
 		err = dialer.Do(addr, payload, timeout, func(buf []byte, eof bool) (int, bool, error) {
 			if check && len(buf) > mostCheckAnswer {
--- a/cmd/mapleslip/sockets_test.go
+++ b/cmd/mapleslip/sockets_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 )
 
 // Half as many machines again as the deployments have find room beside a few hundred
@@ -27,7 +27,7 @@
 					t.Errorf("%d connections: %+v", c.most, s)
 				}
 			}
-			if c.most > 1000 && s.workers < coordination.MostWorkerCalls {
+			if c.most > 1000 && s.workers < controller.MostWorkerCalls {
 				t.Errorf("%d for calls to workers", s.workers)
 			}
 			if rollouts != (s.instances > 0) {
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -3,7 +3,7 @@
 // how long a controller may go by one.
 //
 // It does no I/O. The leader of the cluster reads and writes the records and asks the
-// other controllers (internal/coordination/configuration.go).
+// other controllers (internal/controller/configuration.go).
 package configuration
 
 import (
--- a/internal/coordination/awaits.go
+++ b/internal/controller/awaits.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // What any controller can say of jobs that await others, from the state service alone: a
@@ -54,7 +54,7 @@
 			return
 		}
 		w.reading++
-		w.c.find(w.prio, ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+		w.c.find(w.prio, ref, func(j *state.Job, f final, found, ok bool) {
 			w.found(ref, named, j, f, found, ok)
 			w.read()
 		})
@@ -62,7 +62,7 @@
 }
 
 // found takes what was read of a job.
-func (w *walk) found(ref string, named bool, j *bookkeeping.Job, f final, found, ok bool) {
+func (w *walk) found(ref string, named bool, j *state.Job, f final, found, ok bool) {
 	v := &w.verdict
 	switch {
 	case !ok:
@@ -73,7 +73,7 @@
 		v.undecided = true
 	case j == nil:
 		v.cancelled = v.cancelled || f.phase == protocol.Cancelled
-	case j.State == bookkeeping.JobCancelled:
+	case j.State == state.JobCancelled:
 		v.cancelled = true
 	case named && j.Spec.Kind == protocol.Service:
 		v.missing = ref
@@ -90,8 +90,8 @@
 }
 
 // answerLive answers for a job that is not over by its own records.
-func (c *Controller) answerLive(to Address, j *bookkeeping.Job) {
-	if mine := c.knows(j); mine && !j.Unsure || len(j.Spec.Awaits) == 0 || j.State == bookkeeping.JobCancelled {
+func (c *Controller) answerLive(to Address, j *state.Job) {
+	if mine := c.knows(j); mine && !j.Unsure || len(j.Spec.Awaits) == 0 || j.State == state.JobCancelled {
 		c.reply(to, 200, c.liveAnswer(j), 0)
 		return
 	}
@@ -108,16 +108,16 @@
 }
 
 // knows reports whether this node leads and the job is the one of its book.
-func (c *Controller) knows(j *bookkeeping.Job) bool {
+func (c *Controller) knows(j *state.Job) bool {
 	return c.mayStart() && c.term.book.Job(j.Spec.Ref) == j
 }
 
 // liveAnswer says how a job stands, as its leader or its record has it.
-func (c *Controller) liveAnswer(j *bookkeeping.Job) []byte {
+func (c *Controller) liveAnswer(j *state.Job) []byte {
 	switch {
 	case c.knows(j):
 		return c.jobAnswer(j)
-	case j.State == bookkeeping.JobCancelled:
+	case j.State == state.JobCancelled:
 		return protocol.JobAnswer(j.Spec.Ref, protocol.Cancelled, 0, 0)
 	}
 	return protocol.JobAnswer(j.Spec.Ref, protocol.Queued, 0, 0)
@@ -141,7 +141,7 @@
 // known before whether the job itself was: what became of those that it awaits is then of
 // no matter.
 func (c *Controller) admitAwaits(to Address, spec *protocol.JobSpec, over func(), admitted func(cancelled bool)) {
-	c.find(prioUser, spec.Ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+	c.find(prioUser, spec.Ref, func(j *state.Job, f final, found, ok bool) {
 		if !ok || found {
 			over()
 		}
--- a/internal/coordination/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Cancellations, from the request to the proof that no task is left.
@@ -13,7 +13,7 @@
 	t := c.term
 	j := t.book.Job(ref)
 	if j == nil {
-		c.find(prioUser, ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+		c.find(prioUser, ref, func(j *state.Job, f final, found, ok bool) {
 			switch {
 			case !ok:
 				c.unavailable(to, refusedState)
@@ -34,13 +34,13 @@
 		return
 	}
 	switch j.State {
-	case bookkeeping.JobDone, bookkeeping.JobCancelled, bookkeeping.JobClosed:
+	case state.JobDone, state.JobCancelled, state.JobClosed:
 		c.reply(to, 200, c.jobAnswer(j), 0)
-	case bookkeeping.JobCancelling, bookkeeping.JobFinishing:
+	case state.JobCancelling, state.JobFinishing:
 		t.cancels[ref] = append(t.cancels[ref], to)
-	case bookkeeping.JobLive, bookkeeping.JobWaiting:
+	case state.JobLive, state.JobWaiting:
 		t.cancels[ref] = append(t.cancels[ref], to)
-		j.To(bookkeeping.JobCancelling)
+		j.To(state.JobCancelling)
 		j.CancelledWall = c.at.Wall
 		c.log.Debug("cancel asked", "ref", ref, "attempts", j.Attempts)
 		c.stopJob(j)
@@ -52,7 +52,7 @@
 			if a == to {
 				t.cancels[ref] = append(t.cancels[ref][:i:i], t.cancels[ref][i+1:]...)
 				// This node may lead no more, and knows of no tasks then.
-				if c.term == t && j.State == bookkeeping.JobCancelling && !c.nowhere(j) {
+				if c.term == t && j.State == state.JobCancelling && !c.nowhere(j) {
 					c.unavailable(to, refusedStops)
 				} else {
 					c.unavailable(to, refusedState)
@@ -65,7 +65,7 @@
 
 // nowhere reports whether no task of a job is on a machine, nor can be any more: each
 // attempt is proven gone, and none of an earlier leader is unheard of.
-func (c *Controller) nowhere(j *bookkeeping.Job) bool {
+func (c *Controller) nowhere(j *state.Job) bool {
 	return j.Settled() && (c.term.recovered || !c.term.unlisted)
 }
 
@@ -74,8 +74,8 @@
 // told: so whatever is cut off, down or ends afterwards, there is nothing left to
 // stop. Told before, it was a promise that no later leader could keep when a cut, an
 // outage of the state service and the end of all controllers came together.
-func (c *Controller) endCancelled(j *bookkeeping.Job) {
-	if j.State == bookkeeping.JobCancelling && !j.Doomed && !j.Closing && !j.Asking && c.nowhere(j) {
+func (c *Controller) endCancelled(j *state.Job) {
+	if j.State == state.JobCancelling && !j.Doomed && !j.Closing && !j.Asking && c.nowhere(j) {
 		c.closing(j)
 		c.finish(j)
 	}
@@ -87,12 +87,12 @@
 
 // keepAsk keeps the request in the state service, so that a new leader goes on with
 // it also if its user has given up asking.
-func (c *Controller) keepAsk(j *bookkeeping.Job) {
+func (c *Controller) keepAsk(j *state.Job) {
 	if j.AskKept || j.Asking || j.Closing || j.Doomed || c.at.Wall-j.CancelledWall < askKeptAfter || c.at.Steady < j.AskAgain {
 		return
 	}
 	ref := j.Spec.Ref
-	value := bookkeeping.EncodeJob(j)
+	value := state.EncodeJob(j)
 	if len(value) > c.limits.allowed.valueBytes {
 		// It was accepted under a larger limit. Its user was told nothing yet, and asks a
 		// new leader again.
@@ -100,8 +100,8 @@
 		return
 	}
 	j.Asking = true
-	when := []protocol.Condition{{Key: bookkeeping.JobPrefix + ref, Stamp: j.Stamp}}
-	then := []protocol.Change{{Key: bookkeeping.JobPrefix + ref, Value: value}}
+	when := []protocol.Condition{{Key: state.JobPrefix + ref, Stamp: j.Stamp}}
+	then := []protocol.Change{{Key: state.JobPrefix + ref, Value: value}}
 	c.lead(prioUser, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		j.Asking = false
 		if o == txnApplied {
@@ -117,10 +117,10 @@
 }
 
 // restampJob reads the stamp of a job's record after a write without an answer.
-func (c *Controller) restampJob(j *bookkeeping.Job) {
+func (c *Controller) restampJob(j *state.Job) {
 	t := c.term
 	j.Asking = true
-	c.get(prioUser, bookkeeping.JobPrefix+j.Spec.Ref, func(e protocol.Entry, found, ok bool) {
+	c.get(prioUser, state.JobPrefix+j.Spec.Ref, func(e protocol.Entry, found, ok bool) {
 		if c.term != t {
 			return
 		}
@@ -132,7 +132,7 @@
 }
 
 // stopJob stops all attempts of a job that nobody has any use for.
-func (c *Controller) stopJob(j *bookkeeping.Job) {
+func (c *Controller) stopJob(j *state.Job) {
 	for _, a := range j.On() {
 		c.stop(a, 0)
 	}
--- a/internal/coordination/chains.go
+++ b/internal/controller/chains.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Chained jobs, as the leader sees them. A job that awaits others is waiting until each of
@@ -16,12 +16,12 @@
 
 // chains is what a leader knows of the jobs that await others.
 type chains struct {
-	dependants map[string][]*bookkeeping.Job // jobs that wait, by each of the jobs that they await
-	unknown    []string                      // awaited jobs that this leader has to look up
-	asked      map[string]bool               // those, and the ones that are being looked up
+	dependants map[string][]*state.Job // jobs that wait, by each of the jobs that they await
+	unknown    []string                // awaited jobs that this leader has to look up
+	asked      map[string]bool         // those, and the ones that are being looked up
 	looking    int
-	doomed     []*bookkeeping.Job        // whose final records are not on their way yet
-	writing    map[*bookkeeping.Job]bool // doomed jobs whose final records are
+	doomed     []*state.Job        // whose final records are not on their way yet
+	writing    map[*state.Job]bool // doomed jobs whose final records are
 }
 
 // mostLookups bounds the awaited jobs that are looked up at once, mostDoomedWrites the final
@@ -32,12 +32,12 @@
 )
 
 func newChains() chains {
-	return chains{dependants: make(map[string][]*bookkeeping.Job), asked: make(map[string]bool),
-		writing: make(map[*bookkeeping.Job]bool)}
+	return chains{dependants: make(map[string][]*state.Job), asked: make(map[string]bool),
+		writing: make(map[*state.Job]bool)}
 }
 
 // link takes a job that entered the book into the graph.
-func (c *Controller) link(j *bookkeeping.Job) {
+func (c *Controller) link(j *state.Job) {
 	g := &c.term.chains
 	j.Free = j.Submitted
 	if len(j.Awaiting) > 0 {
@@ -46,7 +46,7 @@
 	// Jobs that await it may have entered before.
 	for _, d := range g.dependants[j.Spec.Ref] {
 		c.lend(d, j)
-		if j.Doomed || j.State == bookkeeping.JobCancelled {
+		if j.Doomed || j.State == state.JobCancelled {
 			c.doom(d)
 		} else {
 			c.updateUnsure(d)
@@ -55,7 +55,7 @@
 }
 
 // linkAwaited finds out how the jobs stand that a job awaits.
-func (c *Controller) linkAwaited(j *bookkeeping.Job) {
+func (c *Controller) linkAwaited(j *state.Job) {
 	g := &c.term.chains
 	doomed := false
 	j.Awaiting = slices.DeleteFunc(j.Awaiting, func(ref string) bool {
@@ -69,7 +69,7 @@
 		switch {
 		case o == nil:
 			c.wantAwaited(ref)
-		case o.Doomed || o.State == bookkeeping.JobCancelled:
+		case o.Doomed || o.State == state.JobCancelled:
 			doomed = true
 		default:
 			c.lend(j, o)
@@ -86,12 +86,12 @@
 }
 
 // freeToStart lets a job start whose awaited jobs are all durably done.
-func (c *Controller) freeToStart(j *bookkeeping.Job) {
-	if j.State != bookkeeping.JobWaiting {
+func (c *Controller) freeToStart(j *state.Job) {
+	if j.State != state.JobWaiting {
 		return // its user asked to cancel it
 	}
 	t := c.term
-	j.To(bookkeeping.JobLive)
+	j.To(state.JobLive)
 	j.Free = c.at.Steady
 	if t.led > 0 {
 		c.class(j.Spec.Class).arrived(c.at.Steady, j)
@@ -103,11 +103,11 @@
 // began notes that a task of a job was launched, by an earlier leader if the job is still
 // waiting here. No leader launches before it knows that all awaited jobs are durably done,
 // and that never changes.
-func (c *Controller) began(j *bookkeeping.Job) {
-	if j.State != bookkeeping.JobWaiting {
+func (c *Controller) began(j *state.Job) {
+	if j.State != state.JobWaiting {
 		return
 	}
-	j.To(bookkeeping.JobLive)
+	j.To(state.JobLive)
 	j.Awaiting, j.Unsure = nil, false
 	for _, d := range c.term.chains.dependants[j.Spec.Ref] {
 		c.updateUnsure(d)
@@ -136,16 +136,16 @@
 }
 
 // doom cancels a job of which an awaited one is durably cancelled, and all that await it.
-func (c *Controller) doom(first *bookkeeping.Job) {
+func (c *Controller) doom(first *state.Job) {
 	g := &c.term.chains
-	for work := []*bookkeeping.Job{first}; len(work) > 0; {
+	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		if j.Doomed || j.State != bookkeeping.JobWaiting && j.State != bookkeeping.JobCancelling {
+		if j.Doomed || j.State != state.JobWaiting && j.State != state.JobCancelling {
 			continue
 		}
-		if j.State == bookkeeping.JobWaiting {
-			j.To(bookkeeping.JobCancelling)
+		if j.State == state.JobWaiting {
+			j.To(state.JobCancelling)
 			j.CancelledWall = c.at.Wall
 		}
 		j.Doomed, j.Unsure = true, false
@@ -166,9 +166,9 @@
 // updateUnsure finds out whether a waiting job may be durably cancelled without this leader
 // knowing it, and the same for those that await it. It is so while the final record of a
 // job before it is on its way, or is still to be read.
-func (c *Controller) updateUnsure(first *bookkeeping.Job) {
+func (c *Controller) updateUnsure(first *state.Job) {
 	g := &c.term.chains
-	for work := []*bookkeeping.Job{first}; len(work) > 0; {
+	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
 		unsure := !j.Doomed && slices.ContainsFunc(j.Awaiting, c.mayBeCancelled)
@@ -187,7 +187,7 @@
 }
 
 // closing notes that the final record of a cancelled job is on its way.
-func (c *Controller) closing(j *bookkeeping.Job) {
+func (c *Controller) closing(j *state.Job) {
 	j.Closing = true
 	c.takeBack(j)
 	for _, d := range c.term.chains.dependants[j.Spec.Ref] {
@@ -238,7 +238,7 @@
 		return // it is known meanwhile
 	}
 	g.looking++
-	c.find(prioUrgent, ref, func(_ *bookkeeping.Job, _ final, found, ok bool) {
+	c.find(prioUrgent, ref, func(_ *state.Job, _ final, found, ok bool) {
 		if c.term != t {
 			return
 		}
@@ -261,7 +261,7 @@
 // lend has a job be served as one that needs it: with its rank, if that is higher, and so
 // that it is done by when the other has to start to meet its deadline. So it goes back
 // through the chain, to whatever can start now.
-func (c *Controller) lend(from, to *bookkeeping.Job) {
+func (c *Controller) lend(from, to *state.Job) {
 	neededBy := c.startBy(from)
 	rises := from.Rank < to.Rank
 	hastens := neededBy > 0 && (to.NeededBy == 0 || neededBy < to.NeededBy)
@@ -281,7 +281,7 @@
 }
 
 // servedAnew has the next round plan with a job's new rank, and around what runs of it.
-func (c *Controller) servedAnew(j *bookkeeping.Job) {
+func (c *Controller) servedAnew(j *state.Job) {
 	for _, a := range j.On() {
 		a.Host.Changed = true
 	}
@@ -290,7 +290,7 @@
 
 // takeBack ends what a job lends that is being cancelled: those that it awaits are served by
 // the others that need them.
-func (c *Controller) takeBack(j *bookkeeping.Job) {
+func (c *Controller) takeBack(j *state.Job) {
 	for _, ref := range j.Awaiting {
 		o := c.term.book.Job(ref)
 		if o == nil {
@@ -299,7 +299,7 @@
 		rank, neededBy := o.Rank, o.NeededBy
 		o.Rank, o.NeededBy = o.Spec.Rank, 0
 		for _, d := range c.term.chains.dependants[ref] {
-			if d.State == bookkeeping.JobWaiting {
+			if d.State == state.JobWaiting {
 				c.lend(d, o)
 			}
 		}
@@ -312,7 +312,7 @@
 
 // startBy is when a job has to be free to start for it, and those that need it, to meet
 // their deadlines: by its estimate, and a fetch of its image. 0: nobody has a deadline.
-func (c *Controller) startBy(j *bookkeeping.Job) micros {
+func (c *Controller) startBy(j *state.Job) micros {
 	due := deadlineOf(j)
 	if due == 0 || j.Spec.Kind == protocol.Service {
 		return 0
@@ -328,7 +328,7 @@
 
 // deadlineOf is when a job has to be done by its own deadline and those of the jobs that
 // need it, 0: there is none.
-func deadlineOf(j *bookkeeping.Job) micros {
+func deadlineOf(j *state.Job) micros {
 	var due micros
 	if j.Spec.Deadline > 0 {
 		due = j.Submitted + j.Spec.Deadline
--- a/internal/coordination/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -1,22 +1,22 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // chained makes a job that awaits others; mend says what else it is.
-func chained(c *Controller, ref string, mend func(*protocol.JobSpec), awaits ...string) *bookkeeping.Job {
+func chained(c *Controller, ref string, mend func(*protocol.JobSpec), awaits ...string) *state.Job {
 	s := &protocol.JobSpec{Ref: ref, Class: "stage", Team: "team-1", Kind: protocol.Array, Rank: protocol.Low, Tasks: 2,
 		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 400, Estimate: 20 * protocol.Second, Awaits: awaits}
 	if mend != nil {
 		mend(s)
 	}
-	j := bookkeeping.NewJob(s)
+	j := state.NewJob(s)
 	j.SubmittedWall = c.at.Wall
 	return j
 }
@@ -27,7 +27,7 @@
 	for name, order := range map[string][]int{"as submitted": {0, 1, 2, 3}, "the last first": {3, 2, 1, 0}, "mixed": {2, 0, 3, 1}} {
 		t.Run(name, func(t *testing.T) {
 			c := busyLeader(t, 8, 0)
-			jobs := []*bookkeeping.Job{
+			jobs := []*state.Job{
 				chained(c, "req-900001", nil),
 				chained(c, "req-900002", nil, "req-900001"),
 				chained(c, "req-900003", nil, "req-900001"),
@@ -55,7 +55,7 @@
 	first, second := chained(c, "req-900001", nil), chained(c, "req-900002", nil, "req-900001")
 	c.enter(first)
 	c.enter(second)
-	planned := func(j *bookkeeping.Job) bool {
+	planned := func(j *state.Job) bool {
 		return slices.ContainsFunc(c.wanted(), func(w *wanted) bool { return w.job == j })
 	}
 	if !planned(first) || planned(second) {
@@ -87,7 +87,7 @@
 			t.Errorf("%s: still to be read", phase)
 		}
 		cancelled := phase == protocol.Cancelled
-		if second.Doomed != cancelled || third.Doomed != cancelled || (second.State == bookkeeping.JobLive) == cancelled || third.State == bookkeeping.JobLive {
+		if second.Doomed != cancelled || third.Doomed != cancelled || (second.State == state.JobLive) == cancelled || third.State == state.JobLive {
 			t.Errorf("%s: %v %v, doomed %v %v", phase, second.State, third.State, second.Doomed, third.Doomed)
 		}
 	}
@@ -109,8 +109,8 @@
 			b.ResetTimer()
 			for b.Loop() {
 				c.remember("req-900001", final{protocol.Done, 2})
-				j.State, j.Awaiting = bookkeeping.JobWaiting, append(j.Awaiting, "req-900001")
-				c.term.chains.dependants["req-900001"] = []*bookkeeping.Job{j}
+				j.State, j.Awaiting = state.JobWaiting, append(j.Awaiting, "req-900001")
+				c.term.chains.dependants["req-900001"] = []*state.Job{j}
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 	report := protocol.TaskReport{AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
 		State: protocol.Exited, Reason: protocol.ExitDone}
 	c.observe(c.adopt(c.term.book.Hosts()[0], report), report)
-	if j.State != bookkeeping.JobLive || j.Done != 1 || j.Tasks[1].State != bookkeeping.TaskDone {
+	if j.State != state.JobLive || j.Done != 1 || j.Tasks[1].State != state.TaskDone {
 		t.Errorf("it is %v, %d done", j.State, j.Done)
 	}
 }
@@ -140,7 +140,7 @@
 	first, second := chained(c, "req-900001", nil), chained(c, "req-900002", nil, "req-900001")
 	high := chained(c, "req-900003", urgent(protocol.High, 200*protocol.Second), "req-900002")
 	standard := chained(c, "req-900004", urgent(protocol.Standard, 400*protocol.Second), "req-900002")
-	for _, j := range []*bookkeeping.Job{first, second, high, standard} {
+	for _, j := range []*state.Job{first, second, high, standard} {
 		c.enter(j)
 	}
 	check := func(when string, rank protocol.Rank, within micros) {
--- a/internal/coordination/classes.go
+++ b/internal/controller/classes.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"math"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // class is what was learned of a class of jobs.
@@ -28,7 +28,7 @@
 // arrivalWindow is the span over which arrivals are counted.
 const arrivalWindow = 180 * protocol.Second
 
-func (k *class) arrived(at micros, j *bookkeeping.Job) {
+func (k *class) arrived(at micros, j *state.Job) {
 	k.last, k.most = j.Spec, max(k.most, j.Spec.Tasks)
 	if at-j.Free < 5*protocol.Second {
 		k.arrivals = append(k.arrivals, at)
@@ -51,7 +51,7 @@
 }
 
 // ran learns from a completed task.
-func (k *class) ran(j *bookkeeping.Job, took micros) {
+func (k *class) ran(j *state.Job, took micros) {
 	if j.Spec.Estimate <= 0 || took <= 0 || j.FirstStart == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // learnFetch learns how long fetches take on a type of machine.
-func (c *Controller) learnFetch(a *bookkeeping.Attempt) {
+func (c *Controller) learnFetch(a *state.Attempt) {
 	h, j := a.Host, a.Job
 	if h.Type == nil || a.Adopted || a.ExpectedReady == 0 {
 		return
--- a/internal/coordination/completions.go
+++ b/internal/controller/completions.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 	"slices"
 	"sort"
 )
@@ -31,7 +31,7 @@
 	doneEvery   = 700 * protocol.Millisecond
 )
 
-func (c *Controller) markChunk(j *bookkeeping.Job, index int) {
+func (c *Controller) markChunk(j *state.Job, index int) {
 	if len(j.Tasks) <= sharedTasks {
 		size := len(j.Spec.Ref) + 8 + (len(j.Tasks)+23)/24*4 + 2
 		c.term.donePages.put(j.Spec.Ref, size, c.room(), c.at.Steady+doneEvery, true)
@@ -44,7 +44,7 @@
 	if len(w.dirty) == 0 && w.next < c.at.Steady {
 		w.next = c.at.Steady + 700*protocol.Millisecond // let some more come together
 	}
-	w.dirty[chunkKey{j.Spec.Ref, index / bookkeeping.ChunkTasks}] = true
+	w.dirty[chunkKey{j.Spec.Ref, index / state.ChunkTasks}] = true
 }
 
 func (c *Controller) writeChunks() {
@@ -63,14 +63,14 @@
 	var when []protocol.Condition
 	var then []protocol.Change
 	type covered struct {
-		j     *bookkeeping.Job
+		j     *state.Job
 		chunk int
 		tasks []int
 	}
 	var batch []covered
 	for _, k := range keys {
 		j := t.book.Job(k.ref)
-		if j == nil || j.State != bookkeeping.JobLive {
+		if j == nil || j.State != state.JobLive {
 			delete(w.dirty, k) // its final record covers it
 			continue
 		}
@@ -81,10 +81,10 @@
 			c.restampChunk(j, k)
 			return
 		}
-		cv := covered{j: j, chunk: k.chunk, tasks: j.Undurable(k.chunk*bookkeeping.ChunkTasks, (k.chunk+1)*bookkeeping.ChunkTasks)}
+		cv := covered{j: j, chunk: k.chunk, tasks: j.Undurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
 		batch = append(batch, cv)
-		when = append(when, protocol.Condition{Key: bookkeeping.JobPrefix + k.ref, Stamp: j.Stamp}, protocol.Condition{Key: k.record(), Stamp: j.Chunks[k.chunk]})
-		then = append(then, protocol.Change{Key: k.record(), Value: bookkeeping.EncodeChunk(j, k.chunk)})
+		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Stamp: j.Stamp}, protocol.Condition{Key: k.record(), Stamp: j.Chunks[k.chunk]})
+		then = append(then, protocol.Change{Key: k.record(), Value: state.EncodeChunk(j, k.chunk)})
 	}
 	for _, cv := range batch {
 		delete(w.dirty, chunkKey{cv.j.Spec.Ref, cv.chunk})
@@ -105,7 +105,7 @@
 				continue
 			}
 			k := chunkKey{cv.j.Spec.Ref, cv.chunk}
-			if cv.j.State == bookkeeping.JobLive {
+			if cv.j.State == state.JobLive {
 				w.dirty[k] = true
 			}
 			if o == txnUnknown || o == txnRefused && slices.Contains(r.Failed, k.record()) {
@@ -119,7 +119,7 @@
 }
 
 // restampChunk reads the stamp of a record of completions after a write without an answer.
-func (c *Controller) restampChunk(j *bookkeeping.Job, k chunkKey) {
+func (c *Controller) restampChunk(j *state.Job, k chunkKey) {
 	t := c.term
 	t.chunks.writing = true
 	c.get(prioUrgent, k.record(), func(e protocol.Entry, found, ok bool) {
--- a/internal/coordination/configuration.go
+++ b/internal/controller/configuration.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"slices"
 	"strconv"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Configuration that changes while the service runs. Only the leader writes revisions,
@@ -82,7 +82,7 @@
 }
 
 // drained says whether a machine is drained, and how.
-func (c *Controller) drained(h *bookkeeping.Host) configuration.Drain {
+func (c *Controller) drained(h *state.Host) configuration.Drain {
 	if c.config == nil {
 		return configuration.NotDrained
 	}
@@ -230,10 +230,10 @@
 func (c *Controller) reconsider(was *configuration.Settings) {
 	t := c.term
 	s := c.config.settings
-	back := func(a *bookkeeping.Attempt) {
+	back := func(a *state.Attempt) {
 		// A launch that may be on its way is repeated until the worker knows it; with the
 		// stop behind it nothing of it runs.
-		if a.State == bookkeeping.AttemptAssigned || a.State == bookkeeping.AttemptLaunched && a.Doubt {
+		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.Doubt {
 			c.stop(a, 0)
 		}
 	}
@@ -256,7 +256,7 @@
 		// A pass under way has its jobs in the order of the guarantees before.
 		t.pass = nil
 		if !withinLimit(team.Limit, t.book.Used[name]) {
-			c.eachOf(name, func(a *bookkeeping.Attempt) bool {
+			c.eachOf(name, func(a *state.Attempt) bool {
 				back(a)
 				return !withinLimit(team.Limit, t.book.Used[name])
 			})
@@ -267,7 +267,7 @@
 
 // eachOf goes through the attempts of a team's jobs, those that come last in line first,
 // as long as more says so.
-func (c *Controller) eachOf(team string, more func(*bookkeeping.Attempt) bool) {
+func (c *Controller) eachOf(team string, more func(*state.Attempt) bool) {
 	for _, j := range slices.Backward(slices.Clone(c.term.book.Line())) {
 		if j.Spec.Team != team {
 			continue
@@ -288,7 +288,7 @@
 		return
 	}
 	t, s := c.term, c.config.settings
-	gently := func(a *bookkeeping.Attempt) {
+	gently := func(a *state.Attempt) {
 		grace := micros(0)
 		if a.Job != nil && a.Job.Spec.Checkpoints() {
 			grace = a.Job.Spec.Saves + protocol.Second
@@ -313,13 +313,13 @@
 			continue
 		}
 		// What is told to stop counts until it is gone; nothing more is stopped for it.
-		c.eachOf(name, func(a *bookkeeping.Attempt) bool {
+		c.eachOf(name, func(a *state.Attempt) bool {
 			if a.Stop && a.State.MayRun() {
 				used = used.Add(a.Job.Spec.Need, -1)
 			}
 			return true
 		})
-		c.eachOf(name, func(a *bookkeeping.Attempt) bool {
+		c.eachOf(name, func(a *state.Attempt) bool {
 			if withinLimit(team.Limit, used) {
 				return false
 			}
@@ -351,7 +351,7 @@
 	}
 	there := c.term.rental.open[kind{k.typ, k.zone, false}] + c.term.rental.open[kind{k.typ, k.zone, true}] - mine
 	for _, h := range c.term.book.Hosts() {
-		if h.TypeName == k.typ && h.Zone == k.zone && h.State != bookkeeping.HostGone {
+		if h.TypeName == k.typ && h.Zone == k.zone && h.State != state.HostGone {
 			there++
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
 // Package coordination is the controller itself: election, worker sessions,
 // commands, placing and rental. All its state belongs to one goroutine, which
 // calls Step; Step does no I/O, it returns effects.
-package coordination
+package controller
 
 import (
 	"container/heap"
@@ -9,11 +9,11 @@
 	"math/rand/v2"
 	"strconv"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 type (
@@ -225,9 +225,9 @@
 	role          Role
 	roleSince     micros
 	seat          seat
-	leader        bookkeeping.Leadership // as known from the state service
-	suspect       micros                 // the leader did not answer, until then it is not asked
-	rechecked     micros                 // when the leader's record was read again after that
+	leader        state.Leadership // as known from the state service
+	suspect       micros           // the leader did not answer, until then it is not asked
+	rechecked     micros           // when the leader's record was read again after that
 	born          micros
 	looked        bool              // the leader key was read since
 	unread        map[string]uint64 // records that can't be read, with the stamps under which that was told
@@ -287,7 +287,7 @@
 func New(p *protocol.Platform, o protocol.Operator, seed uint64, log *slog.Logger) *Controller {
 	return &Controller{platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log, limits: newStateLimits(p),
 		calls: make(map[uint64]openCall), callers: make(map[string]caller), finals: newFinals(),
-		typeByName: make(map[string]*protocol.MachineType), levels: &levelState{serves: upgrade.Build},
+		typeByName: make(map[string]*protocol.MachineType), levels: &levelState{serves: featuregate.Build},
 		stateReach: reach{name: "the state service"}, cloudReach: reach{name: "the cloud"}}
 }
 
--- a/internal/coordination/election.go
+++ b/internal/controller/election.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"strconv"
 
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // seat is what a node holds of leadership.
@@ -18,10 +18,10 @@
 	renewing    bool   // a renewal was sent and may still be answered soon
 	renewals    uint64 // sent so far
 	nextRenew   micros
-	unanswered  int           // renewals in a row that were made and got no answer
-	predAnswers micros        // until then a predecessor may answer workers
-	level       upgrade.Level // of the epoch's record, when the key was taken
-	unlisted    bool          // launches of earlier epochs may be in no record
+	unanswered  int               // renewals in a row that were made and got no answer
+	predAnswers micros            // until then a predecessor may answer workers
+	level       featuregate.Level // of the epoch's record, when the key was taken
+	unlisted    bool              // launches of earlier epochs may be in no record
 	yields      []protocol.Yield
 	asked       micros // when the lease was asked for
 }
@@ -50,7 +50,7 @@
 	c.seat = seat{epoch: c.seat.epoch}
 	c.callGen++
 	gen := c.callGen
-	c.get(prioLeadership, bookkeeping.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		if gen != c.callGen || c.role != Following {
 			return
 		}
@@ -92,7 +92,7 @@
 }
 
 func (c *Controller) sawLeader(e protocol.Entry) {
-	l, err := bookkeeping.DecodeLeader(e.Value)
+	l, err := state.DecodeLeader(e.Value)
 	if err != nil {
 		c.malformed("state", err)
 		return
@@ -113,7 +113,7 @@
 		return
 	}
 	c.rechecked = c.at.Steady
-	c.get(prioLeadership, bookkeeping.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		if found && c.role == Following {
 			c.sawLeader(e)
 		}
@@ -122,9 +122,9 @@
 
 func (c *Controller) watchLeader(gen uint64, rev uint64) {
 	stop := func() bool { return gen != c.callGen || c.role != Following }
-	c.watch(prioLeadership, bookkeeping.KeyLeader, rev, stop, func(e protocol.Entry) {
+	c.watch(prioLeadership, state.KeyLeader, rev, stop, func(e protocol.Entry) {
 		switch {
-		case e.Key != bookkeeping.KeyLeader:
+		case e.Key != state.KeyLeader:
 		case e.Value != nil:
 			c.sawLeader(e)
 		default:
@@ -204,7 +204,7 @@
 // claim raises the epoch and takes the leader key in one transaction.
 func (c *Controller) claim() {
 	c.become(Claiming)
-	c.get(prioLeadership, bookkeeping.KeyEpoch, func(e protocol.Entry, found, ok bool) {
+	c.get(prioLeadership, state.KeyEpoch, func(e protocol.Entry, found, ok bool) {
 		if c.role != Claiming {
 			return
 		}
@@ -213,9 +213,9 @@
 			return
 		}
 		var last uint64
-		var level upgrade.Level
+		var level featuregate.Level
 		if found {
-			rec, err := bookkeeping.DecodeEpoch(e.Value)
+			rec, err := state.DecodeEpoch(e.Value)
 			if err == nil {
 				err = c.servesLevel(rec.Level)
 			}
@@ -237,11 +237,11 @@
 			}
 		}
 		epoch := last + 1
-		lead := bookkeeping.Leadership{Node: c.platform.Node, Epoch: epoch, Lease: c.seat.lease, AnswerOn: c.operator.AnswerOn}
-		when := []protocol.Condition{{Key: bookkeeping.KeyLeader}, {Key: bookkeeping.KeyEpoch, Stamp: e.Stamp}}
+		lead := state.Leadership{Node: c.platform.Node, Epoch: epoch, Lease: c.seat.lease, AnswerOn: c.operator.AnswerOn}
+		when := []protocol.Condition{{Key: state.KeyLeader}, {Key: state.KeyEpoch, Stamp: e.Stamp}}
 		then := []protocol.Change{
-			{Key: bookkeeping.KeyEpoch, Value: bookkeeping.EncodeEpoch(bookkeeping.Epoch{N: epoch, Unlisted: c.seat.unlisted, Yields: c.seat.yields, Level: level})},
-			{Key: bookkeeping.KeyLeader, Value: bookkeeping.EncodeLeader(lead), Lease: c.seat.lease},
+			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.Epoch{N: epoch, Unlisted: c.seat.unlisted, Yields: c.seat.yields, Level: level})},
+			{Key: state.KeyLeader, Value: state.EncodeLeader(lead), Lease: c.seat.lease},
 		}
 		pred := c.leader
 		c.txn(prioLeadership, when, then, func(o txnOutcome, r protocol.TxnResult) {
@@ -316,7 +316,7 @@
 		return
 	}
 	lease := c.seat.lease
-	c.get(prioLeadership, bookkeeping.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		switch {
 		case !holdsLease(c.role) || c.seat.lease != lease:
 		case !ok:
@@ -398,14 +398,14 @@
 // lead is a leader's transaction: it applies only while the key is ours.
 func (c *Controller) lead(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
 	term := c.term
-	when = append([]protocol.Condition{{Key: bookkeeping.KeyLeader, Stamp: c.seat.stamp}}, when...)
+	when = append([]protocol.Condition{{Key: state.KeyLeader, Stamp: c.seat.stamp}}, when...)
 	c.txn(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if c.term != term {
 			return
 		}
 		if o == txnRefused {
 			for _, k := range r.Failed {
-				if k == bookkeeping.KeyLeader {
+				if k == state.KeyLeader {
 					c.deposed("the leader key is another's")
 					return
 				}
--- a/internal/coordination/faults.go
+++ b/internal/controller/faults.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
+	"mapleslip/internal/state"
 )
 
 // When a task fails, its machine is faulty or its job was submitted with a
@@ -22,12 +22,12 @@
 const longestHold = 60 * protocol.Second
 
 // sound reports whether something shows that a job can run.
-func (c *Controller) sound(j *bookkeeping.Job) bool {
+func (c *Controller) sound(j *state.Job) bool {
 	if j.Done > 0 {
 		return true
 	}
 	for _, a := range j.On() {
-		if a.State == bookkeeping.AttemptRunning && c.at.Steady-a.Started >= ranWell {
+		if a.State == state.AttemptRunning && c.at.Steady-a.Started >= ranWell {
 			return true
 		}
 	}
@@ -35,7 +35,7 @@
 }
 
 // failed handles a task's error.
-func (c *Controller) failed(a *bookkeeping.Attempt) {
+func (c *Controller) failed(a *state.Attempt) {
 	j, h := a.Job, a.Host
 	at := c.at.Steady
 	if j.Failures == nil {
@@ -67,7 +67,7 @@
 }
 
 // condemn leaves a machine alone for a while.
-func (c *Controller) condemn(h *bookkeeping.Host) {
+func (c *Controller) condemn(h *state.Host) {
 	h.Faults++
 	h.FaultUntil = c.at.Steady + min(micros(h.Faults)*30*protocol.Second, 300*protocol.Second)
 	h.Distrusted, h.Changed = false, true
@@ -75,7 +75,7 @@
 }
 
 // exonerate takes back what a suspect job's failures said of machines.
-func (c *Controller) exonerate(j *bookkeeping.Job) {
+func (c *Controller) exonerate(j *state.Job) {
 	for name := range j.Failures {
 		h := c.term.book.Host(name)
 		if h == nil || !slices.Contains(h.Blamed, j.Spec.Ref) {
@@ -91,7 +91,7 @@
 }
 
 // acquit notes that a job can run. Where it failed before, the machine did.
-func (c *Controller) acquit(j *bookkeeping.Job) {
+func (c *Controller) acquit(j *state.Job) {
 	for name := range j.Failures {
 		if h := c.term.book.Host(name); h != nil && c.at.Steady >= h.FaultUntil {
 			h.Blamed = nil
--- a/internal/coordination/features.go
+++ b/internal/controller/features.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // Feature levels, as far as every controller has to do with them: its entry in the roster,
@@ -14,12 +14,12 @@
 
 // levelState is what a controller knows of the feature levels.
 type levelState struct {
-	serves upgrade.Range
+	serves featuregate.Range
 	build  string
-	active upgrade.Level // at least this one is active: levels never fall
-	stamp  uint64        // of the level's record, 0: there is none
-	known  bool          // the stamp was read, and nothing has shown since that it is another
-	listed bool          // the roster has what this process runs
+	active featuregate.Level // at least this one is active: levels never fall
+	stamp  uint64            // of the level's record, 0: there is none
+	known  bool              // the stamp was read, and nothing has shown since that it is another
+	listed bool              // the roster has what this process runs
 }
 
 // rosterAgain is how soon a controller tries again to write its entry of the roster, or to
@@ -27,7 +27,7 @@
 const rosterAgain = 400 * protocol.Millisecond
 
 // ServeLevels says what this program serves, before Start.
-func (c *Controller) ServeLevels(r upgrade.Range, build string) {
+func (c *Controller) ServeLevels(r featuregate.Range, build string) {
 	c.levels = &levelState{serves: r, build: build}
 }
 
@@ -39,10 +39,10 @@
 // allows reports whether a feature may be used: the active level, as far as this controller
 // knows it, has the feature. Levels never fall, so what was allowed once stays allowed; a
 // controller that does not know the level yet allows nothing new.
-func (c *Controller) allows(f upgrade.Feature) bool { return c.level() >= f.From }
+func (c *Controller) allows(f featuregate.Feature) bool { return c.level() >= f.From }
 
 // level is the active level as far as this controller knows it.
-func (c *Controller) level() upgrade.Level {
+func (c *Controller) level() featuregate.Level {
 	if c.levels == nil {
 		return 0
 	}
@@ -50,7 +50,7 @@
 }
 
 // levelAtLeast notes that a level is active, as the epoch's record says.
-func (c *Controller) levelAtLeast(l upgrade.Level) {
+func (c *Controller) levelAtLeast(l featuregate.Level) {
 	if c.levels != nil {
 		c.levels.active = max(c.levels.active, l)
 	}
@@ -72,14 +72,14 @@
 // the same, so that the stamp is another one: a write of the process before it, which may
 // have run another version, is refused from then on.
 func (c *Controller) enlist() {
-	key := upgrade.RosterKey(c.platform.Node)
+	key := featuregate.RosterKey(c.platform.Node)
 	again := func() { c.after(rosterAgain, c.enlist) }
 	c.get(prioLeadership, key, func(e protocol.Entry, _, ok bool) {
 		if !ok {
 			again()
 			return
 		}
-		value := upgrade.EncodeEntry(upgrade.Entry{Node: c.platform.Node, Levels: c.levels.serves, Build: c.levels.build})
+		value := featuregate.EncodeEntry(featuregate.Entry{Node: c.platform.Node, Levels: c.levels.serves, Build: c.levels.build})
 		when := []protocol.Condition{{Key: key, Stamp: e.Stamp}}
 		c.txn(prioLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
 			if o != txnApplied {
@@ -96,8 +96,8 @@
 func (c *Controller) followLevel() {
 	enough := func() bool { return c.levels.active >= c.levels.serves.High }
 	found := false
-	c.list(prioNormal, upgrade.KeyLevel, func(e protocol.Entry) {
-		if e.Key == upgrade.KeyLevel {
+	c.list(prioNormal, featuregate.KeyLevel, func(e protocol.Entry) {
+		if e.Key == featuregate.KeyLevel {
 			found = true
 			c.tookLevel(e)
 		}
@@ -109,8 +109,8 @@
 		if !found && c.levels.active == 0 {
 			c.levels.known = true
 		}
-		c.watch(prioNormal, upgrade.KeyLevel, revision, enough, func(e protocol.Entry) {
-			if e.Key == upgrade.KeyLevel && e.Value != nil {
+		c.watch(prioNormal, featuregate.KeyLevel, revision, enough, func(e protocol.Entry) {
+			if e.Key == featuregate.KeyLevel && e.Value != nil {
 				c.tookLevel(e)
 			}
 		}, func() {
@@ -128,7 +128,7 @@
 	if e.Stamp < s.stamp {
 		return // it was read before what is known
 	}
-	l, err := upgrade.DecodeLevel(e.Value)
+	l, err := featuregate.DecodeLevel(e.Value)
 	if err != nil || l < s.active {
 		if err == nil {
 			err = errLevelFell
@@ -145,7 +145,7 @@
 
 // readLevel reads the level's record, where it has to be known.
 func (c *Controller) readLevel(prio uint8, done func(ok bool)) {
-	c.get(prio, upgrade.KeyLevel, func(e protocol.Entry, found, ok bool) {
+	c.get(prio, featuregate.KeyLevel, func(e protocol.Entry, found, ok bool) {
 		switch {
 		case ok && found:
 			c.tookLevel(e)
@@ -161,13 +161,13 @@
 	if c.levels == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: upgrade.KeyLevel, Stamp: c.levels.stamp})
+	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Stamp: c.levels.stamp})
 }
 
 // otherLevel notices a transaction that was refused because another level is active: it is
 // read again, and what was refused is decided anew.
 func (c *Controller) otherLevel(o txnOutcome, r protocol.TxnResult) bool {
-	if c.levels == nil || o != txnRefused || !slices.Contains(r.Failed, upgrade.KeyLevel) {
+	if c.levels == nil || o != txnRefused || !slices.Contains(r.Failed, featuregate.KeyLevel) {
 		return false
 	}
 	c.levels.known = false
@@ -178,7 +178,7 @@
 // tookKeptTypes takes machine types from their record. That of the later form is not for
 // controllers that know of no levels: without machine types they accept nothing.
 func (c *Controller) tookKeptTypes(value []byte) {
-	types, later, err := bookkeeping.DecodeTypes(value)
+	types, later, err := state.DecodeTypes(value)
 	if err == nil && later && c.levels == nil {
 		err = errLaterForm
 	}
--- a/internal/coordination/guests.go
+++ b/internal/controller/guests.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Work of the lowest rank is a guest on machines that are there for others: it
@@ -13,7 +13,7 @@
 // every machine busy that was ever rented, and had work of higher rank rent more.
 
 // guest reports whether a job's tasks give way to whatever else is placed.
-func guest(j *bookkeeping.Job) bool { return j.Rank == protocol.Low }
+func guest(j *state.Job) bool { return j.Rank == protocol.Low }
 
 // frugalFor is how long a guest's job is content with what is spare. After that
 // it is served like others, only behind them: an accepted job must run.
@@ -21,12 +21,12 @@
 
 // frugal reports whether a job neither keeps a machine at the full price nor has
 // one rented.
-func (c *Controller) frugal(j *bookkeeping.Job) bool {
+func (c *Controller) frugal(j *state.Job) bool {
 	return guest(j) && j.Spec.Spot && c.at.Steady-j.Free < frugalFor
 }
 
 // held reports whether a machine has work for which it is to be kept.
-func (c *Controller) held(h *bookkeeping.Host) bool {
+func (c *Controller) held(h *state.Host) bool {
 	for _, a := range h.Attempts() {
 		if a.State.Occupies() && (a.Job == nil || h.Spot || !c.frugal(a.Job)) {
 			return true
@@ -36,7 +36,7 @@
 }
 
 // clearGuests stops the guests on a host that are in the way of a task.
-func (c *Controller) clearGuests(h *bookkeeping.Host, need protocol.Resources) {
+func (c *Controller) clearGuests(h *state.Host, need protocol.Resources) {
 	free := h.Type.Offer
 	var guests []victim
 	for _, a := range h.Attempts() {
@@ -66,7 +66,7 @@
 }
 
 // sendGuestsOff lets the guests on a machine that goes back save what they did.
-func (c *Controller) sendGuestsOff(h *bookkeeping.Host) {
+func (c *Controller) sendGuestsOff(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State.Occupies() && !a.Stop && a.Job != nil {
 			grace := micros(0)
--- a/internal/coordination/jobend.go
+++ b/internal/controller/jobend.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 	"sort"
 )
 
@@ -26,7 +26,7 @@
 }
 
 type waitingFinal struct {
-	job   *bookkeeping.Job
+	job   *state.Job
 	since micros
 }
 
@@ -54,8 +54,8 @@
 
 // checkFinished writes the final record of a job whose tasks are all done.
 // Only after it is durable are users told.
-func (c *Controller) checkFinished(j *bookkeeping.Job) {
-	if j.State != bookkeeping.JobLive || j.Done < len(j.Tasks) {
+func (c *Controller) checkFinished(j *state.Job) {
+	if j.State != state.JobLive || j.Done < len(j.Tasks) {
 		return
 	}
 	if j.Spec.Kind == protocol.Gang && !j.Settled() {
@@ -64,12 +64,12 @@
 		// over and not count it: its team came above the limit.
 		return
 	}
-	j.To(bookkeeping.JobFinishing)
+	j.To(state.JobFinishing)
 	c.finish(j)
 }
 
 // finish moves a job's record to where jobs that are over are kept.
-func (c *Controller) finish(j *bookkeeping.Job) {
+func (c *Controller) finish(j *state.Job) {
 	t := c.term
 	if c.role != Leading {
 		// It would be refused: the state service is not there, or this node's lease.
@@ -81,15 +81,15 @@
 }
 
 // writeFinal writes a job's final record, in its turn.
-func (c *Controller) writeFinal(j *bookkeeping.Job, since micros) {
+func (c *Controller) writeFinal(j *state.Job, since micros) {
 	t := c.term
 	ref := j.Spec.Ref
 	phase := protocol.Done
-	if j.State == bookkeeping.JobCancelled || j.State == bookkeeping.JobCancelling {
+	if j.State == state.JobCancelled || j.State == state.JobCancelling {
 		phase = protocol.Cancelled
 	}
-	then := []protocol.Change{{Key: bookkeeping.JobPrefix + ref},
-		{Key: bookkeeping.FinalPrefix + ref, Value: bookkeeping.EncodeFinal(phase, len(j.Tasks))}}
+	then := []protocol.Change{{Key: state.JobPrefix + ref},
+		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))}}
 	t.bookingPages.drop(ref, protocol.Forever)
 	chunks := make([]int, 0, len(j.Chunks))
 	for k := range j.Chunks {
@@ -104,7 +104,7 @@
 			rest = append(rest, key)
 		}
 	}
-	when := []protocol.Condition{{Key: bookkeeping.JobPrefix + ref, Stamp: j.Stamp}}
+	when := []protocol.Condition{{Key: state.JobPrefix + ref, Stamp: j.Stamp}}
 	c.lead(prioEnding, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		t.finals.wrote(c.at.Steady, since)
 		c.writeFinals()
@@ -114,18 +114,18 @@
 			c.over(j, phase)
 		case txnRefused:
 			// Our own earlier try may have been applied late.
-			c.get(prioUrgent, bookkeeping.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+			c.get(prioUrgent, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
 				if c.term != t {
 					return
 				}
 				if found {
-					if p, _, err := bookkeeping.DecodeFinal(e.Value); err == nil {
+					if p, _, err := state.DecodeFinal(e.Value); err == nil {
 						c.over(j, p)
 						return
 					}
 				}
 				// Or a write to the job's record was: its stamp is another.
-				c.get(prioUrgent, bookkeeping.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+				c.get(prioUrgent, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
 					if c.term != t {
 						return
 					}
@@ -141,22 +141,22 @@
 	})
 }
 
-func (c *Controller) finishAgain(t *term, j *bookkeeping.Job) {
-	if c.term == t && (j.State == bookkeeping.JobFinishing || j.State == bookkeeping.JobCancelled || j.State == bookkeeping.JobCancelling) {
+func (c *Controller) finishAgain(t *term, j *state.Job) {
+	if c.term == t && (j.State == state.JobFinishing || j.State == state.JobCancelled || j.State == state.JobCancelling) {
 		c.finish(j)
 	}
 }
 
 // over notes that a job's final record is durable.
-func (c *Controller) over(j *bookkeeping.Job, p protocol.Phase) {
+func (c *Controller) over(j *state.Job, p protocol.Phase) {
 	t := c.term
 	c.remember(j.Spec.Ref, final{p, len(j.Tasks)})
 	if p == protocol.Done {
-		if j.State == bookkeeping.JobFinishing {
-			j.To(bookkeeping.JobDone)
+		if j.State == state.JobFinishing {
+			j.To(state.JobDone)
 		}
-	} else if j.State == bookkeeping.JobCancelled || j.State == bookkeeping.JobCancelling {
-		j.To(bookkeeping.JobClosed)
+	} else if j.State == state.JobCancelled || j.State == state.JobCancelling {
+		j.To(state.JobClosed)
 		c.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((c.at.Wall-j.CancelledWall)/protocol.Millisecond), "told", len(t.cancels[j.Spec.Ref]))
 	}
 	delete(t.chains.writing, j)
@@ -180,19 +180,19 @@
 // closeJobs lets go of jobs that are over and of which no attempt is left.
 func (c *Controller) closeJobs() {
 	t := c.term
-	var over []*bookkeeping.Job
+	var over []*state.Job
 	for _, j := range t.book.Line() {
 		c.countServed(j)
 		c.countBegun(j)
 		switch j.State {
-		case bookkeeping.JobDone, bookkeeping.JobClosed:
+		case state.JobDone, state.JobClosed:
 			if j.Settled() {
 				over = append(over, j)
 			}
-		case bookkeeping.JobCancelling:
+		case state.JobCancelling:
 			c.endCancelled(j)
 			c.keepAsk(j)
-		case bookkeeping.JobCancelled: // by an earlier version
+		case state.JobCancelled: // by an earlier version
 			if j.Settled() && t.recovered && !j.Closing && len(t.cancels[j.Spec.Ref]) == 0 {
 				c.closing(j)
 				c.finish(j)
--- a/internal/coordination/load.go
+++ b/internal/controller/load.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 	"maps"
 	"slices"
 	"sort"
@@ -32,7 +32,7 @@
 	bookings := make(map[string]micros)
 	done := make(map[string][][]byte)
 	chunks := make(map[string][]protocol.Entry)
-	host := func(h *bookkeeping.Host) {
+	host := func(h *state.Host) {
 		h.Answered = c.seat.predAnswers
 		h.Heard = c.at.Steady
 		if t.book.Host(h.Name) == nil {
@@ -43,24 +43,24 @@
 	damaged := c.damaged
 	refused := false
 	steps := []loadStep{
-		{bookkeeping.KeyTypes, func(e protocol.Entry) {
-			if e.Key == bookkeeping.KeyTypes {
+		{state.KeyTypes, func(e protocol.Entry) {
+			if e.Key == state.KeyTypes {
 				c.tookKeptTypes(e.Value)
 			}
 		}},
-		{bookkeeping.KeyMemory, func(e protocol.Entry) {
-			if e.Key != bookkeeping.KeyMemory {
+		{state.KeyMemory, func(e protocol.Entry) {
+			if e.Key != state.KeyMemory {
 				return
 			}
-			m, err := bookkeeping.DecodeMemory(e.Value)
+			m, err := state.DecodeMemory(e.Value)
 			if err != nil {
 				damaged(e, err) // what it says is found out again
 				return
 			}
 			c.memory = leadership.Newer(c.memory, m)
 		}},
-		{bookkeeping.HostPages, func(e protocol.Entry) {
-			hosts, err := bookkeeping.DecodeHosts(c.at.Steady, e.Value)
+		{state.HostPages, func(e protocol.Entry) {
+			hosts, err := state.DecodeHosts(c.at.Steady, e.Value)
 			if err != nil {
 				// Tasks may be on its hosts, which nobody else names.
 				damaged(e, err)
@@ -73,8 +73,8 @@
 				t.hostPages.adopt(g, h.Name, hostBytes(h))
 			}
 		}},
-		{bookkeeping.OldHostPrefix, func(e protocol.Entry) {
-			h, err := bookkeeping.DecodeHost(c.at.Steady, strings.TrimPrefix(e.Key, bookkeeping.OldHostPrefix), e.Value)
+		{state.OldHostPrefix, func(e protocol.Entry) {
+			h, err := state.DecodeHost(c.at.Steady, strings.TrimPrefix(e.Key, state.OldHostPrefix), e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
@@ -83,8 +83,8 @@
 			h.OldRecord = true
 			host(h)
 		}},
-		{bookkeeping.BookingPages, func(e protocol.Entry) {
-			at, err := bookkeeping.DecodeBookings(e.Value)
+		{state.BookingPages, func(e protocol.Entry) {
+			at, err := state.DecodeBookings(e.Value)
 			if err != nil {
 				damaged(e, err) // a booking is found again by planning
 				t.bookingPages.skip(e.Key)
@@ -96,17 +96,17 @@
 				bookings[ref] = at
 			}
 		}},
-		{bookkeeping.OldBookingPrefix, func(e protocol.Entry) {
+		{state.OldBookingPrefix, func(e protocol.Entry) {
 			t.orphans = append(t.orphans, e.Key)
 			at, err := strconv.ParseInt(string(e.Value), 10, 64)
 			if err != nil {
 				damaged(e, err)
 				return
 			}
-			bookings[strings.TrimPrefix(e.Key, bookkeeping.OldBookingPrefix)] = micros(at)
+			bookings[strings.TrimPrefix(e.Key, state.OldBookingPrefix)] = micros(at)
 		}},
-		{bookkeeping.CompletionPages, func(e protocol.Entry) {
-			list, err := bookkeeping.DecodeCompletions(e.Value)
+		{state.CompletionPages, func(e protocol.Entry) {
+			list, err := state.DecodeCompletions(e.Value)
 			if err != nil {
 				damaged(e, err) // its tasks run again
 				t.donePages.skip(e.Key)
@@ -118,8 +118,8 @@
 				done[ref] = append(done[ref], bits) // two records name it while one is divided
 			}
 		}},
-		{bookkeeping.LaunchPages, func(e protocol.Entry) {
-			list, err := bookkeeping.DecodeLaunches(e.Value)
+		{state.LaunchPages, func(e protocol.Entry) {
+			list, err := state.DecodeLaunches(e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
@@ -135,14 +135,14 @@
 				}
 			}
 		}},
-		{bookkeeping.ChunkPrefix, func(e protocol.Entry) {
-			ref, _, _ := strings.Cut(strings.TrimPrefix(e.Key, bookkeeping.ChunkPrefix), "/")
+		{state.ChunkPrefix, func(e protocol.Entry) {
+			ref, _, _ := strings.Cut(strings.TrimPrefix(e.Key, state.ChunkPrefix), "/")
 			chunks[ref] = append(chunks[ref], e)
 		}},
-		{bookkeeping.JobPrefix, func(e protocol.Entry) { c.learnJob(e) }},
+		{state.JobPrefix, func(e protocol.Entry) { c.learnJob(e) }},
 	}
 	if c.levels != nil {
-		steps = append(steps, loadStep{upgrade.KeyLevel, c.loadLevel(&refused)})
+		steps = append(steps, loadStep{featuregate.KeyLevel, c.loadLevel(&refused)})
 	}
 	if t.rollouts.manager != nil {
 		steps = append(steps, loadStep{rollout.Prefix, c.loadRollout})
@@ -181,7 +181,7 @@
 				return
 			}
 			t.stages = append(t.stages, SpanStage{"read " + s.prefix, began, c.at.Steady})
-			if s.prefix == bookkeeping.JobPrefix {
+			if s.prefix == state.JobPrefix {
 				jobsFrom = rev
 			}
 			if waiting--; waiting > 0 {
@@ -202,7 +202,7 @@
 					continue
 				}
 				for _, b := range bits {
-					if err := bookkeeping.ApplyChunk(j, 0, b); err != nil {
+					if err := state.ApplyChunk(j, 0, b); err != nil {
 						c.log.Error("damaged record", "key", t.donePages.of[ref].key, "job", ref, "err", err)
 					}
 				}
@@ -216,7 +216,7 @@
 					k, err := strconv.Atoi(e.Key[strings.LastIndexByte(e.Key, '/')+1:])
 					if j != nil && err == nil {
 						j.KeepChunk(k, e.Stamp)
-						err = bookkeeping.ApplyChunk(j, k, e.Value)
+						err = state.ApplyChunk(j, k, e.Value)
 					}
 					if err != nil {
 						damaged(e, err)
@@ -249,7 +249,7 @@
 
 // recordedLaunch is a launch and the record that names it.
 type recordedLaunch struct {
-	bookkeeping.Launch
+	state.Launch
 	page *page
 }
 
@@ -266,11 +266,11 @@
 	a := t.book.Attach(c.at.Steady, j, h, l.Name)
 	a.Adopted, a.Recorded = true, true
 	j.BeginCounted = true // by an earlier leader, which knew whether it began in time
-	t.book.Move(c.at.Steady, a, bookkeeping.AttemptLaunched)
+	t.book.Move(c.at.Steady, a, state.AttemptLaunched)
 	if j.Spec.Kind == protocol.Gang {
 		j.GangAttempt = max(j.GangAttempt, l.Name.Number)
 	}
-	a.Stop = j.State != bookkeeping.JobLive
+	a.Stop = j.State != state.JobLive
 	// It stays in the record that names it for as long as it may be there.
 	name := l.Name.TaskName.String()
 	t.launchPages.enter(l.page, name, launchBytes(a))
@@ -324,8 +324,8 @@
 			return
 		}
 	}
-	value := bookkeeping.EncodeEpoch(bookkeeping.Epoch{N: t.epoch, Yields: t.yields, Level: c.level()})
-	c.lead(prioUrgent, c.underLevel(nil), []protocol.Change{{Key: bookkeeping.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+	value := state.EncodeEpoch(state.Epoch{N: t.epoch, Yields: t.yields, Level: c.level()})
+	c.lead(prioUrgent, c.underLevel(nil), []protocol.Change{{Key: state.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
 		c.otherLevel(o, r)
 		if o != txnApplied {
 			c.after(protocol.Second, func() { c.allListed(t) })
@@ -338,9 +338,9 @@
 // readFinals reads which jobs are over, so that questions about them need no
 // lookup each: many users still ask when a leader is new.
 func (c *Controller) readFinals(t *term) {
-	c.list(prioNormal, bookkeeping.FinalPrefix, func(e protocol.Entry) {
-		if p, n, err := bookkeeping.DecodeFinal(e.Value); err == nil && !c.finals.full() {
-			c.remember(strings.TrimPrefix(e.Key, bookkeeping.FinalPrefix), final{p, n})
+	c.list(prioNormal, state.FinalPrefix, func(e protocol.Entry) {
+		if p, n, err := state.DecodeFinal(e.Value); err == nil && !c.finals.full() {
+			c.remember(strings.TrimPrefix(e.Key, state.FinalPrefix), final{p, n})
 		}
 	}, func(_ uint64, ok bool) {
 		if !ok && c.term == t {
--- a/internal/coordination/memory.go
+++ b/internal/controller/memory.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // What a leader has seen outlives it: since when machines are silent, which zones
@@ -59,7 +59,7 @@
 	}
 	bytes, room := 200, c.room()
 	for _, h := range t.book.Hosts() {
-		if h.State != bookkeeping.HostReady && (!h.FromRecord || h.Proven) || at-h.Heard <= release {
+		if h.State != state.HostReady && (!h.FromRecord || h.Proven) || at-h.Heard <= release {
 			continue
 		}
 		if cut := cuts[h.Zone]; cut != nil {
@@ -68,7 +68,7 @@
 		}
 		s := protocol.Silence{Host: h.Name, Since: c.wallOf(h.Heard)}
 		m.Silent = append(m.Silent, s)
-		bytes += bookkeeping.SilenceBytes(s)
+		bytes += state.SilenceBytes(s)
 	}
 	for _, cut := range cuts {
 		m.Cuts = append(m.Cuts, *cut)
@@ -88,7 +88,7 @@
 		return
 	}
 	t.memory.writing = true
-	c.lead(prioUrgent, nil, []protocol.Change{{Key: bookkeeping.KeyMemory, Value: bookkeeping.EncodeMemory(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
+	c.lead(prioUrgent, nil, []protocol.Change{{Key: state.KeyMemory, Value: state.EncodeMemory(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
 		t.memory.writing = false
 		t.memory.next = c.at.Steady + retryMemory
 		if o == txnApplied {
@@ -210,8 +210,8 @@
 	t := c.term
 	t.yielding = true
 	y := protocol.Yield{Node: c.platform.Node, To: to, Epoch: t.epoch, At: c.at.Wall, Heard: heard}
-	rec := bookkeeping.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: leadership.Recent(append(t.yields, y), c.at.Wall), Level: c.level()}
-	then := []protocol.Change{{Key: bookkeeping.KeyEpoch, Value: bookkeeping.EncodeEpoch(rec)}, {Key: bookkeeping.KeyLeader}}
+	rec := state.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: leadership.Recent(append(t.yields, y), c.at.Wall), Level: c.level()}
+	then := []protocol.Change{{Key: state.KeyEpoch, Value: state.EncodeEpoch(rec)}, {Key: state.KeyLeader}}
 	c.lead(prioLeadership, c.underLevel(nil), then, func(o txnOutcome, r protocol.TxnResult) {
 		if other := c.otherLevel(o, r); other || o.undone() {
 			t.yielding, t.dirty = false, true // nothing was done: it is looked at again
--- a/internal/coordination/mute.go
+++ b/internal/controller/mute.go
@@ -1,6 +1,6 @@
-package coordination
+package controller
 
-import "mapleslip/internal/bookkeeping"
+import "mapleslip/internal/state"
 
 // mute reports whether a machine's worker opens no connection to any controller, while
 // direct commands reach it: no report of its has come for as long as its lease under this
@@ -8,6 +8,6 @@
 // commands renew no lease, so whatever is put there is gone within one. Tasks were launched
 // on such machines once a lease, for as long as that lasted, beside others that were free.
 // What is on one stays until its lease ends, and stops still go out as direct commands.
-func (c *Controller) mute(h *bookkeeping.Host) bool {
+func (c *Controller) mute(h *state.Host) bool {
 	return c.at.Steady-max(h.Reported, h.Since, c.term.led) > c.platform.WorkerLease
 }
--- a/internal/coordination/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // A gang that must be in one zone began anew in zone b, and the leader ended when only one
@@ -16,16 +16,16 @@
 func TestOneZoneWithPinsInTwo(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	b := c.term.book
-	j := bookkeeping.NewJob(&protocol.JobSpec{Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Rank: protocol.High, Tasks: 4,
+	j := state.NewJob(&protocol.JobSpec{Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Rank: protocol.High, Tasks: 4,
 		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, OneZone: true, Image: "img", Estimate: 60 * protocol.Second})
 	j.SubmittedWall = c.at.Wall
 	c.enter(j)
-	pin := func(host, zone string, index int, try uint64) *bookkeeping.Attempt {
-		h := bookkeeping.NewHost(c.at.Steady, host, "small", zone, false)
+	pin := func(host, zone string, index int, try uint64) *state.Attempt {
+		h := state.NewHost(c.at.Steady, host, "small", zone, false)
 		h.FromRecord = true
 		b.AddHost(h)
 		name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: try}
-		c.pin(recordedLaunch{bookkeeping.Launch{Name: name, Host: host}, c.term.launchPages.load(protocol.Entry{Key: bookkeeping.LaunchPages + host[len(host)-1:]})})
+		c.pin(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchPages.load(protocol.Entry{Key: state.LaunchPages + host[len(host)-1:]})})
 		return j.Tasks[index].Current
 	}
 	pin("n-900002", "b", 1, 7)
--- a/internal/coordination/others.go
+++ b/internal/controller/others.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // A controller that is cut off together with a zone goes on answering that
@@ -94,7 +94,7 @@
 
 // expired reports whether a host's lease has certainly ended: nobody can have
 // answered it for that long.
-func (c *Controller) expired(h *bookkeeping.Host) bool {
+func (c *Controller) expired(h *state.Host) bool {
 	at, lease := c.at.Steady, c.platform.WorkerLease
 	answered := h.Answered
 	for _, s := range c.platform.Siblings {
@@ -141,7 +141,7 @@
 		c.asked = c.at.Steady
 		if e.Epoch > c.leader.Epoch {
 			// The state service would say the same; it may refuse this node.
-			c.leader = bookkeeping.Leadership{Node: e.From, Epoch: e.Epoch, AnswerOn: c.leader.AnswerOn}
+			c.leader = state.Leadership{Node: e.From, Epoch: e.Epoch, AnswerOn: c.leader.AnswerOn}
 			c.suspect = 0
 		}
 	}
--- a/internal/coordination/pages_test.go
+++ b/internal/controller/pages_test.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"strconv"
 	"strings"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // The write of a record of launches got no answer and may still be carried out. A task that
@@ -17,7 +17,7 @@
 func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.role, c.seat.until = Leading, c.at.Steady+protocol.Second
-	p := c.newPages(bookkeeping.LaunchPages, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
+	p := c.newPages(state.LaunchPages, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
 	room := c.room()
 	p.put("req-900001/0", room-100, room, c.at.Steady, true)
 	p.put("req-900002/0", room-100, room, c.at.Steady, true)
--- a/internal/coordination/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // busyLeader leads a fleet on which nearly every GPU is in use, by services,
@@ -42,18 +42,18 @@
 	t := c.term
 	t.recovered = true
 	next := 0
-	job := func(spec protocol.JobSpec, age micros) *bookkeeping.Job {
+	job := func(spec protocol.JobSpec, age micros) *state.Job {
 		next++
 		spec.Ref = fmt.Sprintf("req-%06d", next)
 		spec.Team = fmt.Sprint("team-", next%16)
-		j := bookkeeping.NewJob(&spec)
+		j := state.NewJob(&spec)
 		j.SubmittedWall = c.at.Wall - age
 		c.enter(j)
 		return j
 	}
 	// What runs: one job of many tasks for each class, so that its tasks can be
 	// put anywhere.
-	running := map[string]*bookkeeping.Job{}
+	running := map[string]*state.Job{}
 	specs := map[string]protocol.JobSpec{
 		"serve": {Class: "serve", Kind: protocol.Service, Rank: protocol.Critical, Need: protocol.Resources{CPU: 4000, GPU: 1000, Mem: 14_000}},
 		"rerun": {Class: "rerun", Kind: protocol.Array, Rank: protocol.Standard, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 18_000}, Estimate: 300 * sec, Spot: true},
@@ -68,9 +68,9 @@
 	used := map[string]int{}
 	for i := range machines {
 		typ := c.types[i%2]
-		h := bookkeeping.NewHost(c.at.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
+		h := state.NewHost(c.at.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
 		h.Type, h.Proven, h.Heard, h.Recorded = typ, true, c.at.Steady, true
-		h.To(bookkeeping.HostReady)
+		h.To(state.HostReady)
 		t.book.AddHost(h)
 		for range 8 {
 			h.SawImage(c.at.Steady, fmt.Sprint("img-", rng.IntN(30)), 6000)
@@ -84,14 +84,14 @@
 			a := t.book.Attach(c.at.Steady, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: used[name]}, Number: 1})
 			used[name]++
 			a.Recorded = true
-			t.book.Move(c.at.Steady, a, bookkeeping.AttemptLaunched)
-			t.book.Move(c.at.Steady, a, bookkeeping.AttemptRunning)
+			t.book.Move(c.at.Steady, a, state.AttemptLaunched)
+			t.book.Move(c.at.Steady, a, state.AttemptRunning)
 			a.Started = c.at.Steady - micros(rng.IntN(300_000))*protocol.Millisecond
 		}
 	}
 	for _, j := range running {
 		for i := range j.Tasks {
-			if j.Tasks[i].State == bookkeeping.TaskQueued {
+			if j.Tasks[i].State == state.TaskQueued {
 				j.Complete(i, true)
 			}
 		}
@@ -146,13 +146,13 @@
 		for _, a := range h.Attempts() {
 			switch {
 			case a.Stop:
-				t.book.Move(c.at.Steady, a, bookkeeping.AttemptGone)
-			case a.State == bookkeeping.AttemptAssigned:
-				t.book.Move(c.at.Steady, a, bookkeeping.AttemptLaunched)
-				t.book.Move(c.at.Steady, a, bookkeeping.AttemptRunning)
+				t.book.Move(c.at.Steady, a, state.AttemptGone)
+			case a.State == state.AttemptAssigned:
+				t.book.Move(c.at.Steady, a, state.AttemptLaunched)
+				t.book.Move(c.at.Steady, a, state.AttemptRunning)
 			case a.Job != nil && a.Job.Spec.Kind == protocol.Array && c.at.Steady-a.Started >= a.Job.Spec.Estimate:
 				a.Job.Complete(a.Name.Index, true)
-				t.book.Move(c.at.Steady, a, bookkeeping.AttemptGone)
+				t.book.Move(c.at.Steady, a, state.AttemptGone)
 			}
 		}
 	}
--- a/internal/coordination/preempt.go
+++ b/internal/controller/preempt.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -6,9 +6,9 @@
 	"slices"
 	"sort"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination/slottable"
+	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // mostVictims bounds the hosts of a zone on which a job looks for work to stop.
@@ -27,21 +27,21 @@
 	oneZone, spot bool
 }
 
-func (h *hopeless) covers(j *bookkeeping.Job, tasks int) bool {
+func (h *hopeless) covers(j *state.Job, tasks int) bool {
 	s := j.Spec
 	return s.Need.Holds(h.need) && tasks >= h.tasks && j.Rank >= h.rank && (h.zone == "" || h.zone == s.Zone) &&
 		(!h.oneZone || s.OneZone || tasks == 1) && (h.spot || !s.Spot) && slices.Equal(h.types, s.Types)
 }
 
 // giveUp remembers that no room can be made for some tasks of a job.
-func (p *pass) giveUp(j *bookkeeping.Job, tasks int) {
+func (p *pass) giveUp(j *state.Job, tasks int) {
 	s := j.Spec
 	if len(p.hopeless) < 64 {
 		p.hopeless = append(p.hopeless, hopeless{s.Need, tasks, j.Rank, s.Zone, s.Types, s.OneZone && tasks > 1, s.Spot})
 	}
 }
 
-func (p *pass) isHopeless(j *bookkeeping.Job, tasks int) bool {
+func (p *pass) isHopeless(j *state.Job, tasks int) bool {
 	return slices.ContainsFunc(p.hopeless, func(h hopeless) bool { return h.covers(j, tasks) })
 }
 
@@ -51,10 +51,10 @@
 	at := c.at.Steady
 	j := w.job
 	s := j.Spec
-	if j.Rank > protocol.High || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != bookkeeping.JobLive || at < j.NoRoomUntil {
+	if j.Rank > protocol.High || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobLive || at < j.NoRoomUntil {
 		return
 	}
-	need := makeRoom{within: c.startWithin(s.Class), taken: make(map[*bookkeeping.Host]bool)}
+	need := makeRoom{within: c.startWithin(s.Class), taken: make(map[*state.Host]bool)}
 	if need.within == 0 {
 		need.within = protocol.Forever
 	}
@@ -106,7 +106,7 @@
 	need.due = due
 	for _, i := range cold {
 		a := j.Tasks[w.tasks[i]].Current
-		if a == nil || a.State != bookkeeping.AttemptAssigned {
+		if a == nil || a.State != state.AttemptAssigned {
 			continue
 		}
 		need.soonest = w.result.Start[i].Ready
@@ -125,7 +125,7 @@
 	soonest micros // what the job has without it
 	due     micros // latest time of use, 0: any
 	hurry   bool
-	taken   map[*bookkeeping.Host]bool
+	taken   map[*state.Host]bool
 }
 
 // roomAgain is how long a job for which no room could be made is left alone.
@@ -150,7 +150,7 @@
 // recallable reports whether no launch of what a pass placed has left yet.
 func (c *Controller) recallable(w *wanted) bool {
 	for i := range w.result.Start {
-		if a := w.job.Tasks[w.tasks[i]].Current; a == nil || a.State != bookkeeping.AttemptAssigned {
+		if a := w.job.Tasks[w.tasks[i]].Current; a == nil || a.State != state.AttemptAssigned {
 			return false
 		}
 	}
@@ -163,7 +163,7 @@
 	at := c.at.Steady
 	j := w.job
 	s := j.Spec
-	var best []*bookkeeping.Attempt
+	var best []*state.Attempt
 	var bestLoss float64
 	if p.isHopeless(j, 1) {
 		return false
@@ -218,13 +218,13 @@
 	need.taken[h] = true
 	zones[h.Zone]++
 	j.RoomUntil = at + roomFor
-	j.Rooms = append(j.Rooms, bookkeeping.Room{Host: h, Until: j.RoomUntil})
+	j.Rooms = append(j.Rooms, state.Room{Host: h, Until: j.RoomUntil})
 	c.stopFor(j, best, need.hurry)
 	return true
 }
 
 // stopFor stops the work of others for a job.
-func (c *Controller) stopFor(j *bookkeeping.Job, victims []*bookkeeping.Attempt, hurry bool) {
+func (c *Controller) stopFor(j *state.Job, victims []*state.Attempt, hurry bool) {
 	for _, a := range victims {
 		grace := micros(0)
 		if a.Job.Spec.Checkpoints() && !hurry {
@@ -248,9 +248,9 @@
 	j := w.job
 	s := j.Spec
 	type room struct {
-		h       *bookkeeping.Host
+		h       *state.Host
 		tasks   int
-		victims []*bookkeeping.Attempt
+		victims []*state.Attempt
 		ready   micros
 		cost    float64 // for each task
 	}
@@ -332,7 +332,7 @@
 		delete(p.yields, r.h)
 		for range r.tasks {
 			if len(j.Places) < len(w.tasks) {
-				j.Places = append(j.Places, bookkeeping.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
+				j.Places = append(j.Places, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
 			}
 		}
 	}
@@ -340,13 +340,13 @@
 }
 
 // mayTake reports whether a job's task could be on a host, were it empty.
-func (c *Controller) mayTake(h *bookkeeping.Host, s *protocol.JobSpec) bool {
+func (c *Controller) mayTake(h *state.Host, s *protocol.JobSpec) bool {
 	return c.usable(h) && (!h.Spot || s.Spot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Offer.Holds(s.Need) && s.AllowsType(h.TypeName)
 }
 
 // yielding is what a host's work of lower rank takes, and what is being
 // stopped.
-func (c *Controller) yielding(p *pass, h *bookkeeping.Host) protocol.Resources {
+func (c *Controller) yielding(p *pass, h *state.Host) protocol.Resources {
 	sum, ok := p.yields[h]
 	if !ok {
 		for _, a := range h.Attempts() {
@@ -361,13 +361,13 @@
 
 // yields reports whether a job's tasks may be stopped for one of the two upper
 // ranks.
-func (c *Controller) yields(j *bookkeeping.Job) bool {
+func (c *Controller) yields(j *state.Job) bool {
 	return j.Rank > protocol.High && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
 
 // victims finds attempts of lower rank on a host whose end makes room for n
 // tasks of a job, those that lose least first.
-func (c *Controller) victims(h *bookkeeping.Host, j *bookkeeping.Job, n int) ([]*bookkeeping.Attempt, float64) {
+func (c *Controller) victims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
 	at := c.at.Steady
 	need := protocol.Resources{}.Add(j.Spec.Need, int64(n))
 	free := h.Type.Offer.Add(h.Used(), -1)
@@ -393,7 +393,7 @@
 		}
 		list = append(list, victim{a, ran.Seconds() + 2})
 	}
-	var victims []*bookkeeping.Attempt
+	var victims []*state.Attempt
 	var loss float64
 	for _, v := range fewest(list, free, need) {
 		victims = append(victims, v.a)
@@ -404,7 +404,7 @@
 
 // victim is an attempt that could be stopped, and the seconds that it would lose.
 type victim struct {
-	a    *bookkeeping.Attempt
+	a    *state.Attempt
 	loss float64
 }
 
--- a/internal/coordination/records.go
+++ b/internal/controller/records.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 	"strconv"
 )
 
@@ -10,10 +10,10 @@
 
 // launchBytes is what a launch may take in a record. Tasks of a job come
 // together mostly; a record that comes out too long is split.
-func launchBytes(a *bookkeeping.Attempt) int { return len(a.Host.Name) + 24 }
+func launchBytes(a *state.Attempt) int { return len(a.Host.Name) + 24 }
 
 // recordLaunch asks for the record of a launch.
-func (c *Controller) recordLaunch(a *bookkeeping.Attempt, due micros) {
+func (c *Controller) recordLaunch(a *state.Attempt, due micros) {
 	t := c.term
 	name := a.Name.TaskName.String()
 	t.launches[name] = a
@@ -37,8 +37,8 @@
 // out of it.
 func (c *Controller) launchRecord(names []string) ([]byte, func()) {
 	t := c.term
-	var list []bookkeeping.Launch
-	var attempts []*bookkeeping.Attempt
+	var list []state.Launch
+	var attempts []*state.Attempt
 	for _, name := range names {
 		a := t.launches[name]
 		if a == nil || !a.State.Occupies() {
@@ -46,9 +46,9 @@
 			t.launchPages.drop(name, protocol.Forever)
 			continue
 		}
-		list, attempts = append(list, bookkeeping.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
+		list, attempts = append(list, state.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
 	}
-	return bookkeeping.EncodeLaunches(list), func() {
+	return state.EncodeLaunches(list), func() {
 		for _, a := range attempts {
 			if !a.Recorded {
 				a.Recorded = true
@@ -59,7 +59,7 @@
 }
 
 // Bytes that entries may take in the records they share.
-func hostBytes(h *bookkeeping.Host) int {
+func hostBytes(h *state.Host) int {
 	return len(h.Name) + len(h.Addr) + len(h.TypeName) + len(h.Zone) + 40
 }
 
@@ -73,7 +73,7 @@
 
 // record asks for a host's record. Nothing is launched on a host before: a
 // successor must know where tasks may be.
-func (c *Controller) record(h *bookkeeping.Host) {
+func (c *Controller) record(h *state.Host) {
 	if !h.Recorded {
 		c.term.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, true)
 	}
@@ -82,7 +82,7 @@
 // hostRecord makes the record that some hosts share.
 func (c *Controller) hostRecord(names []string) ([]byte, func()) {
 	t := c.term
-	var hosts []*bookkeeping.Host
+	var hosts []*state.Host
 	for _, name := range names {
 		if h := t.book.Host(name); h != nil {
 			if h.RecordedWall == 0 {
@@ -92,9 +92,9 @@
 			hosts = append(hosts, h)
 		}
 	}
-	value := bookkeeping.EncodeHosts(hosts, true)
+	value := state.EncodeHosts(hosts, true)
 	if len(value) > c.limits.target.valueBytes {
-		value = bookkeeping.EncodeHosts(hosts, false)
+		value = state.EncodeHosts(hosts, false)
 	}
 	return value, func() {
 		for _, h := range hosts {
@@ -105,7 +105,7 @@
 			}
 			if h.OldRecord {
 				h.OldRecord = false
-				t.orphans = append(t.orphans, bookkeeping.OldHostPrefix+h.Name)
+				t.orphans = append(t.orphans, state.OldHostPrefix+h.Name)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 	t.nextImages = c.at.Steady + imagesAfter(len(t.hostPages.list), c.writeRate())
 	for _, h := range t.book.Hosts() {
-		if h.Recorded && h.ImagesNew && h.State == bookkeeping.HostReady {
+		if h.Recorded && h.ImagesNew && h.State == state.HostReady {
 			t.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, false)
 		}
 	}
@@ -142,7 +142,7 @@
 // bookingRecord makes the record that some bookings share.
 func (c *Controller) bookingRecord(refs []string) ([]byte, func()) {
 	t := c.term
-	return bookkeeping.EncodeBookings(refs, func(ref string) micros {
+	return state.EncodeBookings(refs, func(ref string) micros {
 		if j := t.book.Job(ref); j != nil {
 			return j.Booked - c.at.Steady + c.at.Wall
 		}
@@ -153,17 +153,17 @@
 // doneRecord makes the record of completions that some arrays share.
 func (c *Controller) doneRecord(refs []string) ([]byte, func()) {
 	t := c.term
-	var jobs []*bookkeeping.Job
+	var jobs []*state.Job
 	var tasks [][]int
 	for _, ref := range refs {
 		j := t.book.Job(ref)
-		if j == nil || j.State != bookkeeping.JobLive {
+		if j == nil || j.State != state.JobLive {
 			t.donePages.drop(ref, protocol.Forever) // its final record covers it
 			continue
 		}
 		jobs, tasks = append(jobs, j), append(tasks, j.Undurable(0, len(j.Tasks)))
 	}
-	return bookkeeping.EncodeCompletions(jobs), func() {
+	return state.EncodeCompletions(jobs), func() {
 		for i, j := range jobs {
 			for _, k := range tasks[i] {
 				j.Tasks[k].Durable = true
@@ -174,5 +174,5 @@
 
 // record is the key of the record.
 func (k chunkKey) record() string {
-	return bookkeeping.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
+	return state.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
 }
--- a/internal/coordination/relay.go
+++ b/internal/controller/relay.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // A worker that comes to a node that does not lead is sent to the leader. Some
@@ -166,7 +166,7 @@
 // probeThrough asks a silent worker by way of another node: the link from here
 // may be what is lost, and to release the machine would end all that runs on it.
 // It reports whether there is a node to ask.
-func (c *Controller) probeThrough(h *bookkeeping.Host, body []byte, done func(CallDone)) bool {
+func (c *Controller) probeThrough(h *state.Host, body []byte, done func(CallDone)) bool {
 	t := c.term
 	for i := range c.platform.Siblings {
 		s := c.platform.Siblings[(t.probes.through+i)%len(c.platform.Siblings)]
--- a/internal/coordination/rental.go
+++ b/internal/controller/rental.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"sort"
 	"strconv"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination/slottable"
+	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // kind is what the cloud may refuse by itself: a type, in a zone, spot or not.
@@ -49,7 +49,7 @@
 		needed: make(map[*slottable.Machine]bool), nextSpare: make(map[string]micros)}
 }
 
-func (r *rental) booted(h *bookkeeping.Host, at micros) {
+func (r *rental) booted(h *state.Host, at micros) {
 	if h.Type == nil || h.Type.Boot <= 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // bootedAt is when a booting host is expected to report.
-func (c *Controller) bootedAt(h *bookkeeping.Host) micros {
+func (c *Controller) bootedAt(h *state.Host) micros {
 	due := h.Since + c.bootTime(h.Type)
 	age := c.at.Steady - h.Since
 	return max(due, c.at.Steady+max(age/2, 2*protocol.Second))
@@ -187,7 +187,7 @@
 		}
 		h := t.book.Host(name)
 		if h == nil {
-			h = bookkeeping.NewHost(at, name, l.Type, l.Zone, l.Spot)
+			h = state.NewHost(at, name, l.Type, l.Zone, l.Spot)
 			h.Since = at - l.Age
 			h.Type = c.typeByName[l.Type]
 			h.Addr = l.Addr
@@ -212,14 +212,14 @@
 		// before that and is not in it is gone.
 		known := h.RecordedWall > 0 && c.at.Wall-h.RecordedWall > 2*c.platform.ListLag+2*protocol.Second
 		switch {
-		case h.State == bookkeeping.HostReleasing || h.State == bookkeeping.HostGone:
+		case h.State == state.HostReleasing || h.State == state.HostGone:
 		case here && h.ListedState == protocol.CloudFailed:
 			c.release(h, "failed")
 		case !here && silent && known:
 			c.release(h, "not listed any more")
 		case !here && h.Listed && silent && at-h.AbsentSince > 2*c.platform.ListLag+protocol.Second:
 			c.release(h, "not listed any more")
-		case h.State == bookkeeping.HostBooting && !h.FromRecord && h.Type != nil && at-h.Since > 3*h.Type.Boot+10*protocol.Second:
+		case h.State == state.HostBooting && !h.FromRecord && h.Type != nil && at-h.Since > 3*h.Type.Boot+10*protocol.Second:
 			c.release(h, "does not come up")
 		}
 	}
@@ -227,17 +227,17 @@
 
 // release gives a machine back. Nothing is put on it from now on; its tasks
 // count until the cloud has answered.
-func (c *Controller) release(h *bookkeeping.Host, why string) {
-	if h.State == bookkeeping.HostReleasing || h.State == bookkeeping.HostGone {
+func (c *Controller) release(h *state.Host, why string) {
+	if h.State == state.HostReleasing || h.State == state.HostGone {
 		return
 	}
 	c.log.Info("releasing machine", "host", h.Name, "type", h.TypeName, "why", why, "state", h.State.String())
 	for _, a := range h.Attempts() {
-		if a.State == bookkeeping.AttemptAssigned {
+		if a.State == state.AttemptAssigned {
 			c.lost(a)
 		}
 	}
-	h.To(bookkeeping.HostReleasing)
+	h.To(state.HostReleasing)
 	h.ReleaseWhy = why
 	c.term.dirty = true
 }
@@ -250,7 +250,7 @@
 	}
 	var names []string
 	for _, h := range t.book.Hosts() {
-		if h.State == bookkeeping.HostReleasing && len(names) < 100 {
+		if h.State == state.HostReleasing && len(names) < 100 {
 			names = append(names, h.Name)
 		}
 	}
@@ -273,7 +273,7 @@
 				continue
 			}
 			c.loseAll(h, "released: "+h.ReleaseWhy)
-			h.To(bookkeeping.HostGone)
+			h.To(state.HostGone)
 			h.Proven = true
 			t.gone[name] = c.at.Steady
 			t.book.RemoveHost(h)
@@ -282,7 +282,7 @@
 			// once more, and wait for that.
 			t.hostPages.drop(name, c.at.Steady+protocol.Second)
 			if h.OldRecord {
-				t.orphans = append(t.orphans, bookkeeping.OldHostPrefix+name)
+				t.orphans = append(t.orphans, state.OldHostPrefix+name)
 			}
 		}
 		t.dirty = true
@@ -311,7 +311,7 @@
 	var requests []*slottable.Request
 	booting := 0
 	for _, h := range t.book.Hosts() {
-		if h.State == bookkeeping.HostBooting && !h.FromRecord {
+		if h.State == state.HostBooting && !h.FromRecord {
 			booting++
 		}
 	}
@@ -343,7 +343,7 @@
 		}
 	}
 	for _, w := range list {
-		if w.request == nil || w.job.State != bookkeeping.JobLive || w.job.Suspect {
+		if w.request == nil || w.job.State != state.JobLive || w.job.Suspect {
 			continue
 		}
 		left := *w.request
@@ -439,7 +439,7 @@
 	byType := make(map[string]*sum)
 	var names []string
 	for _, h := range c.term.book.Hosts() {
-		if h.Type == nil || h.State != bookkeeping.HostReady {
+		if h.Type == nil || h.State != state.HostReady {
 			continue
 		}
 		name := h.TypeName
@@ -514,7 +514,7 @@
 // patience is until when a job may become ready without an aim being missed,
 // where the only aim of its class is on finishing. Half of the time is left to
 // errors of the estimates.
-func (c *Controller) patience(j *bookkeeping.Job) micros {
+func (c *Controller) patience(j *state.Job) micros {
 	var within micros
 	for _, o := range c.platform.Objectives {
 		if o.Class != j.Spec.Class {
@@ -582,7 +582,7 @@
 			}
 			for _, name := range names {
 				if _, gone := t.gone[name]; t.book.Host(name) == nil && !gone {
-					h := bookkeeping.NewHost(asked, name, k.typ, k.zone, k.spot)
+					h := state.NewHost(asked, name, k.typ, k.zone, k.spot)
 					h.Type, h.Rented = c.typeByName[k.typ], true
 					h.Heard = at
 					t.book.AddHost(h)
@@ -638,7 +638,7 @@
 		t.rental.crowded = at
 	}
 	for _, h := range t.book.Hosts() {
-		if h.State != bookkeeping.HostReady || !h.Proven || c.held(h) || t.rental.needed[t.rows[h]] {
+		if h.State != state.HostReady || !h.Proven || c.held(h) || t.rental.needed[t.rows[h]] {
 			continue
 		}
 		if at-max(h.IdleSince, t.rental.crowded) <= c.operator.IdleReturn {
--- a/internal/coordination/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
+	"mapleslip/internal/state"
 )
 
 // Roll-outs are driven by the leader: internal/rollout decides, this file joins it
@@ -65,7 +65,7 @@
 		return rollout.Job{}
 	}
 	out := rollout.Job{Life: rollout.Live, Settled: j.Settled(), Service: j.Spec.Kind == protocol.Service, Spec: j.Spec}
-	if j.State != bookkeeping.JobLive && j.State != bookkeeping.JobWaiting {
+	if j.State != state.JobLive && j.State != state.JobWaiting {
 		out.Life = rollout.Cancelled
 	}
 	if each == nil {
@@ -74,8 +74,8 @@
 	for k := range j.Tasks {
 		i := rollout.Instance{Index: k}
 		a := j.Tasks[k].Current
-		i.Unheard = a != nil && a.Adopted && a.State == bookkeeping.AttemptLaunched && !a.Host.Proven
-		if a != nil && a.State == bookkeeping.AttemptRunning && !a.Stop {
+		i.Unheard = a != nil && a.Adopted && a.State == state.AttemptLaunched && !a.Host.Proven
+		if a != nil && a.State == state.AttemptRunning && !a.Stop {
 			i.Running, i.Attempt = true, a.Name.Number
 			i.IP, _, _ = net.SplitHostPort(a.Host.Addr)
 		}
--- a/internal/coordination/rounds.go
+++ b/internal/controller/rounds.go
@@ -1,18 +1,18 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"sort"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
-	"mapleslip/internal/coordination/slottable"
+	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // wanted is a job that still needs places, with its request.
 type wanted struct {
-	job     *bookkeeping.Job
+	job     *state.Job
 	request *slottable.Request
 	tasks   []int
 	within  bool // its team's jobs up to this one fit into the guarantee
@@ -47,7 +47,7 @@
 	held     map[string]protocol.Resources // by team, for jobs that come first
 	unproven protocol.Resources            // that tasks on hosts not heard of yet may use
 	unknown  bool                          // some of those hosts are of a type not known
-	yields   map[*bookkeeping.Host]protocol.Resources
+	yields   map[*state.Host]protocol.Resources
 	hopeless []hopeless
 	again    []*wanted // for the second stage
 	rounds   int
@@ -153,7 +153,7 @@
 // newPass orders the queue.
 func (c *Controller) newPass() *pass {
 	t := c.term
-	p := &pass{held: make(map[string]protocol.Resources), yields: make(map[*bookkeeping.Host]protocol.Resources), began: c.at.Steady}
+	p := &pass{held: make(map[string]protocol.Resources), yields: make(map[*state.Host]protocol.Resources), began: c.at.Steady}
 	if !t.recovered && t.unlisted {
 		for _, h := range t.book.Hosts() {
 			if h.FromRecord && !h.Proven {
@@ -231,7 +231,7 @@
 	w.result = res
 	j.Places = j.Places[:0]
 	for _, b := range res.Booked {
-		j.Places = append(j.Places, bookkeeping.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
+		j.Places = append(j.Places, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
 	}
 	if res.Late {
 		j.UnviableUntil = c.at.Steady + unviableFor
@@ -259,7 +259,7 @@
 	at := c.at.Steady
 	t.table.Now = at
 	for _, h := range t.book.Hosts() {
-		if h.Type == nil || h.State == bookkeeping.HostGone || h.State == bookkeeping.HostReleasing {
+		if h.Type == nil || h.State == state.HostGone || h.State == state.HostReleasing {
 			if t.rows[h] != nil {
 				c.dropStale(h)
 				t.dropRow(h)
@@ -268,7 +268,7 @@
 		}
 		m := t.rows[h]
 		usable := c.usable(h)
-		booting := h.State == bookkeeping.HostBooting && !h.FromRecord
+		booting := h.State == state.HostBooting && !h.FromRecord
 		if m == nil {
 			typ := h.Type
 			m = &slottable.Machine{Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Offer,
@@ -287,7 +287,7 @@
 }
 
 // dropRow takes a host's row out of the table.
-func (t *term) dropRow(h *bookkeeping.Host) {
+func (t *term) dropRow(h *state.Host) {
 	if m := t.rows[h]; m != nil {
 		t.table.Remove(m)
 		delete(t.rows, h)
@@ -295,23 +295,23 @@
 }
 
 // dropStale takes back assignments whose host can't be reached or is leaving.
-func (c *Controller) dropStale(h *bookkeeping.Host) {
+func (c *Controller) dropStale(h *state.Host) {
 	for _, a := range h.Attempts() {
-		if a.State == bookkeeping.AttemptAssigned {
+		if a.State == state.AttemptAssigned {
 			c.lost(a)
 		}
 	}
 }
 
 // usable reports whether tasks may be put on a host.
-func (c *Controller) usable(h *bookkeeping.Host) bool {
+func (c *Controller) usable(h *state.Host) bool {
 	at := c.at.Steady
-	return h.State == bookkeeping.HostReady && h.Proven && h.Type != nil && !h.Noticed && !deaf(h) && !c.mute(h) && c.drained(h) == configuration.NotDrained &&
+	return h.State == state.HostReady && h.Proven && h.Type != nil && !h.Noticed && !deaf(h) && !c.mute(h) && c.drained(h) == configuration.NotDrained &&
 		at >= h.FaultUntil && at >= h.FullUntil && at-h.Heard < 2*c.platform.ReportEvery+protocol.Second
 }
 
 // fill makes a host's row from what is known of it.
-func (c *Controller) fill(h *bookkeeping.Host, m *slottable.Machine, usable, booting bool) {
+func (c *Controller) fill(h *state.Host, m *slottable.Machine, usable, booting bool) {
 	at := c.at.Steady
 	table := &c.term.table
 	h.Changed = false
@@ -345,7 +345,7 @@
 		switch {
 		case a.Stop:
 			till = at + a.StopGrace/2 + protocol.Second
-		case a.State == bookkeeping.AttemptRunning:
+		case a.State == state.AttemptRunning:
 			if r := k.remaining(s, at-a.Started); r < protocol.Forever {
 				till = at + r
 			}
@@ -356,7 +356,7 @@
 		if a.Stop || c.yields(a.Job) {
 			gives = gives.Add(s.Need, 1)
 		}
-		if a.State == bookkeeping.AttemptAssigned || a.State == bookkeeping.AttemptLaunched || a.State == bookkeeping.AttemptFetching {
+		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching {
 			if !table.HasImage(m, s.Image) {
 				table.AddImage(m, s.Image, max(a.ExpectedReady, at+protocol.Second))
 			}
@@ -377,7 +377,7 @@
 	sums := make(map[string]protocol.Resources)
 	var list []*wanted
 	for _, j := range t.book.Line() {
-		if j.State != bookkeeping.JobLive {
+		if j.State != state.JobLive {
 			continue
 		}
 		s := j.Spec
@@ -430,7 +430,7 @@
 	at := c.at.Steady
 	j := w.job
 	s := j.Spec
-	if j.State != bookkeeping.JobLive || j.Queued == 0 || at < j.Held {
+	if j.State != state.JobLive || j.Queued == 0 || at < j.Held {
 		return false
 	}
 	if j.Suspect && c.sound(j) {
@@ -461,7 +461,7 @@
 	w.tasks = make([]int, 0, min(j.Queued, mostTasks))
 	for i := j.Lowest; i < len(j.Tasks) && len(w.tasks) < mostTasks; i++ {
 		task := &j.Tasks[i]
-		if task.State != bookkeeping.TaskQueued {
+		if task.State != state.TaskQueued {
 			continue
 		}
 		if first < 0 {
@@ -526,7 +526,7 @@
 func (c *Controller) takeRooms(w *wanted) bool {
 	t := c.term
 	j, r := w.job, w.request
-	j.Rooms = slices.DeleteFunc(j.Rooms, func(m bookkeeping.Room) bool {
+	j.Rooms = slices.DeleteFunc(j.Rooms, func(m state.Room) bool {
 		return c.at.Steady >= m.Until || t.rows[m.Host] == nil || !c.usable(m.Host)
 	})
 	waiting := 0
@@ -548,7 +548,7 @@
 // missed reports whether a job is too late for whatever was asked of its end.
 // Such a job lets those pass that are not: served in order of submission, in an
 // overload each late job would make the next one late too.
-func (c *Controller) missed(j *bookkeeping.Job) bool {
+func (c *Controller) missed(j *state.Job) bool {
 	due := c.dueOf(j)
 	if j.NeededBy > 0 && (due == 0 || j.NeededBy < due) {
 		due = j.NeededBy
@@ -562,7 +562,7 @@
 
 // dueOf is when a job should have ended, by its deadline and the latest aim on the end
 // of its class; 0: nothing is asked of its end.
-func (c *Controller) dueOf(j *bookkeeping.Job) micros {
+func (c *Controller) dueOf(j *state.Job) micros {
 	s := j.Spec
 	var due micros
 	if s.Kind == protocol.Service {
@@ -580,7 +580,7 @@
 }
 
 // stopping reports whether an attempt of a job is being stopped.
-func (c *Controller) stopping(j *bookkeeping.Job) bool {
+func (c *Controller) stopping(j *state.Job) bool {
 	for _, a := range j.On() {
 		if task := a.Task(); a.Stop && task != nil && task.Current == a {
 			return true
@@ -600,7 +600,7 @@
 
 // allowance is how many more tasks of a job its team's limit allows, with all
 // that may still be on hosts counted, and what is held for others of the team.
-func (c *Controller) allowance(p *pass, j *bookkeeping.Job, held protocol.Resources) int {
+func (c *Controller) allowance(p *pass, j *state.Job, held protocol.Resources) int {
 	t := c.term
 	team, _ := c.team(j.Spec.Team)
 	limit := team.Limit
@@ -648,8 +648,8 @@
 	}
 	a := t.book.Attach(c.at.Steady, j, h, name)
 	a.ExpectedReady = p.Ready
-	j.Rooms = slices.DeleteFunc(j.Rooms, func(m bookkeeping.Room) bool { return m.Host == h })
-	t.book.Move(c.at.Steady, a, bookkeeping.AttemptAssigned)
+	j.Rooms = slices.DeleteFunc(j.Rooms, func(m state.Room) bool { return m.Host == h })
+	t.book.Move(c.at.Steady, a, state.AttemptAssigned)
 	c.touchIdle(h)
 	c.recordLaunch(a, c.launchDue(j.Spec))
 	c.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-c.at.Steady)/protocol.Millisecond))
--- a/internal/coordination/service.go
+++ b/internal/controller/service.go
@@ -1,15 +1,15 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/served"
+	"mapleslip/internal/slo"
+	"mapleslip/internal/state"
 )
 
 // askedBy is when a job should have what is asked of its class: the end by its
 // deadline or its class's latest aim on it, or, if nothing is asked of that, the start
 // of all its tasks. 0: nothing is asked.
-func (c *Controller) askedBy(j *bookkeeping.Job) (at micros, toEnd bool) {
+func (c *Controller) askedBy(j *state.Job) (at micros, toEnd bool) {
 	if due := c.dueOf(j); due > 0 {
 		return due, true
 	}
@@ -28,8 +28,8 @@
 // countServed counts a job once it has what is asked of its class, or it is too late.
 // It is looked at with the sweep over all jobs. What was due before this node led is
 // not counted: nobody knows it.
-func (c *Controller) countServed(j *bookkeeping.Job) {
-	if j.Counted || j.State > bookkeeping.JobLive && j.State != bookkeeping.JobFinishing && j.State != bookkeeping.JobDone {
+func (c *Controller) countServed(j *state.Job) {
+	if j.Counted || j.State > state.JobLive && j.State != state.JobFinishing && j.State != state.JobDone {
 		return
 	}
 	at := c.at.Steady
@@ -47,13 +47,13 @@
 	}
 }
 
-func (c *Controller) served(j *bookkeeping.Job, inTime bool) {
-	c.count(served.Class, j.Spec.Class, inTime)
-	c.count(served.Team, j.Spec.Team, inTime)
+func (c *Controller) served(j *state.Job, inTime bool) {
+	c.count(slo.Class, j.Spec.Class, inTime)
+	c.count(slo.Team, j.Spec.Team, inTime)
 }
 
 // count adds a job to a group, and tells where the group's state changes by it.
-func (c *Controller) count(k served.Kind, name string, inTime bool) {
+func (c *Controller) count(k slo.Kind, name string, inTime bool) {
 	if c.term.served.Add(k, name, c.at.Steady, inTime) {
 		n := c.term.served.Lately(k, name, c.at.Steady)
 		c.log.Info("share served", k.String(), name, "state", c.term.served.Is(k, name).String(), "served", n.Served, "of", n.Of())
@@ -66,8 +66,8 @@
 
 // countBegun counts a job that is among the largest of its class, of at least half as many
 // tasks as the largest one that this leader has seen, once it has begun or should have.
-func (c *Controller) countBegun(j *bookkeeping.Job) {
-	if j.BeginCounted || j.State != bookkeeping.JobLive && j.State != bookkeeping.JobFinishing {
+func (c *Controller) countBegun(j *state.Job) {
+	if j.BeginCounted || j.State != state.JobLive && j.State != state.JobFinishing {
 		return
 	}
 	t := c.term
@@ -89,5 +89,5 @@
 		c.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.Attempts)
 	}
 	j.BeginCounted = true
-	c.count(served.Largest, name, wait <= beginWithin)
+	c.count(slo.Largest, name, wait <= beginWithin)
 }
--- a/internal/coordination/shares.go
+++ b/internal/controller/shares.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 // The parts of the metered services' rates that a controller may use.
 
--- a/internal/coordination/stats.go
+++ b/internal/controller/stats.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"bytes"
 	"maps"
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/served"
+	"mapleslip/internal/slo"
+	"mapleslip/internal/state"
 )
 
 // Reasons for which a user's call, or a worker's report, is refused for now.
@@ -86,14 +86,14 @@
 	Levels         *LevelStats  // nil: this controller behaves as one that knows of no levels
 
 	// What a leader knows. Nothing else has them.
-	Hosts    map[string]int                          // by state
-	Waiting  map[string]int                          // jobs with tasks that wait for a place, by class
-	Running  map[string]int                          // tasks, by class
-	Due      map[served.Kind]map[string]served.Count // jobs that had what is asked of their class, or were too late, by class and by team
-	Longest  map[string]micros                       // for which a largest job of a class has waited to begin, by class
-	Awaiting int                                     // jobs that await others
-	Unproven int                                     // recorded hosts that have not been heard of in this epoch
-	Rollouts map[string]int                          // by state; nil where they are off
+	Hosts    map[string]int                    // by state
+	Waiting  map[string]int                    // jobs with tasks that wait for a place, by class
+	Running  map[string]int                    // tasks, by class
+	Due      map[slo.Kind]map[string]slo.Count // jobs that had what is asked of their class, or were too late, by class and by team
+	Longest  map[string]micros                 // for which a largest job of a class has waited to begin, by class
+	Awaiting int                               // jobs that await others
+	Unproven int                               // recorded hosts that have not been heard of in this epoch
+	Rollouts map[string]int                    // by state; nil where they are off
 }
 
 // Stages are the names of a pass's stages, as indices of Rows and Cuts.
@@ -117,8 +117,8 @@
 	if g := c.term.rollouts.manager; g != nil {
 		s.Rollouts = g.States()
 	}
-	s.Due, s.Longest = make(map[served.Kind]map[string]served.Count), maps.Clone(c.term.longest)
-	for _, k := range served.Kinds() {
+	s.Due, s.Longest = make(map[slo.Kind]map[string]slo.Count), maps.Clone(c.term.longest)
+	for _, k := range slo.Kinds() {
 		s.Due[k] = c.term.served.Counts(k)
 	}
 	s.Hosts, s.Waiting, s.Running = make(map[string]int), make(map[string]int), make(map[string]int)
@@ -129,10 +129,10 @@
 		}
 	}
 	for _, j := range c.term.book.Line() {
-		if j.State == bookkeeping.JobWaiting {
+		if j.State == state.JobWaiting {
 			s.Awaiting++
 		}
-		if j.State != bookkeeping.JobLive {
+		if j.State != state.JobLive {
 			continue
 		}
 		if j.Queued > 0 {
--- a/internal/coordination/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
--- a/internal/coordination/submissions.go
+++ b/internal/controller/submissions.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Submissions: what can be accepted, by the leader and without it.
@@ -10,7 +10,7 @@
 // directSubmit creates a job's record without the leader, which notices it.
 func (c *Controller) directSubmit(to Address, spec *protocol.JobSpec, over func()) {
 	if len(c.types) == 0 {
-		c.get(prioUser, bookkeeping.KeyTypes, func(e protocol.Entry, found, ok bool) {
+		c.get(prioUser, state.KeyTypes, func(e protocol.Entry, found, ok bool) {
 			if found {
 				c.tookKeptTypes(e.Value)
 			}
@@ -70,7 +70,7 @@
 
 // directCreate creates a job's record without the leader. phase is what its user is told.
 func (c *Controller) directCreate(to Address, spec *protocol.JobSpec, phase protocol.Phase, over func()) {
-	j := bookkeeping.NewJob(spec)
+	j := state.NewJob(spec)
 	j.SubmittedWall = c.at.Wall
 	c.create(to, j, phase, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
 		c.txn(prioUser, c.underLevel(c.underRevision(when)), then, func(o txnOutcome, r protocol.TxnResult) {
@@ -103,7 +103,7 @@
 
 // refuseUnknown refuses a job with a status unless it was accepted before.
 func (c *Controller) refuseUnknown(to Address, spec *protocol.JobSpec, status int, why string) {
-	c.find(prioUser, spec.Ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+	c.find(prioUser, spec.Ref, func(j *state.Job, f final, found, ok bool) {
 		switch {
 		case !ok:
 			c.unavailable(to, refusedState)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (c *Controller) answerKnown(to Address, ref string, j *bookkeeping.Job, f final) {
+func (c *Controller) answerKnown(to Address, ref string, j *state.Job, f final) {
 	if j != nil {
 		c.answerLive(to, j)
 		return
@@ -130,9 +130,9 @@
 // if it was written in this term, and is not over already: it may have noticed the job long
 // before the answer comes, or another leader may have, and ended it. One that it does not
 // take here it notices as those that other nodes write.
-func (c *Controller) create(to Address, j *bookkeeping.Job, phase protocol.Phase, write writer, refused func()) {
+func (c *Controller) create(to Address, j *state.Job, phase protocol.Phase, write writer, refused func()) {
 	ref, t := j.Spec.Ref, c.term
-	value := bookkeeping.EncodeJob(j)
+	value := state.EncodeJob(j)
 	// An earlier submission of it may have been accepted under a larger limit.
 	tooLong := func() { c.refuseUnknown(to, j.Spec, 400, "description too long") }
 	if len(value) > c.limits.allowed.valueBytes {
@@ -141,8 +141,8 @@
 		tooLong()
 		return
 	}
-	when := []protocol.Condition{{Key: bookkeeping.JobPrefix + ref}, {Key: bookkeeping.FinalPrefix + ref}}
-	then := []protocol.Change{{Key: bookkeeping.JobPrefix + ref, Value: value}}
+	when := []protocol.Condition{{Key: state.JobPrefix + ref}, {Key: state.FinalPrefix + ref}}
+	then := []protocol.Change{{Key: state.JobPrefix + ref, Value: value}}
 	write(when, then, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
 		case txnApplied:
@@ -160,7 +160,7 @@
 			}
 			c.reply(to, 201, body, 0)
 		case txnRefused:
-			c.find(prioUser, ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+			c.find(prioUser, ref, func(j *state.Job, f final, found, ok bool) {
 				if !ok || !found {
 					c.unavailable(to, refusedState)
 					return
@@ -292,10 +292,10 @@
 	}
 	t.submits[ref] = nil
 	line.began()
-	j := bookkeeping.NewJob(spec)
+	j := state.NewJob(spec)
 	j.SubmittedWall, j.Epoch = c.at.Wall, t.epoch
 	c.create(to, j, protocol.Queued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		when = append([]protocol.Condition{{Key: bookkeeping.KeyLeader, Stamp: c.seat.stamp}}, when...)
+		when = append([]protocol.Condition{{Key: state.KeyLeader, Stamp: c.seat.stamp}}, when...)
 		c.txn(prio, c.underRevision(when), then, func(o txnOutcome, r protocol.TxnResult) {
 			others := t.submits[ref]
 			delete(t.submits, ref)
@@ -311,7 +311,7 @@
 			}
 			if o == txnRefused {
 				for _, k := range r.Failed {
-					if k == bookkeeping.KeyLeader {
+					if k == state.KeyLeader {
 						o = txnRejected
 						if c.term == t {
 							c.deposed("the leader key is another's")
--- a/internal/coordination/term.go
+++ b/internal/controller/term.go
@@ -1,19 +1,19 @@
-package coordination
+package controller
 
 import (
 	"strings"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination/slottable"
+	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
-	"mapleslip/internal/served"
+	"mapleslip/internal/slo"
+	"mapleslip/internal/state"
 )
 
 // term is what a leader knows and does during one epoch.
 type term struct {
-	book      *bookkeeping.Book
+	book      *state.Book
 	epoch     uint64
 	started   micros
 	led       micros      // when the records were read
@@ -36,27 +36,27 @@
 	classes            map[string]*class
 
 	table slottable.Table
-	rows  map[*bookkeeping.Host]*slottable.Machine
+	rows  map[*state.Host]*slottable.Machine
 	pass  *pass // over the queue, cut short or not
 
 	hostPages    *pages // records of hosts, bookings and completions
 	bookingPages *pages
 	donePages    *pages
 	launchPages  *pages
-	launches     map[string]*bookkeeping.Attempt // by task, those that a record names or will
-	launchesSent micros                          // when a record of launches was last sent
+	launches     map[string]*state.Attempt // by task, those that a record names or will
+	launchesSent micros                    // when a record of launches was last sent
 	finals       finalWriter
 	memory       remembering
 	yields       []protocol.Yield   // leases that were given back lately
 	yielding     bool               // this one is being given back
-	served       served.Window      // which part of each class and team is served
+	served       slo.Window         // which part of each class and team is served
 	longest      map[string]micros  // for which a largest job has waited to begin, by class
 	verdict      leadership.Verdict // last found
 	unlisted     bool               // earlier launches may be in no record, see EncodeEpoch
 	chunks       chunkWriter
 
-	toCall  []*bookkeeping.Host // hosts that commands wait for
-	calling int                 // direct commands on their way
+	toCall  []*state.Host // hosts that commands wait for
+	calling int           // direct commands on their way
 	probes  prober
 
 	chains chains // jobs that await others
@@ -75,18 +75,18 @@
 
 // newTerm is what a leader of the seat's epoch knows before it has read anything.
 func (c *Controller) newTerm() *term {
-	t := &term{book: bookkeeping.NewBook(), epoch: c.seat.epoch, started: c.at.Steady,
+	t := &term{book: state.NewBook(), epoch: c.seat.epoch, started: c.at.Steady,
 		submits: make(map[string][]Address), cancels: make(map[string][]Address), gone: make(map[string]micros),
-		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*bookkeeping.Host]*slottable.Machine)}
+		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*state.Host]*slottable.Machine)}
 	t.rental.init()
 	t.chains = newChains()
 	t.probes.init()
-	t.hostPages = c.newPages(bookkeeping.HostPages, c.hostRecord)
-	t.bookingPages = c.newPages(bookkeeping.BookingPages, c.bookingRecord)
-	t.donePages = c.newPages(bookkeeping.CompletionPages, c.doneRecord)
-	t.launchPages = c.newPages(bookkeeping.LaunchPages, c.launchRecord)
+	t.hostPages = c.newPages(state.HostPages, c.hostRecord)
+	t.bookingPages = c.newPages(state.BookingPages, c.bookingRecord)
+	t.donePages = c.newPages(state.CompletionPages, c.doneRecord)
+	t.launchPages = c.newPages(state.LaunchPages, c.launchRecord)
 	t.longest = make(map[string]micros)
-	t.launches = make(map[string]*bookkeeping.Attempt)
+	t.launches = make(map[string]*state.Attempt)
 	t.unlisted, t.yields = c.seat.unlisted, c.seat.yields
 	c.initRollouts(t)
 	c.initConfig(t)
@@ -110,7 +110,7 @@
 		if gone() {
 			return
 		}
-		c.list(prioUrgent, bookkeeping.JobPrefix, take, func(rev uint64, ok bool) {
+		c.list(prioUrgent, state.JobPrefix, take, func(rev uint64, ok bool) {
 			switch {
 			case gone():
 			case ok:
@@ -120,20 +120,20 @@
 			}
 		})
 	}
-	c.watch(prioUrgent, bookkeeping.JobPrefix, rev, gone, take, reread)
+	c.watch(prioUrgent, state.JobPrefix, rev, gone, take, reread)
 }
 
 // learnJob takes a job's record into the book, unless it is there.
-func (c *Controller) learnJob(e protocol.Entry) *bookkeeping.Job {
+func (c *Controller) learnJob(e protocol.Entry) *state.Job {
 	t := c.term
-	ref := strings.TrimPrefix(e.Key, bookkeeping.JobPrefix)
+	ref := strings.TrimPrefix(e.Key, state.JobPrefix)
 	if j := t.book.Job(ref); j != nil {
 		return j
 	}
 	if _, over := c.finals.find(ref); over {
 		return nil
 	}
-	j, err := bookkeeping.DecodeJob(e.Value)
+	j, err := state.DecodeJob(e.Value)
 	if err != nil || j.Spec.Ref != ref {
 		c.damaged(e, err)
 		return nil
@@ -144,7 +144,7 @@
 }
 
 // enter puts a job into the book.
-func (c *Controller) enter(j *bookkeeping.Job) {
+func (c *Controller) enter(j *state.Job) {
 	t := c.term
 	j.Submitted = min(c.at.Steady, c.steadyOf(j.SubmittedWall))
 	t.book.AddJob(j)
--- a/internal/coordination/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"errors"
 	"fmt"
 	"strings"
 
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // Raising the feature level. Only the leader does it, in one transaction that depends on
@@ -29,7 +29,7 @@
 type levelTerm struct {
 	next  micros // when the roster is looked at again
 	busy  bool   // it is being read, or a level is being made active
-	waits []upgrade.Wait
+	waits []featuregate.Wait
 	told  string // for whom, as last logged
 	// Controllers that answered as a version without levels, with the stamps that their
 	// entries had then.
@@ -37,7 +37,7 @@
 }
 
 // servesLevel says why this program must not lead at a level, or nothing.
-func (c *Controller) servesLevel(l upgrade.Level) error {
+func (c *Controller) servesLevel(l featuregate.Level) error {
 	switch {
 	case c.levels == nil && l > 0:
 		return errLaterForm
@@ -51,11 +51,11 @@
 // had when the leader key was taken: both are only ever written together.
 func (c *Controller) loadLevel(refused *bool) func(protocol.Entry) {
 	return func(e protocol.Entry) {
-		if e.Key != upgrade.KeyLevel {
+		if e.Key != featuregate.KeyLevel {
 			return
 		}
 		c.tookLevel(e)
-		if l, err := upgrade.DecodeLevel(e.Value); err != nil || l != c.seat.level {
+		if l, err := featuregate.DecodeLevel(e.Value); err != nil || l != c.seat.level {
 			*refused = true
 			if err == nil {
 				c.damaged(e, errLevelAlone)
@@ -80,10 +80,10 @@
 		return
 	}
 	t.levels.busy = true
-	roster := make(map[string]upgrade.Kept)
-	c.list(prioNormal, upgrade.RosterPrefix, func(e protocol.Entry) {
-		entry, err := upgrade.DecodeEntry(e.Value)
-		roster[strings.TrimPrefix(e.Key, upgrade.RosterPrefix)] = upgrade.Kept{Entry: entry, Stamp: e.Stamp, Err: err}
+	roster := make(map[string]featuregate.Kept)
+	c.list(prioNormal, featuregate.RosterPrefix, func(e protocol.Entry) {
+		entry, err := featuregate.DecodeEntry(e.Value)
+		roster[strings.TrimPrefix(e.Key, featuregate.RosterPrefix)] = featuregate.Kept{Entry: entry, Stamp: e.Stamp, Err: err}
 	}, func(_ uint64, ok bool) {
 		if c.term != t {
 			return
@@ -104,10 +104,10 @@
 
 // considerLevel tells for whom the highest level waits, and makes active the one that all
 // have.
-func (c *Controller) considerLevel(t *term, roster map[string]upgrade.Kept) {
+func (c *Controller) considerLevel(t *term, roster map[string]featuregate.Kept) {
 	s := c.levels
 	names := c.controllers()
-	d := upgrade.Decide(names, s.serves, s.active, roster)
+	d := featuregate.Decide(names, s.serves, s.active, roster)
 	t.levels.waits = d.Waits
 	// Without machine types there would be nothing to write in the later form.
 	if d.Next <= s.active || len(c.types) == 0 {
@@ -119,7 +119,7 @@
 		withdrawn := false
 		for _, name := range names {
 			if stamp, old := t.levels.old[name]; old && stamp == roster[name].Stamp {
-				t.levels.waits = append(t.levels.waits, upgrade.Wait{Node: name, Why: upgrade.RunsOld})
+				t.levels.waits = append(t.levels.waits, featuregate.Wait{Node: name, Why: featuregate.RunsOld})
 				withdrawn = true
 			}
 		}
@@ -134,7 +134,7 @@
 
 // tellWaits logs for whom the highest level waits, where that has changed.
 func (c *Controller) tellWaits(t *term) {
-	text := upgrade.Describe(t.levels.waits)
+	text := featuregate.Describe(t.levels.waits)
 	if text == t.levels.told {
 		return
 	}
@@ -148,7 +148,7 @@
 // notes those that answer as a version without levels. An operator who went back to that
 // version leaves the entry of the newer one in the roster, which counts for nothing from then
 // on until it is written again. Who does not answer says nothing: the roster has what it runs.
-func (c *Controller) askLevels(t *term, roster map[string]upgrade.Kept, done func()) {
+func (c *Controller) askLevels(t *term, roster map[string]featuregate.Kept, done func()) {
 	waiting := len(c.platform.Siblings)
 	if waiting == 0 {
 		done()
@@ -185,22 +185,22 @@
 }
 
 // activate makes a level active.
-func (c *Controller) activate(t *term, next upgrade.Level, names []string, roster map[string]upgrade.Kept) {
+func (c *Controller) activate(t *term, next featuregate.Level, names []string, roster map[string]featuregate.Kept) {
 	when := c.underLevel(nil)
 	for _, name := range names {
-		when = append(when, protocol.Condition{Key: upgrade.RosterKey(name), Stamp: roster[name].Stamp})
+		when = append(when, protocol.Condition{Key: featuregate.RosterKey(name), Stamp: roster[name].Stamp})
 	}
-	epoch := bookkeeping.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: t.yields, Level: next}
+	epoch := state.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: t.yields, Level: next}
 	types, _ := c.typesRecord(next) // none of the later form is better than those of the earlier
 	then := []protocol.Change{
-		{Key: upgrade.KeyLevel, Value: upgrade.EncodeLevel(next)},
-		{Key: bookkeeping.KeyEpoch, Value: bookkeeping.EncodeEpoch(epoch)},
-		{Key: bookkeeping.KeyTypes, Value: types},
+		{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(next)},
+		{Key: state.KeyEpoch, Value: state.EncodeEpoch(epoch)},
+		{Key: state.KeyTypes, Value: types},
 	}
 	c.log.Info("making a feature level active", "level", uint64(next), "controllers", len(names))
 	c.lead(prioUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if o == txnApplied {
-			c.tookLevel(protocol.Entry{Key: upgrade.KeyLevel, Value: then[0].Value, Stamp: r.Stamp})
+			c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: then[0].Value, Stamp: r.Stamp})
 			c.lookAtLevelAgain(t)
 			return
 		}
@@ -212,12 +212,12 @@
 // typesRecord is the record of the machine types at a level, and whether they fit into a
 // value. Those that don't are left out, since part of them would have jobs refused that fit
 // the others: then only the leader accepts.
-func (c *Controller) typesRecord(l upgrade.Level) (value []byte, fits bool) {
-	if value = bookkeeping.EncodeTypes(c.types, l); len(value) <= c.limits.target.valueBytes {
+func (c *Controller) typesRecord(l featuregate.Level) (value []byte, fits bool) {
+	if value = state.EncodeTypes(c.types, l); len(value) <= c.limits.target.valueBytes {
 		return value, true
 	}
 	c.log.Warn("machine types don't fit into a record: only the leader accepts jobs", "bytes", len(value))
-	return bookkeeping.EncodeTypes(nil, l), false
+	return state.EncodeTypes(nil, l), false
 }
 
 // keepTypes records the machine types. What a leader sent before it made a level active
@@ -227,7 +227,7 @@
 	if !fits {
 		return // those that are kept are better than none
 	}
-	c.lead(prioNormal, c.underLevel(nil), []protocol.Change{{Key: bookkeeping.KeyTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+	c.lead(prioNormal, c.underLevel(nil), []protocol.Change{{Key: state.KeyTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
 		if c.otherLevel(o, r) {
 			c.after(rosterAgain, func() {
 				if c.term == t {
--- a/internal/coordination/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"io"
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // levelled is a controller that has just been started.
@@ -70,8 +70,8 @@
 const underLevel = `{"path":"level","stamp":7}`
 
 // atLevel has a controller know the level by a record with stamp 7.
-func atLevel(c *Controller, l upgrade.Level) {
-	c.tookLevel(protocol.Entry{Key: upgrade.KeyLevel, Value: upgrade.EncodeLevel(l), Stamp: 7})
+func atLevel(c *Controller, l featuregate.Level) {
+	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Stamp: 7})
 }
 
 // What a leader writes that has a form by the level depends on the level's record: a
@@ -88,14 +88,14 @@
 	c.allListed(term)
 	c.keepTypes(term)
 	effects := c.flush()
-	for _, key := range []string{bookkeeping.KeyEpoch, bookkeeping.KeyTypes} {
+	for _, key := range []string{state.KeyEpoch, state.KeyTypes} {
 		written := calls(effects, `"set":"`+key+`"`)
 		for _, w := range written {
 			if !strings.Contains(string(w.Body), underLevel) || !strings.Contains(string(w.Body), `{"form":3,`) {
 				t.Errorf("%s", w.Body)
 			}
 		}
-		if want := map[string]int{bookkeeping.KeyEpoch: 2, bookkeeping.KeyTypes: 1}[key]; len(written) != want {
+		if want := map[string]int{state.KeyEpoch: 2, state.KeyTypes: 1}[key]; len(written) != want {
 			t.Errorf("%d writes of %s", len(written), key)
 		}
 	}
@@ -132,12 +132,12 @@
 	c, _ := levelled(t)
 	c.types = []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 8000, Mem: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, Boot: protocol.Second, Zones: []string{"a"}}}
 	value, fits := c.typesRecord(1)
-	if types, later, err := bookkeeping.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
+	if types, later, err := state.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
 	c.limits.target.valueBytes = 100
 	value, fits = c.typesRecord(1)
-	if _, later, err := bookkeeping.DecodeTypes(value); err == nil || !later || fits || len(value) > 100 {
+	if _, later, err := state.DecodeTypes(value); err == nil || !later || fits || len(value) > 100 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
 	c.load()
@@ -151,19 +151,19 @@
 // The level that is known never falls, and features are asked by it.
 func TestAllows(t *testing.T) {
 	c, _ := levelled(t)
-	if c.allows(upgrade.ChainedJobs) {
+	if c.allows(featuregate.ChainedJobs) {
 		t.Error("allowed before anything is known")
 	}
 	atLevel(c, 1)
-	if !c.allows(upgrade.ChainedJobs) {
+	if !c.allows(featuregate.ChainedJobs) {
 		t.Error("not allowed at its level")
 	}
-	c.tookLevel(protocol.Entry{Key: upgrade.KeyLevel, Value: []byte(`{"torn":1}`), Stamp: 9})
-	if !c.allows(upgrade.ChainedJobs) || c.levels.known {
+	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Stamp: 9})
+	if !c.allows(featuregate.ChainedJobs) || c.levels.known {
 		t.Errorf("after a record that can't be read: %+v", c.levels)
 	}
 	c.KnowNoLevels()
-	if c.allows(upgrade.ChainedJobs) {
+	if c.allows(featuregate.ChainedJobs) {
 		t.Error("allowed by a version without levels")
 	}
 }
--- a/internal/coordination/users.go
+++ b/internal/controller/users.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // forwardTimeout is how long the leader has to answer a passed-on call before
@@ -59,7 +59,7 @@
 			return
 		}
 		e.Ref = spec.Ref
-		if len(spec.Awaits) > 0 && !c.allows(upgrade.ChainedJobs) {
+		if len(spec.Awaits) > 0 && !c.allows(featuregate.ChainedJobs) {
 			c.unavailable(e.Reply, refusedFeature)
 			return
 		}
@@ -260,7 +260,7 @@
 // first: a job that ends meanwhile is then found among the final ones.
 func (c *Controller) lookUp(to Address, ref string, over func()) {
 	// Users poll again soon, and wait for a submission.
-	c.find(prioUrgent, ref, func(j *bookkeeping.Job, f final, found, ok bool) {
+	c.find(prioUrgent, ref, func(j *state.Job, f final, found, ok bool) {
 		over()
 		switch {
 		case !ok:
@@ -278,15 +278,15 @@
 // find looks for a job in the state service. What it finds live a leader takes into its
 // book, if it was read in this term: an answer that was on its way while another node led
 // says nothing of what that one ended. What this node ended itself learnJob knows.
-func (c *Controller) find(prio uint8, ref string, done func(j *bookkeeping.Job, f final, found, ok bool)) {
+func (c *Controller) find(prio uint8, ref string, done func(j *state.Job, f final, found, ok bool)) {
 	t := c.term
-	c.get(prio, bookkeeping.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+	c.get(prio, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
 		if !ok {
 			done(nil, final{}, false, false)
 			return
 		}
 		if found {
-			j, err := bookkeeping.DecodeJob(e.Value)
+			j, err := state.DecodeJob(e.Value)
 			if err != nil {
 				c.malformed("state", err)
 				done(nil, final{}, false, false)
@@ -301,12 +301,12 @@
 			done(j, final{}, true, true)
 			return
 		}
-		c.get(prio, bookkeeping.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+		c.get(prio, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
 			if !ok || !found {
 				done(nil, final{}, false, ok)
 				return
 			}
-			p, n, err := bookkeeping.DecodeFinal(e.Value)
+			p, n, err := state.DecodeFinal(e.Value)
 			if err != nil {
 				c.malformed("state", err)
 				done(nil, final{}, false, false)
@@ -320,22 +320,22 @@
 }
 
 // jobAnswer says how a job of the book stands.
-func (c *Controller) jobAnswer(j *bookkeeping.Job) []byte {
+func (c *Controller) jobAnswer(j *state.Job) []byte {
 	phase := protocol.Queued
 	running := j.Running
 	switch {
 	case j.Doomed:
 		return protocol.JobAnswer(j.Spec.Ref, protocol.Cancelled, 0, 0)
-	case j.State == bookkeeping.JobWaiting:
+	case j.State == state.JobWaiting:
 		return protocol.AwaitingAnswer(j.Spec.Ref, j.Awaiting)
 	}
 	switch j.State {
-	case bookkeeping.JobDone:
+	case state.JobDone:
 		phase, running = protocol.Done, 0
-	case bookkeeping.JobCancelled, bookkeeping.JobClosed:
+	case state.JobCancelled, state.JobClosed:
 		phase, running = protocol.Cancelled, 0
 	default:
-		if running > 0 || j.State == bookkeeping.JobFinishing {
+		if running > 0 || j.State == state.JobFinishing {
 			phase = protocol.Running
 		}
 	}
@@ -348,8 +348,8 @@
 // So until the outcome is known the leader, too, answers from the state service.
 // It is the same for a job that awaits others while one of their records is on its way, or
 // not read yet. A doomed job is cancelled whatever becomes of its own record.
-func ending(j *bookkeeping.Job) bool {
-	return !j.Doomed && (j.State == bookkeeping.JobFinishing || j.Closing || j.Unsure)
+func ending(j *state.Job) bool {
+	return !j.Doomed && (j.State == state.JobFinishing || j.Closing || j.Unsure)
 }
 
 func (c *Controller) query(to Address, ref string) {
--- a/internal/coordination/workers.go
+++ b/internal/controller/workers.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // onReport handles a worker's report. Only the leader answers with 200: a
@@ -56,7 +56,7 @@
 	}
 	h := t.book.Host(r.Host)
 	if h == nil {
-		h = bookkeeping.NewHost(c.at.Steady, r.Host, r.Type, r.Zone, r.Spot)
+		h = state.NewHost(c.at.Steady, r.Host, r.Type, r.Zone, r.Spot)
 		h.Type = c.typeByName[r.Type]
 		h.Stray, h.Addr = r.Epoch != t.epoch, r.Addr
 		t.book.AddHost(h)
@@ -92,7 +92,7 @@
 
 // takeReport brings the book to what a newer report says. direct tells that
 // it answers a direct command.
-func (c *Controller) takeReport(h *bookkeeping.Host, r *protocol.Report, direct bool) {
+func (c *Controller) takeReport(h *state.Host, r *protocol.Report, direct bool) {
 	t := c.term
 	at := c.at.Steady
 	current := r.Epoch == t.epoch
@@ -126,13 +126,13 @@
 	if h.Type == nil {
 		h.Type, h.Changed = c.typeByName[r.Type], true
 	}
-	if h.State == bookkeeping.HostBooting || h.State == bookkeeping.HostSilent {
-		if h.State == bookkeeping.HostBooting && h.Rented {
+	if h.State == state.HostBooting || h.State == state.HostSilent {
+		if h.State == state.HostBooting && h.Rented {
 			// One that was there already says nothing of that: a fleet that is there from
 			// the start taught that machines boot in no time.
 			t.rental.booted(h, at)
 		}
-		h.To(bookkeeping.HostReady)
+		h.To(state.HostReady)
 		c.record(h)
 		t.dirty = true
 	}
@@ -172,17 +172,17 @@
 		if a.SentSession == 0 {
 			a.SentSession = r.Session // or an earlier one
 		}
-		if a.State == bookkeeping.AttemptLaunched {
+		if a.State == state.AttemptLaunched {
 			h.Unheeded = 0 // it came
 		}
 		c.observe(a, *task)
 	}
 	for _, a := range h.Attempts() {
-		if a.Seen == h.Reports || a.State == bookkeeping.AttemptAssigned {
+		if a.Seen == h.Reports || a.State == state.AttemptAssigned {
 			continue
 		}
-		if a.State == bookkeeping.AttemptExited {
-			t.book.Move(at, a, bookkeeping.AttemptGone)
+		if a.State == state.AttemptExited {
+			t.book.Move(at, a, state.AttemptGone)
 			continue
 		}
 		if !a.State.MayRun() {
@@ -197,18 +197,18 @@
 			// the one before: absence proves nothing yet.
 			continue
 		}
-		if a.State == bookkeeping.AttemptLaunched && !r.Newer(a.SentSession, a.SentTick) {
+		if a.State == state.AttemptLaunched && !r.Newer(a.SentSession, a.SentTick) {
 			continue
 		}
 		if a.Doubt {
 			continue // the launch may still be on its way
 		}
-		if a.State == bookkeeping.AttemptLaunched && a.ViaReport && direct {
+		if a.State == state.AttemptLaunched && a.ViaReport && direct {
 			// The answer with the launch and this message may have crossed.
 			// Only the next report must come after it.
 			continue
 		}
-		if a.State == bookkeeping.AttemptLaunched && a.ViaReport && !missed {
+		if a.State == state.AttemptLaunched && a.ViaReport && !missed {
 			missed = true
 			h.Unheeded++
 		}
@@ -219,14 +219,14 @@
 	c.touchIdle(h)
 }
 
-func (c *Controller) touchIdle(h *bookkeeping.Host) {
+func (c *Controller) touchIdle(h *state.Host) {
 	if c.held(h) {
 		h.IdleSince = c.at.Steady
 	}
 }
 
 // adopt takes an attempt that an earlier leader started into the book.
-func (c *Controller) adopt(h *bookkeeping.Host, task protocol.TaskReport) *bookkeeping.Attempt {
+func (c *Controller) adopt(h *state.Host, task protocol.TaskReport) *state.Attempt {
 	t := c.term
 	j := t.book.Job(task.Job)
 	if j != nil && task.Index >= len(j.Tasks) {
@@ -247,7 +247,7 @@
 		}
 		c.log.Error("task is on two hosts", "task", task.TaskName.String(), "host", h.Name, "other", on, "state", a.Task().State)
 	}
-	if j == nil || j.State != bookkeeping.JobLive || a.Task().Current != a {
+	if j == nil || j.State != state.JobLive || a.Task().Current != a {
 		a.Stop = true
 		c.wantCall(h)
 	}
@@ -257,32 +257,32 @@
 	return a
 }
 
-var stateOf = map[protocol.TaskState]bookkeeping.AttemptState{
-	protocol.Fetching: bookkeeping.AttemptFetching, protocol.Waiting: bookkeeping.AttemptWaiting,
-	protocol.Executing: bookkeeping.AttemptRunning, protocol.Saving: bookkeeping.AttemptSaving,
-	protocol.Exited: bookkeeping.AttemptExited,
+var stateOf = map[protocol.TaskState]state.AttemptState{
+	protocol.Fetching: state.AttemptFetching, protocol.Waiting: state.AttemptWaiting,
+	protocol.Executing: state.AttemptRunning, protocol.Saving: state.AttemptSaving,
+	protocol.Exited: state.AttemptExited,
 }
 
 // observe takes what a report says of one attempt.
-func (c *Controller) observe(a *bookkeeping.Attempt, task protocol.TaskReport) {
+func (c *Controller) observe(a *state.Attempt, task protocol.TaskReport) {
 	t := c.term
 	at := c.at.Steady
 	to := stateOf[task.State]
-	if a.State == bookkeeping.AttemptExited || a.State == to {
+	if a.State == state.AttemptExited || a.State == to {
 		return
 	}
 	from := a.State
 	j := a.Job
-	if j != nil && (to == bookkeeping.AttemptRunning || to == bookkeeping.AttemptWaiting || to == bookkeeping.AttemptSaving) {
+	if j != nil && (to == state.AttemptRunning || to == state.AttemptWaiting || to == state.AttemptSaving) {
 		a.Host.SawImage(at, j.Spec.Image, j.Spec.ImageSize)
-		if from == bookkeeping.AttemptFetching {
+		if from == state.AttemptFetching {
 			c.learnFetch(a)
 		}
-		if to == bookkeeping.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.GangAttempt {
+		if to == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.GangAttempt {
 			j.GangStarted = true
 		}
 	}
-	if to == bookkeeping.AttemptExited {
+	if to == state.AttemptExited {
 		c.exited(a, task)
 		return
 	}
@@ -291,14 +291,14 @@
 }
 
 // exited handles the end of an attempt.
-func (c *Controller) exited(a *bookkeeping.Attempt, task protocol.TaskReport) {
+func (c *Controller) exited(a *state.Attempt, task protocol.TaskReport) {
 	t := c.term
 	at := c.at.Steady
 	a.Reason = task.Reason
 	j, h := a.Job, a.Host
 	t.dirty = true
 	c.log.Debug("exited", "task", a.Name.TaskName.String(), "host", h.Name, "why", string(task.Reason), "saved", task.Saved)
-	if j != nil && j.State == bookkeeping.JobLive && j.Done < len(j.Tasks) {
+	if j != nil && j.State == state.JobLive && j.Done < len(j.Tasks) {
 		switch task.Reason {
 		case protocol.ExitDone:
 			c.completed(a)
@@ -313,7 +313,7 @@
 			a.Task().NotBefore = at + 3*protocol.Second
 		}
 	}
-	t.book.Move(at, a, bookkeeping.AttemptExited)
+	t.book.Move(at, a, state.AttemptExited)
 	if j != nil {
 		c.settle(j)
 		c.checkFinished(j)
@@ -322,7 +322,7 @@
 }
 
 // settle lets a gang of which nothing is left start anew.
-func (c *Controller) settle(j *bookkeeping.Job) {
+func (c *Controller) settle(j *state.Job) {
 	if j.Settled() {
 		j.GangAttempt, j.GangStarted = 0, false
 		c.endCancelled(j)
@@ -330,7 +330,7 @@
 }
 
 // completed handles a task's result.
-func (c *Controller) completed(a *bookkeeping.Attempt) {
+func (c *Controller) completed(a *state.Attempt) {
 	j := a.Job
 	if j.Spec.Kind == protocol.Service {
 		return // a replica has no end of its own: it is started again
@@ -358,10 +358,10 @@
 }
 
 // lost notes that an attempt is certainly on no host any more.
-func (c *Controller) lost(a *bookkeeping.Attempt) {
+func (c *Controller) lost(a *state.Attempt) {
 	t := c.term
 	j, h := a.Job, a.Host
-	t.book.Move(c.at.Steady, a, bookkeeping.AttemptGone)
+	t.book.Move(c.at.Steady, a, state.AttemptGone)
 	if j != nil {
 		c.settle(j)
 		c.checkFinished(j)
@@ -374,24 +374,24 @@
 // Where it is not known in which session an earlier leader's launch left, a higher one
 // proves nothing: what was heard before may be a late copy of a report from an even earlier
 // session, and the launch, a direct command held up on the way, still match this one.
-func (c *Controller) loseBefore(h *bookkeeping.Host, session uint64) {
-	c.lose(h, "its session ended", func(a *bookkeeping.Attempt) bool {
+func (c *Controller) loseBefore(h *state.Host, session uint64) {
+	c.lose(h, "its session ended", func(a *state.Attempt) bool {
 		return !a.State.MayRun() || a.SentSession > 0 && a.SentSession < session
 	})
 }
 
 // outlived notes that a host's lease has certainly ended, and its session with it.
-func (c *Controller) outlived(h *bookkeeping.Host) {
+func (c *Controller) outlived(h *state.Host) {
 	h.Over = h.Session
 	c.loseAll(h, "silent for longer than its lease")
 }
 
 // loseAll notes that nothing is on a host any more.
-func (c *Controller) loseAll(h *bookkeeping.Host, why string) {
-	c.lose(h, why, func(*bookkeeping.Attempt) bool { return true })
+func (c *Controller) loseAll(h *state.Host, why string) {
+	c.lose(h, why, func(*state.Attempt) bool { return true })
 }
 
-func (c *Controller) lose(h *bookkeeping.Host, why string, gone func(*bookkeeping.Attempt) bool) {
+func (c *Controller) lose(h *state.Host, why string, gone func(*state.Attempt) bool) {
 	n := 0
 	for _, a := range h.Attempts() {
 		if !gone(a) {
@@ -409,9 +409,9 @@
 }
 
 // stop asks for the end of an attempt.
-func (c *Controller) stop(a *bookkeeping.Attempt, grace micros) {
+func (c *Controller) stop(a *state.Attempt, grace micros) {
 	switch {
-	case a.State == bookkeeping.AttemptAssigned:
+	case a.State == state.AttemptAssigned:
 		c.lost(a) // no launch has left
 	case a.State.MayRun():
 		if a.Stop {
@@ -424,15 +424,15 @@
 }
 
 // commands is what a report is answered with.
-func (c *Controller) commands(h *bookkeeping.Host) []protocol.Command {
+func (c *Controller) commands(h *state.Host) []protocol.Command {
 	t := c.term
-	if h.Proven && h.State == bookkeeping.HostReleasing {
+	if h.Proven && h.State == state.HostReleasing {
 		// It was silent, and the cloud has not answered its release: it may report again
 		// for as long as the cloud is down. Without a stop the tasks of cancelled jobs went
 		// on, held their team's limit and had their users wait until the cloud was back.
 		return c.endings(h)
 	}
-	if !h.Proven || h.State != bookkeeping.HostReady {
+	if !h.Proven || h.State != state.HostReady {
 		return nil
 	}
 	if !c.mayStart() {
@@ -448,10 +448,10 @@
 		}
 		j := a.Job
 		switch {
-		case a.State == bookkeeping.AttemptExited:
+		case a.State == state.AttemptExited:
 			// Results are durable before the worker may forget them.
-			if a.Reason == protocol.ExitDone && j != nil && j.State <= bookkeeping.JobFinishing && j.State != bookkeeping.JobCancelled {
-				if task := a.Task(); task != nil && task.State == bookkeeping.TaskDone && !task.Durable {
+			if a.Reason == protocol.ExitDone && j != nil && j.State <= state.JobFinishing && j.State != state.JobCancelled {
+				if task := a.Task(); task != nil && task.State == state.TaskDone && !task.Durable {
 					continue
 				}
 			}
@@ -462,15 +462,15 @@
 			}
 			cmds = append(cmds, protocol.Command{Verb: protocol.Forget, Name: a.Name})
 		case a.State.MayRun():
-			if a.State == bookkeeping.AttemptLaunched && a.Doubt && !h.Calling {
+			if a.State == state.AttemptLaunched && a.Doubt && !h.Calling {
 				// In doubt: repeated to the same host, it has no effect twice.
 				a.SentSession, a.SentTick = h.Session, h.Tick
 				cmds = append(cmds, protocol.Command{Verb: protocol.Launch, Name: a.Name})
 			}
-			if !a.Stop && (j == nil || j.State != bookkeeping.JobLive) {
+			if !a.Stop && (j == nil || j.State != state.JobLive) {
 				a.Stop, a.StopGrace = true, 0
 			}
-			if a.Stop && !(a.State == bookkeeping.AttemptSaving && a.StopGrace > 0) {
+			if a.Stop && !(a.State == state.AttemptSaving && a.StopGrace > 0) {
 				cmds = append(cmds, c.stopNow(a, a.StopGrace))
 			}
 		}
@@ -478,7 +478,7 @@
 	// Launches come after the stops that make room for them.
 	for _, a := range c.launchable(h, protocol.MaxCommands-len(cmds)) {
 		a.SentSession, a.SentTick, a.ViaReport = h.Session, h.Tick, true
-		t.book.Move(at, a, bookkeeping.AttemptLaunched)
+		t.book.Move(at, a, state.AttemptLaunched)
 		cmds = append(cmds, protocol.Command{Verb: protocol.Launch, Name: a.Name})
 	}
 	return cmds
@@ -489,13 +489,13 @@
 // no newer epoch, and then the user has not been told that the job goes on either. So the
 // tasks of a cancelled job end also while the state service is down for everybody, for
 // longer than a cancellation has, and the user is told as soon as it is back.
-func unwanted(a *bookkeeping.Attempt) bool {
-	return a.Job != nil && (a.Job.State == bookkeeping.JobCancelling || a.Job.State == bookkeeping.JobCancelled)
+func unwanted(a *state.Attempt) bool {
+	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelled)
 }
 
 // endings is what a leader may say whose lease could have ended, and all that is said to a
 // host that is being released.
-func (c *Controller) endings(h *bookkeeping.Host) []protocol.Command {
+func (c *Controller) endings(h *state.Host) []protocol.Command {
 	var cmds []protocol.Command
 	for _, a := range h.Attempts() {
 		if a.State.MayRun() && a.Stop && unwanted(a) && len(cmds) < protocol.MaxCommands {
@@ -506,7 +506,7 @@
 }
 
 // stopNow makes the command that stops an attempt.
-func (c *Controller) stopNow(a *bookkeeping.Attempt, grace micros) protocol.Command {
+func (c *Controller) stopNow(a *state.Attempt, grace micros) protocol.Command {
 	if a.StopAt == 0 {
 		a.StopAt = c.at.Steady
 	}
@@ -515,8 +515,8 @@
 
 // launchable lists the attempts whose launch may leave for a host: recorded, and
 // with room beside all that is there and not told to end at once.
-func (c *Controller) launchable(h *bookkeeping.Host, most int) []*bookkeeping.Attempt {
-	var list []*bookkeeping.Attempt
+func (c *Controller) launchable(h *state.Host, most int) []*state.Attempt {
+	var list []*state.Attempt
 	var used protocol.Resources
 	for _, a := range h.Attempts() {
 		if a.State.MayRun() && a.Job != nil && !(a.StopAt > 0 && a.StopGrace == 0) {
@@ -527,7 +527,7 @@
 		if len(list) >= most {
 			break
 		}
-		if a.State != bookkeeping.AttemptAssigned || !a.Recorded || !h.Recorded || a.Job.State != bookkeeping.JobLive {
+		if a.State != state.AttemptAssigned || !a.Recorded || !h.Recorded || a.Job.State != state.JobLive {
 			continue
 		}
 		if with := used.Add(a.Job.Spec.Need, 1); h.Type == nil || h.Type.Offer.Holds(with) {
@@ -544,7 +544,7 @@
 // again and again, a gang's others waiting for it.
 const deafAfter = 2
 
-func deaf(h *bookkeeping.Host) bool { return h.Unheeded >= deafAfter }
+func deaf(h *state.Host) bool { return h.Unheeded >= deafAfter }
 
 // callTimeout is how long a worker has to answer a direct command.
 const callTimeout = 2 * protocol.Second
@@ -554,7 +554,7 @@
 const maxCalling = 64
 
 // wantCall notes that commands wait for a host.
-func (c *Controller) wantCall(h *bookkeeping.Host) {
+func (c *Controller) wantCall(h *state.Host) {
 	if !h.CallQueued {
 		h.CallQueued = true
 		c.term.toCall = append(c.term.toCall, h)
@@ -580,16 +580,16 @@
 			continue
 		}
 		h.CallQueued = false
-		if at < h.NoCalls || h.Addr == "" || !c.usable(h) && !h.Noticed && !c.mute(h) || h.State != bookkeeping.HostReady || !h.Proven {
+		if at < h.NoCalls || h.Addr == "" || !c.usable(h) && !h.Noticed && !c.mute(h) || h.State != state.HostReady || !h.Proven {
 			continue // they go with the answer to its next report
 		}
 		var cmds []protocol.Command
 		for _, a := range h.Attempts() {
-			if a.State.MayRun() && a.Stop && a.StopAt == 0 && a.State != bookkeeping.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == Leading || unwanted(a)) {
+			if a.State.MayRun() && a.Stop && a.StopAt == 0 && a.State != state.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == Leading || unwanted(a)) {
 				cmds = append(cmds, c.stopNow(a, a.StopGrace))
 			}
 		}
-		var launched []*bookkeeping.Attempt
+		var launched []*state.Attempt
 		if c.mayStart() {
 			launched = c.launchable(h, protocol.MaxCommands-len(cmds))
 		}
@@ -606,14 +606,14 @@
 // callHost sends a direct command. Until it is answered its launches are in
 // doubt: the worker may execute them at any time in the same session, also
 // long after this node has given up.
-func (c *Controller) callHost(h *bookkeeping.Host, cmds []protocol.Command, launched []*bookkeeping.Attempt) {
+func (c *Controller) callHost(h *state.Host, cmds []protocol.Command, launched []*state.Attempt) {
 	t := c.term
 	h.Calling = true
 	t.calling++
 	for _, a := range launched {
 		a.Doubt, a.ViaReport = true, false
 		a.SentSession, a.SentTick = h.Session, h.Tick
-		t.book.Move(c.at.Steady, a, bookkeeping.AttemptLaunched)
+		t.book.Move(c.at.Steady, a, state.AttemptLaunched)
 	}
 	body := protocol.AppendCommands(nil, t.epoch, h.Session, cmds)
 	c.callAddr(ToWorker, "POST", h.Addr, "/commands", body, callTimeout, func(r CallDone) {
@@ -639,7 +639,7 @@
 		}
 		if report == nil {
 			for _, a := range launched {
-				if a.State == bookkeeping.AttemptLaunched {
+				if a.State == state.AttemptLaunched {
 					c.lost(a) // never left
 				}
 			}
@@ -650,7 +650,7 @@
 }
 
 // answerOf reads the report with which a worker answers a call, or nil.
-func (c *Controller) answerOf(h *bookkeeping.Host, r CallDone) *protocol.Report {
+func (c *Controller) answerOf(h *state.Host, r CallDone) *protocol.Report {
 	if r.Status != 200 && r.Status != 409 {
 		return nil
 	}
@@ -664,7 +664,7 @@
 
 // takeAnswer takes the report that answered a call, unless a newer one came
 // first. It tells whether this node still leads.
-func (c *Controller) takeAnswer(h *bookkeeping.Host, report *protocol.Report) bool {
+func (c *Controller) takeAnswer(h *state.Host, report *protocol.Report) bool {
 	if report.Epoch > c.term.epoch {
 		c.deposed("a worker has seen a newer epoch")
 		return false
@@ -679,7 +679,7 @@
 // or behind a cut there are hundreds, and those that don't answer must not keep
 // the others waiting.
 type prober struct {
-	queue   []*bookkeeping.Host
+	queue   []*state.Host
 	busy    int
 	zones   map[string]int // calls on their way, by zone
 	through int            // which of the other nodes was last asked to ask
@@ -699,7 +699,7 @@
 
 // probe asks a host what is on it, rather than waiting until its worker finds
 // this leader.
-func (c *Controller) probe(t *term, h *bookkeeping.Host) {
+func (c *Controller) probe(t *term, h *state.Host) {
 	if h.Addr != "" && !h.Probing {
 		h.Probing = true
 		t.probes.queue = append(t.probes.queue, h)
@@ -734,7 +734,7 @@
 // also shows the new epoch: from there on commands of earlier epochs have no
 // effect, and the report in the answer is proof. Otherwise the answer says
 // which session it is.
-func (c *Controller) sendProbe(t *term, h *bookkeeping.Host, session uint64, tries int) {
+func (c *Controller) sendProbe(t *term, h *state.Host, session uint64, tries int) {
 	p := &t.probes
 	p.busy++
 	p.zones[h.Zone]++
@@ -817,7 +817,7 @@
 	zones := make(map[string]leadership.Zone, len(c.platform.Zones))
 	release := max(c.operator.SilentRelease, c.silence()+callTimeout)
 	for _, h := range t.book.Hosts() {
-		if h.State == bookkeeping.HostReady && (h.Proven || !h.Stray) || h.FromRecord && !h.Proven {
+		if h.State == state.HostReady && (h.Proven || !h.Stray) || h.FromRecord && !h.Proven {
 			z := zones[h.Zone]
 			reporting++
 			z.All++
@@ -852,7 +852,7 @@
 	for _, h := range t.book.Hosts() {
 		if h.FromRecord && !h.Proven {
 			unproven++
-		} else if h.State == bookkeeping.HostReady && at-h.Heard <= c.silence() {
+		} else if h.State == state.HostReady && at-h.Heard <= c.silence() {
 			if h.Noticed {
 				c.drainNoticed(h)
 			}
@@ -885,13 +885,13 @@
 		}
 		expired := c.expired(h)
 		switch h.State {
-		case bookkeeping.HostReady, bookkeeping.HostBooting:
-			if h.State == bookkeeping.HostBooting && !h.FromRecord {
+		case state.HostReady, state.HostBooting:
+			if h.State == state.HostBooting && !h.FromRecord {
 				break // has never reported: holds nothing
 			}
 			if expired {
 				c.outlived(h)
-				h.To(bookkeeping.HostSilent)
+				h.To(state.HostSilent)
 				h.Proven = true
 			} else if at-h.Heard > c.silence() && (h.ProbeFailed || at-t.led > c.silence()) && mayRelease && c.holdsCancelled(h) {
 				c.release(h, "silent, and a cancelled task may be on it")
@@ -902,11 +902,11 @@
 				h.ProbeAt = at + callTimeout
 				c.probe(t, h)
 			}
-		case bookkeeping.HostSilent:
+		case state.HostSilent:
 			if at-h.Heard > limit+lease && mayRelease {
 				c.release(h, "silent")
 			}
-		case bookkeeping.HostReleasing:
+		case state.HostReleasing:
 			if expired && !h.Proven {
 				h.Proven = true
 			}
@@ -914,7 +914,7 @@
 				c.outlived(h)
 			}
 		}
-		if h.Noticed && h.State == bookkeeping.HostReady {
+		if h.Noticed && h.State == state.HostReady {
 			c.drainNoticed(h)
 		}
 	}
@@ -930,9 +930,9 @@
 // holdsCancelled reports whether a task may be on a host whose job was cancelled
 // so long ago that it has to be gone soon. Half of the time allowed is left to
 // the cloud, which may be in trouble itself.
-func (c *Controller) holdsCancelled(h *bookkeeping.Host) bool {
+func (c *Controller) holdsCancelled(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if j := a.Job; j != nil && a.State.MayRun() && (j.State == bookkeeping.JobCancelled || j.State == bookkeeping.JobCancelling) &&
+		if j := a.Job; j != nil && a.State.MayRun() && (j.State == state.JobCancelled || j.State == state.JobCancelling) &&
 			c.at.Wall-j.CancelledWall > c.platform.Cancel/2 {
 			return true
 		}
@@ -941,7 +941,7 @@
 }
 
 // drainNoticed saves what it can from a machine that is about to be taken.
-func (c *Controller) drainNoticed(h *bookkeeping.Host) {
+func (c *Controller) drainNoticed(h *state.Host) {
 	left := h.TakenAt - c.at.Steady
 	for _, a := range h.Attempts() {
 		j := a.Job
@@ -949,7 +949,7 @@
 			continue
 		}
 		switch {
-		case a.State == bookkeeping.AttemptAssigned || a.State == bookkeeping.AttemptLaunched || a.State == bookkeeping.AttemptFetching:
+		case a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching:
 			c.stop(a, 0)
 		case j.Spec.Kind == protocol.Service:
 			c.stop(a, 0)
--- a/internal/upgrade/decide.go
+++ b/internal/featuregate/decide.go
@@ -1,4 +1,4 @@
-package upgrade
+package featuregate
 
 import (
 	"fmt"
--- a/internal/upgrade/golden_test.go
+++ b/internal/featuregate/golden_test.go
@@ -1,4 +1,4 @@
-package upgrade_test
+package featuregate_test
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // written reads what the version in production wrote.
@@ -50,10 +50,10 @@
 		}
 	}
 	types := written(t, sample{name: "machine-types"})
-	if b := bookkeeping.EncodeTypes(machineTypes(), 0); !bytes.Equal(b, types) {
+	if b := state.EncodeTypes(machineTypes(), 0); !bytes.Equal(b, types) {
 		t.Errorf("machine types\nwritten as %q\nproduction %q", b, types)
 	}
-	if kept, later, err := bookkeeping.DecodeTypes(types); err != nil || later || !bytes.Equal(protocol.AppendTypes(nil, kept), types) {
+	if kept, later, err := state.DecodeTypes(types); err != nil || later || !bytes.Equal(protocol.AppendTypes(nil, kept), types) {
 		t.Errorf("machine types read as %v, later form %v: %v", kept, later, err)
 	}
 	files, err := filepath.Glob("testdata/level0/*")
@@ -66,33 +66,33 @@
 // refuses, by its own rules: it reads an epoch only of form 2, or that is a number, and
 // machine types only with a list of "flavors". This version reads both forms.
 func TestLaterForms(t *testing.T) {
-	e := bookkeeping.Epoch{N: 9, Unlisted: true, Level: 1, Yields: []protocol.Yield{{Node: "node-1", To: "node-2", Epoch: 8, At: wall, Heard: map[string]int{"a": 1}}}}
-	value := bookkeeping.EncodeEpoch(e)
-	if got, err := bookkeeping.DecodeEpoch(value); err != nil || got.N != 9 || got.Level != 1 || !got.Unlisted || len(got.Yields) != 1 {
+	e := state.Epoch{N: 9, Unlisted: true, Level: 1, Yields: []protocol.Yield{{Node: "node-1", To: "node-2", Epoch: 8, At: wall, Heard: map[string]int{"a": 1}}}}
+	value := state.EncodeEpoch(e)
+	if got, err := state.DecodeEpoch(value); err != nil || got.N != 9 || got.Level != 1 || !got.Unlisted || len(got.Yields) != 1 {
 		t.Errorf("%s is read as %+v, %v", value, got, err)
 	}
 	if !bytes.HasPrefix(value, []byte(`{"form":3,"level":1,"epoch":9`)) {
 		t.Errorf("the epoch's record is %s", value)
 	}
 	for _, bad := range []string{`{"form":3,"epoch":9}`, `{"form":2,"level":1,"epoch":9}`, `{"form":4,"level":1,"epoch":9}`, `{"form":3,"level":1}`, `[]`, `"9"`} {
-		if got, err := bookkeeping.DecodeEpoch([]byte(bad)); err == nil {
+		if got, err := state.DecodeEpoch([]byte(bad)); err == nil {
 			t.Errorf("%s is read as %+v", bad, got)
 		}
 	}
-	types := bookkeeping.EncodeTypes(machineTypes(), 1)
+	types := state.EncodeTypes(machineTypes(), 1)
 	for name, b := range map[string][]byte{"epoch.json": value, "machine-types.json": types} {
 		if kept, err := os.ReadFile("testdata/level1/" + name); err != nil || string(kept) != string(b)+"\n" {
 			t.Errorf("%s: %v\nwritten as %s\nnot as    %s", name, err, b, kept)
 		}
 	}
-	if got, later, err := bookkeeping.DecodeTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendTypes(nil, got), protocol.AppendTypes(nil, machineTypes())) {
+	if got, later, err := state.DecodeTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendTypes(nil, got), protocol.AppendTypes(nil, machineTypes())) {
 		t.Errorf("%s is read as %v, %v, %v", types, got, later, err)
 	}
 	if got, err := protocol.ParseTypes(types); err == nil {
 		t.Errorf("production's rule reads machine types of the later form as %v", got)
 	}
 	for _, bad := range []string{`{"form":4,"types":{"flavors":[]}}`, `{"form":3}`, `{"form":3,"types":{}}`} {
-		if got, _, err := bookkeeping.DecodeTypes([]byte(bad)); err == nil {
+		if got, _, err := state.DecodeTypes([]byte(bad)); err == nil {
 			t.Errorf("%s is read as %v", bad, got)
 		}
 	}
@@ -122,21 +122,21 @@
 
 // The records of levels are read as they were written, and nothing else is read as one.
 func TestRecords(t *testing.T) {
-	entry := upgrade.Entry{Node: `node-"1"`, Levels: upgrade.Range{Low: 0, High: 1}, Build: "0.2.0"}
-	value := upgrade.EncodeEntry(entry)
-	if got, err := upgrade.DecodeEntry(value); err != nil || got != entry {
+	entry := featuregate.Entry{Node: `node-"1"`, Levels: featuregate.Range{Low: 0, High: 1}, Build: "0.2.0"}
+	value := featuregate.EncodeEntry(entry)
+	if got, err := featuregate.DecodeEntry(value); err != nil || got != entry {
 		t.Errorf("%s is read as %+v, %v", value, got, err)
 	}
-	if l, err := upgrade.DecodeLevel(upgrade.EncodeLevel(3)); err != nil || l != 3 {
+	if l, err := featuregate.DecodeLevel(featuregate.EncodeLevel(3)); err != nil || l != 3 {
 		t.Errorf("level %d, %v", l, err)
 	}
 	for _, bad := range []string{`{`, `[]`, `{"form":2,"level":1}`, `{"form":1,"level":0}`, `{"form":1,"level":-1}`, `{"form":1,"level":"1"}`, `{"form":1}`} {
-		if l, err := upgrade.DecodeLevel([]byte(bad)); err == nil {
+		if l, err := featuregate.DecodeLevel([]byte(bad)); err == nil {
 			t.Errorf("%s is read as level %d", bad, l)
 		}
 	}
 	for _, bad := range []string{`{`, `{"form":2,"node":"a","low":0,"high":1}`, `{"form":1,"node":"","low":0,"high":1}`, `{"form":1,"node":"a","low":2,"high":1}`, `{"form":1,"node":"a","high":1}`} {
-		if e, err := upgrade.DecodeEntry([]byte(bad)); err == nil {
+		if e, err := featuregate.DecodeEntry([]byte(bad)); err == nil {
 			t.Errorf("%s is read as %+v", bad, e)
 		}
 	}
--- a/internal/upgrade/level.go
+++ b/internal/featuregate/level.go
@@ -1,7 +1,7 @@
 // Package upgrade decides when a cluster of controllers of several versions begins to use
 // what only the newer ones know. It does no I/O and has no clock; the leader of the cluster
-// reads and writes the records (internal/coordination/upgrade.go).
-package upgrade
+// reads and writes the records (internal/controller/upgrade.go).
+package featuregate
 
 // Level is a feature level: what stored state, messages and behaviour may be. A level
 // includes all that the ones below it have.
--- a/internal/upgrade/production_test.go
+++ b/internal/featuregate/production_test.go
@@ -1,19 +1,19 @@
-package upgrade_test
+package featuregate_test
 
 import (
 	"os"
 	"path/filepath"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // This file, too, stands by itself. Put into the tree of the version in production beside
 // samples_test.go, with LEVEL1 naming testdata/level1, it shows that that version's own
 // readers refuse what is written from level 1 on; not part of CI, which has no other tree:
 //
-//	LEVEL1=$PWD/internal/upgrade/testdata/level1 go test -run TestProductionRefuses FOLDER/internal/upgrade
+//	LEVEL1=$PWD/internal/featuregate/testdata/level1 go test -run TestProductionRefuses FOLDER/internal/featuregate
 
 func TestProductionRefuses(t *testing.T) {
 	folder := os.Getenv("LEVEL1")
@@ -21,7 +21,7 @@
 		return
 	}
 	for name, read := range map[string]func([]byte) error{
-		"epoch.json":         func(b []byte) error { _, err := bookkeeping.DecodeEpoch(b); return err },
+		"epoch.json":         func(b []byte) error { _, err := state.DecodeEpoch(b); return err },
 		"machine-types.json": func(b []byte) error { _, err := protocol.ParseTypes(b); return err },
 	} {
 		b, err := os.ReadFile(filepath.Join(folder, name))
--- a/internal/upgrade/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -1,4 +1,4 @@
-package upgrade_test
+package featuregate_test
 
 import (
 	"encoding/hex"
@@ -9,18 +9,18 @@
 	"strings"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
+	"mapleslip/internal/state"
 )
 
 // This file stands by itself: put into the tree of the version in production, with
 // "WRITE=folder", it wrote testdata/level0 with that version's own encoders:
 //
-//	git worktree add FOLDER COMMIT; mkdir FOLDER/internal/upgrade
-//	cp internal/upgrade/samples_test.go FOLDER/internal/upgrade/
-//	cd FOLDER && WRITE=$PWD/level0 go test -run TestWriteSamples ./internal/upgrade
+//	git worktree add FOLDER COMMIT; mkdir FOLDER/internal/featuregate
+//	cp internal/featuregate/samples_test.go FOLDER/internal/featuregate/
+//	cd FOLDER && WRITE=$PWD/level0 go test -run TestWriteSamples ./internal/featuregate
 
 // sample is a record or a message, and how what was written is read and written again.
 type sample struct {
@@ -72,97 +72,97 @@
 	add := func(name string, b []byte, again func(b []byte) ([]byte, error)) {
 		list = append(list, sample{name, b, again})
 	}
-	job := func(name string, j *bookkeeping.Job) {
+	job := func(name string, j *state.Job) {
 		j.SubmittedWall, j.Epoch = wall, 7
-		add(name, bookkeeping.EncodeJob(j), func(b []byte) ([]byte, error) {
-			j, err := bookkeeping.DecodeJob(b)
+		add(name, state.EncodeJob(j), func(b []byte) ([]byte, error) {
+			j, err := state.DecodeJob(b)
 			if err != nil {
 				return nil, err
 			}
-			return bookkeeping.EncodeJob(j), nil
+			return state.EncodeJob(j), nil
 		})
 	}
-	job("job-array", bookkeeping.NewJob(jobSpec("req-000001", protocol.Array, 25)))
-	job("job-service", bookkeeping.NewJob(jobSpec("req-000002", protocol.Service, 2)))
-	job("job-with-everything", bookkeeping.NewJob(fullSpec()))
-	asked := bookkeeping.NewJob(jobSpec("req-000003", protocol.Array, 1))
-	asked.State, asked.CancelledWall = bookkeeping.JobCancelling, wall+5
+	job("job-array", state.NewJob(jobSpec("req-000001", protocol.Array, 25)))
+	job("job-service", state.NewJob(jobSpec("req-000002", protocol.Service, 2)))
+	job("job-with-everything", state.NewJob(fullSpec()))
+	asked := state.NewJob(jobSpec("req-000003", protocol.Array, 1))
+	asked.State, asked.CancelledWall = state.JobCancelling, wall+5
 	job("job-being-cancelled", asked)
-	told := bookkeeping.NewJob(jobSpec("req-000004", protocol.Array, 1))
-	told.State, told.CancelledWall = bookkeeping.JobCancelled, wall+6
+	told := state.NewJob(jobSpec("req-000004", protocol.Array, 1))
+	told.State, told.CancelledWall = state.JobCancelled, wall+6
 	job("job-cancelled-by-an-earlier-version", told)
 	for _, p := range []protocol.Phase{protocol.Done, protocol.Cancelled} {
-		add("final-"+string(p), bookkeeping.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
-			p, n, err := bookkeeping.DecodeFinal(b)
-			return bookkeeping.EncodeFinal(p, n), err
+		add("final-"+string(p), state.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
+			p, n, err := state.DecodeFinal(b)
+			return state.EncodeFinal(p, n), err
 		})
 	}
 	yields := []protocol.Yield{{Node: "node-1", To: "node-2", Epoch: 6, At: wall, Heard: map[string]int{"a": 3, "b": 0}}}
-	for name, e := range map[string]bookkeeping.Epoch{"epoch": {N: 7}, "epoch-unlisted": {N: 8, Unlisted: true}, "epoch-with-yields": {N: 9, Yields: yields}} {
-		add(name, bookkeeping.EncodeEpoch(e), func(b []byte) ([]byte, error) {
-			e, err := bookkeeping.DecodeEpoch(b)
-			return bookkeeping.EncodeEpoch(e), err
+	for name, e := range map[string]state.Epoch{"epoch": {N: 7}, "epoch-unlisted": {N: 8, Unlisted: true}, "epoch-with-yields": {N: 9, Yields: yields}} {
+		add(name, state.EncodeEpoch(e), func(b []byte) ([]byte, error) {
+			e, err := state.DecodeEpoch(b)
+			return state.EncodeEpoch(e), err
 		})
 	}
-	add("leader", bookkeeping.EncodeLeader(bookkeeping.Leadership{Node: "node-1", Epoch: 7, Lease: 12, AnswerOn: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
-		l, err := bookkeeping.DecodeLeader(b)
-		return bookkeeping.EncodeLeader(l), err
+	add("leader", state.EncodeLeader(state.Leadership{Node: "node-1", Epoch: 7, Lease: 12, AnswerOn: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
+		l, err := state.DecodeLeader(b)
+		return state.EncodeLeader(l), err
 	})
 	add("machine-types", protocol.AppendTypes(nil, machineTypes()), func(b []byte) ([]byte, error) {
 		types, err := protocol.ParseTypes(b)
 		return protocol.AppendTypes(nil, types), err
 	})
 	memory := protocol.Memory{Epoch: 7, At: wall, Cuts: []protocol.Cut{{Zone: "a", Since: wall - 9, Seen: wall - 1}}, Silent: []protocol.Silence{{Host: "n-000009", Since: wall - 7}}}
-	add("memory", bookkeeping.EncodeMemory(memory), func(b []byte) ([]byte, error) {
-		m, err := bookkeeping.DecodeMemory(b)
-		return bookkeeping.EncodeMemory(m), err
+	add("memory", state.EncodeMemory(memory), func(b []byte) ([]byte, error) {
+		m, err := state.DecodeMemory(b)
+		return state.EncodeMemory(m), err
 	})
 	hosts := func(images bool) []byte {
-		var list []*bookkeeping.Host
+		var list []*state.Host
 		for i, spot := range []bool{false, true} {
-			h := bookkeeping.NewHost(0, fmt.Sprintf("n-%06d", i+1), "big", "a", spot)
+			h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "big", "a", spot)
 			h.Addr, h.RecordedWall = fmt.Sprintf("10.0.0.%d:9000", i+1), wall
-			h.Images["work:7"], h.Images["web:1"] = &bookkeeping.Image{Size: 8250}, &bookkeeping.Image{Size: 1000}
+			h.Images["work:7"], h.Images["web:1"] = &state.Image{Size: 8250}, &state.Image{Size: 1000}
 			list = append(list, h)
 		}
-		return bookkeeping.EncodeHosts(list, images)
+		return state.EncodeHosts(list, images)
 	}
 	for name, images := range map[string]bool{"hosts": true, "hosts-without-images": false} {
 		add(name, hosts(images), func(b []byte) ([]byte, error) {
-			list, err := bookkeeping.DecodeHosts(0, b)
-			return bookkeeping.EncodeHosts(list, images), err
+			list, err := state.DecodeHosts(0, b)
+			return state.EncodeHosts(list, images), err
 		})
 	}
 	refs := []string{"req-000001", "req-000405"}
-	add("bookings", bookkeeping.EncodeBookings(refs, func(string) protocol.Micros { return wall }), func(b []byte) ([]byte, error) {
-		at, err := bookkeeping.DecodeBookings(b)
-		return bookkeeping.EncodeBookings(refs, func(ref string) protocol.Micros { return at[ref] }), err
+	add("bookings", state.EncodeBookings(refs, func(string) protocol.Micros { return wall }), func(b []byte) ([]byte, error) {
+		at, err := state.DecodeBookings(b)
+		return state.EncodeBookings(refs, func(ref string) protocol.Micros { return at[ref] }), err
 	})
-	array := func() *bookkeeping.Job { return bookkeeping.NewJob(jobSpec("req-000001", protocol.Array, 25)) }
+	array := func() *state.Job { return state.NewJob(jobSpec("req-000001", protocol.Array, 25)) }
 	done := array()
 	for _, i := range []int{0, 3, 24} {
 		done.Complete(i, false)
 	}
-	add("completions", bookkeeping.EncodeCompletions([]*bookkeeping.Job{done}), func(b []byte) ([]byte, error) {
-		list, err := bookkeeping.DecodeCompletions(b)
+	add("completions", state.EncodeCompletions([]*state.Job{done}), func(b []byte) ([]byte, error) {
+		list, err := state.DecodeCompletions(b)
 		j := array()
 		if err == nil {
-			err = bookkeeping.ApplyChunk(j, 0, list["req-000001"])
+			err = state.ApplyChunk(j, 0, list["req-000001"])
 		}
-		return bookkeeping.EncodeCompletions([]*bookkeeping.Job{j}), err
+		return state.EncodeCompletions([]*state.Job{j}), err
 	})
-	add("completions-of-a-large-array", bookkeeping.EncodeChunk(done, 0), func(b []byte) ([]byte, error) {
+	add("completions-of-a-large-array", state.EncodeChunk(done, 0), func(b []byte) ([]byte, error) {
 		j := array()
-		err := bookkeeping.ApplyChunk(j, 0, b)
-		return bookkeeping.EncodeChunk(j, 0), err
+		err := state.ApplyChunk(j, 0, b)
+		return state.EncodeChunk(j, 0), err
 	})
-	launch := func(ref string, index int, host string, number uint64) bookkeeping.Launch {
-		return bookkeeping.Launch{Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, Host: host}
+	launch := func(ref string, index int, host string, number uint64) state.Launch {
+		return state.Launch{Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, Host: host}
 	}
-	add("launches", bookkeeping.EncodeLaunches([]bookkeeping.Launch{launch("req-000001", 0, "n-000001", 7<<24|1), launch("req-000001", 3, "n-000002", 7<<24|2), launch("req-000405", 1, "n-000001", 7<<24|3)}),
+	add("launches", state.EncodeLaunches([]state.Launch{launch("req-000001", 0, "n-000001", 7<<24|1), launch("req-000001", 3, "n-000002", 7<<24|2), launch("req-000405", 1, "n-000001", 7<<24|3)}),
 		func(b []byte) ([]byte, error) {
-			list, err := bookkeeping.DecodeLaunches(b)
-			return bookkeeping.EncodeLaunches(list), err
+			list, err := state.DecodeLaunches(b)
+			return state.EncodeLaunches(list), err
 		})
 	entry := configuration.Entry{Revision: 3, At: wall, Who: "ops", Why: `a "reason"`, ID: "c-1", Changes: []configuration.Change{{Key: "log/level", Old: `"info"`, New: `"debug"`}, {Key: "team/red/gpus_max", New: "4"}}}
 	head := configuration.Head{Revision: 3, Started: 1, FirstPage: 1, LastPage: 1, Document: configuration.Document{"log/level": `"debug"`, "team/red/gpus_max": "4"}, Log: []configuration.Entry{entry}}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -2,7 +2,7 @@
 // in stages, and takes the new ones back when they fail their checks.
 //
 // It is a state machine without I/O: Step takes an event and returns effects. The
-// leader of the cluster drives it (internal/coordination). A version's instances
+// leader of the cluster drives it (internal/controller). A version's instances
 // are tasks of ordinary daemon jobs, and all that a roll-out does to them is to
 // submit and to cancel jobs. Whatever it does is in its durable record before.
 package rollout
--- a/internal/scale/hub/gang.go
+++ b/internal/scale/checker/gang.go
@@ -1,4 +1,4 @@
-package hub
+package checker
 
 import (
 	"strconv"
--- a/internal/scale/hub/hub.go
+++ b/internal/scale/checker/hub.go
@@ -5,7 +5,7 @@
 //
 // Gangs are brought together as messages come; rules are judged later, in the order of
 // the times that the messages carry.
-package hub
+package checker
 
 import (
 	"container/heap"
--- a/internal/scale/hub/main_test.go
+++ b/internal/scale/checker/main_test.go
@@ -1,4 +1,4 @@
-package hub
+package checker
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 
 // The same histories are drawn at every run, unless others are asked for:
 //
-//	go test ./internal/scale/hub -args -rapid.seed=7 -rapid.checks=10000
+//	go test ./internal/scale/checker -args -rapid.seed=7 -rapid.checks=10000
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.nofailfile", "true")
--- a/internal/scale/standin/cloud.go
+++ b/internal/scale/fakes/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/sock"
+	"mapleslip/internal/scale/httpconn"
 	"mapleslip/internal/scale/wire"
 	"mapleslip/internal/transport"
 )
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (s *cloud) handle(c *sock.Conn, r *transport.Request) (int, []byte) {
+func (s *cloud) handle(c *httpconn.Conn, r *transport.Request) (int, []byte) {
 	c.Traffic = &s.traffic
 	status, body, wait := s.serve(s.now(), r)
 	if wait != nil {
--- a/internal/scale/standin/run.go
+++ b/internal/scale/fakes/run.go
@@ -1,6 +1,6 @@
 // Package standin serves the stand-ins of the state service and of the cloud over HTTP, on
 // real sockets, with the limits that the platform's settings publish.
-package standin
+package fakes
 
 import (
 	"errors"
@@ -17,17 +17,17 @@
 	"time"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/rehearsal"
-	"mapleslip/internal/scale/pipe"
-	"mapleslip/internal/scale/sock"
+	"mapleslip/internal/scale/httpconn"
+	"mapleslip/internal/scale/ipc"
 	"mapleslip/internal/scale/wire"
+	"mapleslip/internal/simulation"
 	"mapleslip/internal/transport"
 )
 
 // Run is the role of the stand-ins. Config.State and Config.Cloud are listening addresses,
 // each may be several with commas between them.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
-	p, err := pipe.Open(in, out)
+	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
 	}
@@ -75,18 +75,18 @@
 
 // endpoint is a service's sockets and what it counts.
 type endpoint struct {
-	servers []*sock.Server
+	servers []*httpconn.Server
 	open    atomic.Int64
-	traffic sock.Traffic
-	watch   sock.Traffic
+	traffic httpconn.Traffic
+	watch   httpconn.Traffic
 
 	mu       sync.Mutex // of the service's state too
 	requests map[string]int
 }
 
-func (e *endpoint) listen(addrs string, h sock.Handler) error {
+func (e *endpoint) listen(addrs string, h httpconn.Handler) error {
 	for addr := range strings.SplitSeq(addrs, ",") {
-		server, err := sock.Listen(strings.TrimSpace(addr), &e.open, h)
+		server, err := httpconn.Listen(strings.TrimSpace(addr), &e.open, h)
 		if err != nil {
 			return err
 		}
@@ -131,7 +131,7 @@
 // state serves the state service.
 type state struct {
 	endpoint
-	store   *rehearsal.StateService
+	store   *simulation.StateService
 	latency int64
 	refused map[string]int64 // until when who is answered 503, by address; "": all
 	slow    float64
@@ -141,7 +141,7 @@
 func newState(c *wire.Config, p *protocol.Platform, note func(string, ...any)) *state {
 	s := &state{latency: c.LatencyUS, refused: make(map[string]int64), slow: 1}
 	s.requests = make(map[string]int)
-	s.store = rehearsal.NewStateService(p, func() protocol.Micros { return protocol.Micros(wire.Now()) }, note)
+	s.store = simulation.NewStateService(p, func() protocol.Micros { return protocol.Micros(wire.Now()) }, note)
 	return s
 }
 
@@ -153,7 +153,7 @@
 }
 
 // handle answers a request. It is carried out after half of the latency.
-func (s *state) handle(c *sock.Conn, r *transport.Request) (int, []byte) {
+func (s *state) handle(c *httpconn.Conn, r *transport.Request) (int, []byte) {
 	c.Traffic = &s.traffic
 	target := r.Path
 	if r.Query != "" {
--- a/internal/scale/standin/standin_test.go
+++ b/internal/scale/fakes/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/scale/hollow/run.go
+++ b/internal/scale/hollow/run.go
@@ -20,15 +20,15 @@
 	"time"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/pipe"
-	"mapleslip/internal/scale/sock"
+	"mapleslip/internal/scale/httpconn"
+	"mapleslip/internal/scale/ipc"
 	"mapleslip/internal/scale/wire"
 )
 
 // Run is the role of many workers in a process.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
 	runtime.GOMAXPROCS(2) // a machine has several of these processes
-	p, err := pipe.Open(in, out)
+	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 func RunOne(in io.Reader, out io.Writer, log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(24 << 20)
-	p, err := pipe.Open(in, out)
+	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	out     []*wire.Message
 	more    chan struct{} // something is in out
 
-	hello, commands, status sock.Traffic
+	hello, commands, status httpconn.Traffic
 	up                      atomic.Int64
 	failed, redirects       atomic.Int64 // reports
 	dropped                 atomic.Int64 // answers
@@ -69,7 +69,7 @@
 	longest                 atomic.Int64 // wait for an answer to a report, microseconds
 }
 
-func run(pp *pipe.Pipe, log *slog.Logger) error {
+func run(pp *ipc.Pipe, log *slog.Logger) error {
 	p := &process{config: pp.Config, platform: pp.Platform, types: make(map[string]*protocol.MachineType), timers: newTimers(), now: wire.Now,
 		workers: make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool), more: make(chan struct{}, 1)}
 	for _, t := range p.config.Types {
@@ -142,7 +142,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(m.Name))
 	w := &worker{p: p, m: m, typ: typ, head: reportHead(&m), send: make(chan struct{}, 1),
-		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &sock.Client{Source: m.Source, Traffic: &p.hello}}
+		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.hello}}
 	w.images = images{rate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, cache: typ.Cache, list: make(map[string]*image)}
 	if w.images.rate <= 0 {
 		w.images.rate = math.MaxInt32
@@ -391,7 +391,7 @@
 		"hello_redirects": float64(p.redirects.Load()),
 		"hello_dropped":   float64(p.dropped.Load()),
 	}
-	for name, t := range map[string]*sock.Traffic{"hello": &p.hello, "commands": &p.commands, "status": &p.status} {
+	for name, t := range map[string]*httpconn.Traffic{"hello": &p.hello, "commands": &p.commands, "status": &p.status} {
 		v[name] = float64(t.Messages.Load())
 		v[name+"_in_bytes"] = float64(t.In.Load())
 		v[name+"_out_bytes"] = float64(t.Out.Load())
--- a/internal/scale/hollow/worker.go
+++ b/internal/scale/hollow/worker.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/sock"
+	"mapleslip/internal/scale/httpconn"
 	"mapleslip/internal/scale/wire"
 	"mapleslip/internal/transport"
 )
@@ -59,8 +59,8 @@
 	body      []byte
 	rng       *rand.Rand
 
-	server *sock.Server
-	client *sock.Client
+	server *httpconn.Server
+	client *httpconn.Client
 }
 
 // starts brings a worker up.
@@ -70,7 +70,7 @@
 	if w.gone || w.up {
 		return nil
 	}
-	server, err := sock.Listen(w.m.Listen, nil, w.handle)
+	server, err := httpconn.Listen(w.m.Listen, nil, w.handle)
 	if err != nil {
 		return err
 	}
@@ -565,7 +565,7 @@
 }
 
 // handle answers what controllers ask of the worker directly.
-func (w *worker) handle(c *sock.Conn, r *transport.Request) (int, []byte) {
+func (w *worker) handle(c *httpconn.Conn, r *transport.Request) (int, []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.standsStill()
--- a/internal/scale/hollow/worker_test.go
+++ b/internal/scale/hollow/worker_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/sock"
+	"mapleslip/internal/scale/httpconn"
 	"mapleslip/internal/scale/wire"
 	"mapleslip/internal/transport"
 )
@@ -44,7 +44,7 @@
 	w.rng = rand.New(rand.NewPCG(1, 1))
 	w.up, w.session, w.leaseFrom, w.due, w.stale, w.node = true, 1, r.time, r.time, true, 0
 	w.images.rate = 0.001 // a GB a second
-	w.server = &sock.Server{}
+	w.server = &httpconn.Server{}
 	w.armLease()
 	w.arm(r.time)
 	r.p, r.w = p, w
@@ -113,7 +113,7 @@
 // the states of its tasks.
 func (r *rig) commands(epoch, session int, orders ...string) (int, string) {
 	body := fmt.Sprintf(`{"epoch":%d,"tenure":%d,"orders":[%s]}`, epoch, session, strings.Join(orders, ","))
-	status, report := r.w.handle(&sock.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)})
+	status, report := r.w.handle(&httpconn.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)})
 	r.supervise()
 	return status, r.states(report)
 }
@@ -171,7 +171,7 @@
 	r := newRig(t)
 	r.runs["req-000011"], r.runs["req-000031"], r.runs["req-000012"] = 10*second, 10*second, 10*second
 	for _, body := range []string{"", `{"epoch":5}`, `{"tenure":1}`} {
-		if status, _ := r.w.handle(&sock.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)}); status != 400 {
+		if status, _ := r.w.handle(&httpconn.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)}); status != 400 {
 			t.Errorf("%s: %d", body, status)
 		}
 	}
@@ -332,7 +332,7 @@
 			answers := make(chan answer, 1)
 			go func() {
 				body := fmt.Sprintf(`{"epoch":5,"tenure":1,"orders":[%s]}`, launch("000011/1", 1))
-				status, report := r.w.handle(&sock.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)})
+				status, report := r.w.handle(&httpconn.Conn{}, &transport.Request{Method: "POST", Path: "/commands", Body: []byte(body)})
 				answers <- answer{status, r.states(report)}
 			}()
 			goesOn := func() {
--- a/internal/scale/sock/sock.go
+++ b/internal/scale/httpconn/sock.go
@@ -1,6 +1,6 @@
 // Package sock carries the HTTP messages of the scale run's parts over TCP, with the
 // parser of package transport: a goroutine for each connection, bytes are counted.
-package sock
+package httpconn
 
 import (
 	"errors"
--- a/internal/scale/pipe/pipe.go
+++ b/internal/scale/ipc/pipe.go
@@ -1,5 +1,5 @@
 // Package pipe is a part's side of the lines between it and the supervisor.
-package pipe
+package ipc
 
 import (
 	"errors"
--- a/internal/scale/pipe/pipe_test.go
+++ b/internal/scale/ipc/pipe_test.go
@@ -1,4 +1,4 @@
-package pipe
+package ipc
 
 import (
 	"bytes"
--- a/internal/scale/launch.go
+++ b/internal/scale/launch.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/hub"
+	"mapleslip/internal/scale/checker"
 	"mapleslip/internal/scale/users"
 	"mapleslip/internal/scale/wire"
 	"maps"
@@ -35,12 +35,12 @@
 	if err != nil {
 		return err
 	}
-	s.hub = hub.New(p, s.f.machineTypes(), func(part string, m *wire.Message) {
+	s.hub = checker.New(p, s.f.machineTypes(), func(part string, m *wire.Message) {
 		if p := s.parts[part]; p != nil {
 			p.send(m)
 		}
 	})
-	s.hub.Starts(func(st hub.Start) {
+	s.hub.Starts(func(st checker.Start) {
 		if s.firstStart == 0 {
 			s.firstStart = st.At
 		}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -17,7 +17,7 @@
 	"github.com/prometheus/common/model"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/hub"
+	"mapleslip/internal/scale/checker"
 	"mapleslip/internal/scale/wire"
 )
 
@@ -413,7 +413,7 @@
 }
 
 // start takes a task that began, or a gang.
-func (m *meter) start(s hub.Start) {
+func (m *meter) start(s checker.Start) {
 	m.at(m.second(s.At)).Starts += max(1, s.Tasks)
 	if s.Again || s.Spec == nil {
 		return
--- a/internal/scale/part/part.go
+++ b/internal/scale/process/part.go
@@ -1,6 +1,6 @@
 // Package part runs the parts of a scale run: each is a process that takes its orders on
 // its standard input and says what it has seen on its standard output, as package wire has it.
-package part
+package process
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"slices"
 	"strings"
 
+	"mapleslip/internal/scale/fakes"
 	"mapleslip/internal/scale/hollow"
 	"mapleslip/internal/scale/relay"
-	"mapleslip/internal/scale/standin"
 	"mapleslip/internal/scale/users"
 	"mapleslip/internal/scale/wire"
 )
@@ -24,7 +24,7 @@
 var roles = map[string]Role{
 	wire.RoleHollow:   hollow.Run,
 	wire.RoleWorker:   hollow.RunOne,
-	wire.RoleStandins: standin.Run,
+	wire.RoleStandins: fakes.Run,
 	wire.RoleRelay:    relay.Run,
 	wire.RoleUsers:    users.Run,
 }
--- a/internal/scale/relay/relay.go
+++ b/internal/scale/relay/relay.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mapleslip/internal/scale/pipe"
+	"mapleslip/internal/scale/ipc"
 	"mapleslip/internal/scale/wire"
 )
 
@@ -30,7 +30,7 @@
 
 // relay is a region's.
 type relay struct {
-	pipe   *pipe.Pipe
+	pipe   *ipc.Pipe
 	region string
 	delay  map[string]int64 // one way, microseconds, by the other region
 	log    *slog.Logger
@@ -60,7 +60,7 @@
 
 // Run is the role of a region's links.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
-	p, err := pipe.Open(in, out)
+	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -18,7 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/hub"
+	"mapleslip/internal/scale/checker"
 	"mapleslip/internal/scale/wire"
 )
 
@@ -38,8 +38,8 @@
 	Zones       int                    `json:"zones"`
 	Teams       int                    `json:"teams"`
 	WindowS     [2]float64             `json:"window_s"` // of what is averaged and of percentiles, seconds of the run
-	Counts      hub.Counts             `json:"counts"`
-	Broken      []hub.Violation        `json:"broken"`
+	Counts      checker.Counts         `json:"counts"`
+	Broken      []checker.Violation    `json:"broken"`
 	Faults      []Played               `json:"faults"`
 	Latency     map[string]Percentiles `json:"latency"`
 	Slowest     map[string][]Slow      `json:"slowest"`   // of each class, first starts
