--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/hub"
+	"mapleslip/internal/scale/checker"
 	"mapleslip/internal/scale/wire"
 )
 
@@ -47,10 +47,10 @@
 	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 503, Due: at(100), At: at(100.5)})
 	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 201, Due: at(100), At: at(102)})
 	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 200, Due: at(100), At: at(109)})
-	m.start(hub.Start{Spec: early, Tasks: 1, Due: at(1), Asked: at(30), At: at(31)})
-	m.start(hub.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(102), At: at(103), Fetch: 1_000_000})
-	m.start(hub.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(103), At: at(103.5), Fetch: 0})
-	m.start(hub.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(130), At: at(131), Again: true})
+	m.start(checker.Start{Spec: early, Tasks: 1, Due: at(1), Asked: at(30), At: at(31)})
+	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(102), At: at(103), Fetch: 1_000_000})
+	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(103), At: at(103.5), Fetch: 0})
+	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(130), At: at(131), Again: true})
 	if got := m.rest(at(160)); got["urgent"] != 2 {
 		t.Errorf("%v never started", got)
 	}
@@ -145,13 +145,13 @@
 		err  error
 		exit int
 	}{
-		{"good", Report{Counts: hub.Counts{Starts: 5}, Seconds: lag(9)}, nil, ExitGood},
-		{"void", Report{Counts: hub.Counts{Starts: 5}, Seconds: lag(251)}, nil, ExitVoid},
+		{"good", Report{Counts: checker.Counts{Starts: 5}, Seconds: lag(9)}, nil, ExitGood},
+		{"void", Report{Counts: checker.Counts{Starts: 5}, Seconds: lag(251)}, nil, ExitVoid},
 		{"nothing ran", Report{Seconds: lag(9)}, nil, ExitBroken},
-		{"broken and late", Report{Counts: hub.Counts{Starts: 5}, Seconds: lag(999), Broken: []hub.Violation{{Kind: "quota"}}}, errors.New("rule broken"), ExitBroken},
-		{"broken at the limit", Report{Broken: []hub.Violation{{Kind: "quota"}}}, &limitError{"memory"}, ExitBroken},
-		{"limit", Report{Counts: hub.Counts{Starts: 5}}, &limitError{"memory"}, ExitFailed},
-		{"failed", Report{Counts: hub.Counts{Starts: 5}}, errors.New("users ended by itself"), ExitFailed},
+		{"broken and late", Report{Counts: checker.Counts{Starts: 5}, Seconds: lag(999), Broken: []checker.Violation{{Kind: "quota"}}}, errors.New("rule broken"), ExitBroken},
+		{"broken at the limit", Report{Broken: []checker.Violation{{Kind: "quota"}}}, &limitError{"memory"}, ExitBroken},
+		{"limit", Report{Counts: checker.Counts{Starts: 5}}, &limitError{"memory"}, ExitFailed},
+		{"failed", Report{Counts: checker.Counts{Starts: 5}}, errors.New("users ended by itself"), ExitFailed},
 		{"nothing in time", Report{}, errors.New("rule broken: nothing_ran: x"), ExitBroken},
 	} {
 		c.r.WindowS = [2]float64{f.WarmupS, f.DurationS}
@@ -257,7 +257,7 @@
 // A report is read as it was written, and has its pictures beside it.
 func TestWriteReport(t *testing.T) {
 	dir := t.TempDir()
-	r := &Report{Name: "x", Part: 0.5, Rows: map[string]float64{"leader cores": 0.2}, Counts: hub.Counts{Starts: 3, Leaves: map[string]int{"done": 2}},
+	r := &Report{Name: "x", Part: 0.5, Rows: map[string]float64{"leader cores": 0.2}, Counts: checker.Counts{Starts: 3, Leaves: map[string]int{"done": 2}},
 		Latency: map[string]Percentiles{"urgent wait": {Count: 3, P50: 1, AimS: 2.7, Within: 1}}, Faults: []Played{{T: 1, Fault: "controller_end", What: "node-0"}},
 		Seconds: []Second{{T: 0, Starts: 1, CPU: map[string]float64{"leader": 0.1}, RSS: map[string]float64{"leader": 20}}, {T: 1, Starts: 2, CPU: map[string]float64{"leader": 0.3}, RSS: map[string]float64{"leader": 22}}},
 		Series:  map[string][]Span{"urgent wait": {{0, Percentiles{Count: 3, P50: 1}}}, "submit": {{0, Percentiles{Count: 1}}}, "query": {{0, Percentiles{}}}}}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -15,7 +15,7 @@
 
 	"mapleslip/internal/loopback"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/hub"
+	"mapleslip/internal/scale/checker"
 	"mapleslip/internal/scale/wire"
 )
 
@@ -68,7 +68,7 @@
 	rand    *rand.Rand
 	over    chan struct{}
 	in      chan inbound
-	hub     *hub.Hub
+	hub     *checker.Hub
 	meter   *meter
 
 	mu    sync.Mutex
@@ -238,7 +238,7 @@
 	if err := protocol.DecodeStrict([]byte(b.String()), &t); err != nil {
 		return t, fmt.Errorf("--fault: %w", protocol.OneLine(err))
 	}
-	c := &checker{}
+	c := &validator{}
 	regions, zones := f.checkRegions(c)
 	f.checkFault(c, "", &t, regions, zones)
 	if c.first != nil {
--- a/internal/scale/settings_check.go
+++ b/internal/scale/settings_check.go
@@ -11,7 +11,7 @@
 
 // check finds the first value that is impossible.
 func (f *File) check() *protocol.KeyError {
-	c := &checker{}
+	c := &validator{}
 	f.checkTimes(c)
 	f.checkDeployment(c)
 	f.checkServices(c)
@@ -35,7 +35,7 @@
 }
 
 // checkTimes checks the name and the times of the run itself.
-func (f *File) checkTimes(c *checker) {
+func (f *File) checkTimes(c *validator) {
 	if f.Name == "" || strings.ContainsAny(f.Name, "/ ") {
 		c.fail("name", "must be a word without a slash")
 	}
@@ -46,7 +46,7 @@
 }
 
 // checkDeployment checks workers and controllers.
-func (f *File) checkDeployment(c *checker) {
+func (f *File) checkDeployment(c *validator) {
 	c.number("deployment.real_workers", float64(f.Deployment.RealWorkers), 0, 100)
 	c.number("deployment.per_process", float64(f.Deployment.PerProcess), 1, 4000)
 	c.number("deployment.spare_share", f.Deployment.SpareShare, 0, 10)
@@ -66,7 +66,7 @@
 }
 
 // checkServices checks the state service, the cloud and the network.
-func (f *File) checkServices(c *checker) {
+func (f *File) checkServices(c *validator) {
 	c.number("state.rps", f.State.RPS, 8, 1e6)
 	c.number("state.write_rps", f.State.WriteRPS, 2, 1e6)
 	c.number("state.value_kb", f.State.ValueKB, 2, 60)
@@ -80,7 +80,7 @@
 }
 
 // checkRegions checks regions and their zones, and returns the names of both.
-func (f *File) checkRegions(c *checker) (regions, zones []string) {
+func (f *File) checkRegions(c *validator) (regions, zones []string) {
 	for i, r := range f.Regions {
 		key := fmt.Sprintf("regions[%d].", i)
 		if r.Name == "" || slices.Contains(regions, r.Name) {
@@ -104,7 +104,7 @@
 }
 
 // checkPlaces checks where the state service, controllers and links are.
-func (f *File) checkPlaces(c *checker, regions, zones []string) {
+func (f *File) checkPlaces(c *validator, regions, zones []string) {
 	if !slices.Contains(regions, f.State.Region) {
 		c.fail("state.region", "must name a region")
 	}
@@ -126,7 +126,7 @@
 }
 
 // checkTypes checks machine types and returns their names.
-func (f *File) checkTypes(c *checker) (types []string) {
+func (f *File) checkTypes(c *validator) (types []string) {
 	for i, t := range f.Types {
 		key := fmt.Sprintf("types[%d].", i)
 		if t.Name == "" || slices.Contains(types, t.Name) {
@@ -150,14 +150,14 @@
 }
 
 // checkTeams checks teams.
-func (f *File) checkTeams(c *checker) {
+func (f *File) checkTeams(c *validator) {
 	c.number("teams.count", float64(f.Teams.Count), 1, 10000)
 	c.number("teams.guarantee", f.Teams.Guarantee, 0, 1000)
 	c.number("teams.limit", f.Teams.Limit, 0, 1000)
 }
 
 // checkJobs checks classes of jobs and returns their names.
-func (f *File) checkJobs(c *checker, types []string) (classes []string) {
+func (f *File) checkJobs(c *validator, types []string) (classes []string) {
 	for i, j := range f.Jobs {
 		key := fmt.Sprintf("jobs[%d].", i)
 		if slices.Contains(classes, j.Name) {
@@ -175,7 +175,7 @@
 }
 
 // checkAims checks what the run is judged by.
-func (f *File) checkAims(c *checker, classes []string) {
+func (f *File) checkAims(c *validator, classes []string) {
 	for i, a := range f.Aims {
 		key := fmt.Sprintf("aims[%d].", i)
 		if a.Kind != "wait" && a.Kind != "finished" {
@@ -190,7 +190,7 @@
 }
 
 // checkLoad checks changes of the load.
-func (f *File) checkLoad(c *checker, classes []string) {
+func (f *File) checkLoad(c *validator, classes []string) {
 	for i, l := range f.Load {
 		key := fmt.Sprintf("load[%d].", i)
 		c.number(key+"at_s", l.AtS, 0, f.DurationS)
@@ -205,7 +205,7 @@
 }
 
 // checkLimits checks the limits of the run and the settings of its users.
-func (f *File) checkLimits(c *checker) {
+func (f *File) checkLimits(c *validator) {
 	least := f.DurationS + f.SettleS
 	c.number("limits.max_s", f.Limits.MaxS, least, 86400)
 	c.number("limits.lag_ms", f.Limits.LagMS, 1, 60000)
@@ -218,7 +218,7 @@
 }
 
 // checkFault checks one fault.
-func (f *File) checkFault(c *checker, key string, t *Fault, regions, zones []string) {
+func (f *File) checkFault(c *validator, key string, t *Fault, regions, zones []string) {
 	c.number(key+"at_s", t.AtS, 0, f.DurationS+f.SettleS)
 	c.number(key+"for_s", t.ForS, 0, 86400)
 	c.number(key+"factor", t.Factor, 0, 10000)
@@ -266,16 +266,16 @@
 	}
 }
 
-// checker keeps the first problem.
-type checker struct{ first *protocol.KeyError }
+// validator keeps the first problem.
+type validator struct{ first *protocol.KeyError }
 
-func (c *checker) fail(key, problem string) {
+func (c *validator) fail(key, problem string) {
 	if c.first == nil {
 		c.first = &protocol.KeyError{Key: key, Problem: problem}
 	}
 }
 
-func (c *checker) number(key string, v, low, high float64) {
+func (c *validator) number(key string, v, low, high float64) {
 	if !(v >= low && v <= high) { // also what is no number
 		c.fail(key, fmt.Sprintf("must be from %g to %g", low, high))
 	}
--- a/internal/scale/users/run.go
+++ b/internal/scale/users/run.go
@@ -18,7 +18,7 @@
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/pipe"
+	"mapleslip/internal/scale/ipc"
 	"mapleslip/internal/scale/wire"
 	"mapleslip/internal/transport"
 )
@@ -59,7 +59,7 @@
 
 // load is the running part.
 type load struct {
-	pipe  *pipe.Pipe
+	pipe  *ipc.Pipe
 	plan  *Plan
 	log   *slog.Logger
 	r     *rand.Rand
@@ -94,7 +94,7 @@
 
 // Run is the role of the load.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
-	p, err := pipe.Open(in, out)
+	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/changes.go
+++ b/internal/simulation/changes.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/configuration"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // changes judges what is done about a configuration that changes, by what the state
@@ -89,12 +89,12 @@
 			w.committedHead(value)
 		case strings.HasPrefix(key, configuration.PagePrefix):
 			g.writes++
-		case strings.HasPrefix(key, bookkeeping.JobPrefix):
-			j, err := bookkeeping.DecodeJob(value)
+		case strings.HasPrefix(key, state.JobPrefix):
+			j, err := state.DecodeJob(value)
 			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.last].Teams[j.Spec.Team].Retired {
 				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.last)
 			}
-		case strings.HasPrefix(key, bookkeeping.LaunchPages):
+		case strings.HasPrefix(key, state.LaunchPages):
 			w.committedLaunches(value)
 		}
 	}
@@ -130,7 +130,7 @@
 // newest revision there is.
 func (w *World) committedLaunches(value []byte) {
 	g := w.changes
-	list, err := bookkeeping.DecodeLaunches(value)
+	list, err := state.DecodeLaunches(value)
 	if err != nil {
 		return
 	}
@@ -256,7 +256,7 @@
 		w.nextConn++
 		w.answers[w.nextConn] = take
 		w.after(5*protocol.Second, func() { take(0, nil) })
-		w.step(n, coordination.UserCall{Reply: coordination.Address{Conn: w.nextConn}, Op: op, Ref: ref, Body: body})
+		w.step(n, controller.UserCall{Reply: controller.Address{Conn: w.nextConn}, Op: op, Ref: ref, Body: body})
 	}
 	try(50)
 }
--- a/internal/rehearsal/digest.go
+++ b/internal/simulation/digest.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"crypto/sha256"
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 )
 
 // effectDigest is a running hash of all that leaves the controllers of a World: their calls
@@ -26,21 +26,21 @@
 }
 
 // add takes one effect of a controller into the digest.
-func (d *effectDigest) add(now micros, node string, effect coordination.Effect) {
+func (d *effectDigest) add(now micros, node string, effect controller.Effect) {
 	if d == nil {
 		return
 	}
 	fmt.Fprintf(d.sum, "%d %q ", now, node)
 	switch e := effect.(type) {
-	case coordination.Reply:
+	case controller.Reply:
 		fmt.Fprintf(d.sum, "reply %d %t %d %d %t %q\n", e.To.Conn, e.To.Peer, e.Status, e.RetryAfter, e.Frame, e.Body)
-	case coordination.Call:
+	case controller.Call:
 		fmt.Fprintf(d.sum, "call %d %q %q %q %d %d %d %q\n", e.Target, e.Addr, e.Method, e.Path, e.Timeout, e.Priority, e.Changes, e.Body)
-	case coordination.Share:
+	case controller.Share:
 		fmt.Fprintf(d.sum, "share %t\n", e.Leads)
-	case coordination.WriteRate:
+	case controller.WriteRate:
 		fmt.Fprintf(d.sum, "write rate %v %t\n", e.PerSecond, e.Lowered)
-	case coordination.LogLevel:
+	case controller.LogLevel:
 		fmt.Fprintf(d.sum, "log level %q\n", e.Level)
 	}
 }
--- a/internal/rehearsal/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"crypto/sha256"
@@ -10,13 +10,13 @@
 	"sync"
 	"testing"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 )
 
 // Every trace that a test of this package plays, kept or drawn, can be written with its
 // digest to a file, to be held beside that of another version of the program:
 //
-//	go test ./internal/rehearsal -args -rapid.checks=300 -digests FILE
+//	go test ./internal/simulation -args -rapid.checks=300 -digests FILE
 var digestFile = flag.String("digests", "", "write the digest of each trace that is played to this file")
 
 var digests struct {
@@ -69,14 +69,14 @@
 }
 
 func TestDigestShowsEachField(t *testing.T) {
-	reply := coordination.Reply{To: coordination.Address{Conn: 7}, Status: 200, Body: []byte(`{"phase":"queued"}`)}
-	call := coordination.Call{Target: coordination.ToState, Method: "GET", Path: "/store/epoch", Timeout: 5, Priority: 1}
-	withReply := func(change func(*coordination.Reply)) coordination.Effect {
+	reply := controller.Reply{To: controller.Address{Conn: 7}, Status: 200, Body: []byte(`{"phase":"queued"}`)}
+	call := controller.Call{Target: controller.ToState, Method: "GET", Path: "/store/epoch", Timeout: 5, Priority: 1}
+	withReply := func(change func(*controller.Reply)) controller.Effect {
 		changed := reply
 		change(&changed)
 		return changed
 	}
-	withCall := func(change func(*coordination.Call)) coordination.Effect {
+	withCall := func(change func(*controller.Call)) controller.Effect {
 		changed := call
 		change(&changed)
 		return changed
@@ -84,30 +84,30 @@
 	tests := map[string]struct {
 		now    micros
 		node   string
-		effect coordination.Effect
+		effect controller.Effect
 	}{
 		"reply":             {1, "node-0", reply},
 		"time":              {2, "node-0", reply},
 		"node":              {1, "node-1", reply},
-		"reply connection":  {1, "node-0", withReply(func(r *coordination.Reply) { r.To.Conn = 8 })},
-		"reply status":      {1, "node-0", withReply(func(r *coordination.Reply) { r.Status = 201 })},
-		"reply body":        {1, "node-0", withReply(func(r *coordination.Reply) { r.Body = []byte(`{"phase":"done"}`) })},
-		"reply retry after": {1, "node-0", withReply(func(r *coordination.Reply) { r.RetryAfter = 1 })},
-		"reply frame":       {1, "node-0", withReply(func(r *coordination.Reply) { r.Frame = true })},
+		"reply connection":  {1, "node-0", withReply(func(r *controller.Reply) { r.To.Conn = 8 })},
+		"reply status":      {1, "node-0", withReply(func(r *controller.Reply) { r.Status = 201 })},
+		"reply body":        {1, "node-0", withReply(func(r *controller.Reply) { r.Body = []byte(`{"phase":"done"}`) })},
+		"reply retry after": {1, "node-0", withReply(func(r *controller.Reply) { r.RetryAfter = 1 })},
+		"reply frame":       {1, "node-0", withReply(func(r *controller.Reply) { r.Frame = true })},
 		"call":              {1, "node-0", call},
-		"call target":       {1, "node-0", withCall(func(c *coordination.Call) { c.Target = coordination.ToCloud })},
-		"call address":      {1, "node-0", withCall(func(c *coordination.Call) { c.Addr = "n-000001:9000" })},
-		"call method":       {1, "node-0", withCall(func(c *coordination.Call) { c.Method = "POST" })},
-		"call path":         {1, "node-0", withCall(func(c *coordination.Call) { c.Path = "/store/leader" })},
-		"call body":         {1, "node-0", withCall(func(c *coordination.Call) { c.Body = []byte("{}") })},
-		"call timeout":      {1, "node-0", withCall(func(c *coordination.Call) { c.Timeout = 6 })},
-		"call priority":     {1, "node-0", withCall(func(c *coordination.Call) { c.Priority = 2 })},
-		"call changes":      {1, "node-0", withCall(func(c *coordination.Call) { c.Changes = 1 })},
-		"share":             {1, "node-0", coordination.Share{Leads: true}},
-		"share lost":        {1, "node-0", coordination.Share{}},
-		"write rate":        {1, "node-0", coordination.WriteRate{PerSecond: 35}},
-		"write rate raised": {1, "node-0", coordination.WriteRate{PerSecond: 40}},
-		"log level":         {1, "node-0", coordination.LogLevel{Level: "debug"}},
+		"call target":       {1, "node-0", withCall(func(c *controller.Call) { c.Target = controller.ToCloud })},
+		"call address":      {1, "node-0", withCall(func(c *controller.Call) { c.Addr = "n-000001:9000" })},
+		"call method":       {1, "node-0", withCall(func(c *controller.Call) { c.Method = "POST" })},
+		"call path":         {1, "node-0", withCall(func(c *controller.Call) { c.Path = "/store/leader" })},
+		"call body":         {1, "node-0", withCall(func(c *controller.Call) { c.Body = []byte("{}") })},
+		"call timeout":      {1, "node-0", withCall(func(c *controller.Call) { c.Timeout = 6 })},
+		"call priority":     {1, "node-0", withCall(func(c *controller.Call) { c.Priority = 2 })},
+		"call changes":      {1, "node-0", withCall(func(c *controller.Call) { c.Changes = 1 })},
+		"share":             {1, "node-0", controller.Share{Leads: true}},
+		"share lost":        {1, "node-0", controller.Share{}},
+		"write rate":        {1, "node-0", controller.WriteRate{PerSecond: 35}},
+		"write rate raised": {1, "node-0", controller.WriteRate{PerSecond: 40}},
+		"log level":         {1, "node-0", controller.LogLevel{Level: "debug"}},
 	}
 	seen := make(map[string]string)
 	for name, test := range tests {
--- a/internal/rehearsal/endson.go
+++ b/internal/simulation/endson.go
@@ -1,10 +1,10 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
 	"strings"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // said looks at a call that a controller makes.
-func (w *World) said(n *node, c coordination.Call) {
+func (w *World) said(n *node, c controller.Call) {
 	e := w.endsOn
 	if e.with == "" || !strings.Contains(string(c.Body), e.with) || w.leader() != n {
 		return
@@ -53,7 +53,7 @@
 		}
 	})
 	m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]
-	if c.Target != coordination.ToWorker || m == nil || e.misses == "" {
+	if c.Target != controller.ToWorker || m == nil || e.misses == "" {
 		return
 	}
 	w.after(5*protocol.Millisecond, func() { w.actMachine(e.misses, m) }) // it is there by then
--- a/internal/rehearsal/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
--- a/internal/rehearsal/limits.go
+++ b/internal/simulation/limits.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // fallenLimits are those that the state service holds from some moment on, below what the
@@ -95,7 +95,7 @@
 		return nil
 	}
 	for _, key := range w.store.order {
-		if strings.HasPrefix(key, bookkeeping.JobPrefix) {
+		if strings.HasPrefix(key, state.JobPrefix) {
 			continue // as their users wrote them
 		}
 		if n := len(w.store.keys[key].value); n > most {
--- a/internal/rehearsal/live.go
+++ b/internal/simulation/live.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Live serves the stand-ins of a World on real connections, on loopback: the state
@@ -171,7 +171,7 @@
 		return
 	}
 	err := l.listen(addr, l.handler(func(method, target string, body []byte, answer func(int, string)) {
-		l.w.callWorker(m, coordination.Call{Path: target, Body: body}, answer)
+		l.w.callWorker(m, controller.Call{Path: target, Body: body}, answer)
 	}))
 	if err != nil && l.failed == nil {
 		l.failed = fmt.Errorf("stand-in of worker %s: %w", m.name, err)
@@ -236,11 +236,11 @@
 func (l *Live) Leader() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.w.store.keys[bookkeeping.KeyLeader]
+	e := l.w.store.keys[state.KeyLeader]
 	if e == nil {
 		return ""
 	}
-	lead, err := bookkeeping.DecodeLeader([]byte(e.value))
+	lead, err := state.DecodeLeader([]byte(e.value))
 	if err != nil {
 		return ""
 	}
--- a/internal/rehearsal/lostanswers.go
+++ b/internal/simulation/lostanswers.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Calls to the state service that are carried out at once and of which only the answer is
@@ -38,7 +38,7 @@
 }
 
 // matches reports whether a call is one of those, and counts it.
-func (l *answerLoss) matches(c coordination.Call) bool {
+func (l *answerLoss) matches(c controller.Call) bool {
 	commit := c.Path == "/commit"
 	switch {
 	case l.most == 0,
@@ -75,7 +75,7 @@
 
 // losesAnswer takes the answer to a call that was carried out, and reports whether it is
 // lost or late. Users then look closely.
-func (w *World) losesAnswer(n *node, c coordination.Call, status int, deliver func()) bool {
+func (w *World) losesAnswer(n *node, c controller.Call, status int, deliver func()) bool {
 	if status != 200 {
 		return false
 	}
@@ -203,7 +203,7 @@
 	}
 	for key, stamp := range w.lost.keys {
 		e := w.store.keys[key]
-		final := strings.HasPrefix(key, bookkeeping.FinalPrefix) || key == bookkeeping.KeyTypes
+		final := strings.HasPrefix(key, state.FinalPrefix) || key == state.KeyTypes
 		if final && e == nil || !final && e != nil && e.stamp <= stamp {
 			return fmt.Errorf("%s is as it was when the answer was lost", key)
 		}
--- a/internal/rehearsal/machines.go
+++ b/internal/simulation/machines.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 )
 
@@ -359,7 +359,7 @@
 			return
 		}
 		w.request(node, "hello", body, func(status int, resp []byte) {
-			if node.ctl.Role() == coordination.Leading { // passed on, it is looked at where it is made
+			if node.ctl.Role() == controller.Leading { // passed on, it is looked at where it is made
 				w.sends(m, resp)
 			}
 			if m.slow || m.hung || m.deaf {
@@ -423,7 +423,7 @@
 
 // callWorker hands a direct command to a worker. A machine that hangs executes
 // it when it goes on, if token and session still match.
-func (w *World) callWorker(m *machine, c coordination.Call, back func(int, string)) {
+func (w *World) callWorker(m *machine, c controller.Call, back func(int, string)) {
 	if m.phase != "running" {
 		return
 	}
--- a/internal/rehearsal/overlap_test.go
+++ b/internal/simulation/overlap_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"flag"
@@ -14,7 +14,7 @@
 
 // The same histories are drawn at every run, unless others are asked for:
 //
-//	go test ./internal/rehearsal -run Overlap -args -rapid.seed=7 -rapid.checks=5000
+//	go test ./internal/simulation -run Overlap -args -rapid.seed=7 -rapid.checks=5000
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", strconv.Itoa(defaultChecks))
@@ -37,7 +37,7 @@
 // accepted ends, and every cancellation is answered. Each history is drawn with a seed of
 // its own, which is the name of its test: to play the one of seed 47 again
 //
-//	go test ./internal/rehearsal -run 'Overlap$' -args -rapid.seed=47 -rapid.checks=1
+//	go test ./internal/simulation -run 'Overlap$' -args -rapid.seed=47 -rapid.checks=1
 //
 // By itself TestOverlap plays several histories for each check; a number of checks that was
 // asked for is the number of histories.
--- a/internal/rehearsal/recorded.go
+++ b/internal/simulation/recorded.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"strconv"
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Whatever may be on a machine is in a record before it leaves: the machine, and the launch
@@ -30,15 +30,15 @@
 	for _, change := range then {
 		key := string(change.GetStringBytes("set"))
 		switch {
-		case strings.HasPrefix(key, bookkeeping.HostPages):
+		case strings.HasPrefix(key, state.HostPages):
 			p.hosts[key] = make(map[string]bool)
-			hosts, _ := bookkeeping.DecodeHosts(0, change.Get("data").MarshalTo(nil))
+			hosts, _ := state.DecodeHosts(0, change.Get("data").MarshalTo(nil))
 			for _, h := range hosts {
 				p.hosts[key][h.Name] = true
 			}
-		case strings.HasPrefix(key, bookkeeping.LaunchPages):
+		case strings.HasPrefix(key, state.LaunchPages):
 			p.launches[key] = make(map[protocol.AttemptName]string)
-			launches, _ := bookkeeping.DecodeLaunches(change.Get("data").MarshalTo(nil))
+			launches, _ := state.DecodeLaunches(change.Get("data").MarshalTo(nil))
 			for _, l := range launches {
 				p.launches[key][l.Name] = l.Host
 			}
@@ -81,7 +81,7 @@
 		task := protocol.TaskName{Job: ref}
 		task.Index, _ = strconv.Atoi(index)
 		name := protocol.AttemptName{TaskName: task, Number: order.GetUint64("try")}
-		if !w.recorded.namesHost(m.name) && w.store.keys[bookkeeping.OldHostPrefix+m.name] == nil {
+		if !w.recorded.namesHost(m.name) && w.store.keys[state.OldHostPrefix+m.name] == nil {
 			w.broken("not recorded: %s, on which %s is launched", m.name, task)
 		}
 		if !w.recorded.namesLaunch(name, m.name) {
--- a/internal/rehearsal/services.go
+++ b/internal/simulation/services.go
@@ -1,14 +1,14 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
+	"mapleslip/internal/state"
 )
 
 // behaviour is what the instances of an image do.
@@ -58,11 +58,11 @@
 	if j := w.described[ref]; j != nil {
 		return j
 	}
-	e := w.store.keys[bookkeeping.JobPrefix+ref]
+	e := w.store.keys[state.JobPrefix+ref]
 	if e == nil {
 		return nil
 	}
-	k, err := bookkeeping.DecodeJob([]byte(e.value))
+	k, err := state.DecodeJob([]byte(e.value))
 	if err != nil {
 		w.broken("damaged record of %s: %v", ref, err)
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // checkInstance carries a check of an instance.
-func (w *World) checkInstance(n *node, c coordination.Call, backFrom func(zone string) func(int, string)) {
+func (w *World) checkInstance(n *node, c controller.Call, backFrom func(zone string) func(int, string)) {
 	host, port, _ := strings.Cut(c.Addr, ":")
 	m := w.machines[host]
 	if m == nil || n.deaf || m.apart[n.name] || m.hung || m.phase != "running" {
--- a/internal/rehearsal/singles_test.go
+++ b/internal/simulation/singles_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // singles are jobs of one task that come four a second for minutes, of which every fourth
@@ -48,7 +48,7 @@
 // wrote counts a change, and of the records of jobs those of the jobs that came meanwhile.
 func (s *singles) wrote(key string) {
 	prefix, ref, _ := strings.Cut(key, "/")
-	if prefix+"/" == bookkeeping.JobPrefix || prefix+"/" == bookkeeping.FinalPrefix {
+	if prefix+"/" == state.JobPrefix || prefix+"/" == state.FinalPrefix {
 		if _, one := s.submits[ref]; !one {
 			return
 		}
--- a/internal/rehearsal/size_test.go
+++ b/internal/simulation/size_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
 )
@@ -117,16 +117,16 @@
 }
 
 // reportOf is what a machine reports next.
-func reportOf(w *World, i int) coordination.WorkerReport {
+func reportOf(w *World, i int) controller.WorkerReport {
 	w.nextConn++
-	return coordination.WorkerReport{Reply: coordination.Address{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
+	return controller.WorkerReport{Reply: controller.Address{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
 }
 
 // BenchmarkReport is a worker's report that says nothing new.
 func BenchmarkReport(b *testing.B) {
 	w := grown(b, 1)
 	n := w.leader()
-	events := make([]coordination.WorkerReport, b.N)
+	events := make([]controller.WorkerReport, b.N)
 	for i := range events {
 		events[i] = reportOf(w, i%fleetSize)
 	}
@@ -151,7 +151,7 @@
 			n.ctl.Step(w.timeOf(n), reportOf(w, (i*20+k)%fleetSize))
 		}
 		b.StartTimer()
-		n.ctl.Step(w.timeOf(n), coordination.Tick{})
+		n.ctl.Step(w.timeOf(n), controller.Tick{})
 	}
 }
 
--- a/internal/rehearsal/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -1,12 +1,12 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"mapleslip/internal/bookkeeping"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // busyFleet is a deployment in the middle of its work, of machines with 24 or 25 tasks
@@ -38,7 +38,7 @@
 // largeRecords is how many records that leaders write take more than a size.
 func (w *World) largeRecords(bytes int) (large, all int) {
 	for key, e := range w.store.keys {
-		if strings.HasPrefix(key, bookkeeping.JobPrefix) {
+		if strings.HasPrefix(key, state.JobPrefix) {
 			continue
 		}
 		all++
@@ -186,43 +186,43 @@
 	t.Helper()
 	var b strings.Builder
 	add := func(key string, value []byte) {
-		if !strings.HasPrefix(key, "j/") && key != bookkeeping.KeyEpoch && len(value) <= protocol.MinValueBytes {
+		if !strings.HasPrefix(key, "j/") && key != state.KeyEpoch && len(value) <= protocol.MinValueBytes {
 			t.Fatalf("%s takes %d bytes only", key, len(value))
 		}
 		fmt.Fprintf(&b, "record %s %s\n", key, value)
 	}
-	add(bookkeeping.KeyEpoch, bookkeeping.EncodeEpoch(bookkeeping.Epoch{N: 7}))
-	var hosts []*bookkeeping.Host
+	add(state.KeyEpoch, state.EncodeEpoch(state.Epoch{N: 7}))
+	var hosts []*state.Host
 	for i := range 60 {
-		h := bookkeeping.NewHost(0, fmt.Sprintf("n-%06d", i+1), "large", "a", false)
+		h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "large", "a", false)
 		h.Addr, h.RecordedWall = fmt.Sprintf("n-%06d:9000", i+1), 1
 		hosts = append(hosts, h)
 	}
-	add("hp/1", bookkeeping.EncodeHosts(hosts, true))
-	var jobs []*bookkeeping.Job
+	add("hp/1", state.EncodeHosts(hosts, true))
+	var jobs []*state.Job
 	var refs []string
-	var launches []bookkeeping.Launch
+	var launches []state.Launch
 	for i := range 60 {
 		spec := &protocol.JobSpec{Ref: fmt.Sprintf("req-%06d", i+1), Class: "work", Team: "red", Kind: protocol.Array, Tasks: 100,
 			Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second}
-		j := bookkeeping.NewJob(spec)
+		j := state.NewJob(spec)
 		j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
-		add("j/"+spec.Ref, bookkeeping.EncodeJob(j))
+		add("j/"+spec.Ref, state.EncodeJob(j))
 		for k := range 98 {
 			j.Complete(k, true)
 		}
 		for k := range 2 {
-			launches = append(launches, bookkeeping.Launch{Host: hosts[(2*i+k)%60].Name,
+			launches = append(launches, state.Launch{Host: hosts[(2*i+k)%60].Name,
 				Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: spec.Ref, Index: 98 + k}, Number: 7<<24 + uint64(2*i+k)}})
 		}
 		jobs, refs = append(jobs, j), append(refs, spec.Ref)
 	}
-	add("lp/1", bookkeeping.EncodeLaunches(launches))
-	add("dp/1", bookkeeping.EncodeCompletions(jobs))
+	add("lp/1", state.EncodeLaunches(launches))
+	add("dp/1", state.EncodeCompletions(jobs))
 	for len(refs) < 90 { // of jobs that are over
 		refs = append(refs, fmt.Sprintf("req-%06d", 1+len(refs)))
 	}
-	add("bp/1", bookkeeping.EncodeBookings(refs, func(string) protocol.Micros { return 1_700_000_100 * protocol.Second }))
+	add("bp/1", state.EncodeBookings(refs, func(string) protocol.Micros { return 1_700_000_100 * protocol.Second }))
 	return b.String()
 }
 
@@ -252,16 +252,16 @@
 func TestCompletionsInTwoRecords(t *testing.T) {
 	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Kind: protocol.Array, Tasks: 8,
 		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second}
-	j := bookkeeping.NewJob(spec)
+	j := state.NewJob(spec)
 	j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
 	text := fmt.Sprintf("nodes 1\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nfleet 2 large a\nrecord epoch %s\nrecord j/req-000001 %s\n",
-		bookkeeping.EncodeEpoch(bookkeeping.Epoch{N: 7}), bookkeeping.EncodeJob(j))
+		state.EncodeEpoch(state.Epoch{N: 7}), state.EncodeJob(j))
 	j.Complete(0, true)
-	text += fmt.Sprintf("record dp/2 %s\n", bookkeeping.EncodeCompletions([]*bookkeeping.Job{j}))
+	text += fmt.Sprintf("record dp/2 %s\n", state.EncodeCompletions([]*state.Job{j}))
 	for k := range 6 {
 		j.Complete(k, true)
 	}
-	text += fmt.Sprintf("record dp/10 %s\nat 20 expect starts 2\nat 20 expect kept f/req-000001 yes\n", bookkeeping.EncodeCompletions([]*bookkeeping.Job{j}))
+	text += fmt.Sprintf("record dp/10 %s\nat 20 expect starts 2\nat 20 expect kept f/req-000001 yes\n", state.EncodeCompletions([]*state.Job{j}))
 	if w, err := playTrace(text, nil); err != nil {
 		t.Errorf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
--- a/internal/rehearsal/store.go
+++ b/internal/simulation/store.go
@@ -1,6 +1,6 @@
 // Package rehearsal has stand-ins for the state service, the cloud, workers
 // and users, in simulated time, for tests.
-package rehearsal
+package simulation
 
 import (
 	"fmt"
--- a/internal/rehearsal/trace.go
+++ b/internal/simulation/trace.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"bufio"
@@ -7,12 +7,12 @@
 	"strconv"
 	"strings"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
-	"mapleslip/internal/served"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/slo"
+	"mapleslip/internal/state"
 )
 
 // A trace is a text that people read: what a deployment has, what happens to
@@ -369,7 +369,7 @@
 		if err != nil {
 			return err
 		}
-		w.endsRole, w.endsBack = coordination.Loading, 0
+		w.endsRole, w.endsBack = controller.Loading, 0
 		w.endsLoading, w.endsAfter = count, protocol.FromSeconds(number(options([]string{"x=" + words[2]}), "x", 0))
 	case "ends-in": // ends-in ROLE COUNT [after=0] [back=0.05]: so many nodes that come into a role end that long after, and are back
 		count, err := strconv.Atoi(words[2])
@@ -377,7 +377,7 @@
 			return err
 		}
 		known := false
-		for r := coordination.Following; r <= coordination.Doubtful; r++ {
+		for r := controller.Following; r <= controller.Doubtful; r++ {
 			if r.String() == words[1] {
 				w.endsRole, known = r, true
 			}
@@ -403,14 +403,14 @@
 	case "heal-zone":
 		w.heal()
 	case "forget-launches": // the records become those of form 1: an epoch that is a number, no launches
-		epoch, err := bookkeeping.DecodeEpoch([]byte(w.store.keys[bookkeeping.KeyEpoch].value))
+		epoch, err := state.DecodeEpoch([]byte(w.store.keys[state.KeyEpoch].value))
 		if err != nil {
 			return err
 		}
-		w.store.keys[bookkeeping.KeyEpoch].value = strconv.FormatUint(epoch.N, 10)
+		w.store.keys[state.KeyEpoch].value = strconv.FormatUint(epoch.N, 10)
 		w.versions.active = 0
 		for _, key := range slices.Clone(w.store.order) {
-			if strings.HasPrefix(key, bookkeeping.LaunchPages) || key == upgrade.KeyLevel {
+			if strings.HasPrefix(key, state.LaunchPages) || key == featuregate.KeyLevel {
 				w.store.drop(key)
 			}
 		}
@@ -636,7 +636,7 @@
 	case "rollout": // rollout SERVICE STATE [healthy=N] [reason=TEXT]
 		return w.expectRollout(words[1:])
 	case "due": // due class|team|largest NAME SERVED MISSED, as the leader counts
-		kind := map[string]served.Kind{"class": served.Class, "team": served.Team, "largest": served.Largest}[words[1]]
+		kind := map[string]slo.Kind{"class": slo.Class, "team": slo.Team, "largest": slo.Largest}[words[1]]
 		got := w.leader().ctl.Snapshot().Due[kind][words[2]]
 		return differs(fmt.Sprintf("%d %d", got.Served, got.Missed), words[3]+" "+words[4])
 	case "over": // over REF: its user was told that it is done or cancelled
--- a/internal/rehearsal/troubles.go
+++ b/internal/simulation/troubles.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 )
 
@@ -157,11 +157,11 @@
 }
 
 // roleChanged delivers what was kept for the next leader, to all controllers.
-func (w *World) roleChanged(role coordination.Role) {
+func (w *World) roleChanged(role controller.Role) {
 	var rest []keptReport
 	for _, r := range w.keptReports {
-		now := role == coordination.Loading && r.on != "leading" || role == coordination.Leading && r.on != "loading"
-		if !now || role == coordination.Loading && r.on == "both" {
+		now := role == controller.Loading && r.on != "leading" || role == controller.Leading && r.on != "loading"
+		if !now || role == controller.Loading && r.on == "both" {
 			rest = append(rest, r)
 		}
 		if !now {
@@ -175,7 +175,7 @@
 }
 
 // holdCommand takes a direct command that comes late; nobody hears what became of it.
-func (w *World) holdCommand(n *node, m *machine, c coordination.Call) bool {
+func (w *World) holdCommand(n *node, m *machine, c controller.Call) bool {
 	late, by := w.lateCommands.next(c.Path == "/commands" && !strings.Contains(string(c.Body), `"orders":[]`), string(c.Body))
 	if !late {
 		return false
--- a/internal/rehearsal/versions.go
+++ b/internal/simulation/versions.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -7,21 +7,21 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/bookkeeping"
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
+	"mapleslip/internal/state"
 )
 
 // Controllers of two versions side by side. That in production is played by a controller
 // of this one that knows of no feature levels: it writes no entry in the roster, asks for
 // no level, and refuses records of the later form. All that it writes is byte for byte what
-// production writes (internal/upgrade/golden_test.go), and whatever else this version does
+// production writes (internal/featuregate/golden_test.go), and whatever else this version does
 // anew hangs on a level; so it is a fair stand-in for as long as that stays true.
 
 // versions judges what is done about feature levels.
 type versions struct {
-	active upgrade.Level // as the state service has it
+	active featuregate.Level // as the state service has it
 }
 
 // generation is which version a controller runs.
@@ -33,15 +33,15 @@
 // version is what a controller's process knows of levels. The zero value is this version.
 type version struct {
 	production bool
-	less       upgrade.Level // it serves so many levels less than this one
+	less       featuregate.Level // it serves so many levels less than this one
 }
 
 // serves is the highest level that a version serves.
-func (v version) serves() upgrade.Level {
+func (v version) serves() featuregate.Level {
 	if v.production {
 		return 0
 	}
-	return upgrade.Build.High - v.less
+	return featuregate.Build.High - v.less
 }
 
 // configure prepares a controller's process for its version.
@@ -50,7 +50,7 @@
 		n.ctl.KnowNoLevels()
 		return
 	}
-	n.ctl.ServeLevels(upgrade.Range{High: n.runs.serves()}, "rehearsal")
+	n.ctl.ServeLevels(featuregate.Range{High: n.runs.serves()}, "rehearsal")
 }
 
 // sceneProduction has the first so many controllers run the version in production.
@@ -83,7 +83,7 @@
 			return fmt.Errorf("no such node")
 		}
 		o := options(words[2:])
-		n.next = version{production: words[0] == "downgrade", less: upgrade.Level(number(o, "less", 0))}
+		n.next = version{production: words[0] == "downgrade", less: featuregate.Level(number(o, "less", 0))}
 		if n.alive {
 			w.end(n, protocol.FromSeconds(number(o, "after", 3)))
 		}
@@ -96,10 +96,10 @@
 	v := &w.versions
 	for _, c := range then {
 		key := string(c.GetStringBytes("set"))
-		if key != upgrade.KeyLevel {
+		if key != featuregate.KeyLevel {
 			continue
 		}
-		level, err := upgrade.DecodeLevel(c.Get("data").MarshalTo(nil))
+		level, err := featuregate.DecodeLevel(c.Get("data").MarshalTo(nil))
 		if err != nil || level <= v.active {
 			w.broken("feature level: %s after %d, %v", c.Get("data"), v.active, err)
 		}
@@ -114,16 +114,16 @@
 	for _, c := range then {
 		value := c.Get("data")
 		key := string(c.GetStringBytes("set"))
-		if strings.HasPrefix(key, bookkeeping.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < upgrade.ChainedJobs.From {
+		if strings.HasPrefix(key, state.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < featuregate.ChainedJobs.From {
 			w.broken("%s awaits others at feature level %d", key, v.active)
 		}
 		switch key {
-		case bookkeeping.KeyEpoch:
-			if e, err := bookkeeping.DecodeEpoch(value.MarshalTo(nil)); err != nil || e.Level != v.active {
+		case state.KeyEpoch:
+			if e, err := state.DecodeEpoch(value.MarshalTo(nil)); err != nil || e.Level != v.active {
 				w.broken("the epoch's record is %s at feature level %d", value, v.active)
 			}
-		case bookkeeping.KeyTypes:
-			if _, later, err := bookkeeping.DecodeTypes(value.MarshalTo(nil)); err != nil || later != (v.active > 0) {
+		case state.KeyTypes:
+			if _, later, err := state.DecodeTypes(value.MarshalTo(nil)); err != nil || later != (v.active > 0) {
 				w.broken("the machine types are %s at feature level %d", value, v.active)
 			}
 		}
@@ -137,19 +137,19 @@
 		return
 	}
 	switch n.ctl.Role() {
-	case coordination.Loading, coordination.Leading, coordination.Doubtful:
+	case controller.Loading, controller.Leading, controller.Doubtful:
 		w.broken("%s serves up to %d and leads at feature level %d", n.name, n.runs.serves(), w.versions.active)
 	}
 }
 
 // checkSends holds that it neither goes to lead nor to accept by itself, and that nobody
 // sends a transaction that was refused for its size.
-func (w *World) checkSends(n *node, c coordination.Call) {
-	if fallen := w.store.fallen; fallen != nil && c.Target == coordination.ToState && fallen.refused[string(c.Body)] {
+func (w *World) checkSends(n *node, c controller.Call) {
+	if fallen := w.store.fallen; fallen != nil && c.Target == controller.ToState && fallen.refused[string(c.Body)] {
 		w.broken("%s sends a transaction that was refused", n.name)
 	}
-	if n.runs.serves() < w.versions.active && c.Target == coordination.ToState && c.Path == "/commit" &&
-		(strings.Contains(string(c.Body), `"set":"`+bookkeeping.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+bookkeeping.KeyLeader)) {
+	if n.runs.serves() < w.versions.active && c.Target == controller.ToState && c.Path == "/commit" &&
+		(strings.Contains(string(c.Body), `"set":"`+state.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+state.KeyLeader)) {
 		w.broken("%s serves up to %d and writes at feature level %d: %s", n.name, n.runs.serves(), w.versions.active, c.Body)
 	}
 }
--- a/internal/rehearsal/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/transport"
@@ -41,7 +41,7 @@
 	cloudSlow      micros // how much later the cloud answers rental requests
 	stateSlow      micros // how much later the state service answers
 	endsLoading    int    // nodes that are to end in a role, Loading if nothing else was said
-	endsRole       coordination.Role
+	endsRole       controller.Role
 	endsAfter      micros         // how long after they came into it
 	endsBack       micros         // how long after that they are there again, 0: not by themselves
 	endedLoading   int            // that did
@@ -129,7 +129,7 @@
 	unlinked bool
 	// frozen: it does nothing, and what comes waits until it goes on.
 	frozen  bool
-	waiting []coordination.Event
+	waiting []controller.Event
 	// away: it hears neither the state service nor the other controllers; workers and
 	// users it does. What was sent is held until it is back.
 	away bool
@@ -140,7 +140,7 @@
 	life  int
 	calls int              // to other controllers, on their way
 	meter *transport.Meter // of its calls to the state service
-	ctl   *coordination.Controller
+	ctl   *controller.Controller
 	seed  uint64
 }
 
@@ -171,7 +171,7 @@
 	w := &World{Operator: protocol.DefaultOperator(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
-		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: coordination.Loading}
+		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.Loading}
 	w.Logger = slog.New(alarm{slog.NewTextHandler(io.Discard, nil), w})
 	w.Platform = protocol.Platform{Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
 		ReportEvery: 3 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWait: 40 * protocol.Second, GangPeer: 6 * protocol.Second,
@@ -251,7 +251,7 @@
 	}
 	n.meter = transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps)
 	w.share(n, false)
-	n.ctl = coordination.New(&p, w.Operator, n.seed, w.Logger.With("node", n.name))
+	n.ctl = controller.New(&p, w.Operator, n.seed, w.Logger.With("node", n.name))
 	w.configure(n)
 	if w.rollouts != nil {
 		n.ctl.EnableRollouts(*w.rollouts)
@@ -265,7 +265,7 @@
 	var tick func()
 	tick = func() {
 		if n.alive && n.life == life {
-			w.step(n, coordination.Tick{Backlog: w.backlog})
+			w.step(n, controller.Tick{Backlog: w.backlog})
 			n.meter.Run(w.now)
 			w.after(50*protocol.Millisecond, tick)
 		}
@@ -289,16 +289,16 @@
 // share sets the parts of the state service's rates that a node keeps to.
 func (w *World) share(n *node, leads bool) {
 	nodes := len(w.nodes)
-	n.meter.SetShare(coordination.ReadShare(nodes, leads), coordination.WriteShare(nodes, leads), coordination.LargestChange(w.Platform.TxnOps, leads))
+	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.TxnOps, leads))
 }
 
 func (w *World) timeOf(n *node) protocol.Now {
 	return protocol.Now{Steady: w.now - n.born + protocol.Second, Wall: w.now + 1_700_000_000*protocol.Second}
 }
 
-func (w *World) step(n *node, ev coordination.Event) {
+func (w *World) step(n *node, ev controller.Event) {
 	if n.frozen {
-		if _, tick := ev.(coordination.Tick); !tick {
+		if _, tick := ev.(controller.Tick); !tick {
 			n.waiting = append(n.waiting, ev)
 		}
 		return
@@ -313,7 +313,7 @@
 			}
 		}
 		w.checkVersion(n)
-		if was == coordination.Loading && n.alive && n.ctl.Role() == coordination.Leading {
+		if was == controller.Loading && n.alive && n.ctl.Role() == controller.Leading {
 			w.leaders++
 			w.note("%s leads", n.name)
 		}
@@ -349,11 +349,11 @@
 	}
 }
 
-func (w *World) perform(n *node, effects []coordination.Effect) {
+func (w *World) perform(n *node, effects []controller.Effect) {
 	for _, e := range effects {
 		w.digest.add(w.now, n.name, e)
 		switch e := e.(type) {
-		case coordination.Reply:
+		case controller.Reply:
 			fn := w.answers[e.To.Conn]
 			delete(w.answers, e.To.Conn)
 			if fn != nil && e.Frame {
@@ -362,16 +362,16 @@
 			} else if fn != nil {
 				fn(e.Status, e.Body)
 			}
-		case coordination.Share:
+		case controller.Share:
 			w.share(n, e.Leads)
-		case coordination.WriteRate:
+		case controller.WriteRate:
 			n.meter.SetWrites(e.PerSecond, e.Lowered)
-		case coordination.LogLevel:
+		case controller.LogLevel:
 			w.changes.level[n.name] = e.Level
-		case coordination.Call:
-			if w.limited && e.Target == coordination.ToState {
+		case controller.Call:
+			if w.limited && e.Target == controller.ToState {
 				n.meter.Add(transport.Metered{Priority: transport.Priority(e.Priority), Changes: e.Changes, Expires: w.now + e.Timeout,
-					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, coordination.CallDone{ID: e.ID, Unsent: true}) }})
+					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, controller.CallDone{ID: e.ID, Unsent: true}) }})
 				n.meter.Run(w.now)
 				continue
 			}
@@ -397,22 +397,22 @@
 			}
 		})
 	}
-	to := coordination.Address{Conn: conn}
+	to := controller.Address{Conn: conn}
 	switch what {
 	case "hello":
-		w.step(n, coordination.WorkerReport{Reply: to, Body: []byte(body)})
+		w.step(n, controller.WorkerReport{Reply: to, Body: []byte(body)})
 	case "submit":
-		w.step(n, coordination.UserCall{Reply: to, Op: protocol.OpSubmit, Body: []byte(body)})
+		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpSubmit, Body: []byte(body)})
 	case "query":
-		w.step(n, coordination.UserCall{Reply: to, Op: protocol.OpQuery, Ref: body})
+		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpQuery, Ref: body})
 	case "health":
-		w.step(n, coordination.HealthCall{Reply: to})
+		w.step(n, controller.HealthCall{Reply: to})
 	case "cancel":
-		w.step(n, coordination.UserCall{Reply: to, Op: protocol.OpCancel, Ref: body})
+		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpCancel, Ref: body})
 	case "rollout":
-		w.step(n, coordination.UserCall{Reply: to, Op: protocol.OpRollout, Body: []byte(body)})
+		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpRollout, Body: []byte(body)})
 	default: // about the roll-out of a service
-		w.step(n, coordination.UserCall{Reply: to, Op: rolloutOps[what], Ref: body})
+		w.step(n, controller.UserCall{Reply: to, Op: rolloutOps[what], Ref: body})
 	}
 }
 
@@ -436,22 +436,22 @@
 }
 
 // call carries an outbound call of a controller.
-func (w *World) call(n *node, c coordination.Call) {
+func (w *World) call(n *node, c controller.Call) {
 	w.checkSends(n, c)
-	if c.Target == coordination.ToWorker {
+	if c.Target == controller.ToWorker {
 		if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil {
 			w.sends(m, c.Body)
 		}
 	}
-	if w.changes != nil && c.Target == coordination.ToCloud && c.Path == "/machines" && c.Method == "POST" {
+	if w.changes != nil && c.Target == controller.ToCloud && c.Path == "/machines" && c.Method == "POST" {
 		w.rents(c.Body)
 	}
-	if c.Target == coordination.ToWorker && strings.Contains(string(c.Body), `"orders":[]`) {
+	if c.Target == controller.ToWorker && strings.Contains(string(c.Body), `"orders":[]`) {
 		w.questions++
 	}
 	w.said(n, c)
 	life, answered := n.life, false
-	finish := func(d coordination.CallDone) {
+	finish := func(d controller.CallDone) {
 		if !answered && n.alive && n.life == life {
 			answered = true
 			d.ID = c.ID
@@ -463,27 +463,27 @@
 			w.after(w.delay(), func() {
 				w.cross(zone, n.zone, func() {
 					if !n.cut {
-						finish(coordination.CallDone{Status: status, Body: []byte(body)})
+						finish(controller.CallDone{Status: status, Body: []byte(body)})
 					}
 				})
 			})
 		}
 	}
-	if c.Target == coordination.ToPeer && w.peerCalls > 0 {
+	if c.Target == controller.ToPeer && w.peerCalls > 0 {
 		if n.calls >= w.peerCalls {
-			w.after(0, func() { finish(coordination.CallDone{Unsent: true}) })
+			w.after(0, func() { finish(controller.CallDone{Unsent: true}) })
 			return
 		}
 		n.calls++
 		inner := finish
-		finish = func(d coordination.CallDone) {
+		finish = func(d controller.CallDone) {
 			if !answered && n.life == life {
 				n.calls--
 			}
 			inner(d)
 		}
 	}
-	w.after(c.Timeout, func() { finish(coordination.CallDone{}) })
+	w.after(c.Timeout, func() { finish(controller.CallDone{}) })
 	if n.cut {
 		return
 	}
@@ -492,13 +492,13 @@
 		// that was said since. Of commands to workers that holds for empty ones only:
 		// the protocol has a worker begin anew what it was told to forget.
 		late := func() { w.copyOf(n, c) }
-		if c.Target != coordination.ToWorker || strings.Contains(string(c.Body), `"orders":[]`) {
+		if c.Target != controller.ToWorker || strings.Contains(string(c.Body), `"orders":[]`) {
 			w.after(w.copies, late)
 		}
 	}
 	w.after(w.delay(), func() {
 		switch c.Target {
-		case coordination.ToState:
+		case controller.ToState:
 			if n.away {
 				n.held = append(n.held, func() { w.store.serve(c.Method, c.Path, c.Body, func(int, string) {}) })
 				return
@@ -536,7 +536,7 @@
 					}
 				})
 			})
-		case coordination.ToCloud:
+		case controller.ToCloud:
 			w.cross(n.zone, "", func() {
 				status, body := w.serveCloud(c.Method, c.Path, c.Body)
 				slow := micros(0)
@@ -545,7 +545,7 @@
 				}
 				w.after(slow, func() { backFrom("")(status, body) })
 			})
-		case coordination.ToPeer:
+		case controller.ToPeer:
 			for _, o := range w.nodes {
 				if o.name != c.Addr || n.unlinked || o.unlinked {
 					continue
@@ -558,9 +558,9 @@
 					})
 				})
 			}
-		case coordination.ToInstance:
+		case controller.ToInstance:
 			w.checkInstance(n, c, backFrom)
-		case coordination.ToWorker:
+		case controller.ToWorker:
 			if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil && !n.deaf && !m.deaf && !m.apart[n.name] && !w.holdCommand(n, m, c) {
 				w.cross(n.zone, m.zone, func() { w.callWorker(m, c, backFrom(m.zone)) })
 			}
@@ -569,29 +569,29 @@
 }
 
 // copyOf delivers a call once more. Nobody waits for the answer.
-func (w *World) copyOf(n *node, c coordination.Call) {
+func (w *World) copyOf(n *node, c controller.Call) {
 	nobody := func(int, string) {}
 	switch c.Target {
-	case coordination.ToState:
+	case controller.ToState:
 		w.store.serveCopy(c.Method, c.Path, c.Body)
-	case coordination.ToCloud:
+	case controller.ToCloud:
 		w.serveCloud(c.Method, c.Path, c.Body)
-	case coordination.ToPeer:
+	case controller.ToPeer:
 		for _, o := range w.nodes {
 			if o.name == c.Addr && o.alive {
-				w.carryPeer(o, c, nobody, func(coordination.CallDone) {})
+				w.carryPeer(o, c, nobody, func(controller.CallDone) {})
 			}
 		}
-	case coordination.ToWorker:
+	case controller.ToWorker:
 		if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil {
 			w.callWorker(m, c, nobody)
 		}
 	}
 }
 
-func (w *World) carryPeer(o *node, c coordination.Call, back func(int, string), finish func(coordination.CallDone)) {
+func (w *World) carryPeer(o *node, c controller.Call, back func(int, string), finish func(controller.CallDone)) {
 	if !o.alive {
-		finish(coordination.CallDone{Unsent: true, Refused: true})
+		finish(controller.CallDone{Unsent: true, Refused: true})
 		return
 	}
 	if o.cut {
@@ -620,8 +620,8 @@
 		frame, _, _ := protocol.SplitPeer(out)
 		back(200, string(frame))
 	}
-	to := coordination.Address{Conn: w.nextConn, Peer: true}
-	w.step(o, coordination.PeerEvent(to, msg))
+	to := controller.Address{Conn: w.nextConn, Peer: true}
+	w.step(o, controller.PeerEvent(to, msg))
 }
 
 func (w *World) sortedMachines() []*machine {
--- a/internal/served/window.go
+++ b/internal/slo/window.go
@@ -5,7 +5,7 @@
 //
 // A job counts once: as served when it has what was asked in time, as missed when that
 // time is over. Counts are kept for the last while, so that what was is forgotten.
-package served
+package slo
 
 import "mapleslip/internal/protocol"
 
--- a/internal/served/window_test.go
+++ b/internal/slo/window_test.go
@@ -1,4 +1,4 @@
-package served
+package slo
 
 import (
 	"fmt"
--- a/internal/bookkeeping/host.go
+++ b/internal/state/host.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package state
 
 import (
 	"fmt"
--- a/internal/bookkeeping/job.go
+++ b/internal/state/job.go
@@ -1,6 +1,6 @@
 // Package bookkeeping keeps jobs, tasks, hosts and the use of teams, and their
 // durable records. It decides nothing.
-package bookkeeping
+package state
 
 import (
 	"cmp"
--- a/internal/bookkeeping/record.go
+++ b/internal/state/record.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package state
 
 import (
 	"encoding/base64"
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fastjson"
 
+	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/upgrade"
 )
 
 // Keys of the state service.
@@ -77,7 +77,7 @@
 	// controller that doesn't know them drops them when it comes to lead.
 	Yields []protocol.Yield
 	// Level is the active feature level.
-	Level upgrade.Level
+	Level featuregate.Level
 }
 
 // EncodeEpoch writes the counter of epochs.
@@ -136,7 +136,7 @@
 	if err != nil {
 		return Epoch{}, errForm
 	}
-	e := Epoch{N: n, Unlisted: v.GetBool("unlisted"), Level: upgrade.Level(level)}
+	e := Epoch{N: n, Unlisted: v.GetBool("unlisted"), Level: featuregate.Level(level)}
 	for _, row := range v.GetArray("yields") {
 		y := protocol.Yield{Node: string(row.GetStringBytes("node")), To: string(row.GetStringBytes("to")), Epoch: row.GetUint64("epoch"),
 			At: micros(row.GetInt64("at")), Heard: make(map[string]int)}
@@ -151,7 +151,7 @@
 }
 
 // EncodeTypes writes machine types as they are kept at a feature level.
-func EncodeTypes(types []*protocol.MachineType, level upgrade.Level) []byte {
+func EncodeTypes(types []*protocol.MachineType, level featuregate.Level) []byte {
 	if level == 0 {
 		return protocol.AppendTypes(nil, types)
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,7 +7,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 )
 
@@ -51,7 +51,7 @@
 // standing turns the controller's last snapshot into metrics when it is asked.
 type standing struct {
 	classes int
-	last    atomic.Pointer[coordination.Stats]
+	last    atomic.Pointer[controller.Stats]
 	taken   atomic.Int64 // time of day, in microseconds
 }
 
@@ -116,7 +116,7 @@
 	gauge(descTaken, float64(s.taken.Load())/1e6)
 	count(descRounds, st.Rounds)
 	count(descPasses, st.Passes)
-	for i, stage := range coordination.Stages() {
+	for i, stage := range controller.Stages() {
 		count(descRows, st.Rows[i], stage)
 		count(descCuts, st.Cuts[i], stage)
 	}
@@ -237,7 +237,7 @@
 	return out
 }
 
-func (s *standing) take(st coordination.Stats, at time.Time) {
+func (s *standing) take(st controller.Stats, at time.Time) {
 	s.last.Store(&st)
 	s.taken.Store(at.UnixMicro())
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -17,7 +17,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
 )
 
@@ -125,7 +125,7 @@
 
 // Snapshot takes how the controller stands, if it is time: the count costs a look
 // at every job and host.
-func (r *Recorder) Snapshot(at protocol.Micros, take func() coordination.Stats) {
+func (r *Recorder) Snapshot(at protocol.Micros, take func() controller.Stats) {
 	if r == nil || at < r.next {
 		return
 	}
@@ -134,7 +134,7 @@
 }
 
 // Call notes the end of an outbound call that began at a time.
-func (r *Recorder) Call(service, method, path string, d coordination.CallDone, began time.Time) {
+func (r *Recorder) Call(service, method, path string, d controller.CallDone, began time.Time) {
 	if r == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 
 // Span takes a span of the controller. Its times are of a steady clock that began
 // at a time of day.
-func (r *Recorder) Span(s coordination.Span, clock time.Time) {
+func (r *Recorder) Span(s controller.Span, clock time.Time) {
 	if r == nil || r.tracer == nil {
 		return
 	}
@@ -200,7 +200,7 @@
 	return "other"
 }
 
-func outcomeOf(d coordination.CallDone) string {
+func outcomeOf(d controller.CallDone) string {
 	switch {
 	case d.Refused:
 		return "refused"
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -14,9 +14,9 @@
 	tracepb "go.opentelemetry.io/proto/otlp/collector/trace/v1"
 	"google.golang.org/protobuf/proto"
 
-	"mapleslip/internal/coordination"
+	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/served"
+	"mapleslip/internal/slo"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -94,27 +94,27 @@
 	s := Defaults()
 	s.Listen, s.Classes = "127.0.0.1:0", 3
 	r := start(t, s)
-	st := coordination.Stats{Role: coordination.Leading, Epoch: 7, Rounds: 5, Rows: [4]uint64{100, 5, 20, 3}, Cuts: [4]uint64{2, 0, 0, 1},
+	st := controller.Stats{Role: controller.Leading, Epoch: 7, Rounds: 5, Rows: [4]uint64{100, 5, 20, 3}, Cuts: [4]uint64{2, 0, 0, 1},
 		Refused: map[string]uint64{"no leader can be reached": 4},
-		Levels:  &coordination.LevelStats{Active: 1, Highest: 2, Waits: map[string]string{"n1": "no entry in the roster"}},
+		Levels:  &controller.LevelStats{Active: 1, Highest: 2, Waits: map[string]string{"n1": "no entry in the roster"}},
 		Hosts:   map[string]int{"ready": 9, "booting": 2}, Waiting: map[string]int{}, Running: map[string]int{"a": 1}}
-	teams := make(map[string]served.Count)
+	teams := make(map[string]slo.Count)
 	for i := range 50 {
 		st.Waiting[fmt.Sprintf("class-%02d", i)] = i + 1
-		teams[fmt.Sprintf("team-%02d", i)] = served.Count{Served: i + 1, Missed: 1}
+		teams[fmt.Sprintf("team-%02d", i)] = slo.Count{Served: i + 1, Missed: 1}
 	}
-	st.Due = map[served.Kind]map[string]served.Count{served.Class: {"a": {Served: 2, Missed: 3}}, served.Team: teams,
-		served.Largest: {"a": {Served: 1, Missed: 4}}}
+	st.Due = map[slo.Kind]map[string]slo.Count{slo.Class: {"a": {Served: 2, Missed: 3}}, slo.Team: teams,
+		slo.Largest: {"a": {Served: 1, Missed: 4}}}
 	st.Longest = make(map[string]protocol.Micros)
 	for i := range 5 {
 		st.Longest[fmt.Sprintf("class-%02d", i)] = protocol.Micros(i+1) * 60 * protocol.Second
 	}
-	r.Snapshot(0, func() coordination.Stats { return st })
+	r.Snapshot(0, func() controller.Stats { return st })
 	for i := range 200 {
 		path := fmt.Sprintf("/store/j/req-%06d", i)
-		r.Call("state", "GET", path, coordination.CallDone{Status: 200}, time.Now())
-		r.Call("worker", "POST", "/commands", coordination.CallDone{Refused: true, Unsent: true}, time.Now())
-		r.Call("cloud", "POST", "/machines", coordination.CallDone{Status: 100000 + i}, time.Now())
+		r.Call("state", "GET", path, controller.CallDone{Status: 200}, time.Now())
+		r.Call("worker", "POST", "/commands", controller.CallDone{Refused: true, Unsent: true}, time.Now())
+		r.Call("cloud", "POST", "/machines", controller.CallDone{Status: 100000 + i}, time.Now())
 	}
 	r.Step("tick", time.Millisecond)
 	r.Waiting(3, map[string]int{"state": 2})
@@ -144,8 +144,8 @@
 		t.Error("a job's name is in the metrics")
 	}
 	// A node that no longer leads shows nothing of what it once knew.
-	r.Snapshot(protocol.Second, func() coordination.Stats { t.Error("too soon"); return st })
-	r.Snapshot(10*protocol.Second, func() coordination.Stats { return coordination.Stats{Role: coordination.Following, Epoch: 8} })
+	r.Snapshot(protocol.Second, func() controller.Stats { t.Error("too soon"); return st })
+	r.Snapshot(10*protocol.Second, func() controller.Stats { return controller.Stats{Role: controller.Following, Epoch: 8} })
 	if text = scrape(t, r); strings.Contains(text, "mapleslip_jobs_waiting") || !strings.Contains(text, `mapleslip_role{role="following"} 1`) {
 		t.Error("a follower shows jobs")
 	}
@@ -180,11 +180,11 @@
 	s.Traces, s.Ratio = collector(t, took, nil), 0
 	r := start(t, s)
 	clock := time.Unix(1000, 0)
-	r.Span(coordination.Span{Name: "pass", From: 0, To: 1}, clock)
-	r.Call("state", "POST", "/commit", coordination.CallDone{Status: 200}, clock)
-	r.Span(coordination.Span{Name: "take-over", From: protocol.Second, To: 4 * protocol.Second,
-		Stages: []coordination.SpanStage{{Name: "claim", From: protocol.Second, To: 2 * protocol.Second}, {Name: "account for hosts", From: 2 * protocol.Second, To: 4 * protocol.Second}},
-		Counts: []coordination.SpanCount{{Name: "hosts", Value: 1300}}}, clock)
+	r.Span(controller.Span{Name: "pass", From: 0, To: 1}, clock)
+	r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, clock)
+	r.Span(controller.Span{Name: "take-over", From: protocol.Second, To: 4 * protocol.Second,
+		Stages: []controller.SpanStage{{Name: "claim", From: protocol.Second, To: 2 * protocol.Second}, {Name: "account for hosts", From: 2 * protocol.Second, To: 4 * protocol.Second}},
+		Counts: []controller.SpanCount{{Name: "hosts", Value: 1300}}}, clock)
 	spans := (<-took).ResourceSpans[0].ScopeSpans[0].Spans
 	if len(spans) != 3 {
 		t.Fatalf("%d spans", len(spans))
@@ -209,7 +209,7 @@
 	s.Listen, s.Traces, s.Ratio, s.Queue = "127.0.0.1:0", collector(t, nil, hold), 1, 4
 	r := start(t, s)
 	for range 1000 {
-		r.Call("state", "POST", "/commit", coordination.CallDone{Status: 200}, time.Now())
+		r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, time.Now())
 	}
 	// Four wait, and at most one batch is in hand, of what had come by then.
 	text := scrape(t, r)
@@ -226,9 +226,9 @@
 func TestOff(t *testing.T) {
 	var r *Recorder
 	r.Step("tick", 0)
-	r.Call("state", "GET", "/store", coordination.CallDone{}, time.Now())
-	r.Span(coordination.Span{}, time.Now())
-	r.Snapshot(0, func() coordination.Stats { t.Error("counted in vain"); return coordination.Stats{} })
+	r.Call("state", "GET", "/store", controller.CallDone{}, time.Now())
+	r.Span(controller.Span{}, time.Now())
+	r.Snapshot(0, func() controller.Stats { t.Error("counted in vain"); return controller.Stats{} })
 	r.Waiting(1, nil)
 	r.Close()
 	if r.Spans() || r.Addr() != "" {
@@ -254,6 +254,6 @@
 	r := start(b, s)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Call("state", "POST", "/commit", coordination.CallDone{Status: 200}, time.Now())
+		r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, time.Now())
 	}
 }
