--- a/cmd/mapleslip/dev.go
+++ b/cmd/mapleslip/dev.go
@@ -109,10 +109,12 @@
 
 // devPlatform is what a deployment on one machine has.
 func devPlatform() protocol.Platform {
-	p := protocol.Platform{Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
+	p := protocol.Platform{
+		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
 		ReportEvery: protocol.Second, WorkerLease: 10 * protocol.Second, GangWait: 20 * protocol.Second, GangPeer: 5 * protocol.Second, Cancel: 20 * protocol.Second,
 		StateRate: 500, StateWriteRate: 200, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, ListLag: protocol.Second,
-		CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 1000}
+		CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 1000,
+	}
 	for _, name := range []string{"red", "blue"} {
 		p.Teams[name] = protocol.Team{Name: name, Guarantee: protocol.Resources{GPU: 8000}, Limit: protocol.Resources{GPU: 64000}}
 	}
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -42,8 +42,10 @@
 	bindWait = 2 * time.Second
 )
 
-var targetNames = map[controller.Target]string{controller.ToState: "state", controller.ToCloud: "cloud",
-	controller.ToPeer: "controller", controller.ToWorker: "worker", controller.ToInstance: "instance"}
+var targetNames = map[controller.Target]string{
+	controller.ToState: "state", controller.ToCloud: "cloud",
+	controller.ToPeer: "controller", controller.ToWorker: "worker", controller.ToInstance: "instance",
+}
 
 // features are what operators' files switch on, nil where they don't.
 type features struct {
@@ -65,7 +67,8 @@
 		}
 	}
 	seed := rand.Uint64()
-	d := &driver{log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
+	d := &driver{
+		log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
 		level: level, startLevel: level.Level(),
 		meters: map[controller.Target]*transport.Meter{
 			controller.ToState: transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps),
@@ -94,10 +97,12 @@
 	for _, by := range d.dialers {
 		by.Source = o.SourceAddress
 	}
-	d.server = &transport.Server{Split: protocol.SplitPeer, Deliver: d.deliver,
+	d.server = &transport.Server{
+		Split: protocol.SplitPeer, Deliver: d.deliver,
 		MaxOpen: plan.inbound, Idle: 5 * time.Minute,
 		// Whoever reports or polls is heard again before that.
-		Quiet: max(20*time.Second, 3*time.Duration(p.ReportEvery)*time.Microsecond)}
+		Quiet: max(20*time.Second, 3*time.Duration(p.ReportEvery)*time.Microsecond),
+	}
 	if t != nil {
 		shown, err := telemetry.Start(*t, p.Node, version, log)
 		if err != nil {
@@ -227,8 +232,10 @@
 	return ""
 }
 
-var rolloutOps = map[string]protocol.UserOp{"": protocol.OpRolloutShow, "pause": protocol.OpRolloutPause, "resume": protocol.OpRolloutResume,
-	"revert": protocol.OpRolloutRevert}
+var rolloutOps = map[string]protocol.UserOp{
+	"": protocol.OpRolloutShow, "pause": protocol.OpRolloutPause, "resume": protocol.OpRolloutResume,
+	"revert": protocol.OpRolloutRevert,
+}
 
 // route finds what an HTTP request asks for.
 func (d *driver) route(e transport.Inbound) {
@@ -342,10 +349,12 @@
 	if c.Target == controller.ToCloud {
 		changes = 0
 	}
-	m.Add(transport.Metered{Priority: transport.Priority(c.Priority), Changes: changes, Expires: d.now().Steady + c.Timeout, Send: send,
+	m.Add(transport.Metered{
+		Priority: transport.Priority(c.Priority), Changes: changes, Expires: d.now().Steady + c.Timeout, Send: send,
 		Expire: func() {
 			go func() { d.in <- controller.CallDone{ID: c.ID, Unsent: true} }()
-		}})
+		},
+	})
 	m.Run(d.now().Steady)
 }
 
--- a/cmd/mapleslip/sockets_test.go
+++ b/cmd/mapleslip/sockets_test.go
@@ -11,8 +11,14 @@
 // whatever the limit is, each kind of call has some.
 func TestSockets(t *testing.T) {
 	for _, c := range []struct{ most, siblings, workers, users int }{
-		{1500, 6, 885, 60}, {3260, 2, 1950, 400}, {3039, 4, 2110, 300}, {3000, 2, 1785, 400}, {1800, 4, 1224, 60},
-		{64, 2, 0, 0}, {200, 6, 0, 0}, {100_000, 99, 60_000, 10_000},
+		{1500, 6, 885, 60},
+		{3260, 2, 1950, 400},
+		{3039, 4, 2110, 300},
+		{3000, 2, 1785, 400},
+		{1800, 4, 1224, 60},
+		{64, 2, 0, 0},
+		{200, 6, 0, 0},
+		{100_000, 99, 60_000, 10_000},
 	} {
 		for _, rollouts := range []bool{false, true} {
 			s := planSockets(c.most, c.siblings, rollouts)
--- a/cmd/mapleslip/user.go
+++ b/cmd/mapleslip/user.go
@@ -44,10 +44,12 @@
 	show := &cobra.Command{Use: "status [SERVICE]", Short: "Say how one roll-out stands, or all", Args: cobra.MaximumNArgs(1), RunE: u.showRollout}
 	roll.AddCommand(start, show)
 	for _, what := range []string{"pause", "resume", "revert"} {
-		roll.AddCommand(&cobra.Command{Use: what + " SERVICE", Short: strings.ToUpper(what[:1]) + what[1:] + " a roll-out", Args: cobra.ExactArgs(1),
+		roll.AddCommand(&cobra.Command{
+			Use: what + " SERVICE", Short: strings.ToUpper(what[:1]) + what[1:] + " a roll-out", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				return u.rollout(cmd, "POST", args[0], "/"+what)
-			}})
+			},
+		})
 	}
 	list := []*cobra.Command{submit, status, cancel, roll, u.configCommand()}
 	for _, c := range list {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -59,8 +59,10 @@
 		}
 	}
 	d := Document{}
-	for _, set := range []string{"team/red/gpus_max=5.5", "team/red/cpus_max=3", "team/blue/cpus=2", "team/blue/retired=true", "team/red/excess=stop", "drain/zone/a=finish",
-		"drain/machine/n-000001=stop", "drain/net/10.1.4.0/24=stop", "rent/big/b=0", "operator/warm_spare=0", "operator/idle_return_s=90", "log/level=debug"} {
+	for _, set := range []string{
+		"team/red/gpus_max=5.5", "team/red/cpus_max=3", "team/blue/cpus=2", "team/blue/retired=true", "team/red/excess=stop", "drain/zone/a=finish",
+		"drain/machine/n-000001=stop", "drain/net/10.1.4.0/24=stop", "rent/big/b=0", "operator/warm_spare=0", "operator/idle_return_s=90", "log/level=debug",
+	} {
 		key, value, err := ParseSet(set)
 		if err == nil {
 			err = Validate(b, d, []Change{{Key: key, New: value}})
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -121,8 +121,10 @@
 // value they don't allow, says nothing: the files may have changed since it was written.
 // No limit comes out above that of the platform's file.
 func Of(b *Bounds, d Document) *Settings {
-	s := &Settings{Teams: make(map[string]Team, len(b.Teams)), Zones: make(map[string]Drain), Machines: make(map[string]Drain),
-		Ceilings: make(map[Kind]int), Operator: b.Operator}
+	s := &Settings{
+		Teams: make(map[string]Team, len(b.Teams)), Zones: make(map[string]Drain), Machines: make(map[string]Drain),
+		Ceilings: make(map[Kind]int), Operator: b.Operator,
+	}
 	for name, t := range b.Teams {
 		s.Teams[name] = Team{Team: t}
 	}
--- a/internal/configuration/record.go
+++ b/internal/configuration/record.go
@@ -335,8 +335,10 @@
 
 // DecodeEntry reads an entry of the history.
 func DecodeEntry(it *fastjson.Value) (Entry, error) {
-	e := Entry{Revision: it.GetUint64("revision"), At: micros(it.GetInt64("at_us")), Who: string(it.GetStringBytes("who")),
-		Why: string(it.GetStringBytes("why")), ID: string(it.GetStringBytes("id"))}
+	e := Entry{
+		Revision: it.GetUint64("revision"), At: micros(it.GetInt64("at_us")), Who: string(it.GetStringBytes("who")),
+		Why: string(it.GetStringBytes("why")), ID: string(it.GetStringBytes("id")),
+	}
 	for _, c := range it.GetArray("changes") {
 		part := c.GetArray()
 		if len(part) != 3 {
--- a/internal/controller/chains.go
+++ b/internal/controller/chains.go
@@ -32,8 +32,10 @@
 )
 
 func newChains() chains {
-	return chains{dependants: make(map[string][]*state.Job), asked: make(map[string]bool),
-		writing: make(map[*state.Job]bool)}
+	return chains{
+		dependants: make(map[string][]*state.Job), asked: make(map[string]bool),
+		writing: make(map[*state.Job]bool),
+	}
 }
 
 // link takes a job that entered the book into the graph.
--- a/internal/controller/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -11,8 +11,10 @@
 
 // chained makes a job that awaits others; mend says what else it is.
 func chained(c *Controller, ref string, mend func(*protocol.JobSpec), awaits ...string) *state.Job {
-	s := &protocol.JobSpec{Ref: ref, Class: "stage", Team: "team-1", Kind: protocol.Array, Rank: protocol.Low, Tasks: 2,
-		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 400, Estimate: 20 * protocol.Second, Awaits: awaits}
+	s := &protocol.JobSpec{
+		Ref: ref, Class: "stage", Team: "team-1", Kind: protocol.Array, Rank: protocol.Low, Tasks: 2,
+		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 400, Estimate: 20 * protocol.Second, Awaits: awaits,
+	}
 	if mend != nil {
 		mend(s)
 	}
@@ -122,8 +124,10 @@
 	c := busyLeader(t, 8, 0)
 	j := chained(c, "req-900002", nil, "req-900001")
 	c.enter(j)
-	report := protocol.TaskReport{AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
-		State: protocol.Exited, Reason: protocol.ExitDone}
+	report := protocol.TaskReport{
+		AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
+		State:       protocol.Exited, Reason: protocol.ExitDone,
+	}
 	c.observe(c.adopt(c.term.book.Hosts()[0], report), report)
 	if j.State != state.JobLive || j.Done != 1 || j.Tasks[1].State != state.TaskDone {
 		t.Errorf("it is %v, %d done", j.State, j.Done)
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -1,10 +1,11 @@
 package controller
 
 import (
-	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
 	"slices"
 	"sort"
+
+	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // Completions of large arrays, which have records of their own.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -285,10 +285,12 @@
 
 // New makes a controller.
 func New(p *protocol.Platform, o protocol.Operator, seed uint64, log *slog.Logger) *Controller {
-	return &Controller{platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log, limits: newStateLimits(p),
+	return &Controller{
+		platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log, limits: newStateLimits(p),
 		calls: make(map[uint64]openCall), callers: make(map[string]caller), finals: newFinals(),
 		typeByName: make(map[string]*protocol.MachineType), levels: &levelState{serves: featuregate.Build},
-		stateReach: reach{name: "the state service"}, cloudReach: reach{name: "the cloud"}}
+		stateReach: reach{name: "the state service"}, cloudReach: reach{name: "the cloud"},
+	}
 }
 
 // Observe has the controller emit spans.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -31,8 +31,10 @@
 			}
 		}
 	}
-	note(c.Step(now{Steady: 1000}, CallDone{ID: first[0].(Call).ID, Status: 200,
-		Body: []byte(`{"path":"lead","data":{"node":"gone","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`)}))
+	note(c.Step(now{Steady: 1000}, CallDone{
+		ID: first[0].(Call).ID, Status: 200,
+		Body: []byte(`{"path":"lead","data":{"node":"gone","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`),
+	}))
 	note(c.Step(now{Steady: 2000}, UserCall{Op: protocol.OpQuery, Ref: "req-000001"}))
 	if watch == nil || poll == nil || watch.Priority >= poll.Priority {
 		t.Errorf("watch %+v, poll %+v", watch, poll)
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -1,9 +1,10 @@
 package controller
 
 import (
+	"sort"
+
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
-	"sort"
 )
 
 // The end of jobs: their final records, and who is told.
@@ -88,8 +89,10 @@
 	if j.State == state.JobCancelled || j.State == state.JobCancelling {
 		phase = protocol.Cancelled
 	}
-	then := []protocol.Change{{Key: state.JobPrefix + ref},
-		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))}}
+	then := []protocol.Change{
+		{Key: state.JobPrefix + ref},
+		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))},
+	}
 	t.bookingPages.drop(ref, protocol.Forever)
 	chunks := make([]int, 0, len(j.Chunks))
 	for k := range j.Chunks {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -51,8 +51,10 @@
 
 func newStateLimits(p *protocol.Platform) stateLimits {
 	allowed := transactionLimits{p.ValueBytes, p.TxnOps}
-	l := stateLimits{announced: p.StateNext, allowed: allowed, target: allowed, published: p.StateWriteRate, rate: p.StateWriteRate,
-		probeEvery: firstProbe, seed: maphash.MakeSeed(), refused: make(map[uint64]bool)}
+	l := stateLimits{
+		announced: p.StateNext, allowed: allowed, target: allowed, published: p.StateWriteRate, rate: p.StateWriteRate,
+		probeEvery: firstProbe, seed: maphash.MakeSeed(), refused: make(map[uint64]bool),
+	}
 	if n := l.announced; n != nil {
 		l.target = transactionLimits{min(n.ValueBytes, allowed.valueBytes), min(n.TxnOps, allowed.changes)}
 	}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -1,17 +1,18 @@
 package controller
 
 import (
+	"maps"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/state"
-	"maps"
-	"slices"
-	"sort"
-	"strconv"
-	"strings"
 )
 
 // How a new leader reads the records and what it does with them first.
--- a/internal/controller/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -16,8 +16,10 @@
 func TestOneZoneWithPinsInTwo(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	b := c.term.book
-	j := state.NewJob(&protocol.JobSpec{Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Rank: protocol.High, Tasks: 4,
-		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, OneZone: true, Image: "img", Estimate: 60 * protocol.Second})
+	j := state.NewJob(&protocol.JobSpec{
+		Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Rank: protocol.High, Tasks: 4,
+		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, OneZone: true, Image: "img", Estimate: 60 * protocol.Second,
+	})
 	j.SubmittedWall = c.at.Wall
 	c.enter(j)
 	pin := func(host, zone string, index int, try uint64) *state.Attempt {
--- a/internal/controller/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -19,16 +19,25 @@
 	const sec = protocol.Second
 	rng := rand.New(rand.NewPCG(7, uint64(machines)))
 	zones := []string{"a", "b", "c", "d"}
-	small := &protocol.MachineType{Name: "small", Offer: protocol.Resources{CPU: 12_000, GPU: 2000, Mem: 48_000}, Cache: 80_000, FetchRate: 0.0004,
-		Price: 4, SpotPrice: 1.6, Boot: 25 * sec, Zones: zones[:3]}
-	large := &protocol.MachineType{Name: "large", Offer: protocol.Resources{CPU: 32_000, GPU: 4000, Mem: 128_000}, Cache: 100_000, FetchRate: 0.0004,
-		Price: 11, SpotPrice: 4.6, Boot: 35 * sec, Zones: zones}
-	p := &protocol.Platform{Node: "n0", Zone: "a", StateRate: 180, StateWriteRate: 40, TxnOps: 12, ValueBytes: 8192, CloudRate: 5,
-		CPUShare: 0.324, ReportEvery: 5 * sec, WorkerLease: 24 * sec, Cancel: 54 * sec, Teams: map[string]protocol.Team{}}
+	small := &protocol.MachineType{
+		Name: "small", Offer: protocol.Resources{CPU: 12_000, GPU: 2000, Mem: 48_000}, Cache: 80_000, FetchRate: 0.0004,
+		Price: 4, SpotPrice: 1.6, Boot: 25 * sec, Zones: zones[:3],
+	}
+	large := &protocol.MachineType{
+		Name: "large", Offer: protocol.Resources{CPU: 32_000, GPU: 4000, Mem: 128_000}, Cache: 100_000, FetchRate: 0.0004,
+		Price: 11, SpotPrice: 4.6, Boot: 35 * sec, Zones: zones,
+	}
+	p := &protocol.Platform{
+		Node: "n0", Zone: "a", StateRate: 180, StateWriteRate: 40, TxnOps: 12, ValueBytes: 8192, CloudRate: 5,
+		CPUShare: 0.324, ReportEvery: 5 * sec, WorkerLease: 24 * sec, Cancel: 54 * sec, Teams: map[string]protocol.Team{},
+	}
 	p.Objectives = []protocol.Objective{
-		{Kind: "wait", Class: "serve", Within: 12 * sec}, {Kind: "deadline", Class: "rerun"},
-		{Kind: "wait", Class: "small-train", Within: 25 * sec}, {Kind: "finished", Class: "small-train", Within: 250 * sec},
-		{Kind: "wait", Class: "large-train", Within: 50 * sec}, {Kind: "finished", Class: "large-train", Within: 350 * sec},
+		{Kind: "wait", Class: "serve", Within: 12 * sec},
+		{Kind: "deadline", Class: "rerun"},
+		{Kind: "wait", Class: "small-train", Within: 25 * sec},
+		{Kind: "finished", Class: "small-train", Within: 250 * sec},
+		{Kind: "wait", Class: "large-train", Within: 50 * sec},
+		{Kind: "finished", Class: "large-train", Within: 350 * sec},
 	}
 	for i := range 16 {
 		p.Teams[fmt.Sprint("team-", i)] = protocol.Team{}
@@ -57,8 +66,10 @@
 	specs := map[string]protocol.JobSpec{
 		"serve": {Class: "serve", Kind: protocol.Service, Rank: protocol.Critical, Need: protocol.Resources{CPU: 4000, GPU: 1000, Mem: 14_000}},
 		"rerun": {Class: "rerun", Kind: protocol.Array, Rank: protocol.Standard, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 18_000}, Estimate: 300 * sec, Spot: true},
-		"small-train": {Class: "small-train", Kind: protocol.Array, Rank: protocol.High, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19_000},
-			Estimate: 600 * sec},
+		"small-train": {
+			Class: "small-train", Kind: protocol.Array, Rank: protocol.High, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19_000},
+			Estimate: 600 * sec,
+		},
 	}
 	for _, name := range []string{"serve", "rerun", "small-train"} {
 		s := specs[name]
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -1,9 +1,10 @@
 package controller
 
 import (
+	"strconv"
+
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
-	"strconv"
 )
 
 // The records that hosts, launches, bookings and completions share.
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -13,12 +13,16 @@
 // follower is a node that knows that n1 leads under epoch 3.
 func follower(t *testing.T) *Controller {
 	t.Helper()
-	p := &protocol.Platform{Node: "n0", Zone: "y", Siblings: []protocol.Sibling{{Name: "n1", Zone: "z", Address: "n1:1"}}, StateRate: 100, StateWriteRate: 20,
-		WorkerLease: 24 * protocol.Second}
+	p := &protocol.Platform{
+		Node: "n0", Zone: "y", Siblings: []protocol.Sibling{{Name: "n1", Zone: "z", Address: "n1:1"}}, StateRate: 100, StateWriteRate: 20,
+		WorkerLease: 24 * protocol.Second,
+	}
 	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	first := c.Start(now{})
-	c.Step(now{Steady: 1000}, CallDone{ID: first[0].(Call).ID, Status: 200,
-		Body: []byte(`{"path":"lead","data":{"node":"n1","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`)})
+	c.Step(now{Steady: 1000}, CallDone{
+		ID: first[0].(Call).ID, Status: 200,
+		Body: []byte(`{"path":"lead","data":{"node":"n1","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`),
+	})
 	return c
 }
 
@@ -63,8 +67,10 @@
 		t.Fatalf("a worker that lost the leader: %+v %+v", call, answer)
 	}
 	var got *Reply
-	for _, e := range c.Step(now{Steady: sec + 1}, CallDone{ID: call.ID, Status: 200,
-		Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerAnswer, Status: 200, Body: []byte(`{"epoch":3,"orders":[]}`)})}) {
+	for _, e := range c.Step(now{Steady: sec + 1}, CallDone{
+		ID: call.ID, Status: 200,
+		Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerAnswer, Status: 200, Body: []byte(`{"epoch":3,"orders":[]}`)}),
+	}) {
 		if r, ok := e.(Reply); ok {
 			got = &r
 		}
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -44,9 +44,11 @@
 }
 
 func (r *rental) init() {
-	*r = rental{refused: make(map[kind]micros), backoff: make(map[kind]micros), open: make(map[kind]int),
+	*r = rental{
+		refused: make(map[kind]micros), backoff: make(map[kind]micros), open: make(map[kind]int),
 		bootFactor: make(map[string]float64), fetchFactor: make(map[string]float64),
-		needed: make(map[*slottable.Machine]bool), nextSpare: make(map[string]micros)}
+		needed: make(map[*slottable.Machine]bool), nextSpare: make(map[string]micros),
+	}
 }
 
 func (r *rental) booted(h *state.Host, at micros) {
@@ -336,8 +338,10 @@
 					price = typ.SpotPrice
 				}
 				tt := typ
-				offers = append(offers, &slottable.Offer{Type: typ.Name, Zone: zone, Spot: spot, Resources: typ.Offer, Price: price,
-					Boot: c.bootTime(typ) + protocol.Second, Fetch: func(size int64) micros { return c.fetchTime(tt, size) }, Most: most})
+				offers = append(offers, &slottable.Offer{
+					Type: typ.Name, Zone: zone, Spot: spot, Resources: typ.Offer, Price: price,
+					Boot: c.bootTime(typ) + protocol.Second, Fetch: func(size int64) micros { return c.fetchTime(tt, size) }, Most: most,
+				})
 				kinds = append(kinds, k)
 			}
 		}
@@ -495,11 +499,13 @@
 	if n == 0 {
 		return nil
 	}
-	return &slottable.Request{Tasks: min(n, 8), Limit: min(n, 8), Need: s.Need, Image: s.Image, ImageSize: s.ImageSize,
+	return &slottable.Request{
+		Tasks: min(n, 8), Limit: min(n, 8), Need: s.Need, Image: s.Image, ImageSize: s.ImageSize,
 		Types: s.Types, Spot: s.Spot, Length: 30 * protocol.Second, Spare: true,
 		// Room is missing only if a job that came now would start too late:
 		// a machine that is soon free does as well as an empty one.
-		Patient: c.at.Steady + c.startWithin(name)*7/10}
+		Patient: c.at.Steady + c.startWithin(name)*7/10,
+	}
 }
 
 func (c *Controller) classNames() []string {
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -51,8 +51,10 @@
 	if c.rollouts == nil {
 		return
 	}
-	t.rollouts = rolloutTerm{manager: rollout.NewManager(*c.rollouts, fleet{t}, c.rng.Uint64()), stamps: make(map[string]uint64),
-		shy: make(map[string]micros), damaged: make(map[string]bool), tooLong: make(map[string]bool)}
+	t.rollouts = rolloutTerm{
+		manager: rollout.NewManager(*c.rollouts, fleet{t}, c.rng.Uint64()), stamps: make(map[string]uint64),
+		shy: make(map[string]micros), damaged: make(map[string]bool), tooLong: make(map[string]bool),
+	}
 }
 
 // fleet shows a leader's jobs to roll-outs.
@@ -329,8 +331,10 @@
 	})
 }
 
-var rolloutOps = map[protocol.UserOp]rollout.Op{protocol.OpRollout: rollout.Start, protocol.OpRollouts: rollout.List, protocol.OpRolloutShow: rollout.Show,
-	protocol.OpRolloutPause: rollout.Pause, protocol.OpRolloutResume: rollout.Resume, protocol.OpRolloutRevert: rollout.Revert}
+var rolloutOps = map[protocol.UserOp]rollout.Op{
+	protocol.OpRollout: rollout.Start, protocol.OpRollouts: rollout.List, protocol.OpRolloutShow: rollout.Show,
+	protocol.OpRolloutPause: rollout.Pause, protocol.OpRolloutResume: rollout.Resume, protocol.OpRolloutRevert: rollout.Revert,
+}
 
 // onRollout handles an operator's call about roll-outs, wherever it came in.
 func (c *Controller) onRollout(e UserCall) {
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -146,8 +146,11 @@
 	if !c.observed {
 		return
 	}
-	c.emit(Span{Name: "pass", From: p.began, To: c.at.Steady, Counts: []SpanCount{{"jobs", int64(len(p.list))}, {"rounds", int64(p.rounds)},
-		{"rows", int64(p.work)}}})
+	c.emit(Span{Name: "pass", From: p.began, To: c.at.Steady, Counts: []SpanCount{
+		{"jobs", int64(len(p.list))},
+		{"rounds", int64(p.rounds)},
+		{"rows", int64(p.work)},
+	}})
 }
 
 // newPass orders the queue.
@@ -271,8 +274,10 @@
 		booting := h.State == state.HostBooting && !h.FromRecord
 		if m == nil {
 			typ := h.Type
-			m = &slottable.Machine{Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Offer,
-				Fetch: func(size int64) micros { return c.fetchTime(typ, size) }}
+			m = &slottable.Machine{
+				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Offer,
+				Fetch: func(size int64) micros { return c.fetchTime(typ, size) },
+			}
 			t.rows[h] = m
 			t.table.Add(m)
 			h.Changed = true
@@ -477,9 +482,11 @@
 	if len(w.tasks) == 0 || s.Kind == protocol.Gang && len(w.tasks) != j.Queued {
 		return false
 	}
-	r := &slottable.Request{Tasks: len(w.tasks), Need: s.Need, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
+	r := &slottable.Request{
+		Tasks: len(w.tasks), Need: s.Need, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
 		Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, ZoneUsed: used, Spot: s.Spot, Length: c.class(s.Class).length(s),
-		Guest: guest(j), Frugal: c.frugal(j)}
+		Guest: guest(j), Frugal: c.frugal(j),
+	}
 	w.request = r
 	if r.Gang && s.OneZone {
 		r.Stay = j.Zone
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -39,9 +39,11 @@
 }
 
 func (d drawnRow) make(i int) *Machine {
-	m := &Machine{Name: fmt.Sprintf("n-%03d", i), Type: d.typ, Zone: d.zone, Spot: d.spot, Offer: d.offer, From: d.from,
+	m := &Machine{
+		Name: fmt.Sprintf("n-%03d", i), Type: d.typ, Zone: d.zone, Spot: d.spot, Offer: d.offer, From: d.from,
 		Penalty: d.penalty, Blocked: d.blocked, Unheld: d.unheld, FetchDone: d.fetchDone,
-		Fetch: func(size int64) micros { return micros(size*d.rate) * sec / 1000 }}
+		Fetch: func(size int64) micros { return micros(size*d.rate) * sec / 1000 },
+	}
 	for _, s := range d.spans {
 		m.Occupy(s)
 	}
@@ -62,9 +64,11 @@
 
 func drawRow(rt *rapid.T) drawnRow {
 	typ := rapid.SampledFrom(drawnTypes).Draw(rt, "type")
-	d := drawnRow{typ: typ.name, offer: typ.offer, rate: typ.rate, zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "zone"),
+	d := drawnRow{
+		typ: typ.name, offer: typ.offer, rate: typ.rate, zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "zone"),
 		spot: rapid.IntRange(0, 3).Draw(rt, "spot") == 0, blocked: rapid.IntRange(0, 9).Draw(rt, "blocked") == 0,
-		images: make(map[string]micros)}
+		images: make(map[string]micros),
+	}
 	if rapid.IntRange(0, 4).Draw(rt, "booting") == 0 {
 		d.from = drawnNow + micros(rapid.IntRange(1, 60).Draw(rt, "from"))*sec
 	}
@@ -78,13 +82,17 @@
 	}
 	free := d.offer
 	for range rapid.IntRange(0, 5).Draw(rt, "spans") {
-		need := resources{CPU: int64(rapid.IntRange(1, 9).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 2).Draw(rt, "gpu")) * 1000,
-			Mem: int64(rapid.IntRange(1, 30).Draw(rt, "mem")) * 1000}
+		need := resources{
+			CPU: int64(rapid.IntRange(1, 9).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 2).Draw(rt, "gpu")) * 1000,
+			Mem: int64(rapid.IntRange(1, 30).Draw(rt, "mem")) * 1000,
+		}
 		if d.offer.GPU == 0 {
 			need.GPU = 0
 		}
-		s := Span{From: drawnNow, To: drawnNow + micros(rapid.IntRange(1, 200).Draw(rt, "to"))*sec, Need: need,
-			Guest: rapid.IntRange(0, 5).Draw(rt, "guest") == 0}
+		s := Span{
+			From: drawnNow, To: drawnNow + micros(rapid.IntRange(1, 200).Draw(rt, "to"))*sec, Need: need,
+			Guest: rapid.IntRange(0, 5).Draw(rt, "guest") == 0,
+		}
 		if rapid.IntRange(0, 9).Draw(rt, "service") == 0 {
 			s.To = protocol.Forever
 		}
@@ -100,8 +108,10 @@
 func drawRequest(rt *rapid.T) Request {
 	r := Request{
 		Tasks: rapid.IntRange(1, 8).Draw(rt, "tasks"),
-		Need: resources{CPU: int64(rapid.IntRange(1, 30).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 8).Draw(rt, "gpu")) * 500,
-			Mem: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000},
+		Need: resources{
+			CPU: int64(rapid.IntRange(1, 30).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 8).Draw(rt, "gpu")) * 500,
+			Mem: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000,
+		},
 		Image: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "image"), ImageSize: int64(rapid.SampledFrom([]int{0, 1000, 8000, 20_000}).Draw(rt, "size")),
 		Gang: rapid.Bool().Draw(rt, "gang"), OneZone: rapid.Bool().Draw(rt, "one"), Spot: rapid.Bool().Draw(rt, "spot"),
 		Length: micros(rapid.SampledFrom([]int{5, 35, 90, 400}).Draw(rt, "length")) * sec,
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -406,8 +406,10 @@
 		}
 		if best >= 0 {
 			o := offers[best]
-			m := &Machine{Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Offer: o.Resources,
-				From: t.Now + o.Boot, Fetch: o.Fetch, order: 1_000_000 + len(t.rented)}
+			m := &Machine{
+				Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Offer: o.Resources,
+				From: t.Now + o.Boot, Fetch: o.Fetch, order: 1_000_000 + len(t.rented),
+			}
 			m.settle(t.Now)
 			t.rented = append(t.rented, m)
 			rent[best]++
--- a/internal/controller/slottable/rental.go
+++ b/internal/controller/slottable/rental.go
@@ -104,8 +104,10 @@
 		}
 		if best >= 0 {
 			o := offers[best]
-			m := &Machine{Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Offer: o.Resources,
-				From: t.Now + o.Boot, Fetch: o.Fetch}
+			m := &Machine{
+				Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Offer: o.Resources,
+				From: t.Now + o.Boot, Fetch: o.Fetch,
+			}
 			m.settle(t.Now)
 			t.take(m)
 			t.rented = append(t.rented, m)
--- a/internal/controller/slottable/table_test.go
+++ b/internal/controller/slottable/table_test.go
@@ -11,8 +11,10 @@
 func gpus(n int64) resources { return resources{CPU: n * 1000, GPU: n * 1000, Mem: n * 1000} }
 
 func row(name string, size int64, spans ...Span) *Machine {
-	m := &Machine{Name: name, Type: "t", Zone: "a", Offer: gpus(size),
-		Fetch: func(size int64) micros { return micros(size) * sec / 1000 }}
+	m := &Machine{
+		Name: name, Type: "t", Zone: "a", Offer: gpus(size),
+		Fetch: func(size int64) micros { return micros(size) * sec / 1000 },
+	}
 	for _, s := range spans {
 		m.Occupy(s)
 	}
@@ -213,8 +215,10 @@
 	table := tableOf([]*Machine{busy}, free, busy)
 	ask := func(ready micros) Result {
 		table.Begin()
-		r := &Request{Tasks: 1, Limit: 1, Need: gpus(1), Image: "img", ImageSize: 20000, Length: 10 * sec, Deadline: 100 * sec,
-			Kept: []Place{{busy, 5 * sec, ready}}}
+		r := &Request{
+			Tasks: 1, Limit: 1, Need: gpus(1), Image: "img", ImageSize: 20000, Length: 10 * sec, Deadline: 100 * sec,
+			Kept: []Place{{busy, 5 * sec, ready}},
+		}
 		return table.Next(r)
 	}
 	if res := ask(5 * sec); len(res.Booked) != 1 || res.Booked[0].Machine != busy {
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -60,8 +60,10 @@
 	if n := len(t.stages); n > 0 {
 		stages = append(stages, SpanStage{"account for hosts", t.stages[n-1].To, c.at.Steady})
 	}
-	c.emit(Span{Name: "take-over", From: c.seat.asked, To: c.at.Steady, Stages: stages,
-		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.book.Line()))}, {"hosts", int64(len(t.book.Hosts()))}}})
+	c.emit(Span{
+		Name: "take-over", From: c.seat.asked, To: c.at.Steady, Stages: stages,
+		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.book.Line()))}, {"hosts", int64(len(t.book.Hosts()))}},
+	})
 }
 
 // Stats is what a controller has counted since it began, and how it stands. The
--- a/internal/controller/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -47,8 +47,10 @@
 	end(&c.stateReach, 0, CallDone{Status: 200})
 	end(&c.cloudReach, 0, CallDone{Status: 200})
 	text := log.String()
-	for _, line := range []string{`level=WARN msg="the state service can't be reached" why=503`, `level=WARN msg="the cloud can't be reached" why=refused`,
-		`level=INFO msg="the state service answers again" after_ms=`, `level=INFO msg="the cloud answers again" after_ms=`} {
+	for _, line := range []string{
+		`level=WARN msg="the state service can't be reached" why=503`, `level=WARN msg="the cloud can't be reached" why=refused`,
+		`level=INFO msg="the state service answers again" after_ms=`, `level=INFO msg="the cloud answers again" after_ms=`,
+	} {
 		if strings.Count(text, line) != 1 {
 			t.Errorf("%d times: %s", strings.Count(text, line), line)
 		}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -75,9 +75,11 @@
 
 // newTerm is what a leader of the seat's epoch knows before it has read anything.
 func (c *Controller) newTerm() *term {
-	t := &term{book: state.NewBook(), epoch: c.seat.epoch, started: c.at.Steady,
+	t := &term{
+		book: state.NewBook(), epoch: c.seat.epoch, started: c.at.Steady,
 		submits: make(map[string][]Address), cancels: make(map[string][]Address), gone: make(map[string]micros),
-		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*state.Host]*slottable.Machine)}
+		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*state.Host]*slottable.Machine),
+	}
 	t.rental.init()
 	t.chains = newChains()
 	t.probes.init()
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -14,8 +14,10 @@
 // levelled is a controller that has just been started.
 func levelled(t *testing.T) (*Controller, []Effect) {
 	t.Helper()
-	p := &protocol.Platform{Node: "n0", Siblings: []protocol.Sibling{{Name: "n1", Address: "n1"}}, StateRate: 100, StateWriteRate: 20, ValueBytes: 8 << 10, TxnOps: 12,
-		Teams: map[string]protocol.Team{"red": {Name: "red"}}}
+	p := &protocol.Platform{
+		Node: "n0", Siblings: []protocol.Sibling{{Name: "n1", Address: "n1"}}, StateRate: 100, StateWriteRate: 20, ValueBytes: 8 << 10, TxnOps: 12,
+		Teams: map[string]protocol.Team{"red": {Name: "red"}},
+	}
 	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return c, c.Start(now{})
 }
--- a/internal/featuregate/decide.go
+++ b/internal/featuregate/decide.go
@@ -25,8 +25,10 @@
 )
 
 func (r Reason) String() string {
-	return [...]string{"no entry in the roster", "its entry can't be read", "it runs a version that does not serve the level",
-		"it runs a version that serves only later levels", "it answers as a version without levels"}[r]
+	return [...]string{
+		"no entry in the roster", "its entry can't be read", "it runs a version that does not serve the level",
+		"it runs a version that serves only later levels", "it answers as a version without levels",
+	}[r]
 }
 
 // Wait is a controller for which a level waits, and why.
--- a/internal/featuregate/decide_test.go
+++ b/internal/featuregate/decide_test.go
@@ -32,8 +32,12 @@
 		{"one that the settings don't name", 1, 0, map[string]featuregate.Kept{"a": runs("a", 0, 1), "b": runs("b", 0, 1), "c": runs("c", 0, 1), "d": runs("d", 0, 0)}, 1, ""},
 		{"a level on the way", 3, 1, map[string]featuregate.Kept{"a": runs("a", 0, 3), "b": runs("b", 1, 2), "c": runs("c", 0, 3)}, 2, "b (it runs a version that does not serve the level)"},
 		{"active already", 1, 1, map[string]featuregate.Kept{"a": runs("a", 0, 1)}, 1, "b (no entry in the roster), c (no entry in the roster)"},
-		{"one serves only later ones", 2, 0, map[string]featuregate.Kept{"a": runs("a", 0, 1), "b": runs("b", 2, 3), "c": runs("c", 0, 2)}, 0,
-			"a (it runs a version that does not serve the level), b (it runs a version that serves only later levels)"},
+		{
+			"one serves only later ones", 2, 0,
+			map[string]featuregate.Kept{"a": runs("a", 0, 1), "b": runs("b", 2, 3), "c": runs("c", 0, 2)},
+			0,
+			"a (it runs a version that does not serve the level), b (it runs a version that serves only later levels)",
+		},
 		{"more than the leader serves", 1, 0, map[string]featuregate.Kept{"a": runs("a", 0, 2), "b": runs("b", 1, 3), "c": runs("c", 0, 1)}, 1, ""},
 	} {
 		d := featuregate.Decide(names, featuregate.Range{High: c.high}, c.active, c.roster)
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -32,8 +32,10 @@
 const wall = protocol.Micros(1_700_000_000_123_456)
 
 func jobSpec(ref string, kind protocol.Kind, tasks int) *protocol.JobSpec {
-	return &protocol.JobSpec{Ref: ref, Class: "work", Team: "red", Kind: kind, Rank: protocol.High, Tasks: tasks,
-		Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19500}, Image: "work:7", ImageSize: 8250, Estimate: 80 * protocol.Second}
+	return &protocol.JobSpec{
+		Ref: ref, Class: "work", Team: "red", Kind: kind, Rank: protocol.High, Tasks: tasks,
+		Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19500}, Image: "work:7", ImageSize: 8250, Estimate: 80 * protocol.Second,
+	}
 }
 
 // fullSpec uses whatever a job may have.
@@ -46,8 +48,10 @@
 }
 
 func machineTypes() []*protocol.MachineType {
-	return []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 32000, GPU: 4000, Mem: 256000}, Cache: 500_000, FetchRate: 0.0012,
-		Price: 8.25, SpotPrice: 2.31, Boot: 40 * protocol.Second, Zones: []string{"a", "b"}}}
+	return []*protocol.MachineType{{
+		Name: "big", Offer: protocol.Resources{CPU: 32000, GPU: 4000, Mem: 256000}, Cache: 500_000, FetchRate: 0.0012,
+		Price: 8.25, SpotPrice: 2.31, Boot: 40 * protocol.Second, Zones: []string{"a", "b"},
+	}}
 }
 
 func rolloutRecord() *rollout.Record {
@@ -61,9 +65,11 @@
 	job := *spec.Job
 	job.Image = "web:1"
 	old.Job = &job
-	return &rollout.Record{Service: "web", State: rollout.Paused, From: rollout.Promoting, Reason: "asked", Stage: 1, Made: 3, Changes: 9, OldCount: 6,
+	return &rollout.Record{
+		Service: "web", State: rollout.Paused, From: rollout.Promoting, Reason: "asked", Stage: 1, Made: 3, Changes: 9, OldCount: 6,
 		Old: rollout.Version{Hash: rollout.VersionOf(old.Job), Spec: &old, Batches: []rollout.Batch{{Ref: "req-000012", Tasks: 4, Leaving: true}}},
-		New: rollout.Version{Hash: rollout.VersionOf(spec.Job), Spec: spec, Batches: []rollout.Batch{{Ref: "req-01234567890123456789", Tasks: 2}}}}
+		New: rollout.Version{Hash: rollout.VersionOf(spec.Job), Spec: spec, Batches: []rollout.Batch{{Ref: "req-01234567890123456789", Tasks: 2}}},
+	}
 }
 
 // samples are all kinds of records and messages of level 0.
@@ -211,10 +217,12 @@
 		"grant":          {Kind: protocol.PeerGrant, Epoch: 7, From: "node-1", Revision: 3, Life: 99, At: 5, Body: []byte(`{"log/level":"debug"}`)},
 		"goes-by":        {Kind: protocol.PeerGoesBy, Revision: 3, Life: 99, At: 6},
 	}
-	for name, op := range map[string]protocol.UserOp{"submit": protocol.OpSubmit, "query": protocol.OpQuery, "cancel": protocol.OpCancel, "rollout": protocol.OpRollout,
+	for name, op := range map[string]protocol.UserOp{
+		"submit": protocol.OpSubmit, "query": protocol.OpQuery, "cancel": protocol.OpCancel, "rollout": protocol.OpRollout,
 		"rollouts": protocol.OpRollouts, "rollout-show": protocol.OpRolloutShow, "rollout-pause": protocol.OpRolloutPause, "rollout-resume": protocol.OpRolloutResume,
 		"rollout-revert": protocol.OpRolloutRevert, "config": protocol.OpConfig, "config-apply": protocol.OpConfigApply, "config-history": protocol.OpConfigHistory,
-		"config-rollback": protocol.OpConfigRollback, "config-wait": protocol.OpConfigWait, "config-status": protocol.OpConfigStatus} {
+		"config-rollback": protocol.OpConfigRollback, "config-wait": protocol.OpConfigWait, "config-status": protocol.OpConfigStatus,
+	} {
 		m["call-"+name] = &protocol.PeerMessage{Kind: protocol.PeerCall, Op: op, Ref: "req-000405", From: "node-1", Body: []byte(`{"ref":"req-000405"}`)}
 	}
 	return m
--- a/internal/leadership/yield_test.go
+++ b/internal/leadership/yield_test.go
@@ -32,10 +32,18 @@
 		"the one before heard as many":  {deaf, map[string]Hearing{"n1": {"a": 30, "b": 60}}, []protocol.Yield{gave("n1", 4, 0)}, "", HearsNoMore},
 		"one that does not tell zones":  {deaf, map[string]Hearing{"n1": {"": 90}}, nil, "n1", Yields},
 		"whoever hears them gave it up": {map[string]Zone{"a": {All: 90, Silent: 80}}, map[string]Hearing{"n1": {"a": 80}}, []protocol.Yield{gave("n1", 4, 5)}, "", NoneLeft},
-		"twice": {map[string]Zone{"a": {All: 90, Silent: 80}}, map[string]Hearing{"n3": {"a": 80}},
-			[]protocol.Yield{gave("n1", 4, 2), gave("n2", 5, 3)}, "", Settled},
-		"twice, long ago": {map[string]Zone{"a": {All: 90, Silent: 80}}, map[string]Hearing{"n3": {"a": 80}},
-			[]protocol.Yield{{Node: "n1", At: -600 * sec}, {Node: "n2", At: -500 * sec}}, "n3", Yields},
+		"twice": {
+			map[string]Zone{"a": {All: 90, Silent: 80}},
+			map[string]Hearing{"n3": {"a": 80}},
+			[]protocol.Yield{gave("n1", 4, 2), gave("n2", 5, 3)},
+			"", Settled,
+		},
+		"twice, long ago": {
+			map[string]Zone{"a": {All: 90, Silent: 80}},
+			map[string]Hearing{"n3": {"a": 80}},
+			[]protocol.Yield{{Node: "n1", At: -600 * sec}, {Node: "n2", At: -500 * sec}},
+			"n3", Yields,
+		},
 	} {
 		if to, v := Judge(110*sec, c.own, c.others, c.past); to != c.to || v != c.want {
 			t.Errorf("%s: %q, %v", name, to, v)
@@ -109,8 +117,10 @@
 
 func TestMemory(t *testing.T) {
 	older := protocol.Memory{Epoch: 3, At: 9 * sec, Silent: []protocol.Silence{{Host: "n-000002", Since: 1 * sec}}}
-	newer := protocol.Memory{Epoch: 4, At: 8 * sec, Cuts: []protocol.Cut{{Zone: "b", Since: 2 * sec, Seen: 7 * sec}},
-		Silent: []protocol.Silence{{Host: "n-000009", Since: 5 * sec}, {Host: "n-000003", Since: 4 * sec}, {Host: "n-000001", Since: 6 * sec}}}
+	newer := protocol.Memory{
+		Epoch: 4, At: 8 * sec, Cuts: []protocol.Cut{{Zone: "b", Since: 2 * sec, Seen: 7 * sec}},
+		Silent: []protocol.Silence{{Host: "n-000009", Since: 5 * sec}, {Host: "n-000003", Since: 4 * sec}, {Host: "n-000001", Since: 6 * sec}},
+	}
 	if got := Newer(older, newer); got.Epoch != 4 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/protocol/awaits_test.go
+++ b/internal/protocol/awaits_test.go
@@ -42,8 +42,10 @@
 		long[i] = fmt.Sprintf(`"req-%06d"`, i+1000)
 	}
 	tooMany := "[" + strings.Join(long, ",") + "]"
-	for _, list := range []string{`"req-000398"`, `{}`, `7`, `true`, `[7]`, `[null]`, `["job-1"]`, `["req-1"]`, `["req-00x398"]`, `[["req-000398"]]`,
-		`["req-000412"]`, `["req-000398","req-000412"]`, tooMany} {
+	for _, list := range []string{
+		`"req-000398"`, `{}`, `7`, `true`, `[7]`, `[null]`, `["job-1"]`, `["req-1"]`, `["req-00x398"]`, `[["req-000398"]]`,
+		`["req-000412"]`, `["req-000398","req-000412"]`, tooMany,
+	} {
 		if _, err := ParseJob([]byte(awaiting(list))); err == nil {
 			t.Errorf("%s was taken", list)
 		}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -42,11 +42,15 @@
 	var types []*MachineType
 	for _, it := range list {
 		f := &fields{obj: it}
-		t := &MachineType{Name: f.text("label"),
-			Offer: Resources{CPU: offerThousandths(f.number("cores")), GPU: offerThousandths(f.number("gpus")),
-				Mem: offerThousandths(f.number("memoryGb"))},
+		t := &MachineType{
+			Name: f.text("label"),
+			Offer: Resources{
+				CPU: offerThousandths(f.number("cores")), GPU: offerThousandths(f.number("gpus")),
+				Mem: offerThousandths(f.number("memoryGb")),
+			},
 			Cache: offerThousandths(f.number("cacheGb")), FetchRate: f.number("fetchGbPerS") * 1000 / float64(Second),
-			Price: f.number("hourly"), SpotPrice: f.number("spotPrice"), Boot: FromSeconds(f.number("readyS"))}
+			Price: f.number("hourly"), SpotPrice: f.number("spotPrice"), Boot: FromSeconds(f.number("readyS")),
+		}
 		for _, z := range it.GetArray("regions") {
 			t.Zones = append(t.Zones, string(z.GetStringBytes()))
 		}
@@ -94,8 +98,10 @@
 	hosts = make([]CloudHost, 0, len(list))
 	for _, it := range list {
 		f := &fields{obj: it}
-		h := CloudHost{Name: f.text("ref"), Type: f.text("flavor"), Zone: f.text("region"), Spot: f.flag("reclaimable"),
-			Age: FromSeconds(f.number("heldS"))}
+		h := CloudHost{
+			Name: f.text("ref"), Type: f.text("flavor"), Zone: f.text("region"), Spot: f.flag("reclaimable"),
+			Age: FromSeconds(f.number("heldS")),
+		}
 		if f.optional("addr") != nil {
 			h.Addr = string(it.GetStringBytes("addr"))
 		}
--- a/internal/protocol/files.go
+++ b/internal/protocol/files.go
@@ -67,10 +67,12 @@
 }
 
 // fileKeys are the names in files of the interface's fields that have others.
-var fileKeys = map[string]string{"jobclass": "class", "owner": "team", "shape": "kind", "shards": "tasks", "cores": "cpus", "memoryGb": "memory_gb",
+var fileKeys = map[string]string{
+	"jobclass": "class", "owner": "team", "shape": "kind", "shards": "tasks", "cores": "cpus", "memoryGb": "memory_gb",
 	"bundle": "image", "sizeGb": "image_gb", "flavors": "types", "region": "zone", "samePlace": "one_zone", "reclaimable": "spot", "expectS": "estimate_s",
 	"snapshotEveryS": "checkpoint_every_s", "snapshotS": "checkpoint_s", "dueS": "deadline_s", "soakS": "soak_s", "startS": "start_s",
-	"healthyS": "healthy_s", "how": "kind", "everyS": "every_s", "timeoutS": "timeout_s"}
+	"healthyS": "healthy_s", "how": "kind", "everyS": "every_s", "timeoutS": "timeout_s",
+}
 
 var kindsInFiles = map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}
 
--- a/internal/protocol/hearing_test.go
+++ b/internal/protocol/hearing_test.go
@@ -31,8 +31,10 @@
 	if got, err := ParseMemory(b); err != nil || !reflect.DeepEqual(got, m) {
 		t.Errorf("%+v %v", got, err)
 	}
-	for _, bad := range []string{"", "\x02\x00\x00", "\x01\x00\x01", "\x01\xff\xff", goldenHearing + "x", goldenHearing[:9],
-		"\x01\x00\x02\x00\x01a\x00\x00\x00\x05\x00\x01a\x00\x00\x00\x05"} {
+	for _, bad := range []string{
+		"", "\x02\x00\x00", "\x01\x00\x01", "\x01\xff\xff", goldenHearing + "x", goldenHearing[:9],
+		"\x01\x00\x02\x00\x01a\x00\x00\x00\x05\x00\x01a\x00\x00\x00\x05",
+	} {
 		if got, err := ParseHearing([]byte(bad)); err == nil {
 			t.Errorf("%q: read as %v", bad, got)
 		}
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -9,9 +9,11 @@
 // settingsWith is a settings file with other limits of the state service.
 func settingsWith(t *testing.T, change func(*Platform)) string {
 	t.Helper()
-	p := &Platform{Node: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
+	p := &Platform{
+		Node: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
 		Zones: []string{"a"}, ReportEvery: Second, WorkerLease: 10 * Second, GangWait: 20 * Second, GangPeer: 5 * Second, Cancel: 21 * Second,
-		StateRate: 500, StateWriteRate: 35, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 99}
+		StateRate: 500, StateWriteRate: 35, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 99,
+	}
 	change(p)
 	text, err := SettingsFile(p)
 	if err != nil {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -16,9 +16,11 @@
 "apart":false,"reclaimable":true,"expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0}`
 
 func TestParseJob(t *testing.T) {
-	want := &JobSpec{Ref: "req-000412", Class: "train", Team: "vision", Kind: Gang, Rank: High, Tasks: 16,
+	want := &JobSpec{
+		Ref: "req-000412", Class: "train", Team: "vision", Kind: Gang, Rank: High, Tasks: 16,
 		Need: Resources{8000, 1000, 64000}, Image: "img-07", ImageSize: 6200, Types: []string{"g8"}, OneZone: true, Spot: true,
-		Estimate: 240 * Second, CheckpointEvery: 30 * Second, Saves: 4 * Second, Deadline: 900 * Second}
+		Estimate: 240 * Second, CheckpointEvery: 30 * Second, Saves: 4 * Second, Deadline: 900 * Second,
+	}
 	got, err := ParseJob([]byte(goodJob))
 	if err != nil {
 		t.Fatal(err)
@@ -37,12 +39,25 @@
 
 func TestParseJobRefuses(t *testing.T) {
 	cases := [][2]string{
-		{`"shards":16`, `"shards":0`}, {`"shards":16`, `"shards":100001`}, {`"shards":16`, `"shards":1.5`}, {`"shards":16`, `"shards":"16"`},
-		{`"cores":8.0`, `"cores":-1`}, {`"cores":8.0`, `"cores":1e999`}, {`"cores":8.0`, `"cores":null`}, {`"cores":8.0,`, ``},
-		{`"ref":"req-000412"`, `"ref":"job-1"`}, {`"ref":"req-000412"`, `"ref":"req-00x412"`}, {`"ref":"req-000412"`, `"ref":412`},
-		{`"shape":"ensemble"`, `"shape":"heap"`}, {`"rank":"high"`, `"rank":"higher"`}, {`"samePlace":true`, `"samePlace":1`},
-		{`"flavors":["g8"]`, `"flavors":"g8"`}, {`"flavors":["g8"]`, `"flavors":[8]`}, {`"dueS":900.0`, `"dueS":-1`},
-		{`"expectS":240.0`, `"expectS":"long"`}, {`"owner":"vision"`, `"owner":""`},
+		{`"shards":16`, `"shards":0`},
+		{`"shards":16`, `"shards":100001`},
+		{`"shards":16`, `"shards":1.5`},
+		{`"shards":16`, `"shards":"16"`},
+		{`"cores":8.0`, `"cores":-1`},
+		{`"cores":8.0`, `"cores":1e999`},
+		{`"cores":8.0`, `"cores":null`},
+		{`"cores":8.0,`, ``},
+		{`"ref":"req-000412"`, `"ref":"job-1"`},
+		{`"ref":"req-000412"`, `"ref":"req-00x412"`},
+		{`"ref":"req-000412"`, `"ref":412`},
+		{`"shape":"ensemble"`, `"shape":"heap"`},
+		{`"rank":"high"`, `"rank":"higher"`},
+		{`"samePlace":true`, `"samePlace":1`},
+		{`"flavors":["g8"]`, `"flavors":"g8"`},
+		{`"flavors":["g8"]`, `"flavors":[8]`},
+		{`"dueS":900.0`, `"dueS":-1`},
+		{`"expectS":240.0`, `"expectS":"long"`},
+		{`"owner":"vision"`, `"owner":""`},
 	}
 	for _, c := range cases {
 		in := strings.Replace(goodJob, c[0], c[1], 1)
@@ -63,10 +78,13 @@
 func TestParseReport(t *testing.T) {
 	in := `{"host":"n-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","reclaimable":true,"tenure":1,"tick":88,"epoch":41,
 "reclaimInS":12.5,"new":1,"shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"exited","exitReason":"stopped","saved":true}]}`
-	want := &Report{Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Tick: 88, Epoch: 41,
+	want := &Report{
+		Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Tick: 88, Epoch: 41,
 		Noticed: true, Notice: 12500 * Millisecond, Tasks: []TaskReport{
 			{AttemptName: AttemptName{TaskName{"req-000412", 3}, 2}, State: Executing},
-			{AttemptName: AttemptName{TaskName{"req-000398", 0}, 1}, State: Exited, Reason: ExitStopped, Saved: true}}}
+			{AttemptName: AttemptName{TaskName{"req-000398", 0}, 1}, State: Exited, Reason: ExitStopped, Saved: true},
+		},
+	}
 	got, err := ParseReport([]byte(in))
 	if err != nil {
 		t.Fatal(err)
@@ -81,8 +99,10 @@
 	if err != nil || o.RoundEvery != 5*Second || o.WarmSpare != 0.5 || o.SourceAddress.String() != "10.0.0.7" || o.LeaderLease != DefaultOperator().LeaderLease {
 		t.Errorf("%+v, %v", o, err)
 	}
-	for in, key := range map[string]string{"round_z = 1": "round_z", "round_s = 0": "round_s", "warm_spare = -1": "warm_spare",
-		`source_address = "10.0.0"`: "source_address", `source_address = "::1"`: "source_address"} {
+	for in, key := range map[string]string{
+		"round_z = 1": "round_z", "round_s = 0": "round_s", "warm_spare = -1": "warm_spare",
+		`source_address = "10.0.0"`: "source_address", `source_address = "::1"`: "source_address",
+	} {
 		var ke *KeyError
 		if _, err := ParseOperator([]byte(in)); !errors.As(err, &ke) || ke.Key != key {
 			t.Errorf("%s: %v, want a word on %s", in, err, key)
@@ -131,13 +151,20 @@
 		t.Errorf("%+v", p)
 	}
 	for _, c := range [][3]string{
-		{`node_name = "n0"`, "", "node_name"}, {`"10.2.0.1:2379"`, `"state:2379"`, "services.state"},
-		{"lease_s = 24.0", "", "facts.workers.lease_s"}, {"cpu = 0.3", "cpu = -1", "facts.quota.cpu"}, {`zones = ["a"]`, "", "facts.zones"},
-		{"gpus_max = 4.0", "gpus_max = -4.0", "facts.teams[0]"}, {"txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
+		{`node_name = "n0"`, "", "node_name"},
+		{`"10.2.0.1:2379"`, `"state:2379"`, "services.state"},
+		{"lease_s = 24.0", "", "facts.workers.lease_s"},
+		{"cpu = 0.3", "cpu = -1", "facts.quota.cpu"},
+		{`zones = ["a"]`, "", "facts.zones"},
+		{"gpus_max = 4.0", "gpus_max = -4.0", "facts.teams[0]"},
+		{"txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
 		// What can't work, though each figure is possible by itself.
-		{"lease_s = 24.0", "lease_s = 9.0", "facts.workers.lease_s"}, {"cancel_s = 54.0", "cancel_s = 12.0", "facts.workers.cancel_s"},
-		{"rps = 150.0", "rps = 7.0", "facts.state.rps"}, {"write_rps = 35.0", "write_rps = 1.0", "facts.state.write_rps"},
-		{"value_kb = 8.0", "value_kb = 1.0", "facts.state.value_kb"}, {"memory_mb = 234.0", "memory_mb = 8.0", "facts.quota.memory_mb"},
+		{"lease_s = 24.0", "lease_s = 9.0", "facts.workers.lease_s"},
+		{"cancel_s = 54.0", "cancel_s = 12.0", "facts.workers.cancel_s"},
+		{"rps = 150.0", "rps = 7.0", "facts.state.rps"},
+		{"write_rps = 35.0", "write_rps = 1.0", "facts.state.write_rps"},
+		{"value_kb = 8.0", "value_kb = 1.0", "facts.state.value_kb"},
+		{"memory_mb = 234.0", "memory_mb = 8.0", "facts.quota.memory_mb"},
 		{"max_connections = 3000", "max_connections = 30", "facts.quota.max_connections"},
 	} {
 		var ke *KeyError
@@ -314,8 +341,10 @@
 		t.Errorf("%+v %v", e, err)
 	}
 	long := strings.Repeat("k", 201)
-	for _, text := range []string{`{"path":"a","data":1,"stamp":1.5}`, `{"path":"a","data":1,"stamp":-1}`, `{"path":"a","data":1,"stamp":"1"}`, `{"path":"a","data":1,"stamp":1e300}`,
-		`{"path":"` + long + `","data":1,"stamp":1}`} {
+	for _, text := range []string{
+		`{"path":"a","data":1,"stamp":1.5}`, `{"path":"a","data":1,"stamp":-1}`, `{"path":"a","data":1,"stamp":"1"}`, `{"path":"a","data":1,"stamp":1e300}`,
+		`{"path":"` + long + `","data":1,"stamp":1}`,
+	} {
 		if e, err := ParseEntry([]byte(text)); err == nil {
 			t.Errorf("%.60s: %+v", text, e)
 		}
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -307,8 +307,10 @@
 		return nil, err
 	}
 	text := func(v *fastjson.Value, name string) string { return string(v.GetStringBytes(name)) }
-	s := &RolloutStatus{Service: text(v, "service"), ID: text(v, "id"), State: text(v, "state"), Reason: text(v, "reason"),
-		Stage: v.GetInt("stage"), Count: v.GetInt("count"), Floor: v.GetInt("floor"), Surge: v.GetInt("surge"), Changes: v.GetInt("changes")}
+	s := &RolloutStatus{
+		Service: text(v, "service"), ID: text(v, "id"), State: text(v, "state"), Reason: text(v, "reason"),
+		Stage: v.GetInt("stage"), Count: v.GetInt("count"), Floor: v.GetInt("floor"), Surge: v.GetInt("surge"), Changes: v.GetInt("changes"),
+	}
 	if s.Service == "" || s.State == "" {
 		return nil, fmt.Errorf("service or state: missing")
 	}
@@ -320,8 +322,10 @@
 		to   *VersionStatus
 	}{{"new", &s.New}, {"old", &s.Old}} {
 		if o := v.Get(part.name); o != nil {
-			*part.to = VersionStatus{Version: text(o, "version"), Instances: o.GetInt("instances"), Running: o.GetInt("running"),
-				Healthy: o.GetInt("healthy"), Failing: o.GetInt("failing"), Faulty: o.GetInt("faulty")}
+			*part.to = VersionStatus{
+				Version: text(o, "version"), Instances: o.GetInt("instances"), Running: o.GetInt("running"),
+				Healthy: o.GetInt("healthy"), Failing: o.GetInt("failing"), Faulty: o.GetInt("faulty"),
+			}
 			for _, ref := range o.GetArray("jobs") {
 				part.to.Jobs = append(part.to.Jobs, string(ref.GetStringBytes()))
 			}
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -171,9 +171,11 @@
 		p.Siblings = append(p.Siblings, Sibling{s.NodeName, s.Area, s.Address})
 	}
 	for _, t := range f.Facts.Teams {
-		p.Teams[t.Name] = Team{Name: t.Name,
+		p.Teams[t.Name] = Team{
+			Name:      t.Name,
 			Guarantee: Resources{CPU: offerThousandths(t.CPUs), GPU: offerThousandths(t.GPUs)},
-			Limit:     Resources{CPU: offerThousandths(t.CPUsMax), GPU: offerThousandths(t.GPUsMax)}}
+			Limit:     Resources{CPU: offerThousandths(t.CPUsMax), GPU: offerThousandths(t.GPUsMax)},
+		}
 	}
 	for _, o := range f.Facts.Objectives {
 		p.Objectives = append(p.Objectives, Objective{o.Kind, o.Class, FromSeconds(o.WithinS), o.Share})
@@ -188,8 +190,12 @@
 			return &KeyError{t.key, "missing"}
 		}
 	}
-	addrs := []struct{ key, v string }{{"client_listen", p.ClientListen}, {"cluster_listen", p.ClusterListen},
-		{"services.cloud", p.CloudAddr}, {"services.state", p.StateAddr}}
+	addrs := []struct{ key, v string }{
+		{"client_listen", p.ClientListen},
+		{"cluster_listen", p.ClusterListen},
+		{"services.cloud", p.CloudAddr},
+		{"services.state", p.StateAddr},
+	}
 	for i, s := range p.Siblings {
 		if s.Name == "" {
 			return &KeyError{fmt.Sprintf("siblings[%d].node_name", i), "missing"}
@@ -212,12 +218,17 @@
 		v   float64
 		max float64
 	}{
-		{"facts.workers.report_s", p.ReportEvery.Seconds(), 3600}, {"facts.workers.lease_s", p.WorkerLease.Seconds(), 86400},
-		{"facts.workers.gang_wait_s", p.GangWait.Seconds(), 86400}, {"facts.workers.gang_peer_s", p.GangPeer.Seconds(), 86400},
+		{"facts.workers.report_s", p.ReportEvery.Seconds(), 3600},
+		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 86400},
+		{"facts.workers.gang_wait_s", p.GangWait.Seconds(), 86400},
+		{"facts.workers.gang_peer_s", p.GangPeer.Seconds(), 86400},
 		{"facts.workers.cancel_s", p.Cancel.Seconds(), 86400},
-		{"facts.state.rps", p.StateRate, 1e9}, {"facts.state.write_rps", p.StateWriteRate, 1e9},
-		{"facts.state.value_kb", f.Facts.State.ValueKB, 1e6}, {"facts.state.txn_ops", float64(p.TxnOps), 1e6},
-		{"facts.cloud.rps", p.CloudRate, 1e9}, {"facts.quota.cpu", p.CPUShare, 4096},
+		{"facts.state.rps", p.StateRate, 1e9},
+		{"facts.state.write_rps", p.StateWriteRate, 1e9},
+		{"facts.state.value_kb", f.Facts.State.ValueKB, 1e6},
+		{"facts.state.txn_ops", float64(p.TxnOps), 1e6},
+		{"facts.cloud.rps", p.CloudRate, 1e9},
+		{"facts.quota.cpu", p.CPUShare, 4096},
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 1e9},
 		{"facts.quota.max_connections", float64(p.MaxConnections), 1e8},
 	}
@@ -283,9 +294,11 @@
 
 // DefaultOperator holds the values used where the operators set none.
 func DefaultOperator() Operator {
-	return Operator{LeaderLease: 2 * Second, RoundEvery: 2 * Second, RoundGap: 200 * Millisecond,
+	return Operator{
+		LeaderLease: 2 * Second, RoundEvery: 2 * Second, RoundGap: 200 * Millisecond,
 		DeadlineMargin: 3 * Second, AnswerOn: 180 * Second, SilentRelease: 6 * Second,
-		IdleReturn: 20 * Second, WarmSpare: 0.4}
+		IdleReturn: 20 * Second, WarmSpare: 0.4,
+	}
 }
 
 type operatorFile struct {
--- a/internal/protocol/user.go
+++ b/internal/protocol/user.go
@@ -224,8 +224,10 @@
 	s := &JobSpec{
 		Ref: f.text("ref"), Class: f.text("jobclass"), Team: f.text("owner"),
 		Kind: Kind(f.choice("shape", kindNames)), Rank: Rank(f.choice("rank", rankNames)),
-		Need: Resources{CPU: needThousandths(f.number("cores")), GPU: needThousandths(f.number("gpus")),
-			Mem: needThousandths(f.number("memoryGb"))},
+		Need: Resources{
+			CPU: needThousandths(f.number("cores")), GPU: needThousandths(f.number("gpus")),
+			Mem: needThousandths(f.number("memoryGb")),
+		},
 		Image: f.text("bundle"), ImageSize: needThousandths(f.number("sizeGb")),
 		OneZone: f.flag("samePlace"), Spread: f.flag("apart"), Spot: f.flag("reclaimable"),
 		Estimate:        FromSeconds(f.number("expectS")),
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -81,8 +81,10 @@
 		return nil, err
 	}
 	f := &fields{obj: v}
-	r := &Report{Host: f.text("host"), Addr: f.text("addr"), Type: f.text("flavor"), Zone: f.text("region"),
-		Spot: f.flag("reclaimable"), Session: f.count("tenure"), Tick: f.count("tick"), Epoch: f.count("epoch")}
+	r := &Report{
+		Host: f.text("host"), Addr: f.text("addr"), Type: f.text("flavor"), Zone: f.text("region"),
+		Spot: f.flag("reclaimable"), Session: f.count("tenure"), Tick: f.count("tick"), Epoch: f.count("epoch"),
+	}
 	if f.optional("reclaimInS") != nil {
 		r.Noticed, r.Notice = true, FromSeconds(f.number("reclaimInS"))
 	}
--- a/internal/rollout/instance.go
+++ b/internal/rollout/instance.go
@@ -169,11 +169,13 @@
 	h[a], h[b] = h[b], h[a]
 	h[a].place, h[b].place = a, b
 }
+
 func (h *dueHeap) Push(x any) {
 	i := x.(*instance)
 	i.place = len(*h)
 	*h = append(*h, i)
 }
+
 func (h *dueHeap) Pop() any {
 	old := *h
 	i := old[len(old)-1]
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -58,8 +58,10 @@
 }
 
 func newMachine(rec *Record, now micros) (*machine, error) {
-	m := &machine{rec: rec, instances: make(map[slot]*instance), faults: make(map[slot]string), known: make(map[string]bool),
-		tried: make(map[string]bool), out: make(map[string]bool), cleared: make(map[string]bool), asked: make(map[string]bool), gone: make(map[string]bool), sent: make(map[string]micros), refused: make(map[string]string)}
+	m := &machine{
+		rec: rec, instances: make(map[slot]*instance), faults: make(map[slot]string), known: make(map[string]bool),
+		tried: make(map[string]bool), out: make(map[string]bool), cleared: make(map[string]bool), asked: make(map[string]bool), gone: make(map[string]bool), sent: make(map[string]micros), refused: make(map[string]string),
+	}
 	m.anew(now)
 	return m, m.compile()
 }
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -181,8 +181,10 @@
 
 // NewManager makes a manager without services. seed spreads the checks.
 func NewManager(s Settings, fleet Fleet, seed uint64) *Manager {
-	return &Manager{set: s, fleet: fleet, rng: rand.New(rand.NewPCG(seed, 0x726f6c6c)), services: make(map[string]*machine),
-		owners: make(map[string]*machine), waiting: make(map[*machine][]func()), checks: make(map[uint64]*check)}
+	return &Manager{
+		set: s, fleet: fleet, rng: rand.New(rand.NewPCG(seed, 0x726f6c6c)), services: make(map[string]*machine),
+		owners: make(map[string]*machine), waiting: make(map[*machine][]func()), checks: make(map[uint64]*check),
+	}
 }
 
 // Load takes a service's record, before any event.
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -165,8 +165,10 @@
 	if v.Type() != fastjson.TypeObject || v.GetInt("form") != form {
 		return nil, errors.New("record of a roll-out of an unknown form")
 	}
-	r := &Record{Service: string(v.GetStringBytes("service")), Reason: string(v.GetStringBytes("reason")), Stage: v.GetInt("stage"), Made: v.GetInt("made"),
-		Changes: v.GetInt("changes"), OldCount: v.GetInt("oldCount"), Forced: v.GetBool("forced")}
+	r := &Record{
+		Service: string(v.GetStringBytes("service")), Reason: string(v.GetStringBytes("reason")), Stage: v.GetInt("stage"), Made: v.GetInt("made"),
+		Changes: v.GetInt("changes"), OldCount: v.GetInt("oldCount"), Forced: v.GetBool("forced"),
+	}
 	var ok, ok2 bool
 	r.State, ok = stateNamed(string(v.GetStringBytes("state")))
 	r.From, ok2 = stateNamed(string(v.GetStringBytes("from")))
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -228,8 +228,10 @@
 // status says how a service's roll-out stands.
 func (g *Manager) status(m *machine) *protocol.RolloutStatus {
 	r, s := m.rec, m.spec()
-	st := &protocol.RolloutStatus{Service: r.Service, ID: s.ID, State: r.State.String(), Reason: r.Reason, Stage: r.Stage + 1, Stages: s.Stages,
-		Count: s.Count, Floor: s.Floor, Surge: s.Surge, Changes: r.Changes}
+	st := &protocol.RolloutStatus{
+		Service: r.Service, ID: s.ID, State: r.State.String(), Reason: r.Reason, Stage: r.Stage + 1, Stages: s.Stages,
+		Count: s.Count, Floor: s.Floor, Surge: s.Surge, Changes: r.Changes,
+	}
 	if r.State == Paused {
 		st.Reason = fmt.Sprintf("in %s: %s", r.From, r.Reason)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -85,8 +85,10 @@
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, spec *protocol.RolloutSpec, old int, room int) *world {
-	w := &world{t: t, spec: spec, room: room, old: old, blind: map[string]bool{}, jobs: map[string]*simJob{}, answers: map[uint64]Answer{},
-		made: map[string]string{}, cancels: map[string]bool{}, rng: rand.New(rand.NewPCG(uint64(old), uint64(room)))}
+	w := &world{
+		t: t, spec: spec, room: room, old: old, blind: map[string]bool{}, jobs: map[string]*simJob{}, answers: map[uint64]Answer{},
+		made: map[string]string{}, cancels: map[string]bool{}, rng: rand.New(rand.NewPCG(uint64(old), uint64(room))),
+	}
 	if old > 0 {
 		was := *spec
 		job := *spec.Job
@@ -464,9 +466,11 @@
 }
 
 func testSpec() *protocol.RolloutSpec {
-	return &protocol.RolloutSpec{ID: "r-1", Service: "picker", Job: &protocol.JobSpec{Class: "live", Team: "red", Kind: protocol.Service, Image: "new", Need: protocol.Resources{CPU: 1000}},
+	return &protocol.RolloutSpec{
+		ID: "r-1", Service: "picker", Job: &protocol.JobSpec{Class: "live", Team: "red", Kind: protocol.Service, Image: "new", Need: protocol.Resources{CPU: 1000}},
 		Count: 4, Floor: 3, Surge: 1, Stages: []int{1, 4}, Soak: 4 * second, StartWithin: 20 * second, HealthyWithin: 12 * second,
-		Check: protocol.HealthCheck{At: "{{.IP}}:{{add 20000 .Index}}", Path: "/healthz", Every: second, Timeout: second / 2, Passes: 2, Fail: 2}}
+		Check: protocol.HealthCheck{At: "{{.IP}}:{{add 20000 .Index}}", Path: "/healthz", Every: second, Timeout: second / 2, Passes: 2, Fail: 2},
+	}
 }
 
 // fault is something that goes wrong, or that somebody does, at some time.
@@ -693,8 +697,18 @@
 		state State
 		made  string
 		end   State
-	}{{Planned, "", Done}, {Staging, "", Done}, {Checking, "", Done}, {Soaking, "", Done}, {Promoting, "", Done}, {Done, "", Done},
-		{Reverting, "later", Reverted}, {Reverted, "later", Reverted}, {Staging, "later", Reverted}, {Soaking, "later", Reverted}} {
+	}{
+		{Planned, "", Done},
+		{Staging, "", Done},
+		{Checking, "", Done},
+		{Soaking, "", Done},
+		{Promoting, "", Done},
+		{Done, "", Done},
+		{Reverting, "later", Reverted},
+		{Reverted, "later", Reverted},
+		{Staging, "later", Reverted},
+		{Soaking, "later", Reverted},
+	} {
 		for leaders := 1; leaders <= 2; leaders++ {
 			for stage := range 2 {
 				if stage == 1 && (c.state == Planned || c.made != "") {
--- a/internal/scale/addresses.go
+++ b/internal/scale/addresses.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"mapleslip/internal/scale/wire"
 	"slices"
+
+	"mapleslip/internal/scale/wire"
 )
 
 // Where the parts of a run listen: addresses by region, and what goes through relays.
--- a/internal/scale/checker/hub.go
+++ b/internal/scale/checker/hub.go
@@ -160,9 +160,11 @@
 
 // New makes a hub. send hands a message to a part; it must not call the hub.
 func New(platform *protocol.Platform, types []*protocol.MachineType, send func(part string, m *wire.Message)) *Hub {
-	h := &Hub{platform: platform, types: make(map[string]*protocol.MachineType), send: send, starts: func(Start) {},
+	h := &Hub{
+		platform: platform, types: make(map[string]*protocol.MachineType), send: send, starts: func(Start) {},
 		jobs: make(map[string]*job), polls: make(map[string]*polls), machines: make(map[string]*machine), teams: make(map[string]*protocol.Resources),
-		asked: make(map[string]int64), classes: make(map[string]*ClassCount)}
+		asked: make(map[string]int64), classes: make(map[string]*ClassCount),
+	}
 	h.counts.Leaves = make(map[string]int)
 	for _, t := range types {
 		h.types[t.Name] = t
--- a/internal/scale/checker/trace_test.go
+++ b/internal/scale/checker/trace_test.go
@@ -48,17 +48,21 @@
 
 // testHub has two teams, two types and a cancel_s of 20.
 func testHub(send func(string, *wire.Message)) *Hub {
-	p := &protocol.Platform{Teams: map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
-		Cancel: 20 * protocol.Second, GangPeer: 6 * protocol.Second}
+	p := &protocol.Platform{
+		Teams:  map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
+		Cancel: 20 * protocol.Second, GangPeer: 6 * protocol.Second,
+	}
 	types := []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 64000, GPU: 8000, Mem: 256000}}, {Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 32000}}}
 	return New(p, types, send)
 }
 
 // spec is a job's description: `array tasks=2 gpus=1 one_zone`.
 func spec(ref string, words []string) json.RawMessage {
-	v := map[string]any{"ref": ref, "jobclass": words[0], "owner": "red", "shape": map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}[words[0]], "rank": "high",
+	v := map[string]any{
+		"ref": ref, "jobclass": words[0], "owner": "red", "shape": map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}[words[0]], "rank": "high",
 		"shards": 1, "cores": 1.0, "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 1.0, "flavors": nil, "region": nil, "samePlace": false, "apart": false,
-		"reclaimable": false, "expectS": 10.0, "snapshotEveryS": 0.0, "snapshotS": 0.0, "dueS": nil}
+		"reclaimable": false, "expectS": 10.0, "snapshotEveryS": 0.0, "snapshotS": 0.0, "dueS": nil,
+	}
 	for _, w := range words[1:] {
 		name, value, _ := strings.Cut(w, "=")
 		number, _ := strconv.ParseFloat(value, 64)
@@ -194,8 +198,10 @@
 // instant a task leaves one machine before it enters another.
 func TestLateMessages(t *testing.T) {
 	h := testHub(func(string, *wire.Message) {})
-	for _, line := range []string{"machine m1 big a", "machine m2 big a", "0 submit req-000001 array tasks=1", "1 enter req-000001/0#1 m1",
-		"5 enter req-000001/0#2 m2", "5 leave req-000001/0#1 m1 stopped"} {
+	for _, line := range []string{
+		"machine m1 big a", "machine m2 big a", "0 submit req-000001 array tasks=1", "1 enter req-000001/0#1 m1",
+		"5 enter req-000001/0#2 m2", "5 leave req-000001/0#1 m1 stopped",
+	} {
 		play(h, line)
 	}
 	h.Tick(seconds("6.9"))
--- a/internal/scale/fakes/cloud.go
+++ b/internal/scale/fakes/cloud.go
@@ -66,9 +66,11 @@
 }
 
 func newCloud(c *wire.Config, p *protocol.Platform, now func() int64, say func(*wire.Message)) *cloud {
-	s := &cloud{platform: p, types: make(map[string]*protocol.MachineType), list: protocol.AppendTypes(nil, c.Types), say: say, now: now,
+	s := &cloud{
+		platform: p, types: make(map[string]*protocol.MachineType), list: protocol.AppendTypes(nil, c.Types), say: say, now: now,
 		rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*rental), spare: make(map[string]int), regions: make(map[string]string),
-		claims: make(map[string][]string), zoned: make(map[string]int), waits: make(map[uint64]*release)}
+		claims: make(map[string][]string), zoned: make(map[string]int), waits: make(map[uint64]*release),
+	}
 	s.requests = make(map[string]int)
 	for _, t := range c.Types {
 		s.types[t.Name] = t
--- a/internal/scale/fakes/run.go
+++ b/internal/scale/fakes/run.go
@@ -239,8 +239,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.store.Size()
-	v := map[string]float64{"state_keys": float64(n.Keys), "state_bytes": float64(n.Bytes), "state_leases": float64(n.Leases),
-		"state_watches": float64(n.Watches), "state_writes": float64(n.Written), "state_revision": float64(n.Revision)}
+	v := map[string]float64{
+		"state_keys": float64(n.Keys), "state_bytes": float64(n.Bytes), "state_leases": float64(n.Leases),
+		"state_watches": float64(n.Watches), "state_writes": float64(n.Written), "state_revision": float64(n.Revision),
+	}
 	s.fill(v, "state")
 	v["state_watch_in_bytes"], v["state_watch_out_bytes"] = float64(s.watch.In.Load()), float64(s.watch.Out.Load())
 	return v
--- a/internal/scale/fakes/standin_test.go
+++ b/internal/scale/fakes/standin_test.go
@@ -28,9 +28,11 @@
 
 func newCloudRig(t *testing.T, slots int) *cloudRig {
 	r := &cloudRig{t: t, time: 1000 * second}
-	config := &wire.Config{Seed: 1, Spare: map[string]int{"big/r1-z1": 60, "big/r2-z1/spot": 2},
+	config := &wire.Config{
+		Seed: 1, Spare: map[string]int{"big/r1-z1": 60, "big/r2-z1/spot": 2},
 		Types:    []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 8000}, Boot: 40 * protocol.Second, Zones: []string{"r1-z1", "r2-z1"}}},
-		Machines: []wire.Machine{{Name: "n-000007", Type: "big", Zone: "r1-z1", Region: "r1", Public: "10.0.0.7:9000"}}}
+		Machines: []wire.Machine{{Name: "n-000007", Type: "big", Zone: "r1-z1", Region: "r1", Public: "10.0.0.7:9000"}},
+	}
 	for i := range slots {
 		config.Machines = append(config.Machines, wire.Machine{Public: fmt.Sprintf("10.0.1.%d:9000", i), Region: []string{"r1", ""}[i%2]})
 	}
@@ -141,9 +143,11 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	p := protocol.Platform{Node: "a", Zone: "z", Zones: []string{"z"}, ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", StateAddr: "127.0.0.1:3", CloudAddr: "127.0.0.1:4",
+	p := protocol.Platform{
+		Node: "a", Zone: "z", Zones: []string{"z"}, ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", StateAddr: "127.0.0.1:3", CloudAddr: "127.0.0.1:4",
 		Teams: map[string]protocol.Team{}, ReportEvery: protocol.Second, WorkerLease: 10 * protocol.Second, GangWait: protocol.Second, GangPeer: protocol.Second, Cancel: 20 * protocol.Second,
-		StateRate: 1000, StateWriteRate: 1000, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 1e8, MaxConnections: 100}
+		StateRate: 1000, StateWriteRate: 1000, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 1e8, MaxConnections: 100,
+	}
 	text, err := protocol.SettingsFile(&p)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/hollow/run.go
+++ b/internal/scale/hollow/run.go
@@ -70,8 +70,10 @@
 }
 
 func run(pp *ipc.Pipe, log *slog.Logger) error {
-	p := &process{config: pp.Config, platform: pp.Platform, types: make(map[string]*protocol.MachineType), timers: newTimers(), now: wire.Now,
-		workers: make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool), more: make(chan struct{}, 1)}
+	p := &process{
+		config: pp.Config, platform: pp.Platform, types: make(map[string]*protocol.MachineType), timers: newTimers(), now: wire.Now,
+		workers: make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool), more: make(chan struct{}, 1),
+	}
 	for _, t := range p.config.Types {
 		p.types[t.Name] = t
 	}
@@ -141,8 +143,10 @@
 	}
 	h := fnv.New64a()
 	h.Write([]byte(m.Name))
-	w := &worker{p: p, m: m, typ: typ, head: reportHead(&m), send: make(chan struct{}, 1),
-		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.hello}}
+	w := &worker{
+		p: p, m: m, typ: typ, head: reportHead(&m), send: make(chan struct{}, 1),
+		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.hello},
+	}
 	w.images = images{rate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, cache: typ.Cache, list: make(map[string]*image)}
 	if w.images.rate <= 0 {
 		w.images.rate = math.MaxInt32
--- a/internal/scale/hollow/worker_test.go
+++ b/internal/scale/hollow/worker_test.go
@@ -30,10 +30,12 @@
 
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, time: 1000 * second, runs: make(map[string]int64), left: make(map[string]int64)}
-	p := &process{config: &wire.Config{}, timers: newTimers(), now: func() int64 { return r.time }, more: make(chan struct{}, 1),
+	p := &process{
+		config: &wire.Config{}, timers: newTimers(), now: func() int64 { return r.time }, more: make(chan struct{}, 1),
 		types:    map[string]*protocol.MachineType{"big": {Name: "big", Offer: protocol.Resources{CPU: 8000, GPU: 4000, Mem: 64000}, Cache: 5000, FetchRate: 0.001}},
 		platform: &protocol.Platform{ReportEvery: 4 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWait: 30 * protocol.Second, GangPeer: 8 * protocol.Second},
-		workers:  make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool)}
+		workers:  make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool),
+	}
 	for _, n := range []string{"a", "b", "c"} {
 		p.config.Controllers = append(p.config.Controllers, wire.Controller{Name: n, Public: map[string]string{"r1": n}})
 	}
@@ -144,9 +146,11 @@
 func launch(task string, try int) string {
 	return fmt.Sprintf(`{"verb":"launch","shard":"req-%s","try":%d}`, task, try)
 }
+
 func stop(task string, try int, grace float64) string {
 	return fmt.Sprintf(`{"verb":"stop","shard":"req-%s","try":%d,"drainS":%g}`, task, try, grace)
 }
+
 func forget(task string, try int) string {
 	return fmt.Sprintf(`{"verb":"forget","shard":"req-%s","try":%d}`, task, try)
 }
--- a/internal/scale/inventory.go
+++ b/internal/scale/inventory.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"mapleslip/internal/scale/wire"
 	"math"
+
+	"mapleslip/internal/scale/wire"
 )
 
 // The machines that a run begins with, and what the cloud has to spare.
@@ -21,8 +22,10 @@
 			next++
 			zone := r.Zones[turns[r.Name]%len(r.Zones)]
 			turns[r.Name]++
-			m := wire.Machine{Name: fmt.Sprintf("n-%06d", len(all)+1), Type: t.Name, Zone: zone, Region: r.Name,
-				Rack: fmt.Sprintf("%s-%d", zone, inZone[zone]/s.f.Deployment.RackSize)}
+			m := wire.Machine{
+				Name: fmt.Sprintf("n-%06d", len(all)+1), Type: t.Name, Zone: zone, Region: r.Name,
+				Rack: fmt.Sprintf("%s-%d", zone, inZone[zone]/s.f.Deployment.RackSize),
+			}
 			inZone[zone]++
 			m.Public, m.Listen, m.Source = wire.Addresses(s.network.Prefix, len(all))
 			all = append(all, m)
--- a/internal/scale/launch.go
+++ b/internal/scale/launch.go
@@ -5,15 +5,16 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/checker"
-	"mapleslip/internal/scale/users"
-	"mapleslip/internal/scale/wire"
 	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 	"time"
+
+	"mapleslip/internal/protocol"
+	"mapleslip/internal/scale/checker"
+	"mapleslip/internal/scale/users"
+	"mapleslip/internal/scale/wire"
 )
 
 // Start of a run: settings, processes in their order, and the wait until a controller leads.
@@ -163,8 +164,10 @@
 // plan is what the users are told.
 func (s *supervisor) plan(begin int64) *users.Plan {
 	us := func(v float64) int64 { return int64(protocol.FromSeconds(v)) }
-	p := &users.Plan{BeginUS: begin, DurationUS: us(s.f.DurationS), SettleUS: us(s.f.SettleS), FillUS: us(s.f.FillS), PollUS: us(s.f.Users.PollS),
-		MaxConnections: s.f.Users.MaxConnections, Teams: s.f.teamNames(), Classes: s.f.Jobs, Changes: s.f.Load, Sources: make(map[string]string), Strangers: 0.5}
+	p := &users.Plan{
+		BeginUS: begin, DurationUS: us(s.f.DurationS), SettleUS: us(s.f.SettleS), FillUS: us(s.f.FillS), PollUS: us(s.f.Users.PollS),
+		MaxConnections: s.f.Users.MaxConnections, Teams: s.f.teamNames(), Classes: s.f.Jobs, Changes: s.f.Load, Sources: make(map[string]string), Strangers: 0.5,
+	}
 	for _, r := range s.f.Regions {
 		p.Regions = append(p.Regions, r.Name)
 		p.Sources[r.Name] = s.userIP(r.Name)
--- a/internal/scale/relay/relay.go
+++ b/internal/scale/relay/relay.go
@@ -68,8 +68,10 @@
 	if c == nil {
 		return p.Ready(fmt.Errorf("setup without links"))
 	}
-	r := &relay{pipe: p, region: c.Region, delay: c.Delay, log: log, of: make(map[string]string), listeners: make(map[string]net.Listener),
-		targets: make(map[string]string), links: make(map[string]*link), loss: c.Loss, jitter: c.Jitter, r: rand.New(rand.NewPCG(p.Config.Seed, 0x11e))}
+	r := &relay{
+		pipe: p, region: c.Region, delay: c.Delay, log: log, of: make(map[string]string), listeners: make(map[string]net.Listener),
+		targets: make(map[string]string), links: make(map[string]*link), loss: c.Loss, jitter: c.Jitter, r: rand.New(rand.NewPCG(p.Config.Seed, 0x11e)),
+	}
 	r.buffers.New = func() any { return new([block]byte) }
 	for ip, region := range c.Of {
 		r.of[ip] = region
@@ -481,8 +483,10 @@
 		for _, l := range r.links {
 			open += len(l.conns)
 		}
-		v := map[string]float64{"listeners": float64(len(r.listeners)), "links_open": float64(open), "bytes": float64(r.bytes.Load()), "opened": float64(r.opened.Load()),
-			"lost": float64(r.lost.Load()), "refused": float64(r.refused.Load()), "unknown": float64(r.unknown.Load()), "lag_ms_max": late.Seconds() * 1000}
+		v := map[string]float64{
+			"listeners": float64(len(r.listeners)), "links_open": float64(open), "bytes": float64(r.bytes.Load()), "opened": float64(r.opened.Load()),
+			"lost": float64(r.lost.Load()), "refused": float64(r.refused.Load()), "unknown": float64(r.unknown.Load()), "lag_ms_max": late.Seconds() * 1000,
+		}
 		r.mu.Unlock()
 		if r.pipe.Out.Send(&wire.Message{Kind: wire.Gauge, Name: r.pipe.Config.Part, At: wire.Now(), Values: v}) != nil {
 			return
--- a/internal/scale/relay/relay_test.go
+++ b/internal/scale/relay/relay_test.go
@@ -66,8 +66,10 @@
 		}
 		return true
 	})
-	b.orders.Send(&wire.Message{Kind: wire.Setup, Setup: &wire.Config{Part: "relay-r0", Links: &wire.Links{Region: "r0", Listen: map[string]string{b.public: n.Prefix + "0.10:7100"},
-		Of: map[string]string{n.Prefix + "1.1": "r0", n.Prefix + "1.2": "r1"}, Delay: map[string]int64{"r1": delay.Microseconds()}}}})
+	b.orders.Send(&wire.Message{Kind: wire.Setup, Setup: &wire.Config{Part: "relay-r0", Links: &wire.Links{
+		Region: "r0", Listen: map[string]string{b.public: n.Prefix + "0.10:7100"},
+		Of: map[string]string{n.Prefix + "1.1": "r0", n.Prefix + "1.2": "r1"}, Delay: map[string]int64{"r1": delay.Microseconds()},
+	}}})
 	if problem := <-ready; problem != "" {
 		t.Fatal(problem)
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -95,9 +95,11 @@
 // report sums up a run that ended with err.
 func (s *supervisor) report(began time.Time, err error) *Report {
 	m := s.meter
-	r := &Report{Name: s.f.Name, Part: s.o.Part, Seed: s.f.Seed, Began: began.UTC().Truncate(time.Second), TookS: math.Round(time.Since(began).Seconds()*10) / 10,
+	r := &Report{
+		Name: s.f.Name, Part: s.o.Part, Seed: s.f.Seed, Began: began.UTC().Truncate(time.Second), TookS: math.Round(time.Since(began).Seconds()*10) / 10,
 		Workers: s.f.Machines(), Controllers: len(s.controllers), Teams: s.f.Teams.Count, Faults: s.played, Notes: s.notes,
-		Latency: make(map[string]Percentiles), Rows: make(map[string]float64), Series: make(map[string][]Span), Seconds: m.seconds, Slowest: m.slowest}
+		Latency: make(map[string]Percentiles), Rows: make(map[string]float64), Series: make(map[string][]Span), Seconds: m.seconds, Slowest: m.slowest,
+	}
 	if s.o.Controller != s.self {
 		r.Controller = filepath.Base(s.o.Controller)
 	}
@@ -338,9 +340,11 @@
 
 // levels are what parts say of themselves that goes up and down; of names that end with
 // _max or _p99 the largest is kept, and everything else is a counter.
-var levels = map[string]bool{"state_keys": true, "state_bytes": true, "state_leases": true, "state_watches": true, "state_connections": true,
+var levels = map[string]bool{
+	"state_keys": true, "state_bytes": true, "state_leases": true, "state_watches": true, "state_connections": true,
 	"cloud_machines": true, "cloud_free_slots": true, "cloud_connections": true, "connections": true, "in_flight": true, "healthy": true,
-	"workers": true, "tasks_on": true, "tasks_running": true, "tasks_reported": true, "listeners": true, "links_open": true}
+	"workers": true, "tasks_on": true, "tasks_running": true, "tasks_reported": true, "listeners": true, "links_open": true,
+}
 
 // partRows adds what parts said of themselves: the mean of levels, the rates of counters.
 // Values of processes of a role are added up, but those of real workers are averaged:
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -100,8 +100,10 @@
 	}
 	r := &Report{Rows: make(map[string]float64), Seconds: m.seconds, WindowS: [2]float64{f.WarmupS, f.DurationS}}
 	m.rows(r)
-	for row, want := range map[string]float64{"leader cores": 0.5, "controller cores": 0.1, "worker cores": 0.01, "leader calls state commit per s": 7,
-		"worker hello_out_bytes per s": 500, "worker tasks_running": 18, "worker lag_ms_max": 2, "leader sockets": 7, "worker memory MB": 10} {
+	for row, want := range map[string]float64{
+		"leader cores": 0.5, "controller cores": 0.1, "worker cores": 0.01, "leader calls state commit per s": 7,
+		"worker hello_out_bytes per s": 500, "worker tasks_running": 18, "worker lag_ms_max": 2, "leader sockets": 7, "worker memory MB": 10,
+	} {
 		if got := r.Rows[row]; math.Abs(got-want) > 1e-6 {
 			t.Errorf("%s: %g, want %g", row, got, want)
 		}
@@ -245,10 +247,12 @@
 			got[name] = math.Round(percentiles(l.all).Max/100) / 10
 		}
 	}
-	want := map[string]float64{"config change": 1, "config change, at rest": 1, "config in force": 32, "config in force, at rest": 3,
+	want := map[string]float64{
+		"config change": 1, "config change, at rest": 1, "config in force": 32, "config in force, at rest": 3,
 		"config in force, a region apart": 5, "config in force, in the region apart": 32, "config in force, peak": 0.5,
 		"config in force, after made": 4.5, "config in force, after made, at rest": 2, "config in force, after made, a region apart": 4.5,
-		"config in force, after made, in the region apart": 1, "config in force, after made, peak": 0.5}
+		"config in force, after made, in the region apart": 1, "config in force, after made, peak": 0.5,
+	}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
@@ -257,10 +261,12 @@
 // A report is read as it was written, and has its pictures beside it.
 func TestWriteReport(t *testing.T) {
 	dir := t.TempDir()
-	r := &Report{Name: "x", Part: 0.5, Rows: map[string]float64{"leader cores": 0.2}, Counts: checker.Counts{Starts: 3, Leaves: map[string]int{"done": 2}},
+	r := &Report{
+		Name: "x", Part: 0.5, Rows: map[string]float64{"leader cores": 0.2}, Counts: checker.Counts{Starts: 3, Leaves: map[string]int{"done": 2}},
 		Latency: map[string]Percentiles{"urgent wait": {Count: 3, P50: 1, AimS: 2.7, Within: 1}}, Faults: []Played{{T: 1, Fault: "controller_end", What: "node-0"}},
 		Seconds: []Second{{T: 0, Starts: 1, CPU: map[string]float64{"leader": 0.1}, RSS: map[string]float64{"leader": 20}}, {T: 1, Starts: 2, CPU: map[string]float64{"leader": 0.3}, RSS: map[string]float64{"leader": 22}}},
-		Series:  map[string][]Span{"urgent wait": {{0, Percentiles{Count: 3, P50: 1}}}, "submit": {{0, Percentiles{Count: 1}}}, "query": {{0, Percentiles{}}}}}
+		Series:  map[string][]Span{"urgent wait": {{0, Percentiles{Count: 3, P50: 1}}}, "submit": {{0, Percentiles{Count: 1}}}, "query": {{0, Percentiles{}}}},
+	}
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -106,9 +106,11 @@
 	if o.Seed != 0 {
 		f.Seed = o.Seed
 	}
-	s := &supervisor{o: o, f: f, over: make(chan struct{}), in: make(chan inbound, 8192), rand: rand.New(rand.NewPCG(f.Seed, 0xfa017)),
+	s := &supervisor{
+		o: o, f: f, over: make(chan struct{}), in: make(chan inbound, 8192), rand: rand.New(rand.NewPCG(f.Seed, 0xfa017)),
 		parts: make(map[string]*process), machines: make(map[string]*machineAt), hollow: make(map[string][]*process),
-		releases: make(map[uint64]map[string]bool), ready: make(map[string]bool), silent: make(map[string]bool), meter: newMeter(f), faults: f.Faults}
+		releases: make(map[uint64]map[string]bool), ready: make(map[string]bool), silent: make(map[string]bool), meter: newMeter(f), faults: f.Faults,
+	}
 	if err := s.prepare(); err != nil {
 		return nil, err
 	}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -210,7 +210,8 @@
 
 // defaults are the settings that a file may leave out.
 func defaults() *File {
-	return &File{Seed: 1, WarmupS: 0, FillS: 1, SettleS: 5,
+	return &File{
+		Seed: 1, WarmupS: 0, FillS: 1, SettleS: 5,
 		Deployment:  Deployment{PerProcess: 700, SpareShare: 0, RackSize: 20},
 		Controllers: Controllers{CPUShare: 1, MemoryMB: 512, MaxConnections: 8000, RestartDelayS: 4, ClockOffMS: 1000, IdleReturnS: 20},
 		Cloud:       Cloud{RPS: 8, ListLagS: 5},
@@ -310,11 +311,13 @@
 // platform is the controllers' file, but for names and addresses.
 func (f *File) platform() protocol.Platform {
 	s := protocol.FromSeconds
-	p := protocol.Platform{Teams: make(map[string]protocol.Team),
+	p := protocol.Platform{
+		Teams:       make(map[string]protocol.Team),
 		ReportEvery: s(f.Workers.ReportS), WorkerLease: s(f.Workers.LeaseS), GangWait: s(f.Workers.GangWaitS), GangPeer: s(f.Workers.GangPeerS), Cancel: s(f.Workers.CancelS),
 		StateRate: f.State.RPS, StateWriteRate: f.State.WriteRPS, ValueBytes: int(f.State.ValueKB * 1024), TxnOps: f.State.TxnOps,
 		CloudRate: f.Cloud.RPS, ListLag: s(f.Cloud.ListLagS), ClockOff: s(f.Controllers.ClockOffMS / 1000),
-		CPUShare: f.Controllers.CPUShare, MemoryBytes: int64(f.Controllers.MemoryMB * 1e6), MaxConnections: f.Controllers.MaxConnections}
+		CPUShare: f.Controllers.CPUShare, MemoryBytes: int64(f.Controllers.MemoryMB * 1e6), MaxConnections: f.Controllers.MaxConnections,
+	}
 	for _, r := range f.Regions {
 		p.Zones = append(p.Zones, r.Zones...)
 	}
@@ -365,9 +368,11 @@
 	}
 	var types []*protocol.MachineType
 	for _, t := range f.Types {
-		types = append(types, &protocol.MachineType{Name: t.Name, Offer: offer(t), Cache: int64(t.CacheGB * 1000),
+		types = append(types, &protocol.MachineType{
+			Name: t.Name, Offer: offer(t), Cache: int64(t.CacheGB * 1000),
 			FetchRate: t.FetchGBPerS * 1000 / float64(protocol.Second), Price: t.Price, SpotPrice: t.SpotPrice,
-			Boot: protocol.FromSeconds(t.BootS), Zones: all})
+			Boot: protocol.FromSeconds(t.BootS), Zones: all,
+		})
 	}
 	return types
 }
--- a/internal/scale/settings_check.go
+++ b/internal/scale/settings_check.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"mapleslip/internal/protocol"
 	"slices"
 	"strings"
+
+	"mapleslip/internal/protocol"
 )
 
 // Checks of a settings file: the first value that is impossible is named.
--- a/internal/scale/settings_lines.go
+++ b/internal/scale/settings_lines.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"mapleslip/internal/protocol"
 	"strings"
 
+	"mapleslip/internal/protocol"
+
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
--- a/internal/scale/supervise.go
+++ b/internal/scale/supervise.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"fmt"
-	"mapleslip/internal/protocol"
-	"mapleslip/internal/scale/wire"
 	"os"
 	"slices"
 	"time"
+
+	"mapleslip/internal/protocol"
+	"mapleslip/internal/scale/wire"
 )
 
 // What the supervisor does while the load runs: it plays faults, watches processes and
--- a/internal/scale/users/mix.go
+++ b/internal/scale/users/mix.go
@@ -72,8 +72,10 @@
 	Bounds                                        Bounds            // of what they change
 }
 
-var kinds = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
-var ranks = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+var (
+	kinds = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
+	ranks = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+)
 
 // check says what is wrong with a distribution of values from low to high.
 func (d *Distribution) check(low, high float64) string {
@@ -157,9 +159,19 @@
 	for _, n := range []struct {
 		key          string
 		v, low, high float64
-	}{{"cpus", c.CPUs, 0.001, 1e4}, {"gpus", c.GPUs, 0, 1e4}, {"memory_gb", c.MemoryGB, 0, 1e6}, {"initial", float64(c.Initial), 0, 1e6}, {"rate", c.Rate, 0, 1e5},
-		{"images.count", float64(c.Images.Count), 1, 1e6}, {"images.zipf", c.Images.Zipf, 0, 10}, {"estimate_error", c.EstimateError, 0, 3},
-		{"cancelled", c.Cancelled, 0, 1}, {"checkpoint_s", c.CheckpointS, 0, 1e6}, {"save_s", c.SaveS, 0, 1e6}} {
+	}{
+		{"cpus", c.CPUs, 0.001, 1e4},
+		{"gpus", c.GPUs, 0, 1e4},
+		{"memory_gb", c.MemoryGB, 0, 1e6},
+		{"initial", float64(c.Initial), 0, 1e6},
+		{"rate", c.Rate, 0, 1e5},
+		{"images.count", float64(c.Images.Count), 1, 1e6},
+		{"images.zipf", c.Images.Zipf, 0, 10},
+		{"estimate_error", c.EstimateError, 0, 3},
+		{"cancelled", c.Cancelled, 0, 1},
+		{"checkpoint_s", c.CheckpointS, 0, 1e6},
+		{"save_s", c.SaveS, 0, 1e6},
+	} {
 		if !(n.v >= n.low && n.v <= n.high) {
 			return bad(n.key, fmt.Sprintf("must be from %g to %g", n.low, n.high))
 		}
@@ -221,12 +233,14 @@
 	image = min(image, len(sums)-1)
 	run := c.RunS.draw(d.r)
 	thousandths := func(v float64) int64 { return int64(math.Round(v * 1000)) }
-	s := &protocol.JobSpec{Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Rank: ranks[c.Rank],
+	s := &protocol.JobSpec{
+		Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Rank: ranks[c.Rank],
 		Tasks: int(math.Round(c.Tasks.draw(d.r))),
 		Need:  protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Mem: thousandths(c.MemoryGB)},
 		Image: fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), Types: c.Types,
 		OneZone: c.OneZone, Spread: c.Spread, Spot: c.Spot,
-		CheckpointEvery: protocol.FromSeconds(c.CheckpointS), Saves: protocol.FromSeconds(c.SaveS)}
+		CheckpointEvery: protocol.FromSeconds(c.CheckpointS), Saves: protocol.FromSeconds(c.SaveS),
+	}
 	j := &job{spec: s, class: class, region: d.plan.Regions[d.r.IntN(len(d.plan.Regions))], due: due, run: micros(run)}
 	noise := math.Exp(c.EstimateError * d.r.NormFloat64())
 	early := d.r.Float64() < c.Cancelled
--- a/internal/scale/users/operators.go
+++ b/internal/scale/users/operators.go
@@ -32,8 +32,15 @@
 	for _, n := range []struct {
 		key          string
 		v, low, high float64
-	}{{"rate", o.Rate, 0.001, 1000}, {"operators", float64(o.Operators), 1, 100}, {"limits", o.Limits, 0, 1000}, {"guarantees", o.Guarantees, 0, 1000},
-		{"drains", o.Drains, 0, 1000}, {"ceilings", o.Ceilings, 0, 1000}, {"drained", o.Drained, 0, 0.5}} {
+	}{
+		{"rate", o.Rate, 0.001, 1000},
+		{"operators", float64(o.Operators), 1, 100},
+		{"limits", o.Limits, 0, 1000},
+		{"guarantees", o.Guarantees, 0, 1000},
+		{"drains", o.Drains, 0, 1000},
+		{"ceilings", o.Ceilings, 0, 1000},
+		{"drained", o.Drained, 0, 0.5},
+	} {
 		if !(n.v >= n.low && n.v <= n.high) {
 			return &protocol.KeyError{Key: n.key, Problem: fmt.Sprintf("must be from %g to %g", n.low, n.high)}
 		}
@@ -136,8 +143,10 @@
 		i := len(all)
 		key, value := draw()
 		operator := int(crc32.ChecksumIEEE([]byte(key)) % uint32(o.Operators)) // so that what is set and taken out stays in order
-		all = append(all, &change{id: fmt.Sprintf("c-%06d", i+1), operator: operator, region: p.Regions[operator%len(p.Regions)],
-			due: p.BeginUS + int64(math.Round(t*second)), set: map[string]string{key: value}})
+		all = append(all, &change{
+			id: fmt.Sprintf("c-%06d", i+1), operator: operator, region: p.Regions[operator%len(p.Regions)],
+			due: p.BeginUS + int64(math.Round(t*second)), set: map[string]string{key: value},
+		})
 	}
 	return all
 }
--- a/internal/scale/users/operators_test.go
+++ b/internal/scale/users/operators_test.go
@@ -104,33 +104,40 @@
 		{"plain", []step{
 			{ok(`{"revision":7}`), 1, posting, 0},
 			{ok(`{"revision":8,"changed":true}`), 2, waiting, 0},
-			{ok(`{"revision":8,"in_force":true}`), 3, inForce, 0}}},
+			{ok(`{"revision":8,"in_force":true}`), 3, inForce, 0},
+		}},
 		{"somebody was first", []step{
 			{ok(`{"revision":7}`), 1, posting, 0},
 			{answer{status: 409}, 2, reading, 0},
 			{ok(`{"revision":9}`), 3, posting, 0},
-			{ok(`{"revision":8,"changed":true}`), 4, waiting, 0}}},
+			{ok(`{"revision":8,"changed":true}`), 4, waiting, 0},
+		}},
 		{"nobody was first, the record is damaged", []step{
 			{ok(`{"revision":7}`), 1, posting, 0},
-			{answer{status: 409, body: []byte(`{"revision":7}`)}, 2, posting, second}}},
+			{answer{status: 409, body: []byte(`{"revision":7}`)}, 2, posting, second},
+		}},
 		{"refused", []step{
 			{ok(`{"revision":7}`), 1, posting, 0},
-			{answer{status: 422}, 2, refused, 0}}},
+			{answer{status: 422}, 2, refused, 0},
+		}},
 		{"nobody can say", []step{
 			{answer{}, 1, reading, second},
 			{answer{status: 503, retryAfter: 5 * second}, 2, reading, 5 * second},
 			{answer{status: 503, retryAfter: 90 * second}, 30 * second, reading, 30 * second},
-			{answer{status: 503}, 59*second + 1, givenUp, 0}}},
+			{answer{status: 503}, 59*second + 1, givenUp, 0},
+		}},
 		{"the answer got lost", []step{ // the same request again, with its id and what it expected
 			{ok(`{"revision":7}`), 1, posting, 0},
 			{answer{}, 2, posting, second},
-			{ok(`{"revision":8,"changed":true}`), second, waiting, 0}}},
+			{ok(`{"revision":8,"changed":true}`), second, waiting, 0},
+		}},
 		{"not in force for a minute", []step{
 			{ok(`{"revision":7}`), 50 * second, posting, 0},
 			{ok(`{"revision":8,"changed":true}`), 55 * second, waiting, 0},
 			{answer{status: 409}, 56 * second, waiting, second},
 			{answer{status: 503, retryAfter: second}, 114 * second, waiting, second},
-			{answer{status: 503, retryAfter: second}, 114*second + 1, givenUp, 0}}},
+			{answer{status: 503, retryAfter: second}, 114*second + 1, givenUp, 0},
+		}},
 	} {
 		v := (&change{id: "c-1", set: map[string]string{"drain/machine/m": ""}}).begin(0)
 		posted := ""
--- a/internal/scale/users/run.go
+++ b/internal/scale/users/run.go
@@ -102,8 +102,10 @@
 	if err != nil {
 		return p.Ready(err)
 	}
-	l := &load{pipe: p, plan: plan, log: log, r: rand.New(rand.NewPCG(p.Config.Seed, 0xbe7)), wake: make(chan struct{}, 1),
-		sites: make(map[string]*site), counts: make(map[string]float64)}
+	l := &load{
+		pipe: p, plan: plan, log: log, r: rand.New(rand.NewPCG(p.Config.Seed, 0xbe7)), wake: make(chan struct{}, 1),
+		sites: make(map[string]*site), counts: make(map[string]float64),
+	}
 	for _, region := range plan.Regions {
 		s := &site{l: l, region: region, source: net.ParseIP(plan.Sources[region]), balancer: newBalancer(len(p.Config.Controllers)), open: make(map[*conn]bool)}
 		for _, c := range p.Config.Controllers {
--- a/internal/scale/users/users_test.go
+++ b/internal/scale/users/users_test.go
@@ -13,7 +13,8 @@
 	size := Distribution{Sizes: []float64{1, 4}, Weights: []float64{1, 1}}
 	run := Distribution{Median: 2, P95: 6, Max: 9}
 	images := Images{Count: 5, GB: Distribution{Median: 1, P95: 2, Max: 3}, Zipf: 0.9}
-	return &Plan{BeginUS: 1000, DurationUS: 100 * second, FillUS: 10 * second, PollUS: 5 * second, Teams: []string{"a", "b"}, Regions: []string{"r0", "r1"},
+	return &Plan{
+		BeginUS: 1000, DurationUS: 100 * second, FillUS: 10 * second, PollUS: 5 * second, Teams: []string{"a", "b"}, Regions: []string{"r0", "r1"},
 		Classes: []Class{
 			{Name: "web", Kind: "service", Rank: "critical", CPUs: 1, MemoryGB: 2, Tasks: size, RunS: run, Initial: 7, Rate: 0.1, Images: images},
 			{Name: "sum", Kind: "array", Rank: "standard", CPUs: 2, MemoryGB: 2, Tasks: size, RunS: run, Initial: 3, Rate: 10, Images: images, EstimateError: 0.4, Cancelled: 0.1},
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -34,8 +34,10 @@
 
 // judgeChanges switches changes on.
 func (w *World) judgeChanges() {
-	w.changes = &changes{options: configuration.Options{Pages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
-		told: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string)}
+	w.changes = &changes{
+		options: configuration.Options{Pages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
+		told: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string),
+	}
 	w.changes.settings[0] = configuration.Of(w.configBounds(), nil)
 }
 
--- a/internal/simulation/endson.go
+++ b/internal/simulation/endson.go
@@ -19,8 +19,10 @@
 }
 
 // undone is the word that ends what another began.
-var undone = map[string]string{"hang": "wake", "deaf": "hears", "hold-calls": "deliver-calls", "hold-reports": "deliver-reports",
-	"lose-answers": "pass-answers", "cut-off": "reach", "die": ""}
+var undone = map[string]string{
+	"hang": "wake", "deaf": "hears", "hold-calls": "deliver-calls", "hold-reports": "deliver-reports",
+	"lose-answers": "pass-answers", "cut-off": "reach", "die": "",
+}
 
 // actEndsOn: ends-on TEXT [after=0] [back=0] [misses=WORD] [lasts=10]: the leader ends that
 // long after the next call of its with this text in it, to whomever; if it is to a worker,
@@ -30,8 +32,10 @@
 	if _, known := undone[o["misses"]]; o["misses"] != "" && !known {
 		return fmt.Errorf("misses=%s", o["misses"])
 	}
-	w.endsOn = endsOn{with: words[1], after: protocol.FromSeconds(number(o, "after", 0)), back: protocol.FromSeconds(number(o, "back", 0)),
-		misses: o["misses"], lasts: protocol.FromSeconds(number(o, "lasts", 10))}
+	w.endsOn = endsOn{
+		with: words[1], after: protocol.FromSeconds(number(o, "after", 0)), back: protocol.FromSeconds(number(o, "back", 0)),
+		misses: o["misses"], lasts: protocol.FromSeconds(number(o, "lasts", 10)),
+	}
 	if words[1] == "nothing" {
 		w.endsOn.with = ""
 	}
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -225,12 +225,16 @@
 	// The leader loses the state service and the other controllers, and goes on answering
 	// the workers of these machines, which reach nobody else, while the others, which have
 	// seen the next epoch, don't reach it. Copies of their reports come to the next leader.
-	reachOldLeader := limitCase{trouble: "part MACHINE node-0,part MACHINE node-1", apart: "node-2", from: 18.5, cancel: 28, leaders: "old one goes on",
-		changes: []string{"18.5 balance", "20 away node-2", "22 late-reports every=1 by=3 to=leader", "27 late-reports every=0", "66 back all"}, proven: 55, provenWithoutCloud: 63}
+	reachOldLeader := limitCase{
+		trouble: "part MACHINE node-0,part MACHINE node-1", apart: "node-2", from: 18.5, cancel: 28, leaders: "old one goes on",
+		changes: []string{"18.5 balance", "20 away node-2", "22 late-reports every=1 by=3 to=leader", "27 late-reports every=0", "66 back all"}, proven: 55, provenWithoutCloud: 63,
+	}
 	// The new leader has heard the machines, and then their zone is cut off with a
 	// controller in it, which answers them.
-	cutAfterwards := limitCase{trouble: "cut-zone b", ends: "heal-zone", from: 30, to: 62, cancel: 31, leaders: "node-0 leads",
-		changes: []string{"20 kill all", "20.5 start node-0", "23.5 start all"}, proven: 59, provenWithoutCloud: 64}
+	cutAfterwards := limitCase{
+		trouble: "cut-zone b", ends: "heal-zone", from: 30, to: 62, cancel: 31, leaders: "node-0 leads",
+		changes: []string{"20 kill all", "20.5 start node-0", "23.5 start all"}, proven: 59, provenWithoutCloud: 64,
+	}
 	// It has heard them, and then they hang: their leases end while the cloud is down.
 	hangAfterwards := limitCase{trouble: "hang", from: 26, cancel: 28, leaders: "once", changes: changes["once"], proven: 45, provenWithoutCloud: 48}
 	for _, c := range []limitCase{reachOldLeader, cutAfterwards, hangAfterwards} {
--- a/internal/simulation/live_test.go
+++ b/internal/simulation/live_test.go
@@ -36,8 +36,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { network.Close() })
-	return LiveSettings{State: freeAddr(t), Cloud: freeAddr(t), Names: []string{"node-0"}, Clients: []string{controller}, Network: network.Prefix,
-		Platform: NewWorld(0).Platform, Types: []*protocol.MachineType{{Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 8000}, Cache: 9000, FetchRate: 1, Zones: []string{"a"}}}}
+	return LiveSettings{
+		State: freeAddr(t), Cloud: freeAddr(t), Names: []string{"node-0"}, Clients: []string{controller}, Network: network.Prefix,
+		Platform: NewWorld(0).Platform, Types: []*protocol.MachineType{{Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 8000}, Cache: 9000, FetchRate: 1, Zones: []string{"a"}}},
+	}
 }
 
 func ask(t *testing.T, method, url, body string) (int, string) {
@@ -134,8 +136,10 @@
 func TestImagesSayWhatTheyDo(t *testing.T) {
 	w := NewWorld(0)
 	w.live = &Live{}
-	for image, want := range map[string]behaviour{"picker-7": {}, "picker-fails": {what: "fails"}, "picker-7-crashes-30": {"crashes", 30 * protocol.Second},
-		"hangs": {what: "hangs"}, "30": {}, "flaps-x": {}} {
+	for image, want := range map[string]behaviour{
+		"picker-7": {}, "picker-fails": {what: "fails"}, "picker-7-crashes-30": {"crashes", 30 * protocol.Second},
+		"hangs": {what: "hangs"}, "30": {}, "flaps-x": {},
+	} {
 		if got := w.behaviourOf(image); got != want {
 			t.Errorf("%s: %+v", image, got)
 		}
--- a/internal/simulation/lostanswers.go
+++ b/internal/simulation/lostanswers.go
@@ -64,8 +64,10 @@
 		k, v, _ := strings.Cut(word, "=")
 		o[k] = v
 	}
-	l := &answerLoss{with: o["with"], method: o["method"], path: o["path"], every: int(number(o, "every", 1)), most: int(number(o, "most", 1)),
-		by: protocol.FromSeconds(number(o, "by", 0)), then: o["then"], back: protocol.FromSeconds(number(o, "back", 0))}
+	l := &answerLoss{
+		with: o["with"], method: o["method"], path: o["path"], every: int(number(o, "every", 1)), most: int(number(o, "most", 1)),
+		by: protocol.FromSeconds(number(o, "by", 0)), then: o["then"], back: protocol.FromSeconds(number(o, "back", 0)),
+	}
 	if l.with == "" && l.path == "" && l.method == "" {
 		return fmt.Errorf("lose-answers-of with=TEXT or path=END")
 	}
--- a/internal/simulation/lostanswers_test.go
+++ b/internal/simulation/lostanswers_test.go
@@ -230,7 +230,8 @@
 at 4.02 submit-at node-1 req-000001 array tasks=2 gpus=1 run=600
 at 4.5 submit-at node-1 req-000001 array tasks=2 gpus=1 run=600
 at 4.6 cancel req-000001
-`} {
+`,
+	} {
 		t.Run(name, func(t *testing.T) {
 			ended := 0
 			for by := 0.3; by < 1.45; by += 0.05 {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -18,8 +18,10 @@
 // NewStateService makes one with a platform's limits. now is the clock; alarm is told of
 // requests beyond what the service takes at all.
 func NewStateService(p *protocol.Platform, now func() protocol.Micros, alarm func(format string, args ...any)) *StateService {
-	s := &store{now: now, platform: p, metered: func() bool { return true }, strict: true, alarm: alarm,
-		keys: make(map[string]*entry), leases: make(map[uint64]*lease)}
+	s := &store{
+		now: now, platform: p, metered: func() bool { return true }, strict: true, alarm: alarm,
+		keys: make(map[string]*entry), leases: make(map[uint64]*lease),
+	}
 	s.requests = allowance{p.StateRate, now()}
 	s.writes = allowance{p.StateWriteRate, now()}
 	return &StateService{s}
@@ -41,6 +43,8 @@
 
 // Size says how much there is.
 func (s *StateService) Size() StateSize {
-	return StateSize{Keys: len(s.s.keys), Bytes: s.s.bytes, Leases: len(s.s.leases), Watches: len(s.s.watches), Written: s.s.written, Refused: s.s.refused,
-		Revision: s.s.revision}
+	return StateSize{
+		Keys: len(s.s.keys), Bytes: s.s.bytes, Leases: len(s.s.leases), Watches: len(s.s.watches), Written: s.s.written, Refused: s.s.refused,
+		Revision: s.s.revision,
+	}
 }
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -37,8 +37,10 @@
 	return behaviour{}
 }
 
-var rolloutOps = map[string]protocol.UserOp{"rollout-show": protocol.OpRolloutShow, "rollout-pause": protocol.OpRolloutPause,
-	"rollout-resume": protocol.OpRolloutResume, "rollout-revert": protocol.OpRolloutRevert}
+var rolloutOps = map[string]protocol.UserOp{
+	"rollout-show": protocol.OpRolloutShow, "rollout-pause": protocol.OpRolloutPause,
+	"rollout-resume": protocol.OpRolloutResume, "rollout-revert": protocol.OpRolloutRevert,
+}
 
 // InstanceAt is the template of the address at which a stand-in's instance answers:
 // one of its own for each, made of what the instance knows itself.
@@ -120,12 +122,16 @@
 	if what == "rollout" {
 		o := options(words[3:])
 		service = words[2]
-		s := &protocol.RolloutSpec{ID: words[1], Service: service, Count: int(number(o, "count", 4)), Floor: int(number(o, "floor", 3)), Surge: int(number(o, "surge", 1)),
+		s := &protocol.RolloutSpec{
+			ID: words[1], Service: service, Count: int(number(o, "count", 4)), Floor: int(number(o, "floor", 3)), Surge: int(number(o, "surge", 1)),
 			Faulty: int(number(o, "faulty", 0)), Soak: protocol.FromSeconds(number(o, "soak", 5)), StartWithin: protocol.FromSeconds(number(o, "start", 60)),
 			HealthyWithin: protocol.FromSeconds(number(o, "healthy", 20)),
-			Job: &protocol.JobSpec{Class: "live", Team: "red", Kind: protocol.Service, Rank: protocol.High, Image: o["image"], ImageSize: thousandths(number(o, "size", 2)),
-				Need: protocol.Resources{CPU: 1000, GPU: thousandths(number(o, "gpus", 1)), Mem: 1000}},
-			Check: protocol.HealthCheck{At: InstanceAt, Path: "/healthz", Every: 2 * protocol.Second, Timeout: protocol.Second / 2, Passes: 2, Fail: 2}}
+			Job: &protocol.JobSpec{
+				Class: "live", Team: "red", Kind: protocol.Service, Rank: protocol.High, Image: o["image"], ImageSize: thousandths(number(o, "size", 2)),
+				Need: protocol.Resources{CPU: 1000, GPU: thousandths(number(o, "gpus", 1)), Mem: 1000},
+			},
+			Check: protocol.HealthCheck{At: InstanceAt, Path: "/healthz", Every: 2 * protocol.Second, Timeout: protocol.Second / 2, Passes: 2, Fail: 2},
+		}
 		for _, n := range strings.Split(o["stages"], ",") {
 			if k, err := strconv.Atoi(n); err == nil {
 				s.Stages = append(s.Stages, k)
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -203,8 +203,10 @@
 	var refs []string
 	var launches []state.Launch
 	for i := range 60 {
-		spec := &protocol.JobSpec{Ref: fmt.Sprintf("req-%06d", i+1), Class: "work", Team: "red", Kind: protocol.Array, Tasks: 100,
-			Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second}
+		spec := &protocol.JobSpec{
+			Ref: fmt.Sprintf("req-%06d", i+1), Class: "work", Team: "red", Kind: protocol.Array, Tasks: 100,
+			Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second,
+		}
 		j := state.NewJob(spec)
 		j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
 		add("j/"+spec.Ref, state.EncodeJob(j))
@@ -212,8 +214,10 @@
 			j.Complete(k, true)
 		}
 		for k := range 2 {
-			launches = append(launches, state.Launch{Host: hosts[(2*i+k)%60].Name,
-				Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: spec.Ref, Index: 98 + k}, Number: 7<<24 + uint64(2*i+k)}})
+			launches = append(launches, state.Launch{
+				Host: hosts[(2*i+k)%60].Name,
+				Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: spec.Ref, Index: 98 + k}, Number: 7<<24 + uint64(2*i+k)},
+			})
 		}
 		jobs, refs = append(jobs, j), append(refs, spec.Ref)
 	}
@@ -250,8 +254,10 @@
 // Two records name the same array while one is divided: the one that comes last in order is
 // not the one that was written last. What either says is done stays done.
 func TestCompletionsInTwoRecords(t *testing.T) {
-	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Kind: protocol.Array, Tasks: 8,
-		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second}
+	spec := &protocol.JobSpec{
+		Ref: "req-000001", Class: "work", Team: "red", Kind: protocol.Array, Tasks: 8,
+		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second,
+	}
 	j := state.NewJob(spec)
 	j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
 	text := fmt.Sprintf("nodes 1\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nfleet 2 large a\nrecord epoch %s\nrecord j/req-000001 %s\n",
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -86,8 +86,10 @@
 }
 
 func newStore(w *World) *store {
-	return &store{now: func() micros { return w.now }, platform: &w.Platform, metered: func() bool { return w.limited }, alarm: w.broken, applied: w.committed,
-		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: allowance{room: math.Inf(1)}} // as after a while without any
+	return &store{
+		now: func() micros { return w.now }, platform: &w.Platform, metered: func() bool { return w.limited }, alarm: w.broken, applied: w.committed,
+		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: allowance{room: math.Inf(1)},
+	} // as after a while without any
 }
 
 // set puts a key.
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -118,14 +118,18 @@
 		}
 	case "team":
 		o := options(words[2:])
-		w.Platform.Teams[words[1]] = protocol.Team{Name: words[1],
-			Guarantee: protocol.Resources{GPU: thousandths(number(o, "gpus", 0))}, Limit: protocol.Resources{GPU: thousandths(number(o, "max", 0))}}
+		w.Platform.Teams[words[1]] = protocol.Team{
+			Name:      words[1],
+			Guarantee: protocol.Resources{GPU: thousandths(number(o, "gpus", 0))}, Limit: protocol.Resources{GPU: thousandths(number(o, "max", 0))},
+		}
 	case "type":
 		o := options(words[2:])
-		w.Types = append(w.Types, &protocol.MachineType{Name: words[1],
+		w.Types = append(w.Types, &protocol.MachineType{
+			Name:  words[1],
 			Offer: protocol.Resources{CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Mem: thousandths(number(o, "mem", 64))},
 			Cache: thousandths(number(o, "cache", 100)), FetchRate: number(o, "fetch", 1) / 1000, Price: number(o, "price", 1), SpotPrice: number(o, "price", 1) / 2,
-			Boot: protocol.FromSeconds(number(o, "boot", 10)), Zones: strings.Split(o["zones"], ",")})
+			Boot: protocol.FromSeconds(number(o, "boot", 10)), Zones: strings.Split(o["zones"], ","),
+		})
 	case "machine":
 		m := w.addMachine(words[1], words[2], words[3], len(words) > 4 && words[4] == "spot")
 		if w.typeOf(m) == nil {
@@ -502,8 +506,10 @@
 	}
 }
 
-var kindWords = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
-var rankWords = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+var (
+	kindWords = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
+	rankWords = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+)
 
 func (w *World) actSubmit(words []string) error {
 	if len(words) < 3 {
@@ -523,11 +529,13 @@
 		return fmt.Errorf("unknown kind or rank")
 	}
 	run := protocol.FromSeconds(number(o, "run", 10))
-	s := &protocol.JobSpec{Ref: words[1], Class: text("class", "work"), Team: text("team", "red"), Kind: kind, Rank: rank, Tasks: int(number(o, "tasks", 1)),
+	s := &protocol.JobSpec{
+		Ref: words[1], Class: text("class", "work"), Team: text("team", "red"), Kind: kind, Rank: rank, Tasks: int(number(o, "tasks", 1)),
 		Need:  protocol.Resources{CPU: thousandths(number(o, "cpus", 1)), GPU: thousandths(number(o, "gpus", 1)), Mem: thousandths(number(o, "mem", 1))},
 		Image: text("image", "img-1"), ImageSize: thousandths(number(o, "size", 2)), Zone: o["zone"], OneZone: has("one-zone"), Spread: has("spread"), Spot: has("spot"),
 		Estimate: protocol.FromSeconds(number(o, "estimate", run.Seconds())), CheckpointEvery: protocol.FromSeconds(number(o, "checkpoint", 0)),
-		Deadline: protocol.FromSeconds(number(o, "deadline", 0))}
+		Deadline: protocol.FromSeconds(number(o, "deadline", 0)),
+	}
 	if has("awaits") {
 		s.Awaits = strings.Split(o["awaits"], ",")
 	}
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -43,8 +43,10 @@
 // every=0 ends it.
 func (w *World) actLate(words []string) error {
 	o := options(words[1:])
-	l := lateness{every: int(number(o, "every", 1)), by: protocol.FromSeconds(number(o, "by", 6)), with: o["with"], most: int(number(o, "most", 1e9)),
-		anywhere: o["to"] == "leader", atOnce: o["at"] == "once", forNext: o["to"] == "next", on: o["on"]}
+	l := lateness{
+		every: int(number(o, "every", 1)), by: protocol.FromSeconds(number(o, "by", 6)), with: o["with"], most: int(number(o, "most", 1e9)),
+		anywhere: o["to"] == "leader", atOnce: o["at"] == "once", forNext: o["to"] == "next", on: o["on"],
+	}
 	switch words[0] {
 	case "late-writes":
 		w.lateWrites = l
@@ -221,8 +223,10 @@
 }
 
 // requiredFields are those without which a submission is malformed.
-var requiredFields = []string{"ref", "jobclass", "owner", "shape", "rank", "shards", "cores", "gpus", "memoryGb", "bundle", "sizeGb",
-	"samePlace", "apart", "reclaimable", "expectS", "snapshotEveryS", "snapshotS"}
+var requiredFields = []string{
+	"ref", "jobclass", "owner", "shape", "rank", "shards", "cores", "gpus", "memoryGb", "bundle", "sizeGb",
+	"samePlace", "apart", "reclaimable", "expectS", "snapshotEveryS", "snapshotS",
+}
 
 // sendRefusable submits a job that lacks a field, is none, or can never run.
 func (w *World) sendRefusable(n *node) {
@@ -250,8 +254,10 @@
 		teams = append(teams, name)
 	}
 	sort.Strings(teams)
-	spec := &protocol.JobSpec{Ref: fmt.Sprintf("req-%06d", 800000+i), Class: "work", Team: teams[i%len(teams)], Rank: protocol.Standard, Tasks: 1,
-		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 1000, Estimate: protocol.Second}
+	spec := &protocol.JobSpec{
+		Ref: fmt.Sprintf("req-%06d", 800000+i), Class: "work", Team: teams[i%len(teams)], Rank: protocol.Standard, Tasks: 1,
+		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 1000, Estimate: protocol.Second,
+	}
 	made := func(why string) refusable { return refusable{spec.Ref, string(protocol.AppendJob(nil, spec)), why} }
 	switch i % 6 {
 	case 0:
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -168,15 +168,19 @@
 
 // NewWorld makes a deployment of n controllers.
 func NewWorld(n int) *World {
-	w := &World{Operator: protocol.DefaultOperator(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
+	w := &World{
+		Operator: protocol.DefaultOperator(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
-		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.Loading}
+		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.Loading,
+	}
 	w.Logger = slog.New(alarm{slog.NewTextHandler(io.Discard, nil), w})
-	w.Platform = protocol.Platform{Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
+	w.Platform = protocol.Platform{
+		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
 		ReportEvery: 3 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWait: 40 * protocol.Second, GangPeer: 6 * protocol.Second,
 		Cancel: 50 * protocol.Second, StateRate: 200, StateWriteRate: 50, ValueBytes: 8192, TxnOps: 12, CloudRate: 5,
-		ListLag: 3 * protocol.Second, CPUShare: 1, MemoryBytes: 1 << 28, MaxConnections: 1000}
+		ListLag: 3 * protocol.Second, CPUShare: 1, MemoryBytes: 1 << 28, MaxConnections: 1000,
+	}
 	w.Operator.IdleReturn = 60 * protocol.Second
 	w.store = newStore(w)
 	w.recorded.init()
@@ -370,8 +374,10 @@
 			w.changes.level[n.name] = e.Level
 		case controller.Call:
 			if w.limited && e.Target == controller.ToState {
-				n.meter.Add(transport.Metered{Priority: transport.Priority(e.Priority), Changes: e.Changes, Expires: w.now + e.Timeout,
-					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, controller.CallDone{ID: e.ID, Unsent: true}) }})
+				n.meter.Add(transport.Metered{
+					Priority: transport.Priority(e.Priority), Changes: e.Changes, Expires: w.now + e.Timeout,
+					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, controller.CallDone{ID: e.ID, Unsent: true}) },
+				})
 				n.meter.Run(w.now)
 				continue
 			}
@@ -635,8 +641,10 @@
 }
 
 func (w *World) addMachine(name, typ, zone string, spot bool) *machine {
-	m := &machine{name: name, typ: typ, zone: zone, spot: spot, rented: w.now, phase: "running", session: 1, leaseFrom: w.now,
-		images: map[string]micros{}, tasks: map[string]*runningTask{}, node: len(w.machines)}
+	m := &machine{
+		name: name, typ: typ, zone: zone, spot: spot, rented: w.now, phase: "running", session: 1, leaseFrom: w.now,
+		images: map[string]micros{}, tasks: map[string]*runningTask{}, node: len(w.machines),
+	}
 	w.machines[name], w.byName = m, nil
 	return m
 }
--- a/internal/state/awaits_test.go
+++ b/internal/state/awaits_test.go
@@ -29,9 +29,11 @@
 // A record of a job that awaits as many as it may, by the names that the platform gives,
 // fits into a value of 2 KiB.
 func TestAwaitingJobRecordIsBounded(t *testing.T) {
-	s := &protocol.JobSpec{Ref: "req-000001", Class: "picker-training", Team: "duty-analysts", Kind: protocol.Gang, Tasks: 100, Image: "picker-training-000017",
+	s := &protocol.JobSpec{
+		Ref: "req-000001", Class: "picker-training", Team: "duty-analysts", Kind: protocol.Gang, Tasks: 100, Image: "picker-training-000017",
 		Types: []string{"tisza-small", "duna-large"}, Zone: "szeged-annex", Deadline: 900 * protocol.Second, Estimate: 80 * protocol.Second,
-		Need: protocol.Resources{CPU: 28500, GPU: 4000, Mem: 100500}, ImageSize: 7250, CheckpointEvery: 30 * protocol.Second, Saves: 4 * protocol.Second}
+		Need: protocol.Resources{CPU: 28500, GPU: 4000, Mem: 100500}, ImageSize: 7250, CheckpointEvery: 30 * protocol.Second, Saves: 4 * protocol.Second,
+	}
 	for i := range protocol.MaxAwaits {
 		s.Awaits = append(s.Awaits, fmt.Sprintf("req-%06d", i+2))
 	}
--- a/internal/state/book_test.go
+++ b/internal/state/book_test.go
@@ -10,8 +10,10 @@
 )
 
 func job(tasks int) *Job {
-	return NewJob(&protocol.JobSpec{Ref: "req-000001", Class: "c", Team: "red", Tasks: tasks, Need: protocol.Resources{CPU: 1000, GPU: 1000},
-		Image: "img", Deadline: 5 * protocol.Second})
+	return NewJob(&protocol.JobSpec{
+		Ref: "req-000001", Class: "c", Team: "red", Tasks: tasks, Need: protocol.Resources{CPU: 1000, GPU: 1000},
+		Image: "img", Deadline: 5 * protocol.Second,
+	})
 }
 
 func TestJobRecord(t *testing.T) {
@@ -104,8 +106,10 @@
 	if d := cmp.Diff(list, got); d != "" || err != nil {
 		t.Error(d, err)
 	}
-	for _, bad := range []string{`{"form":2,"on":{"req-000001":[0,"n-1"]}}`, `{"form":2,"on":{"req-000001":[-1,"n-1",2]}}`, `{"form":2,"on":{"req-000001":7}}`,
-		`{"form":2,"on":{"req-000001":[0,"",2]}}`, `{"form":1,"on":{}}`, `{"form":2}`} {
+	for _, bad := range []string{
+		`{"form":2,"on":{"req-000001":[0,"n-1"]}}`, `{"form":2,"on":{"req-000001":[-1,"n-1",2]}}`, `{"form":2,"on":{"req-000001":7}}`,
+		`{"form":2,"on":{"req-000001":[0,"",2]}}`, `{"form":1,"on":{}}`, `{"form":2}`,
+	} {
 		if got, err := DecodeLaunches([]byte(bad)); err == nil {
 			t.Errorf("%s: read as %v", bad, got)
 		}
--- a/internal/state/host.go
+++ b/internal/state/host.go
@@ -93,8 +93,10 @@
 
 // NewHost makes a host.
 func NewHost(now micros, name, typeName, zone string, spot bool) *Host {
-	return &Host{Name: name, TypeName: typeName, Zone: zone, Spot: spot, Since: now, IdleSince: now, Slowness: 1,
-		Changed: true, Images: make(map[string]*Image)}
+	return &Host{
+		Name: name, TypeName: typeName, Zone: zone, Spot: spot, Since: now, IdleSince: now, Slowness: 1,
+		Changed: true, Images: make(map[string]*Image),
+	}
 }
 
 // To is the one place where a host changes its state.
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -225,8 +225,10 @@
 
 // NewBook makes an empty book.
 func NewBook() *Book {
-	return &Book{jobs: make(map[string]*Job), hosts: make(map[string]*Host), Used: make(map[string]protocol.Resources),
-		unknown: make(map[string][]*Attempt)}
+	return &Book{
+		jobs: make(map[string]*Job), hosts: make(map[string]*Host), Used: make(map[string]protocol.Resources),
+		unknown: make(map[string][]*Attempt),
+	}
 }
 
 // Job finds a job, or nil.
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -138,8 +138,10 @@
 	}
 	e := Epoch{N: n, Unlisted: v.GetBool("unlisted"), Level: featuregate.Level(level)}
 	for _, row := range v.GetArray("yields") {
-		y := protocol.Yield{Node: string(row.GetStringBytes("node")), To: string(row.GetStringBytes("to")), Epoch: row.GetUint64("epoch"),
-			At: micros(row.GetInt64("at")), Heard: make(map[string]int)}
+		y := protocol.Yield{
+			Node: string(row.GetStringBytes("node")), To: string(row.GetStringBytes("to")), Epoch: row.GetUint64("epoch"),
+			At: micros(row.GetInt64("at")), Heard: make(map[string]int),
+		}
 		if heard := row.GetObject("heard"); heard != nil {
 			heard.Visit(func(zone []byte, n *fastjson.Value) { y.Heard[string(zone)] = n.GetInt() })
 		}
@@ -582,8 +584,10 @@
 	if err != nil {
 		return Leadership{}, err
 	}
-	l := Leadership{Node: string(v.GetStringBytes("node")), Epoch: v.GetUint64("epoch"), Lease: v.GetUint64("lease"),
-		AnswerOn: micros(v.GetInt64("answer_on"))}
+	l := Leadership{
+		Node: string(v.GetStringBytes("node")), Epoch: v.GetUint64("epoch"), Lease: v.GetUint64("lease"),
+		AnswerOn: micros(v.GetInt64("answer_on")),
+	}
 	if l.Node == "" || l.Epoch == 0 {
 		return l, errors.New("malformed record of the leader")
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -31,17 +31,27 @@
 func newMetrics(classes int) *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
-		steps: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mapleslip_step_seconds",
-			Help: "Time in which an event was handled, by kind; ticks have the planning rounds.", Buckets: seconds}, []string{"event"}),
-		calls: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mapleslip_call_seconds",
-			Help: "Time until an outbound call was answered or given up, by service and kind.", Buckets: seconds}, []string{"service", "call"}),
-		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "mapleslip_calls_total",
-			Help: "Outbound calls that ended, by service, kind and outcome (status, none, refused, unsent)."}, []string{"service", "call", "outcome"}),
-		waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "mapleslip_calls_waiting",
-			Help: "Calls that wait for their turn in this node's part of a service's rate."}, []string{"service"}),
+		steps: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "mapleslip_step_seconds",
+			Help: "Time in which an event was handled, by kind; ticks have the planning rounds.", Buckets: seconds,
+		}, []string{"event"}),
+		calls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "mapleslip_call_seconds",
+			Help: "Time until an outbound call was answered or given up, by service and kind.", Buckets: seconds,
+		}, []string{"service", "call"}),
+		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "mapleslip_calls_total",
+			Help: "Outbound calls that ended, by service, kind and outcome (status, none, refused, unsent).",
+		}, []string{"service", "call", "outcome"}),
+		waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+			Name: "mapleslip_calls_waiting",
+			Help: "Calls that wait for their turn in this node's part of a service's rate.",
+		}, []string{"service"}),
 		events: prometheus.NewGauge(prometheus.GaugeOpts{Name: "mapleslip_events_waiting", Help: "Events that wait to be handled."}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{Name: "mapleslip_spans_dropped_total",
-			Help: "Spans that the collector did not take in time."}),
+		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "mapleslip_spans_dropped_total",
+			Help: "Spans that the collector did not take in time.",
+		}),
 	}
 	m.standing.classes = classes
 	m.registry.MustRegister(m.steps, m.calls, m.outcomes, m.waiting, m.events, m.dropped, &m.standing)
@@ -92,9 +102,11 @@
 
 // Describe is part of prometheus.Collector.
 func (s *standing) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descRole, descEpoch, descTaken, descRounds, descPasses, descRows, descCuts, descRefused, descMal,
+	for _, d := range []*prometheus.Desc{
+		descRole, descEpoch, descTaken, descRounds, descPasses, descRows, descCuts, descRefused, descMal,
 		descTakeOver, descLost, descChecks, descDisputed, descRollouts, descDue, descLongest, descHosts, descUnproven, descAwaiting, descWaiting, descRunning,
-		descConfig, descHolds, descDamaged, descInForce, descLag, descMade, descOutdated, descLevel, descServes, descLevelFor} {
+		descConfig, descHolds, descDamaged, descInForce, descLag, descMade, descOutdated, descLevel, descServes, descLevelFor,
+	} {
 		ch <- d
 	}
 }
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -39,8 +39,10 @@
 )
 
 func newQueue(exporter sdktrace.SpanExporter, room int, dropped func(float64), log *slog.Logger) *queue {
-	q := &queue{exporter: exporter, dropped: dropped, log: log, in: make(chan sdktrace.ReadOnlySpan, room),
-		stop: make(chan struct{}), over: make(chan struct{})}
+	q := &queue{
+		exporter: exporter, dropped: dropped, log: log, in: make(chan sdktrace.ReadOnlySpan, room),
+		stop: make(chan struct{}), over: make(chan struct{}),
+	}
 	go q.run()
 	return q
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -54,8 +54,10 @@
 		r.listener = l
 		mux := http.NewServeMux()
 		mux.Handle("GET /metrics", promhttp.HandlerFor(r.metrics.registry, promhttp.HandlerOpts{MaxRequestsInFlight: mostScrapes, Timeout: scrapeTimeout}))
-		r.server = &http.Server{Handler: mux, ReadHeaderTimeout: scrapeTimeout, WriteTimeout: 2 * scrapeTimeout, IdleTimeout: time.Minute,
-			ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+		r.server = &http.Server{
+			Handler: mux, ReadHeaderTimeout: scrapeTimeout, WriteTimeout: 2 * scrapeTimeout, IdleTimeout: time.Minute,
+			ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		}
 		go func() {
 			if err := r.server.Serve(l); err != nil && err != http.ErrServerClosed {
 				log.Error("metrics are no longer served", "err", err)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -94,17 +94,21 @@
 	s := Defaults()
 	s.Listen, s.Classes = "127.0.0.1:0", 3
 	r := start(t, s)
-	st := controller.Stats{Role: controller.Leading, Epoch: 7, Rounds: 5, Rows: [4]uint64{100, 5, 20, 3}, Cuts: [4]uint64{2, 0, 0, 1},
+	st := controller.Stats{
+		Role: controller.Leading, Epoch: 7, Rounds: 5, Rows: [4]uint64{100, 5, 20, 3}, Cuts: [4]uint64{2, 0, 0, 1},
 		Refused: map[string]uint64{"no leader can be reached": 4},
 		Levels:  &controller.LevelStats{Active: 1, Highest: 2, Waits: map[string]string{"n1": "no entry in the roster"}},
-		Hosts:   map[string]int{"ready": 9, "booting": 2}, Waiting: map[string]int{}, Running: map[string]int{"a": 1}}
+		Hosts:   map[string]int{"ready": 9, "booting": 2}, Waiting: map[string]int{}, Running: map[string]int{"a": 1},
+	}
 	teams := make(map[string]slo.Count)
 	for i := range 50 {
 		st.Waiting[fmt.Sprintf("class-%02d", i)] = i + 1
 		teams[fmt.Sprintf("team-%02d", i)] = slo.Count{Served: i + 1, Missed: 1}
 	}
-	st.Due = map[slo.Kind]map[string]slo.Count{slo.Class: {"a": {Served: 2, Missed: 3}}, slo.Team: teams,
-		slo.Largest: {"a": {Served: 1, Missed: 4}}}
+	st.Due = map[slo.Kind]map[string]slo.Count{
+		slo.Class: {"a": {Served: 2, Missed: 3}}, slo.Team: teams,
+		slo.Largest: {"a": {Served: 1, Missed: 4}},
+	}
 	st.Longest = make(map[string]protocol.Micros)
 	for i := range 5 {
 		st.Longest[fmt.Sprintf("class-%02d", i)] = protocol.Micros(i+1) * 60 * protocol.Second
@@ -182,9 +186,11 @@
 	clock := time.Unix(1000, 0)
 	r.Span(controller.Span{Name: "pass", From: 0, To: 1}, clock)
 	r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, clock)
-	r.Span(controller.Span{Name: "take-over", From: protocol.Second, To: 4 * protocol.Second,
+	r.Span(controller.Span{
+		Name: "take-over", From: protocol.Second, To: 4 * protocol.Second,
 		Stages: []controller.SpanStage{{Name: "claim", From: protocol.Second, To: 2 * protocol.Second}, {Name: "account for hosts", From: 2 * protocol.Second, To: 4 * protocol.Second}},
-		Counts: []controller.SpanCount{{Name: "hosts", Value: 1300}}}, clock)
+		Counts: []controller.SpanCount{{Name: "hosts", Value: 1300}},
+	}, clock)
 	spans := (<-took).ResourceSpans[0].ScopeSpans[0].Spans
 	if len(spans) != 3 {
 		t.Fatalf("%d spans", len(spans))
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -254,11 +254,13 @@
 	}
 }
 
-var statusText = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
+var statusText = map[int]string{
+	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
 	409: "Conflict", 421: "Misdirected Request", 422: "Unprocessable Content", 429: "Too Many Requests",
 	431: "Request Header Fields Too Large", 501: "Not Implemented", 503: "Service Unavailable",
-	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
+	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
+}
 
 // AppendResponse writes a response; retryAfter, if above 0, is in seconds as
 // the header wants it.
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -25,9 +25,11 @@
 
 func testServer(room bool) (*Server, *[]Inbound) {
 	var got []Inbound
-	s := &Server{MaxOpen: 2, Idle: time.Minute, Quiet: time.Minute, conns: make(map[ConnID]*serverConn),
+	s := &Server{
+		MaxOpen: 2, Idle: time.Minute, Quiet: time.Minute, conns: make(map[ConnID]*serverConn),
 		Split:   func(b []byte) ([]byte, int, error) { return b, len(b), nil },
-		Deliver: func(m Inbound) bool { got = append(got, m); return room }}
+		Deliver: func(m Inbound) bool { got = append(got, m); return room },
+	}
 	return s, &got
 }
 
