--- a/cmd/mapleslip/dev.go
+++ b/cmd/mapleslip/dev.go
@@ -111,8 +111,8 @@
 func devPlatform() protocol.Platform {
 	p := protocol.Platform{
 		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
-		ReportEvery: protocol.Second, WorkerLease: 10 * protocol.Second, GangWait: 20 * protocol.Second, GangPeer: 5 * protocol.Second, Cancel: 20 * protocol.Second,
-		StateRate: 500, StateWriteRate: 200, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, ListLag: protocol.Second,
+		HeartbeatInterval: protocol.Second, WorkerLease: 10 * protocol.Second, GangWaitTimeout: 20 * protocol.Second, GangPeerTimeout: 5 * protocol.Second, CancelTimeout: 20 * protocol.Second,
+		StateRequestRate: 500, StateWriteRate: 200, MaxValueBytes: 8192, MaxTxnChanges: 12, CloudRate: 20, MachineListLag: protocol.Second,
 		CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 1000,
 	}
 	for _, name := range []string{"red", "blue"} {
@@ -124,8 +124,8 @@
 func devTypes() []*protocol.MachineType {
 	zones := []string{"a", "b", "c"}
 	return []*protocol.MachineType{
-		{Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 32000}, Cache: 50000, FetchRate: 0.002, Price: 0.4, SpotPrice: 0.15, Boot: 2 * protocol.Second, Zones: zones},
-		{Name: "big", Offer: protocol.Resources{CPU: 32000, GPU: 8000, Mem: 256000}, Cache: 100000, FetchRate: 0.002, Price: 8, SpotPrice: 3, Boot: 3 * protocol.Second, Zones: zones},
+		{Name: "small", Capacity: protocol.Resources{CPU: 8000, Memory: 32000}, CacheSize: 50000, FetchRate: 0.002, Price: 0.4, SpotPrice: 0.15, BootTime: 2 * protocol.Second, Zones: zones},
+		{Name: "big", Capacity: protocol.Resources{CPU: 32000, GPU: 8000, Memory: 256000}, CacheSize: 100000, FetchRate: 0.002, Price: 8, SpotPrice: 3, BootTime: 3 * protocol.Second, Zones: zones},
 	}
 }
 
@@ -172,10 +172,10 @@
 	files := map[string]string{d.configuration: "history_pages = 16\n", d.rollout: "checks_per_s = 200.0\n", operator: "idle_return_s = 120.0\n"}
 	for n, name := range d.names {
 		q := p
-		q.Node, q.Zone, q.ClientListen, q.ClusterListen, q.StateAddr, q.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], addr(0), addr(1)
+		q.ControllerName, q.Zone, q.ClientListen, q.ClusterListen, q.StateAddr, q.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], addr(0), addr(1)
 		for k := range d.names {
 			if k != n {
-				q.Siblings = append(q.Siblings, protocol.Sibling{Name: d.names[k], Zone: p.Zones[k], Address: cluster[k]})
+				q.Peers = append(q.Peers, protocol.Peer{Name: d.names[k], Zone: p.Zones[k], Address: cluster[k]})
 			}
 		}
 		text, err := protocol.SettingsFile(&q)
--- a/cmd/mapleslip/main.go
+++ b/cmd/mapleslip/main.go
@@ -51,9 +51,9 @@
 			if err != nil {
 				return err
 			}
-			own := protocol.DefaultOperator()
+			own := protocol.DefaultOperatorSettings()
 			if operator != "" {
-				if own, err = protocol.LoadOperator(operator); err != nil {
+				if own, err = protocol.LoadOperatorSettings(operator); err != nil {
 					return err
 				}
 			}
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -54,7 +54,7 @@
 	configuration *configuration.Options
 }
 
-func serve(p *protocol.Platform, o protocol.Operator, f features, log *slog.Logger, level *slog.LevelVar) error {
+func serve(p *protocol.Platform, o protocol.OperatorSettings, f features, log *slog.Logger, level *slog.LevelVar) error {
 	t, r := f.telemetry, f.rollouts
 	for _, l := range []struct{ key, address string }{{"client_listen", p.ClientListen}, {"cluster_listen", p.ClusterListen}} {
 		if err := transport.CanListen(l.address, bindWait); err != nil {
@@ -71,12 +71,12 @@
 		log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
 		level: level, startLevel: level.Level(),
 		meters: map[controller.Target]*transport.Meter{
-			controller.ToState: transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps),
+			controller.ToState: transport.NewMeter(p.StateRequestRate, p.StateWriteRate, 1, p.MaxTxnChanges),
 			controller.ToCloud: transport.NewMeter(p.CloudRate, 0, 2, 0),
 		},
 		addrs: map[controller.Target]string{controller.ToState: p.StateAddr, controller.ToCloud: p.CloudAddr},
 	}
-	plan := planSockets(p.MaxConnections, len(p.Siblings), r != nil)
+	plan := planSockets(p.MaxConnections, len(p.Peers), r != nil)
 	d.dialers = map[controller.Target]*transport.Dialer{
 		controller.ToState:  {MaxOpen: plan.state, MaxPer: plan.state, KeepIdle: 20 * time.Second},
 		controller.ToCloud:  {MaxOpen: plan.cloud, MaxPer: plan.cloud, KeepIdle: 20 * time.Second},
@@ -101,10 +101,10 @@
 		Split: protocol.SplitPeer, Deliver: d.deliver,
 		MaxOpen: plan.inbound, Idle: 5 * time.Minute,
 		// Whoever reports or polls is heard again before that.
-		Quiet: max(20*time.Second, 3*time.Duration(p.ReportEvery)*time.Microsecond),
+		Quiet: max(20*time.Second, 3*time.Duration(p.HeartbeatInterval)*time.Microsecond),
 	}
 	if t != nil {
-		shown, err := telemetry.Start(*t, p.Node, version, log)
+		shown, err := telemetry.Start(*t, p.ControllerName, version, log)
 		if err != nil {
 			return fmt.Errorf("telemetry: %w", err)
 		}
@@ -116,16 +116,16 @@
 	}
 	d.share(false)
 	go d.server.Run(p.ClientListen, p.ClusterListen)
-	log.Info("started", "node", p.Node, "zone", p.Zone, "version", version)
+	log.Info("started", "node", p.ControllerName, "zone", p.Zone, "version", version)
 	d.loop()
 	return nil
 }
 
 // share keeps to this node's part of the rates that all controllers share.
 func (d *driver) share(leads bool) {
-	nodes := len(d.platform.Siblings) + 1
+	nodes := len(d.platform.Peers) + 1
 	writes := controller.WriteShare(nodes, leads)
-	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.LargestChange(d.platform.TxnOps, leads))
+	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.LargestChange(d.platform.MaxTxnChanges, leads))
 	d.meters[controller.ToCloud].SetShare(writes, 0, 0)
 }
 
@@ -331,7 +331,7 @@
 			return r.Body
 		}
 		if r.To.Peer {
-			return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerAnswer, Status: uint16(r.Status), RetryAfter: r.RetryAfter, Body: r.Body})
+			return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerResponse, Status: uint16(r.Status), RetryAfter: r.RetryAfter, Body: r.Body})
 		}
 		return transport.AppendResponse(nil, r.Status, r.Body, protocol.WholeSeconds(r.RetryAfter), closing)
 	})
--- a/cmd/mapleslip/user_test.go
+++ b/cmd/mapleslip/user_test.go
@@ -13,8 +13,8 @@
 		answer []byte
 		want   string
 	}{
-		{protocol.JobAnswer("req-000001", protocol.Running, 3, 2), "req-000001 running, 3 done, 2 running\n"},
-		{protocol.AwaitingAnswer("req-000009", []string{"req-000001", "req-000002"}), "req-000009 queued, 0 done, 0 running, waits for req-000001, req-000002\n"},
+		{protocol.JobStatusBody("req-000001", protocol.PhaseRunning, 3, 2), "req-000001 running, 3 done, 2 running\n"},
+		{protocol.WaitingJobStatusBody("req-000009", []string{"req-000001", "req-000002"}), "req-000009 queued, 0 done, 0 running, waits for req-000001, req-000002\n"},
 	} {
 		var out strings.Builder
 		if err := new(users).printJob(&out, c.answer); err != nil || out.String() != c.want {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -13,7 +13,7 @@
 )
 
 func bounds() *Bounds {
-	return &Bounds{Zones: []string{"a", "b"}, Operator: protocol.DefaultOperator(), ValueBytes: 2048, Teams: map[string]protocol.Team{
+	return &Bounds{Zones: []string{"a", "b"}, Operator: protocol.DefaultOperatorSettings(), ValueBytes: 2048, Teams: map[string]protocol.Team{
 		"red":  {Name: "red", Guarantee: protocol.Resources{GPU: 4000}, Limit: protocol.Resources{GPU: 8000}},
 		"blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}},
 	}}
@@ -77,7 +77,7 @@
 	if red.Limit != (protocol.Resources{CPU: 3000, GPU: 5500}) || !red.StopExcess || red.Retired || !blue.Retired || blue.Guarantee.CPU != 2000 || blue.Limit.CPU != 16000 {
 		t.Errorf("%+v", s.Teams)
 	}
-	if most, ok := s.Ceilings[Kind{"big", "b"}]; !ok || most != 0 || s.Log != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleReturn != 90*protocol.Second || s.Operator.RoundGap != b.Operator.RoundGap {
+	if most, ok := s.Ceilings[Kind{"big", "b"}]; !ok || most != 0 || s.Log != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleScaleInDelay != 90*protocol.Second || s.Operator.MinCycleInterval != b.Operator.MinCycleInterval {
 		t.Errorf("%+v", s)
 	}
 	for _, c := range []struct {
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -86,7 +86,7 @@
 	Machines map[string]Drain
 	Nets     []NetDrain
 	Ceilings map[Kind]int // most machines of a type in a zone
-	Operator protocol.Operator
+	Operator protocol.OperatorSettings
 	Log      string // level, "": as each controller was started
 }
 
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -24,7 +24,7 @@
 type Bounds struct {
 	Teams      map[string]protocol.Team
 	Zones      []string
-	Operator   protocol.Operator
+	Operator   protocol.OperatorSettings
 	ValueBytes int // most that a value of the state service may take
 }
 
@@ -49,12 +49,12 @@
 // They are those of the operators' file.
 var spans = map[string]struct {
 	low, high float64
-	of        func(*protocol.Operator) *protocol.Micros
+	of        func(*protocol.OperatorSettings) *protocol.Micros
 }{
-	"round_s":           {0.1, 60, func(o *protocol.Operator) *protocol.Micros { return &o.RoundEvery }},
-	"round_gap_s":       {0.01, 10, func(o *protocol.Operator) *protocol.Micros { return &o.RoundGap }},
-	"deadline_margin_s": {0, 3600, func(o *protocol.Operator) *protocol.Micros { return &o.DeadlineMargin }},
-	"idle_return_s":     {1, 86400, func(o *protocol.Operator) *protocol.Micros { return &o.IdleReturn }},
+	"round_s":           {0.1, 60, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.MaxCycleInterval }},
+	"round_gap_s":       {0.01, 10, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.MinCycleInterval }},
+	"deadline_margin_s": {0, 3600, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.DeadlineMargin }},
+	"idle_return_s":     {1, 86400, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.IdleScaleInDelay }},
 }
 
 // fixed are settings that can't be changed while the service runs, and why.
--- a/internal/controller/awaits.go
+++ b/internal/controller/awaits.go
@@ -46,7 +46,7 @@
 		}
 		w.seen[ref] = true
 		if f, over := w.c.finals.find(ref); over {
-			w.verdict.cancelled = w.verdict.cancelled || f.phase == protocol.Cancelled
+			w.verdict.cancelled = w.verdict.cancelled || f.phase == protocol.PhaseCancelled
 			continue
 		}
 		if len(w.seen) > mostWalked {
@@ -72,13 +72,13 @@
 	case !found:
 		v.undecided = true
 	case j == nil:
-		v.cancelled = v.cancelled || f.phase == protocol.Cancelled
-	case j.State == state.JobCancelled:
+		v.cancelled = v.cancelled || f.phase == protocol.PhaseCancelled
+	case j.State == state.JobCancelledLegacy:
 		v.cancelled = true
 	case named && j.Spec.Kind == protocol.Service:
 		v.missing = ref
 	default:
-		w.ask(j.Spec.Awaits, false)
+		w.ask(j.Spec.DependsOn, false)
 	}
 }
 
@@ -91,14 +91,14 @@
 
 // answerLive answers for a job that is not over by its own records.
 func (c *Controller) answerLive(to Address, j *state.Job) {
-	if mine := c.knows(j); mine && !j.Unsure || len(j.Spec.Awaits) == 0 || j.State == state.JobCancelled {
+	if mine := c.knows(j); mine && !j.DependencyUncertain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
 		c.reply(to, 200, c.liveAnswer(j), 0)
 		return
 	}
-	c.judge(prioUrgent, j.Spec.Awaits, func(v verdict) {
+	c.judge(prioUrgent, j.Spec.DependsOn, func(v verdict) {
 		switch {
 		case v.cancelled:
-			c.reply(to, 200, protocol.JobAnswer(j.Spec.Ref, protocol.Cancelled, 0, 0), 0)
+			c.reply(to, 200, protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0), 0)
 		case v.undecided:
 			c.unavailable(to, refusedState)
 		default:
@@ -117,16 +117,16 @@
 	switch {
 	case c.knows(j):
 		return c.jobAnswer(j)
-	case j.State == state.JobCancelled:
-		return protocol.JobAnswer(j.Spec.Ref, protocol.Cancelled, 0, 0)
+	case j.State == state.JobCancelledLegacy:
+		return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0)
 	}
-	return protocol.JobAnswer(j.Spec.Ref, protocol.Queued, 0, 0)
+	return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseQueued, 0, 0)
 }
 
 // knowsAwaited reports whether this leader knows all jobs that a job awaits, and that none
 // of them is a service.
 func (c *Controller) knowsAwaited(s *protocol.JobSpec) bool {
-	for _, ref := range s.Awaits {
+	for _, ref := range s.DependsOn {
 		if _, over := c.finals.find(ref); over {
 			continue
 		}
@@ -151,7 +151,7 @@
 		case found:
 			c.answerKnown(to, spec.Ref, j, f)
 		default:
-			c.judge(prioUser, spec.Awaits, func(v verdict) {
+			c.judge(prioUser, spec.DependsOn, func(v verdict) {
 				switch {
 				case v.missing != "":
 					over()
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -29,20 +29,20 @@
 		})
 		return
 	}
-	if j.Doomed {
+	if j.DependencyCancelled {
 		c.reply(to, 200, c.jobAnswer(j), 0)
 		return
 	}
 	switch j.State {
-	case state.JobDone, state.JobCancelled, state.JobClosed:
+	case state.JobDone, state.JobCancelledLegacy, state.JobClosed:
 		c.reply(to, 200, c.jobAnswer(j), 0)
 	case state.JobCancelling, state.JobFinishing:
 		t.cancels[ref] = append(t.cancels[ref], to)
-	case state.JobLive, state.JobWaiting:
+	case state.JobActive, state.JobBlocked:
 		t.cancels[ref] = append(t.cancels[ref], to)
-		j.To(state.JobCancelling)
-		j.CancelledWall = c.at.Wall
-		c.log.Debug("cancel asked", "ref", ref, "attempts", j.Attempts)
+		j.SetState(state.JobCancelling)
+		j.CancelRequestedWall = c.at.Wall
+		c.log.Debug("cancel asked", "ref", ref, "attempts", j.AttemptCount)
 		c.stopJob(j)
 		c.endCancelled(j)
 	}
@@ -66,7 +66,7 @@
 // nowhere reports whether no task of a job is on a machine, nor can be any more: each
 // attempt is proven gone, and none of an earlier leader is unheard of.
 func (c *Controller) nowhere(j *state.Job) bool {
-	return j.Settled() && (c.term.recovered || !c.term.unlisted)
+	return j.NoActiveAttempts() && (c.term.recovered || !c.term.unlisted)
 }
 
 // endCancelled ends a job that its user asked to cancel, once none of its tasks can
@@ -75,7 +75,7 @@
 // stop. Told before, it was a promise that no later leader could keep when a cut, an
 // outage of the state service and the end of all controllers came together.
 func (c *Controller) endCancelled(j *state.Job) {
-	if j.State == state.JobCancelling && !j.Doomed && !j.Closing && !j.Asking && c.nowhere(j) {
+	if j.State == state.JobCancelling && !j.DependencyCancelled && !j.FinalWriteInFlight && !j.CancelWriteInFlight && c.nowhere(j) {
 		c.closing(j)
 		c.finish(j)
 	}
@@ -88,7 +88,7 @@
 // keepAsk keeps the request in the state service, so that a new leader goes on with
 // it also if its user has given up asking.
 func (c *Controller) keepAsk(j *state.Job) {
-	if j.AskKept || j.Asking || j.Closing || j.Doomed || c.at.Wall-j.CancelledWall < askKeptAfter || c.at.Steady < j.AskAgain {
+	if j.CancelPersisted || j.CancelWriteInFlight || j.FinalWriteInFlight || j.DependencyCancelled || c.at.Wall-j.CancelRequestedWall < askKeptAfter || c.at.Steady < j.CancelRetryAt {
 		return
 	}
 	ref := j.Spec.Ref
@@ -96,20 +96,20 @@
 	if len(value) > c.limits.allowed.valueBytes {
 		// It was accepted under a larger limit. Its user was told nothing yet, and asks a
 		// new leader again.
-		j.AskKept = true
+		j.CancelPersisted = true
 		return
 	}
-	j.Asking = true
-	when := []protocol.Condition{{Key: state.JobPrefix + ref, Stamp: j.Stamp}}
+	j.CancelWriteInFlight = true
+	when := []protocol.Condition{{Key: state.JobPrefix + ref, Revision: j.Revision}}
 	then := []protocol.Change{{Key: state.JobPrefix + ref, Value: value}}
 	c.lead(prioUser, when, then, func(o txnOutcome, r protocol.TxnResult) {
-		j.Asking = false
+		j.CancelWriteInFlight = false
 		if o == txnApplied {
-			j.Stamp, j.AskKept = r.Stamp, true
+			j.Revision, j.CancelPersisted = r.Revision, true
 			c.endCancelled(j)
 			return
 		}
-		j.AskAgain = c.at.Steady + 500*protocol.Millisecond
+		j.CancelRetryAt = c.at.Steady + 500*protocol.Millisecond
 		if o == txnUnknown || o == txnRefused {
 			c.restampJob(j) // an earlier try may have been applied late
 		}
@@ -119,21 +119,21 @@
 // restampJob reads the stamp of a job's record after a write without an answer.
 func (c *Controller) restampJob(j *state.Job) {
 	t := c.term
-	j.Asking = true
+	j.CancelWriteInFlight = true
 	c.get(prioUser, state.JobPrefix+j.Spec.Ref, func(e protocol.Entry, found, ok bool) {
 		if c.term != t {
 			return
 		}
-		j.Asking = false
+		j.CancelWriteInFlight = false
 		if found {
-			j.Stamp = e.Stamp
+			j.Revision = e.Revision
 		}
 	})
 }
 
 // stopJob stops all attempts of a job that nobody has any use for.
 func (c *Controller) stopJob(j *state.Job) {
-	for _, a := range j.On() {
+	for _, a := range j.ActiveAttempts() {
 		c.stop(a, 0)
 	}
 	c.term.dirty = true
--- a/internal/controller/chains.go
+++ b/internal/controller/chains.go
@@ -41,14 +41,14 @@
 // link takes a job that entered the book into the graph.
 func (c *Controller) link(j *state.Job) {
 	g := &c.term.chains
-	j.Free = j.Submitted
-	if len(j.Awaiting) > 0 {
+	j.EligibleAt = j.Submitted
+	if len(j.UnmetDependencies) > 0 {
 		c.linkAwaited(j)
 	}
 	// Jobs that await it may have entered before.
 	for _, d := range g.dependants[j.Spec.Ref] {
 		c.lend(d, j)
-		if j.Doomed || j.State == state.JobCancelled {
+		if j.DependencyCancelled || j.State == state.JobCancelledLegacy {
 			c.doom(d)
 		} else {
 			c.updateUnsure(d)
@@ -60,18 +60,18 @@
 func (c *Controller) linkAwaited(j *state.Job) {
 	g := &c.term.chains
 	doomed := false
-	j.Awaiting = slices.DeleteFunc(j.Awaiting, func(ref string) bool {
+	j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(ref string) bool {
 		f, over := c.finals.find(ref)
-		doomed = doomed || over && f.phase == protocol.Cancelled
-		return over && f.phase == protocol.Done
+		doomed = doomed || over && f.phase == protocol.PhaseCancelled
+		return over && f.phase == protocol.PhaseDone
 	})
-	for _, ref := range j.Awaiting {
+	for _, ref := range j.UnmetDependencies {
 		g.dependants[ref] = append(g.dependants[ref], j)
 		o := c.term.book.Job(ref)
 		switch {
 		case o == nil:
 			c.wantAwaited(ref)
-		case o.Doomed || o.State == state.JobCancelled:
+		case o.DependencyCancelled || o.State == state.JobCancelledLegacy:
 			doomed = true
 		default:
 			c.lend(j, o)
@@ -80,7 +80,7 @@
 	switch {
 	case doomed:
 		c.doom(j)
-	case len(j.Awaiting) == 0:
+	case len(j.UnmetDependencies) == 0:
 		c.freeToStart(j)
 	default:
 		c.updateUnsure(j)
@@ -89,12 +89,12 @@
 
 // freeToStart lets a job start whose awaited jobs are all durably done.
 func (c *Controller) freeToStart(j *state.Job) {
-	if j.State != state.JobWaiting {
+	if j.State != state.JobBlocked {
 		return // its user asked to cancel it
 	}
 	t := c.term
-	j.To(state.JobLive)
-	j.Free = c.at.Steady
+	j.SetState(state.JobActive)
+	j.EligibleAt = c.at.Steady
 	if t.led > 0 {
 		c.class(j.Spec.Class).arrived(c.at.Steady, j)
 	}
@@ -106,11 +106,11 @@
 // waiting here. No leader launches before it knows that all awaited jobs are durably done,
 // and that never changes.
 func (c *Controller) began(j *state.Job) {
-	if j.State != state.JobWaiting {
+	if j.State != state.JobBlocked {
 		return
 	}
-	j.To(state.JobLive)
-	j.Awaiting, j.Unsure = nil, false
+	j.SetState(state.JobActive)
+	j.UnmetDependencies, j.DependencyUncertain = nil, false
 	for _, d := range c.term.chains.dependants[j.Spec.Ref] {
 		c.updateUnsure(d)
 	}
@@ -125,12 +125,12 @@
 	list := g.dependants[ref]
 	delete(g.dependants, ref)
 	for _, j := range list {
-		if p == protocol.Cancelled {
+		if p == protocol.PhaseCancelled {
 			c.doom(j)
 			continue
 		}
-		j.Awaiting = slices.DeleteFunc(j.Awaiting, func(r string) bool { return r == ref })
-		if len(j.Awaiting) == 0 {
+		j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(r string) bool { return r == ref })
+		if len(j.UnmetDependencies) == 0 {
 			c.freeToStart(j)
 		}
 		c.updateUnsure(j)
@@ -143,16 +143,16 @@
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		if j.Doomed || j.State != state.JobWaiting && j.State != state.JobCancelling {
+		if j.DependencyCancelled || j.State != state.JobBlocked && j.State != state.JobCancelling {
 			continue
 		}
-		if j.State == state.JobWaiting {
-			j.To(state.JobCancelling)
-			j.CancelledWall = c.at.Wall
+		if j.State == state.JobBlocked {
+			j.SetState(state.JobCancelling)
+			j.CancelRequestedWall = c.at.Wall
 		}
-		j.Doomed, j.Unsure = true, false
+		j.DependencyCancelled, j.DependencyUncertain = true, false
 		c.takeBack(j)
-		if !j.Closing {
+		if !j.FinalWriteInFlight {
 			g.doomed = append(g.doomed, j)
 		}
 		ref := j.Spec.Ref
@@ -173,9 +173,9 @@
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		unsure := !j.Doomed && slices.ContainsFunc(j.Awaiting, c.mayBeCancelled)
-		if unsure != j.Unsure {
-			j.Unsure = unsure
+		unsure := !j.DependencyCancelled && slices.ContainsFunc(j.UnmetDependencies, c.mayBeCancelled)
+		if unsure != j.DependencyUncertain {
+			j.DependencyUncertain = unsure
 			work = append(work, g.dependants[j.Spec.Ref]...)
 		}
 	}
@@ -185,12 +185,12 @@
 // leader knowing it.
 func (c *Controller) mayBeCancelled(ref string) bool {
 	o := c.term.book.Job(ref)
-	return o == nil || o.Closing || o.Unsure
+	return o == nil || o.FinalWriteInFlight || o.DependencyUncertain
 }
 
 // closing notes that the final record of a cancelled job is on its way.
 func (c *Controller) closing(j *state.Job) {
-	j.Closing = true
+	j.FinalWriteInFlight = true
 	c.takeBack(j)
 	for _, d := range c.term.chains.dependants[j.Spec.Ref] {
 		c.updateUnsure(d)
@@ -220,11 +220,11 @@
 	for len(g.writing) < mostDoomedWrites && len(g.doomed) > 0 {
 		j := g.doomed[0]
 		g.doomed = g.doomed[1:]
-		if !j.Closing && !j.Asking && c.nowhere(j) {
+		if !j.FinalWriteInFlight && !j.CancelWriteInFlight && c.nowhere(j) {
 			g.writing[j] = true
-			j.Closing = true
+			j.FinalWriteInFlight = true
 			c.finish(j)
-		} else if !j.Closing {
+		} else if !j.FinalWriteInFlight {
 			g.doomed = append(g.doomed, j)
 			return
 		}
@@ -265,17 +265,17 @@
 // through the chain, to whatever can start now.
 func (c *Controller) lend(from, to *state.Job) {
 	neededBy := c.startBy(from)
-	rises := from.Rank < to.Rank
-	hastens := neededBy > 0 && (to.NeededBy == 0 || neededBy < to.NeededBy)
+	rises := from.Priority < to.Priority
+	hastens := neededBy > 0 && (to.InheritedDeadline == 0 || neededBy < to.InheritedDeadline)
 	if !rises && !hastens {
 		return
 	}
-	to.Rank = min(to.Rank, from.Rank)
+	to.Priority = min(to.Priority, from.Priority)
 	if hastens {
-		to.NeededBy = neededBy
+		to.InheritedDeadline = neededBy
 	}
 	c.servedAnew(to)
-	for _, ref := range to.Awaiting {
+	for _, ref := range to.UnmetDependencies {
 		if o := c.term.book.Job(ref); o != nil {
 			c.lend(to, o)
 		}
@@ -284,8 +284,8 @@
 
 // servedAnew has the next round plan with a job's new rank, and around what runs of it.
 func (c *Controller) servedAnew(j *state.Job) {
-	for _, a := range j.On() {
-		a.Host.Changed = true
+	for _, a := range j.ActiveAttempts() {
+		a.Host.Stale = true
 	}
 	c.term.dirty = true
 }
@@ -293,19 +293,19 @@
 // takeBack ends what a job lends that is being cancelled: those that it awaits are served by
 // the others that need them.
 func (c *Controller) takeBack(j *state.Job) {
-	for _, ref := range j.Awaiting {
+	for _, ref := range j.UnmetDependencies {
 		o := c.term.book.Job(ref)
 		if o == nil {
 			continue
 		}
-		rank, neededBy := o.Rank, o.NeededBy
-		o.Rank, o.NeededBy = o.Spec.Rank, 0
+		rank, neededBy := o.Priority, o.InheritedDeadline
+		o.Priority, o.InheritedDeadline = o.Spec.Priority, 0
 		for _, d := range c.term.chains.dependants[ref] {
-			if d.State == state.JobWaiting {
+			if d.State == state.JobBlocked {
 				c.lend(d, o)
 			}
 		}
-		if o.Rank != rank || o.NeededBy != neededBy {
+		if o.Priority != rank || o.InheritedDeadline != neededBy {
 			c.servedAnew(o)
 			c.takeBack(o)
 		}
@@ -335,8 +335,8 @@
 	if j.Spec.Deadline > 0 {
 		due = j.Submitted + j.Spec.Deadline
 	}
-	if j.NeededBy > 0 && (due == 0 || j.NeededBy < due) {
-		due = j.NeededBy
+	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
+		due = j.InheritedDeadline
 	}
 	return due
 }
--- a/internal/controller/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -12,8 +12,8 @@
 // chained makes a job that awaits others; mend says what else it is.
 func chained(c *Controller, ref string, mend func(*protocol.JobSpec), awaits ...string) *state.Job {
 	s := &protocol.JobSpec{
-		Ref: ref, Class: "stage", Team: "team-1", Kind: protocol.Array, Rank: protocol.Low, Tasks: 2,
-		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 400, Estimate: 20 * protocol.Second, Awaits: awaits,
+		Ref: ref, Class: "stage", Team: "team-1", Kind: protocol.Array, Priority: protocol.PriorityLow, Tasks: 2,
+		TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "img-1", ImageSize: 400, EstimatedRuntime: 20 * protocol.Second, DependsOn: awaits,
 	}
 	if mend != nil {
 		mend(s)
@@ -33,7 +33,7 @@
 				chained(c, "req-900001", nil),
 				chained(c, "req-900002", nil, "req-900001"),
 				chained(c, "req-900003", nil, "req-900001"),
-				chained(c, "req-900004", func(s *protocol.JobSpec) { s.Rank, s.Deadline = protocol.High, 300*protocol.Second },
+				chained(c, "req-900004", func(s *protocol.JobSpec) { s.Priority, s.Deadline = protocol.PriorityHigh, 300*protocol.Second },
 					"req-900002", "req-900003"),
 			}
 			for _, i := range order {
@@ -43,8 +43,8 @@
 			due := c.at.Steady + 300*protocol.Second
 			want := []micros{due - 42*protocol.Second, due - 21*protocol.Second, due - 21*protocol.Second, 0}
 			for i, j := range jobs {
-				if j.Rank != protocol.High || j.NeededBy != want[i] {
-					t.Errorf("%s: rank %d, needed by %.1f s before the deadline, want %.1f", j.Spec.Ref, j.Rank, (due - j.NeededBy).Seconds(), (due - want[i]).Seconds())
+				if j.Priority != protocol.PriorityHigh || j.InheritedDeadline != want[i] {
+					t.Errorf("%s: rank %d, needed by %.1f s before the deadline, want %.1f", j.Spec.Ref, j.Priority, (due - j.InheritedDeadline).Seconds(), (due - want[i]).Seconds())
 				}
 			}
 		})
@@ -67,16 +67,16 @@
 		t.Error("a request was made for a job that waits")
 	}
 	c.at.Steady += 50 * protocol.Second
-	c.remember("req-900001", final{protocol.Done, 2})
-	if !planned(second) || second.Free != c.at.Steady {
-		t.Errorf("planned %v, free since %v at %v", planned(second), second.Free, c.at.Steady)
+	c.remember("req-900001", final{protocol.PhaseDone, 2})
+	if !planned(second) || second.EligibleAt != c.at.Steady {
+		t.Errorf("planned %v, free since %v at %v", planned(second), second.EligibleAt, c.at.Steady)
 	}
 }
 
 // What a new leader has not read of an awaited job may be a cancellation that users were
 // told of: until it is read, nothing is said from memory of the jobs after it.
 func TestUnreadFinal(t *testing.T) {
-	for _, phase := range []protocol.Phase{protocol.Done, protocol.Cancelled} {
+	for _, phase := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
 		c := busyLeader(t, 8, 0)
 		second, third := chained(c, "req-900002", nil, "req-900001"), chained(c, "req-900003", nil, "req-900002")
 		c.enter(third)
@@ -88,9 +88,9 @@
 		if ending(second) || ending(third) {
 			t.Errorf("%s: still to be read", phase)
 		}
-		cancelled := phase == protocol.Cancelled
-		if second.Doomed != cancelled || third.Doomed != cancelled || (second.State == state.JobLive) == cancelled || third.State == state.JobLive {
-			t.Errorf("%s: %v %v, doomed %v %v", phase, second.State, third.State, second.Doomed, third.Doomed)
+		cancelled := phase == protocol.PhaseCancelled
+		if second.DependencyCancelled != cancelled || third.DependencyCancelled != cancelled || (second.State == state.JobActive) == cancelled || third.State == state.JobActive {
+			t.Errorf("%s: %v %v, doomed %v %v", phase, second.State, third.State, second.DependencyCancelled, third.DependencyCancelled)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		b.Run(fmt.Sprint(waiting, " wait"), func(b *testing.B) {
 			c := busyLeader(b, 8, 0)
 			for i := range 25_000 {
-				c.finals.keep(fmt.Sprintf("req-%06d", i), final{protocol.Done, 1})
+				c.finals.keep(fmt.Sprintf("req-%06d", i), final{protocol.PhaseDone, 1})
 			}
 			for i := range waiting {
 				c.enter(chained(c, fmt.Sprintf("req-%06d", 200_000+i), nil, fmt.Sprintf("req-%06d", 100_000+i)))
@@ -110,8 +110,8 @@
 			c.enter(j)
 			b.ResetTimer()
 			for b.Loop() {
-				c.remember("req-900001", final{protocol.Done, 2})
-				j.State, j.Awaiting = state.JobWaiting, append(j.Awaiting, "req-900001")
+				c.remember("req-900001", final{protocol.PhaseDone, 2})
+				j.State, j.UnmetDependencies = state.JobBlocked, append(j.UnmetDependencies, "req-900001")
 				c.term.chains.dependants["req-900001"] = []*state.Job{j}
 			}
 		})
@@ -124,13 +124,13 @@
 	c := busyLeader(t, 8, 0)
 	j := chained(c, "req-900002", nil, "req-900001")
 	c.enter(j)
-	report := protocol.TaskReport{
+	report := protocol.TaskStatus{
 		AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
-		State:       protocol.Exited, Reason: protocol.ExitDone,
+		State:       protocol.TaskExited, Reason: protocol.ExitDone,
 	}
 	c.observe(c.adopt(c.term.book.Hosts()[0], report), report)
-	if j.State != state.JobLive || j.Done != 1 || j.Tasks[1].State != state.TaskDone {
-		t.Errorf("it is %v, %d done", j.State, j.Done)
+	if j.State != state.JobActive || j.CompletedTasks != 1 || j.Tasks[1].State != state.TaskDone {
+		t.Errorf("it is %v, %d done", j.State, j.CompletedTasks)
 	}
 }
 
@@ -138,28 +138,28 @@
 // them, or by themselves.
 func TestRankAndDeadlineAreTakenBack(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	urgent := func(rank protocol.Rank, deadline micros) func(*protocol.JobSpec) {
-		return func(s *protocol.JobSpec) { s.Rank, s.Deadline = rank, deadline }
+	urgent := func(rank protocol.Priority, deadline micros) func(*protocol.JobSpec) {
+		return func(s *protocol.JobSpec) { s.Priority, s.Deadline = rank, deadline }
 	}
 	first, second := chained(c, "req-900001", nil), chained(c, "req-900002", nil, "req-900001")
-	high := chained(c, "req-900003", urgent(protocol.High, 200*protocol.Second), "req-900002")
-	standard := chained(c, "req-900004", urgent(protocol.Standard, 400*protocol.Second), "req-900002")
+	high := chained(c, "req-900003", urgent(protocol.PriorityHigh, 200*protocol.Second), "req-900002")
+	standard := chained(c, "req-900004", urgent(protocol.PriorityStandard, 400*protocol.Second), "req-900002")
 	for _, j := range []*state.Job{first, second, high, standard} {
 		c.enter(j)
 	}
-	check := func(when string, rank protocol.Rank, within micros) {
+	check := func(when string, rank protocol.Priority, within micros) {
 		t.Helper()
 		var want micros
 		if within > 0 {
 			want = c.at.Steady + within
 		}
-		if first.Rank != rank || first.NeededBy != want {
-			t.Errorf("%s: rank %d, needed by %d; want %d, %d", when, first.Rank, first.NeededBy, rank, want)
+		if first.Priority != rank || first.InheritedDeadline != want {
+			t.Errorf("%s: rank %d, needed by %d; want %d, %d", when, first.Priority, first.InheritedDeadline, rank, want)
 		}
 	}
-	check("both need it", protocol.High, 158*protocol.Second)
+	check("both need it", protocol.PriorityHigh, 158*protocol.Second)
 	c.cancel(Address{}, "req-900003")
-	check("the high one is cancelled", protocol.Standard, 358*protocol.Second)
+	check("the high one is cancelled", protocol.PriorityStandard, 358*protocol.Second)
 	c.cancel(Address{}, "req-900004")
-	check("both are", protocol.Low, 0)
+	check("both are", protocol.PriorityLow, 0)
 }
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -30,7 +30,7 @@
 
 func (k *class) arrived(at micros, j *state.Job) {
 	k.last, k.most = j.Spec, max(k.most, j.Spec.Tasks)
-	if at-j.Free < 5*protocol.Second {
+	if at-j.EligibleAt < 5*protocol.Second {
 		k.arrivals = append(k.arrivals, at)
 	}
 	for len(k.arrivals) > 0 && at-k.arrivals[0] > arrivalWindow {
@@ -52,10 +52,10 @@
 
 // ran learns from a completed task.
 func (k *class) ran(j *state.Job, took micros) {
-	if j.Spec.Estimate <= 0 || took <= 0 || j.FirstStart == 0 {
+	if j.Spec.EstimatedRuntime <= 0 || took <= 0 || j.FirstStart == 0 {
 		return
 	}
-	r := math.Log(float64(took) / float64(j.Spec.Estimate))
+	r := math.Log(float64(took) / float64(j.Spec.EstimatedRuntime))
 	r = max(-2, min(2, r))
 	w := 1 / min(k.weight+1, 20)
 	k.logRatio += (r - k.logRatio) * w
@@ -69,7 +69,7 @@
 	}
 	// A few observations say little: they pull the factor by their number.
 	pull := k.weight / (k.weight + 3)
-	return max(protocol.Second, micros(float64(s.Estimate)*math.Exp(k.logRatio*pull)))
+	return max(protocol.Second, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRatio*pull)))
 }
 
 // remaining estimates what is left of an attempt that runs. One that has
@@ -89,7 +89,7 @@
 		return
 	}
 	nominal := h.Type.FetchTime(j.Spec.ImageSize)
-	took := c.at.Steady - a.Placed
+	took := c.at.Steady - a.PlacedAt
 	if nominal < protocol.Second {
 		return
 	}
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -71,7 +71,7 @@
 	var batch []covered
 	for _, k := range keys {
 		j := t.book.Job(k.ref)
-		if j == nil || j.State != state.JobLive {
+		if j == nil || j.State != state.JobActive {
 			delete(w.dirty, k) // its final record covers it
 			continue
 		}
@@ -82,9 +82,9 @@
 			c.restampChunk(j, k)
 			return
 		}
-		cv := covered{j: j, chunk: k.chunk, tasks: j.Undurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
+		cv := covered{j: j, chunk: k.chunk, tasks: j.CompletedNotDurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
 		batch = append(batch, cv)
-		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Stamp: j.Stamp}, protocol.Condition{Key: k.record(), Stamp: j.Chunks[k.chunk]})
+		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Revision: j.Revision}, protocol.Condition{Key: k.record(), Revision: j.ChunkRevisions[k.chunk]})
 		then = append(then, protocol.Change{Key: k.record(), Value: state.EncodeChunk(j, k.chunk)})
 	}
 	for _, cv := range batch {
@@ -99,17 +99,17 @@
 		w.next = c.at.Steady + 500*protocol.Millisecond
 		for _, cv := range batch {
 			if o == txnApplied {
-				cv.j.KeepChunk(cv.chunk, r.Stamp)
+				cv.j.SetChunkRevision(cv.chunk, r.Revision)
 				for _, i := range cv.tasks {
 					cv.j.Tasks[i].Durable = true
 				}
 				continue
 			}
 			k := chunkKey{cv.j.Spec.Ref, cv.chunk}
-			if cv.j.State == state.JobLive {
+			if cv.j.State == state.JobActive {
 				w.dirty[k] = true
 			}
-			if o == txnUnknown || o == txnRefused && slices.Contains(r.Failed, k.record()) {
+			if o == txnUnknown || o == txnRefused && slices.Contains(r.Conflicts, k.record()) {
 				if w.lost == nil {
 					w.lost = make(map[chunkKey]bool)
 				}
@@ -133,6 +133,6 @@
 			return
 		}
 		delete(t.chunks.lost, k)
-		j.KeepChunk(k.chunk, e.Stamp) // 0 where there is none
+		j.SetChunkRevision(k.chunk, e.Revision) // 0 where there is none
 	})
 }
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -126,13 +126,13 @@
 	if c.config == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: configuration.KeyHead, Stamp: c.config.stamp})
+	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: c.config.stamp})
 }
 
 // outdated notices a transaction that was refused because the head is another one: it is
 // read again, and what was refused is decided anew.
 func (c *Controller) outdated(o txnOutcome, r protocol.TxnResult) bool {
-	if c.config == nil || o != txnRefused || !slices.Contains(r.Failed, configuration.KeyHead) {
+	if c.config == nil || o != txnRefused || !slices.Contains(r.Conflicts, configuration.KeyHead) {
 		return false
 	}
 	c.stats.ConfigOutdated++
@@ -178,7 +178,7 @@
 // is not there any more, stops nothing: the last good revision stays.
 func (c *Controller) tookHead(e protocol.Entry, found bool) {
 	s := c.config
-	if s.known && e.Stamp < s.stamp && found {
+	if s.known && e.Revision < s.stamp && found {
 		return // it was read before what is known
 	}
 	h, err := (*configuration.Head)(nil), error(nil)
@@ -188,14 +188,14 @@
 	case s.revision > 0:
 		err = fmt.Errorf("it is not there any more")
 	}
-	s.stamp, s.known = e.Stamp, true
+	s.stamp, s.known = e.Revision, true
 	s.moves++
 	if err != nil || h != nil && h.Revision < s.revision {
 		if err == nil {
 			err = fmt.Errorf("it has revision %d, and %d was known", h.Revision, s.revision)
 		}
 		s.damaged = true
-		c.damaged(protocol.Entry{Key: configuration.KeyHead, Stamp: e.Stamp}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
+		c.damaged(protocol.Entry{Key: configuration.KeyHead, Revision: e.Revision}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
 		return
 	}
 	s.damaged = false
@@ -233,14 +233,14 @@
 	back := func(a *state.Attempt) {
 		// A launch that may be on its way is repeated until the worker knows it; with the
 		// stop behind it nothing of it runs.
-		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.Doubt {
+		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.LaunchUncertain {
 			c.stop(a, 0)
 		}
 	}
 	if drains := func(s *configuration.Settings) int { return len(s.Zones) + len(s.Machines) + len(s.Nets) }; drains(was)+drains(s) > 0 {
 		for _, h := range t.book.Hosts() {
 			if d := c.drained(h); d != was.Drained(h.Name, h.Zone, h.Addr) {
-				h.Changed = true
+				h.Stale = true
 				if d != configuration.NotDrained {
 					for _, a := range h.Attempts() {
 						back(a)
@@ -255,10 +255,10 @@
 		}
 		// A pass under way has its jobs in the order of the guarantees before.
 		t.pass = nil
-		if !withinLimit(team.Limit, t.book.Used[name]) {
+		if !withinLimit(team.Limit, t.book.UsedByTeam[name]) {
 			c.eachOf(name, func(a *state.Attempt) bool {
 				back(a)
-				return !withinLimit(team.Limit, t.book.Used[name])
+				return !withinLimit(team.Limit, t.book.UsedByTeam[name])
 			})
 		}
 	}
@@ -268,11 +268,11 @@
 // eachOf goes through the attempts of a team's jobs, those that come last in line first,
 // as long as more says so.
 func (c *Controller) eachOf(team string, more func(*state.Attempt) bool) {
-	for _, j := range slices.Backward(slices.Clone(c.term.book.Line())) {
+	for _, j := range slices.Backward(slices.Clone(c.term.book.Jobs())) {
 		if j.Spec.Team != team {
 			continue
 		}
-		for _, a := range slices.Clone(j.On()) {
+		for _, a := range slices.Clone(j.ActiveAttempts()) {
 			if !more(a) {
 				return
 			}
@@ -290,8 +290,8 @@
 	t, s := c.term, c.config.settings
 	gently := func(a *state.Attempt) {
 		grace := micros(0)
-		if a.Job != nil && a.Job.Spec.Checkpoints() {
-			grace = a.Job.Spec.Saves + protocol.Second
+		if a.Job != nil && a.Job.Spec.CanCheckpoint() {
+			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
 		c.stop(a, grace)
 	}
@@ -301,21 +301,21 @@
 				continue
 			}
 			for _, a := range h.Attempts() {
-				if a.State.Occupies() && !a.Stop {
+				if a.State.HoldsResources() && !a.StopRequested {
 					gently(a)
 				}
 			}
 		}
 	}
 	for name, team := range s.Teams {
-		used := t.book.Used[name]
+		used := t.book.UsedByTeam[name]
 		if !team.StopExcess || withinLimit(team.Limit, used) {
 			continue
 		}
 		// What is told to stop counts until it is gone; nothing more is stopped for it.
 		c.eachOf(name, func(a *state.Attempt) bool {
-			if a.Stop && a.State.MayRun() {
-				used = used.Add(a.Job.Spec.Need, -1)
+			if a.StopRequested && a.State.MayRun() {
+				used = used.Add(a.Job.Spec.TaskResources, -1)
 			}
 			return true
 		})
@@ -323,8 +323,8 @@
 			if withinLimit(team.Limit, used) {
 				return false
 			}
-			if a.State.Occupies() && !a.Stop {
-				used = used.Add(a.Job.Spec.Need, -1)
+			if a.State.HoldsResources() && !a.StopRequested {
+				used = used.Add(a.Job.Spec.TaskResources, -1)
 				gently(a)
 			}
 			return true
@@ -346,7 +346,7 @@
 	if !ok {
 		return maxClaim
 	}
-	if mine == 0 && c.term.epoch > 1 && (!c.term.rental.answering || c.at.Steady-c.term.started < claimTimeout+2*c.platform.ListLag) {
+	if mine == 0 && c.term.epoch > 1 && (!c.term.rental.answering || c.at.Steady-c.term.started < claimTimeout+2*c.platform.MachineListLag) {
 		return 0 // what an earlier leader asked for may not be listed yet
 	}
 	there := c.term.rental.open[kind{k.typ, k.zone, false}] + c.term.rental.open[kind{k.typ, k.zone, true}] - mine
@@ -403,9 +403,9 @@
 	}
 	s := c.config
 	var document []byte
-	for _, o := range c.platform.Siblings {
+	for _, o := range c.platform.Peers {
 		q, needs := t.config.granter.Ask(o.Name, t.epoch)
-		m := &protocol.PeerMessage{Kind: protocol.PeerGrant, Epoch: q.Epoch, From: c.platform.Node, Revision: q.Revision, Life: q.Life, At: q.Heard}
+		m := &protocol.PeerMessage{Kind: protocol.PeerConfigGrant, Epoch: q.Epoch, From: c.platform.ControllerName, Revision: q.Revision, Incarnation: q.Life, At: q.Heard}
 		if needs {
 			if document == nil {
 				document = configuration.EncodeDocument(s.document)
@@ -421,7 +421,7 @@
 				c.malformed("controller", err)
 				return
 			}
-			if a.Kind != protocol.PeerGoesBy {
+			if a.Kind != protocol.PeerConfigAck {
 				return
 			}
 			if a.Revision > s.revision && len(a.Body) > 0 {
@@ -433,7 +433,7 @@
 					c.refresh()
 				}
 			}
-			t.config.granter.Answered(o.Name, a.Life, a.At, a.Revision, c.at.Steady)
+			t.config.granter.Answered(o.Name, a.Incarnation, a.At, a.Revision, c.at.Steady)
 			c.answerWaits(t)
 		})
 	}
@@ -467,7 +467,7 @@
 		c.goBy(e.Grant.Revision, d)
 	}
 	c.setLevel()
-	m := &protocol.PeerMessage{Kind: protocol.PeerGoesBy, Revision: s.holder.Revision, Life: s.holder.Life, At: c.at.Steady}
+	m := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: c.at.Steady}
 	if e.Grant.Revision < s.revision {
 		m.Body = configuration.EncodeDocument(s.document) // in case the leader can't read the record
 	}
@@ -488,8 +488,8 @@
 }
 
 func (c *Controller) siblingNames() []string {
-	names := make([]string, len(c.platform.Siblings))
-	for i, s := range c.platform.Siblings {
+	names := make([]string, len(c.platform.Peers))
+	for i, s := range c.platform.Peers {
 		names[i] = s.Name
 	}
 	return names
@@ -613,8 +613,8 @@
 func (c *Controller) configStatus(to Address) {
 	s, g := c.config, c.term.config.granter
 	b := fmt.Appendf(nil, `{"revision":%d,"in_force":%d,"damaged":%t,"controllers":[{"name":%s,"revision":%d,"leads":true}`, s.revision,
-		g.Newest(c.at.Steady, c.siblingNames()), s.damaged, protocol.AppendQuoted(nil, c.platform.Node), s.revision)
-	for _, o := range c.platform.Siblings {
+		g.Newest(c.at.Steady, c.siblingNames()), s.damaged, protocol.AppendQuoted(nil, c.platform.ControllerName), s.revision)
+	for _, o := range c.platform.Peers {
 		r, when := g.Acknowledged(o.Name)
 		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), o.Name), `,"leads":false`...)
 		if when > 0 {
@@ -798,12 +798,12 @@
 	if w.Drop != "" {
 		then = append(then, protocol.Change{Key: w.Drop})
 	}
-	when := []protocol.Condition{{Key: configuration.KeyHead, Stamp: s.stamp}}
+	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.stamp}}
 	t.config.writing = true
 	c.lead(prioPressing, when, then, func(o txnOutcome, res protocol.TxnResult) {
 		t.config.writing = false
 		if o == txnApplied {
-			s.head, s.stamp, s.known, s.damaged = w.Head, res.Stamp, true, false
+			s.head, s.stamp, s.known, s.damaged = w.Head, res.Revision, true, false
 			s.moves++
 			c.stats.ConfigChanges++
 			c.goBy(w.Head.Revision, w.Head.Document)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -67,19 +67,19 @@
 		return nil
 	}
 	switch m.Kind {
-	case protocol.PeerCall:
+	case protocol.PeerUserRequest:
 		return UserCall{Reply: to, Op: m.Op, Ref: m.Ref, Body: m.Body}
-	case protocol.PeerAsk:
+	case protocol.PeerStatusRequest:
 		return PeerQuestion{Reply: to, Epoch: m.Epoch, From: m.From, Body: m.Body}
-	case protocol.PeerReport:
-		return WorkerReport{Reply: to, Body: m.Body, Returned: m.Returned}
-	case protocol.PeerProbe:
+	case protocol.PeerHeartbeat:
+		return WorkerReport{Reply: to, Body: m.Body, Returned: m.ReturnedFromLeader}
+	case protocol.PeerWorkerProbe:
 		return WorkerCall{Reply: to, Addr: m.Addr, Body: m.Body}
-	case protocol.PeerGrant:
-		return GrantQuestion{Reply: to, Grant: configuration.Grant{Epoch: m.Epoch, Revision: m.Revision, Life: m.Life, Heard: m.At}, Document: m.Body}
-	case protocol.PeerLevels:
+	case protocol.PeerConfigGrant:
+		return GrantQuestion{Reply: to, Grant: configuration.Grant{Epoch: m.Epoch, Revision: m.Revision, Life: m.Incarnation, Heard: m.At}, Document: m.Body}
+	case protocol.PeerFeatureRequest:
 		return LevelQuestion{Reply: to}
-	case protocol.PeerCheck:
+	case protocol.PeerHealthCheck:
 		return CheckCall{Reply: to, Kind: m.Check, Addr: m.Addr, Path: m.Path, Timeout: m.Timeout}
 	}
 	return nil
@@ -206,7 +206,7 @@
 // Controller is one node.
 type Controller struct {
 	platform *protocol.Platform
-	operator protocol.Operator
+	operator protocol.OperatorSettings
 	rng      *rand.Rand
 	log      *slog.Logger
 	limits   stateLimits
@@ -225,7 +225,7 @@
 	role          Role
 	roleSince     micros
 	seat          seat
-	leader        state.Leadership // as known from the state service
+	leader        state.LeaderRecord // as known from the state service
 	suspect       micros           // the leader did not answer, until then it is not asked
 	rechecked     micros           // when the leader's record was read again after that
 	born          micros
@@ -237,7 +237,7 @@
 	relaying      int               // their reports that are on their way to the leader
 	relayAfter    micros            // the leader did not answer one: none is passed on before
 	shy           micros            // this node gave its lease back: until then others go first
-	memory        protocol.Memory   // the newest that a leader told of
+	memory        protocol.HandoverState   // the newest that a leader told of
 	leaderHeard   micros            // when the leader last answered a call that was passed on
 	narrow        bool              // the last leader that asked knows only of controllers that answer their own zone
 	waited        uint64            // the epoch after which another one was let go first
@@ -284,7 +284,7 @@
 }
 
 // New makes a controller.
-func New(p *protocol.Platform, o protocol.Operator, seed uint64, log *slog.Logger) *Controller {
+func New(p *protocol.Platform, o protocol.OperatorSettings, seed uint64, log *slog.Logger) *Controller {
 	return &Controller{
 		platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log, limits: newStateLimits(p),
 		calls: make(map[uint64]openCall), callers: make(map[string]caller), finals: newFinals(),
@@ -600,7 +600,7 @@
 			}
 			switch r.Status {
 			case 200:
-				entries, revision, err := protocol.ParseFollow(r.Body)
+				entries, revision, err := protocol.ParseWatch(r.Body)
 				if err != nil {
 					c.malformed("state", err)
 					c.after(protocol.Second, lost)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,8 +15,8 @@
 // behind users' reads, as it once did, the node would send every user away
 // after a change of leaders, and be too busy with that to learn of it.
 func TestWatchOfTheLeaderGoesFirst(t *testing.T) {
-	p := &protocol.Platform{Node: "n0", Siblings: []protocol.Sibling{{Name: "n1", Address: "n1"}}, StateRate: 100, StateWriteRate: 20}
-	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
+	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	first := c.Start(now{})
 	if read, ok := first[0].(Call); !ok || read.Path != "/store/lead" || read.Priority != prioLeadership {
 		t.Fatalf("%v", first)
@@ -56,8 +56,8 @@
 // A new leader's records may come when its lease has ended meanwhile, from a slow state
 // service or to a process that stood still: they are nobody's then, and stop nothing.
 func TestRecordsAfterTheLease(t *testing.T) {
-	p := &protocol.Platform{Node: "n0", StateRate: 100, StateWriteRate: 20, ValueBytes: 8 << 10, ReportEvery: protocol.Second, WorkerLease: 30 * protocol.Second}
-	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p := &protocol.Platform{ControllerName: "n0", StateRequestRate: 100, StateWriteRate: 20, MaxValueBytes: 8 << 10, HeartbeatInterval: protocol.Second, WorkerLease: 30 * protocol.Second}
+	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.EnableConfiguration(configuration.Options{Pages: 4})
 	c.Start(now{})
 	c.load()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -22,7 +22,7 @@
 	predAnswers micros            // until then a predecessor may answer workers
 	level       featuregate.Level // of the epoch's record, when the key was taken
 	unlisted    bool              // launches of earlier epochs may be in no record
-	yields      []protocol.Yield
+	yields      []protocol.LeadershipTransfer
 	asked       micros // when the lease was asked for
 }
 
@@ -69,10 +69,10 @@
 			return
 		}
 		c.sawLeader(e)
-		if first && c.leader.Node == c.platform.Node {
+		if first && c.leader.Controller == c.platform.ControllerName {
 			c.endPast()
 		}
-		c.watchLeader(gen, e.Stamp)
+		c.watchLeader(gen, e.Revision)
 	})
 }
 
@@ -141,7 +141,7 @@
 // from node to node.
 func (c *Controller) campaign(gen uint64) {
 	wait := micros(c.rng.Int64N(int64(150 * protocol.Millisecond)))
-	if c.leader.Node == c.platform.Node {
+	if c.leader.Controller == c.platform.ControllerName {
 		// A node that just lost its lease is more likely in trouble.
 		wait += 300 * protocol.Millisecond
 	}
@@ -226,21 +226,21 @@
 				c.followIn(unreadableAgain)
 				return
 			}
-			last, level = rec.N, rec.Level
-			c.seat.unlisted, c.seat.yields = rec.Unlisted, leadership.Recent(rec.Yields, c.at.Wall)
-			if leadership.Waits(c.platform.Node, last, c.at.Wall, rec.Yields) && c.waited != last {
+			last, level = rec.Epoch, rec.Level
+			c.seat.unlisted, c.seat.yields = rec.LaunchesUnrecorded, leadership.RecentTransfers(rec.Transfers, c.at.Wall)
+			if leadership.ShouldDefer(c.platform.ControllerName, last, c.at.Wall, rec.Transfers) && c.waited != last {
 				// The lease was given back for another one to lead. It has its turn
 				// first, once.
 				c.waited = last
-				c.followIn(leadership.FirstTurn)
+				c.followIn(leadership.DeferralTime)
 				return
 			}
 		}
 		epoch := last + 1
-		lead := state.Leadership{Node: c.platform.Node, Epoch: epoch, Lease: c.seat.lease, AnswerOn: c.operator.AnswerOn}
-		when := []protocol.Condition{{Key: state.KeyLeader}, {Key: state.KeyEpoch, Stamp: e.Stamp}}
+		lead := state.LeaderRecord{Controller: c.platform.ControllerName, Epoch: epoch, Lease: c.seat.lease, HeartbeatGrace: c.operator.HeartbeatGrace}
+		when := []protocol.Condition{{Key: state.KeyLeader}, {Key: state.KeyEpoch, Revision: e.Revision}}
 		then := []protocol.Change{
-			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.Epoch{N: epoch, Unlisted: c.seat.unlisted, Yields: c.seat.yields, Level: level})},
+			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.EpochRecord{Epoch: epoch, LaunchesUnrecorded: c.seat.unlisted, Transfers: c.seat.yields, Level: level})},
 			{Key: state.KeyLeader, Value: state.EncodeLeader(lead), Lease: c.seat.lease},
 		}
 		pred := c.leader
@@ -254,14 +254,14 @@
 				c.retryFollow()
 				return
 			}
-			c.seat.epoch, c.seat.stamp, c.seat.level = epoch, r.Stamp, level
+			c.seat.epoch, c.seat.stamp, c.seat.level = epoch, r.Revision, level
 			c.leader = lead
 			c.levelAtLeast(level)
 			// The predecessor stops answering workers a recorded time after its
 			// lease, which has ended by now. Without its record, ours is taken.
-			answers := pred.AnswerOn
+			answers := pred.HeartbeatGrace
 			if answers == 0 {
-				answers = c.operator.AnswerOn
+				answers = c.operator.HeartbeatGrace
 			}
 			c.seat.predAnswers = c.at.Steady + answers + drift(answers)
 			if epoch == 1 {
@@ -290,7 +290,7 @@
 		c.become(Doubtful)
 	case c.role == Loading && t >= c.seat.until:
 		c.follow()
-	case c.role == Doubtful && t >= c.seat.until+c.operator.AnswerOn:
+	case c.role == Doubtful && t >= c.seat.until+c.operator.HeartbeatGrace:
 		c.log.Info("stepping down: the lease could not be renewed", "epoch", c.seat.epoch)
 		c.follow()
 	}
@@ -321,7 +321,7 @@
 		case !holdsLease(c.role) || c.seat.lease != lease:
 		case !ok:
 			c.seat.renewing, c.seat.nextRenew = false, c.at.Steady+renewalPause
-		case !found || e.Stamp != c.seat.stamp:
+		case !found || e.Revision != c.seat.stamp:
 			c.deposed("the leader key is another's")
 		default:
 			c.extend()
@@ -398,13 +398,13 @@
 // lead is a leader's transaction: it applies only while the key is ours.
 func (c *Controller) lead(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
 	term := c.term
-	when = append([]protocol.Condition{{Key: state.KeyLeader, Stamp: c.seat.stamp}}, when...)
+	when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: c.seat.stamp}}, when...)
 	c.txn(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if c.term != term {
 			return
 		}
 		if o == txnRefused {
-			for _, k := range r.Failed {
+			for _, k := range r.Conflicts {
 				if k == state.KeyLeader {
 					c.deposed("the leader key is another's")
 					return
--- a/internal/controller/faults.go
+++ b/internal/controller/faults.go
@@ -23,11 +23,11 @@
 
 // sound reports whether something shows that a job can run.
 func (c *Controller) sound(j *state.Job) bool {
-	if j.Done > 0 {
+	if j.CompletedTasks > 0 {
 		return true
 	}
-	for _, a := range j.On() {
-		if a.State == state.AttemptRunning && c.at.Steady-a.Started >= ranWell {
+	for _, a := range j.ActiveAttempts() {
+		if a.State == state.AttemptRunning && c.at.Steady-a.StartedAt >= ranWell {
 			return true
 		}
 	}
@@ -38,68 +38,68 @@
 func (c *Controller) failed(a *state.Attempt) {
 	j, h := a.Job, a.Host
 	at := c.at.Steady
-	if j.Failures == nil {
-		j.Failures = make(map[string]int)
+	if j.FailuresByHost == nil {
+		j.FailuresByHost = make(map[string]int)
 	}
-	j.Failures[h.Name]++
+	j.FailuresByHost[h.Name]++
 	c.stepRollouts(rollout.Crashed{Ref: j.Spec.Ref, Index: a.Name.Index})
 	defer func() {
-		c.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.Failures[h.Name], "hosts", len(j.Failures), "suspect", j.Suspect)
+		c.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.FailuresByHost[h.Name], "hosts", len(j.FailuresByHost), "suspect", j.Suspect)
 	}()
 	switch {
 	case c.sound(j):
 		c.condemn(h)
 		return
-	case len(j.Failures) > 1:
+	case len(j.FailuresByHost) > 1:
 		j.Suspect = true
 		c.exonerate(j)
-		if at >= j.Held { // tasks that fail together count once
-			j.Held = at + min(4*protocol.Second<<min(j.Strikes, 8), longestHold)
-			j.Strikes++
+		if at >= j.BackoffUntil { // tasks that fail together count once
+			j.BackoffUntil = at + min(4*protocol.Second<<min(j.BackoffAttempts, 8), longestHold)
+			j.BackoffAttempts++
 		}
-	case !slices.Contains(h.Blamed, j.Spec.Ref):
-		h.Blamed, h.Changed = append(h.Blamed, j.Spec.Ref), true
-		if len(h.Blamed) == 2 && at >= h.FaultUntil {
+	case !slices.Contains(h.SuspectedBy, j.Spec.Ref):
+		h.SuspectedBy, h.Stale = append(h.SuspectedBy, j.Spec.Ref), true
+		if len(h.SuspectedBy) == 2 && at >= h.QuarantinedUntil {
 			c.condemn(h)
-			h.Distrusted = true
+			h.QuarantinedOnSuspicion = true
 		}
 	}
 }
 
 // condemn leaves a machine alone for a while.
 func (c *Controller) condemn(h *state.Host) {
-	h.Faults++
-	h.FaultUntil = c.at.Steady + min(micros(h.Faults)*30*protocol.Second, 300*protocol.Second)
-	h.Distrusted, h.Changed = false, true
-	c.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.Faults)
+	h.FaultCount++
+	h.QuarantinedUntil = c.at.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
+	h.QuarantinedOnSuspicion, h.Stale = false, true
+	c.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.FaultCount)
 }
 
 // exonerate takes back what a suspect job's failures said of machines.
 func (c *Controller) exonerate(j *state.Job) {
-	for name := range j.Failures {
+	for name := range j.FailuresByHost {
 		h := c.term.book.Host(name)
-		if h == nil || !slices.Contains(h.Blamed, j.Spec.Ref) {
+		if h == nil || !slices.Contains(h.SuspectedBy, j.Spec.Ref) {
 			continue
 		}
-		h.Blamed = slices.DeleteFunc(h.Blamed, func(ref string) bool { return ref == j.Spec.Ref })
-		h.Changed = true
-		if h.Distrusted && len(h.Blamed) < 2 {
-			h.Faults--
-			h.FaultUntil, h.Distrusted = 0, false
+		h.SuspectedBy = slices.DeleteFunc(h.SuspectedBy, func(ref string) bool { return ref == j.Spec.Ref })
+		h.Stale = true
+		if h.QuarantinedOnSuspicion && len(h.SuspectedBy) < 2 {
+			h.FaultCount--
+			h.QuarantinedUntil, h.QuarantinedOnSuspicion = 0, false
 		}
 	}
 }
 
 // acquit notes that a job can run. Where it failed before, the machine did.
 func (c *Controller) acquit(j *state.Job) {
-	for name := range j.Failures {
-		if h := c.term.book.Host(name); h != nil && c.at.Steady >= h.FaultUntil {
-			h.Blamed = nil
+	for name := range j.FailuresByHost {
+		if h := c.term.book.Host(name); h != nil && c.at.Steady >= h.QuarantinedUntil {
+			h.SuspectedBy = nil
 			c.condemn(h)
 		}
 	}
 	if j.Suspect {
-		j.Suspect, j.Strikes, j.Held = false, 0, 0
+		j.Suspect, j.BackoffAttempts, j.BackoffUntil = false, 0, 0
 	}
-	j.Failures = nil
+	j.FailuresByHost = nil
 }
--- a/internal/controller/features.go
+++ b/internal/controller/features.go
@@ -72,15 +72,15 @@
 // the same, so that the stamp is another one: a write of the process before it, which may
 // have run another version, is refused from then on.
 func (c *Controller) enlist() {
-	key := featuregate.RosterKey(c.platform.Node)
+	key := featuregate.RegistryKey(c.platform.ControllerName)
 	again := func() { c.after(rosterAgain, c.enlist) }
 	c.get(prioLeadership, key, func(e protocol.Entry, _, ok bool) {
 		if !ok {
 			again()
 			return
 		}
-		value := featuregate.EncodeEntry(featuregate.Entry{Node: c.platform.Node, Levels: c.levels.serves, Build: c.levels.build})
-		when := []protocol.Condition{{Key: key, Stamp: e.Stamp}}
+		value := featuregate.EncodeEntry(featuregate.Entry{Controller: c.platform.ControllerName, Levels: c.levels.serves, Build: c.levels.build})
+		when := []protocol.Condition{{Key: key, Revision: e.Revision}}
 		c.txn(prioLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
 			if o != txnApplied {
 				again() // where the outcome is unknown it is written once more
@@ -125,7 +125,7 @@
 // accepted or written that depends on it.
 func (c *Controller) tookLevel(e protocol.Entry) {
 	s := c.levels
-	if e.Stamp < s.stamp {
+	if e.Revision < s.stamp {
 		return // it was read before what is known
 	}
 	l, err := featuregate.DecodeLevel(e.Value)
@@ -140,7 +140,7 @@
 	if l > s.active {
 		c.log.Info("feature level is active", "level", uint64(l), "role", c.role.String())
 	}
-	s.active, s.stamp, s.known = l, e.Stamp, true
+	s.active, s.stamp, s.known = l, e.Revision, true
 }
 
 // readLevel reads the level's record, where it has to be known.
@@ -161,13 +161,13 @@
 	if c.levels == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Stamp: c.levels.stamp})
+	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Revision: c.levels.stamp})
 }
 
 // otherLevel notices a transaction that was refused because another level is active: it is
 // read again, and what was refused is decided anew.
 func (c *Controller) otherLevel(o txnOutcome, r protocol.TxnResult) bool {
-	if c.levels == nil || o != txnRefused || !slices.Contains(r.Failed, featuregate.KeyLevel) {
+	if c.levels == nil || o != txnRefused || !slices.Contains(r.Conflicts, featuregate.KeyLevel) {
 		return false
 	}
 	c.levels.known = false
--- a/internal/controller/finals_test.go
+++ b/internal/controller/finals_test.go
@@ -14,7 +14,7 @@
 	ref := func(i int) string { return fmt.Sprintf("req-%06d", i) }
 	const all = 3*mostFinals + 17
 	for i := range all {
-		f.keep(ref(i), final{protocol.Done, 1})
+		f.keep(ref(i), final{protocol.PhaseDone, 1})
 		if n := len(f.recent) + len(f.older); n > mostFinals {
 			t.Fatalf("%d are remembered", n)
 		}
@@ -29,11 +29,11 @@
 // A leader that reads which jobs are over does not forget for it what it ended itself.
 func TestReadingFinalsForgetsNoLatest(t *testing.T) {
 	f := newFinals()
-	f.keep("req-900000", final{protocol.Cancelled, 1})
+	f.keep("req-900000", final{protocol.PhaseCancelled, 1})
 	for i := 0; i < mostFinals && !f.full(); i++ {
-		f.keep(fmt.Sprintf("req-%06d", i), final{protocol.Done, 1})
+		f.keep(fmt.Sprintf("req-%06d", i), final{protocol.PhaseDone, 1})
 	}
-	f.keep("req-900001", final{protocol.Cancelled, 1})
+	f.keep("req-900001", final{protocol.PhaseCancelled, 1})
 	if _, ok := f.find("req-900000"); !ok || len(f.older) > 0 {
 		t.Errorf("forgotten: %t, older %d", !ok, len(f.older))
 	}
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -13,7 +13,7 @@
 // every machine busy that was ever rented, and had work of higher rank rent more.
 
 // guest reports whether a job's tasks give way to whatever else is placed.
-func guest(j *state.Job) bool { return j.Rank == protocol.Low }
+func guest(j *state.Job) bool { return j.Priority == protocol.PriorityLow }
 
 // frugalFor is how long a guest's job is content with what is spare. After that
 // it is served like others, only behind them: an accepted job must run.
@@ -22,13 +22,13 @@
 // frugal reports whether a job neither keeps a machine at the full price nor has
 // one rented.
 func (c *Controller) frugal(j *state.Job) bool {
-	return guest(j) && j.Spec.Spot && c.at.Steady-j.Free < frugalFor
+	return guest(j) && j.Spec.AllowSpot && c.at.Steady-j.EligibleAt < frugalFor
 }
 
 // held reports whether a machine has work for which it is to be kept.
 func (c *Controller) held(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if a.State.Occupies() && (a.Job == nil || h.Spot || !c.frugal(a.Job)) {
+		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !c.frugal(a.Job)) {
 			return true
 		}
 	}
@@ -37,26 +37,26 @@
 
 // clearGuests stops the guests on a host that are in the way of a task.
 func (c *Controller) clearGuests(h *state.Host, need protocol.Resources) {
-	free := h.Type.Offer
+	free := h.Type.Capacity
 	var guests []victim
 	for _, a := range h.Attempts() {
-		if !a.State.Occupies() || a.Job == nil || a.Stop {
+		if !a.State.HoldsResources() || a.Job == nil || a.StopRequested {
 			continue
 		}
 		s := a.Job.Spec
-		free = free.Add(s.Need, -1)
+		free = free.Add(s.TaskResources, -1)
 		if guest(a.Job) {
 			lost := micros(0)
-			if a.Started > 0 {
-				lost = c.at.Steady - a.Started
-				if s.Checkpoints() {
-					lost = min(lost, s.CheckpointEvery)
+			if a.StartedAt > 0 {
+				lost = c.at.Steady - a.StartedAt
+				if s.CanCheckpoint() {
+					lost = min(lost, s.CheckpointInterval)
 				}
 			}
 			guests = append(guests, victim{a, lost.Seconds()})
 		}
 	}
-	if free.Holds(need) {
+	if free.Covers(need) {
 		return
 	}
 	for _, v := range fewest(guests, free, need) {
@@ -68,10 +68,10 @@
 // sendGuestsOff lets the guests on a machine that goes back save what they did.
 func (c *Controller) sendGuestsOff(h *state.Host) {
 	for _, a := range h.Attempts() {
-		if a.State.Occupies() && !a.Stop && a.Job != nil {
+		if a.State.HoldsResources() && !a.StopRequested && a.Job != nil {
 			grace := micros(0)
-			if a.Job.Spec.Checkpoints() {
-				grace = a.Job.Spec.Saves + protocol.Second
+			if a.Job.Spec.CanCheckpoint() {
+				grace = a.Job.Spec.CheckpointDuration + protocol.Second
 			}
 			c.stop(a, grace)
 		}
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -56,16 +56,16 @@
 // checkFinished writes the final record of a job whose tasks are all done.
 // Only after it is durable are users told.
 func (c *Controller) checkFinished(j *state.Job) {
-	if j.State != state.JobLive || j.Done < len(j.Tasks) {
+	if j.State != state.JobActive || j.CompletedTasks < len(j.Tasks) {
 		return
 	}
-	if j.Spec.Kind == protocol.Gang && !j.Settled() {
+	if j.Spec.Kind == protocol.Gang && !j.NoActiveAttempts() {
 		// A gang is complete with its first task that is, and a machine of another one may
 		// hang with its room taken. A new leader would find the job among those that are
 		// over and not count it: its team came above the limit.
 		return
 	}
-	j.To(state.JobFinishing)
+	j.SetState(state.JobFinishing)
 	c.finish(j)
 }
 
@@ -85,17 +85,17 @@
 func (c *Controller) writeFinal(j *state.Job, since micros) {
 	t := c.term
 	ref := j.Spec.Ref
-	phase := protocol.Done
-	if j.State == state.JobCancelled || j.State == state.JobCancelling {
-		phase = protocol.Cancelled
+	phase := protocol.PhaseDone
+	if j.State == state.JobCancelledLegacy || j.State == state.JobCancelling {
+		phase = protocol.PhaseCancelled
 	}
 	then := []protocol.Change{
 		{Key: state.JobPrefix + ref},
 		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))},
 	}
 	t.bookingPages.drop(ref, protocol.Forever)
-	chunks := make([]int, 0, len(j.Chunks))
-	for k := range j.Chunks {
+	chunks := make([]int, 0, len(j.ChunkRevisions))
+	for k := range j.ChunkRevisions {
 		chunks = append(chunks, k)
 	}
 	sort.Ints(chunks)
@@ -107,7 +107,7 @@
 			rest = append(rest, key)
 		}
 	}
-	when := []protocol.Condition{{Key: state.JobPrefix + ref, Stamp: j.Stamp}}
+	when := []protocol.Condition{{Key: state.JobPrefix + ref, Revision: j.Revision}}
 	c.lead(prioEnding, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		t.finals.wrote(c.at.Steady, since)
 		c.writeFinals()
@@ -133,7 +133,7 @@
 						return
 					}
 					if found {
-						j.Stamp = e.Stamp
+						j.Revision = e.Revision
 					}
 					c.after(500*protocol.Millisecond, func() { c.finishAgain(t, j) })
 				})
@@ -145,7 +145,7 @@
 }
 
 func (c *Controller) finishAgain(t *term, j *state.Job) {
-	if c.term == t && (j.State == state.JobFinishing || j.State == state.JobCancelled || j.State == state.JobCancelling) {
+	if c.term == t && (j.State == state.JobFinishing || j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) {
 		c.finish(j)
 	}
 }
@@ -154,20 +154,20 @@
 func (c *Controller) over(j *state.Job, p protocol.Phase) {
 	t := c.term
 	c.remember(j.Spec.Ref, final{p, len(j.Tasks)})
-	if p == protocol.Done {
+	if p == protocol.PhaseDone {
 		if j.State == state.JobFinishing {
-			j.To(state.JobDone)
+			j.SetState(state.JobDone)
 		}
-	} else if j.State == state.JobCancelled || j.State == state.JobCancelling {
-		j.To(state.JobClosed)
-		c.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((c.at.Wall-j.CancelledWall)/protocol.Millisecond), "told", len(t.cancels[j.Spec.Ref]))
+	} else if j.State == state.JobCancelledLegacy || j.State == state.JobCancelling {
+		j.SetState(state.JobClosed)
+		c.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((c.at.Wall-j.CancelRequestedWall)/protocol.Millisecond), "told", len(t.cancels[j.Spec.Ref]))
 	}
 	delete(t.chains.writing, j)
 	for i := range j.Tasks {
 		j.Tasks[i].Durable = true
 	}
 	for _, a := range t.cancels[j.Spec.Ref] {
-		c.reply(a, 200, protocol.JobAnswer(j.Spec.Ref, p, j.Done, 0), 0)
+		c.reply(a, 200, protocol.JobStatusBody(j.Spec.Ref, p, j.CompletedTasks, 0), 0)
 	}
 	delete(t.cancels, j.Spec.Ref)
 	t.dirty = true
@@ -184,19 +184,19 @@
 func (c *Controller) closeJobs() {
 	t := c.term
 	var over []*state.Job
-	for _, j := range t.book.Line() {
+	for _, j := range t.book.Jobs() {
 		c.countServed(j)
 		c.countBegun(j)
 		switch j.State {
 		case state.JobDone, state.JobClosed:
-			if j.Settled() {
+			if j.NoActiveAttempts() {
 				over = append(over, j)
 			}
 		case state.JobCancelling:
 			c.endCancelled(j)
 			c.keepAsk(j)
-		case state.JobCancelled: // by an earlier version
-			if j.Settled() && t.recovered && !j.Closing && len(t.cancels[j.Spec.Ref]) == 0 {
+		case state.JobCancelledLegacy: // by an earlier version
+			if j.NoActiveAttempts() && t.recovered && !j.FinalWriteInFlight && len(t.cancels[j.Spec.Ref]) == 0 {
 				c.closing(j)
 				c.finish(j)
 			}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -50,13 +50,13 @@
 )
 
 func newStateLimits(p *protocol.Platform) stateLimits {
-	allowed := transactionLimits{p.ValueBytes, p.TxnOps}
+	allowed := transactionLimits{p.MaxValueBytes, p.MaxTxnChanges}
 	l := stateLimits{
-		announced: p.StateNext, allowed: allowed, target: allowed, published: p.StateWriteRate, rate: p.StateWriteRate,
+		announced: p.AnnouncedStateLimits, allowed: allowed, target: allowed, published: p.StateWriteRate, rate: p.StateWriteRate,
 		probeEvery: firstProbe, seed: maphash.MakeSeed(), refused: make(map[uint64]bool),
 	}
 	if n := l.announced; n != nil {
-		l.target = transactionLimits{min(n.ValueBytes, allowed.valueBytes), min(n.TxnOps, allowed.changes)}
+		l.target = transactionLimits{min(n.MaxValueBytes, allowed.valueBytes), min(n.MaxTxnChanges, allowed.changes)}
 	}
 	return l
 }
@@ -70,8 +70,8 @@
 		return true // it was made before the limits were known to be lower
 	}
 	switch {
-	case changes > protocol.MinTxnOps: // first the changes: with few of them it is the value
-		l.target.changes = max(protocol.MinTxnOps, changes/2)
+	case changes > protocol.MinTxnChanges: // first the changes: with few of them it is the value
+		l.target.changes = max(protocol.MinTxnChanges, changes/2)
 		l.allowed.changes = l.target.changes
 	case valueBytes > protocol.MinValueBytes:
 		l.target.valueBytes = max(protocol.MinValueBytes, valueBytes/2)
@@ -84,7 +84,7 @@
 
 // allowedBytes is the largest value that the service may still take after it refused one.
 func (l *stateLimits) allowedBytes(changes, valueBytes int) int {
-	if changes > protocol.MinTxnOps {
+	if changes > protocol.MinTxnChanges {
 		return l.allowed.valueBytes // it may have been for the changes
 	}
 	return min(l.allowed.valueBytes, valueBytes-1)
@@ -94,10 +94,10 @@
 // a refusal.
 func (l *stateLimits) fitAnnounced(changes, valueBytes int) {
 	n := l.announced
-	if n == nil || changes <= n.TxnOps && valueBytes <= n.ValueBytes {
+	if n == nil || changes <= n.MaxTxnChanges && valueBytes <= n.MaxValueBytes {
 		return
 	}
-	l.allowed = transactionLimits{min(l.allowed.valueBytes, n.ValueBytes), min(l.allowed.changes, n.TxnOps)}
+	l.allowed = transactionLimits{min(l.allowed.valueBytes, n.MaxValueBytes), min(l.allowed.changes, n.MaxTxnChanges)}
 }
 
 // crowded learns that the service refused a transaction for its rate. It reports whether
@@ -205,7 +205,7 @@
 	most := c.limits.published
 	if leads(c.role) {
 		// Its part of that is all there is: the others mostly write nothing.
-		most /= WriteShare(len(c.platform.Siblings)+1, true)
+		most /= WriteShare(len(c.platform.Peers)+1, true)
 	}
 	if c.limits.probe(c.at.Steady, most) {
 		c.log.Debug("more changes are tried", "a_second", c.limits.rate)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -10,7 +10,7 @@
 // What is learnt from transactions that are refused as malformed: first that there are too
 // many changes, then that a value is too large, and nothing where neither can be.
 func TestLimitsFromRefusals(t *testing.T) {
-	announced := &protocol.StateLimits{WriteRate: 24, ValueBytes: 3072, TxnOps: 6}
+	announced := &protocol.StateLimits{WriteRate: 24, MaxValueBytes: 3072, MaxTxnChanges: 6}
 	for _, c := range []struct {
 		name           string
 		announced      *protocol.StateLimits
@@ -28,7 +28,7 @@
 		{"announced, a description", announced, [][2]int{{1, 5000}}, true, transactionLimits{3072, 6}, transactionLimits{3072, 6}},
 		{"lower than announced", announced, [][2]int{{1, 3072}}, true, transactionLimits{2048, 6}, transactionLimits{3071, 12}},
 	} {
-		l := newStateLimits(&protocol.Platform{ValueBytes: 8192, TxnOps: 12, StateWriteRate: 35, StateNext: c.announced})
+		l := newStateLimits(&protocol.Platform{MaxValueBytes: 8192, MaxTxnChanges: 12, StateWriteRate: 35, AnnouncedStateLimits: c.announced})
 		explained := false
 		for _, r := range c.refused {
 			explained = l.tooLarge(r[0], r[1])
@@ -42,7 +42,7 @@
 // The rate falls at once and rises slowly, each time more slowly, and never beyond what is
 // published.
 func TestRateFromRefusals(t *testing.T) {
-	l := newStateLimits(&protocol.Platform{ValueBytes: 8192, TxnOps: 12, StateWriteRate: 35, StateNext: &protocol.StateLimits{WriteRate: 24, ValueBytes: 2048, TxnOps: 4}})
+	l := newStateLimits(&protocol.Platform{MaxValueBytes: 8192, MaxTxnChanges: 12, StateWriteRate: 35, AnnouncedStateLimits: &protocol.StateLimits{WriteRate: 24, MaxValueBytes: 2048, MaxTxnChanges: 4}})
 	at := 100 * protocol.Second
 	if l.rate != 35 {
 		t.Fatalf("%g before anything was refused", l.rate)
@@ -126,7 +126,7 @@
 func TestLeaderTriesForAllOfTheRate(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.role, c.seat.until = Leading, c.at.Steady+1000*protocol.Second
-	c.platform.Siblings = make([]protocol.Sibling, 2)
+	c.platform.Peers = make([]protocol.Peer, 2)
 	part := WriteShare(3, true)
 	for range 60 {
 		c.at.Steady += 2 * protocol.Second
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -34,8 +34,8 @@
 	done := make(map[string][][]byte)
 	chunks := make(map[string][]protocol.Entry)
 	host := func(h *state.Host) {
-		h.Answered = c.seat.predAnswers
-		h.Heard = c.at.Steady
+		h.LeaseRenewedAt = c.seat.predAnswers
+		h.LastContact = c.at.Steady
 		if t.book.Host(h.Name) == nil {
 			t.book.AddHost(h)
 		}
@@ -49,18 +49,18 @@
 				c.tookKeptTypes(e.Value)
 			}
 		}},
-		{state.KeyMemory, func(e protocol.Entry) {
-			if e.Key != state.KeyMemory {
+		{state.KeyHandover, func(e protocol.Entry) {
+			if e.Key != state.KeyHandover {
 				return
 			}
-			m, err := state.DecodeMemory(e.Value)
+			m, err := state.DecodeHandoverState(e.Value)
 			if err != nil {
 				damaged(e, err) // what it says is found out again
 				return
 			}
-			c.memory = leadership.Newer(c.memory, m)
+			c.memory = leadership.Newest(c.memory, m)
 		}},
-		{state.HostPages, func(e protocol.Entry) {
+		{state.HostShardPrefix, func(e protocol.Entry) {
 			hosts, err := state.DecodeHosts(c.at.Steady, e.Value)
 			if err != nil {
 				// Tasks may be on its hosts, which nobody else names.
@@ -74,17 +74,17 @@
 				t.hostPages.adopt(g, h.Name, hostBytes(h))
 			}
 		}},
-		{state.OldHostPrefix, func(e protocol.Entry) {
-			h, err := state.DecodeHost(c.at.Steady, strings.TrimPrefix(e.Key, state.OldHostPrefix), e.Value)
+		{state.LegacyHostPrefix, func(e protocol.Entry) {
+			h, err := state.DecodeLegacyHost(c.at.Steady, strings.TrimPrefix(e.Key, state.LegacyHostPrefix), e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
 				return
 			}
-			h.OldRecord = true
+			h.LegacyRecord = true
 			host(h)
 		}},
-		{state.BookingPages, func(e protocol.Entry) {
+		{state.BookingShardPrefix, func(e protocol.Entry) {
 			at, err := state.DecodeBookings(e.Value)
 			if err != nil {
 				damaged(e, err) // a booking is found again by planning
@@ -97,16 +97,16 @@
 				bookings[ref] = at
 			}
 		}},
-		{state.OldBookingPrefix, func(e protocol.Entry) {
+		{state.LegacyBookingPrefix, func(e protocol.Entry) {
 			t.orphans = append(t.orphans, e.Key)
 			at, err := strconv.ParseInt(string(e.Value), 10, 64)
 			if err != nil {
 				damaged(e, err)
 				return
 			}
-			bookings[strings.TrimPrefix(e.Key, state.OldBookingPrefix)] = micros(at)
+			bookings[strings.TrimPrefix(e.Key, state.LegacyBookingPrefix)] = micros(at)
 		}},
-		{state.CompletionPages, func(e protocol.Entry) {
+		{state.CompletionShardPrefix, func(e protocol.Entry) {
 			list, err := state.DecodeCompletions(e.Value)
 			if err != nil {
 				damaged(e, err) // its tasks run again
@@ -119,7 +119,7 @@
 				done[ref] = append(done[ref], bits) // two records name it while one is divided
 			}
 		}},
-		{state.LaunchPages, func(e protocol.Entry) {
+		{state.LaunchShardPrefix, func(e protocol.Entry) {
 			list, err := state.DecodeLaunches(e.Value)
 			if err != nil {
 				damaged(e, err)
@@ -190,7 +190,7 @@
 			}
 			for ref, at := range bookings {
 				if j := t.book.Job(ref); j != nil {
-					j.Booked, j.BookingKept = c.steadyOf(at), true
+					j.BookedStart, j.BookingPersisted = c.steadyOf(at), true
 					t.bookingPages.put(ref, bookingBytes(ref), c.room(), protocol.Forever, false)
 				} else {
 					t.bookingPages.drop(ref, protocol.Forever)
@@ -216,7 +216,7 @@
 					}
 					k, err := strconv.Atoi(e.Key[strings.LastIndexByte(e.Key, '/')+1:])
 					if j != nil && err == nil {
-						j.KeepChunk(k, e.Stamp)
+						j.SetChunkRevision(k, e.Revision)
 						err = state.ApplyChunk(j, k, e.Value)
 					}
 					if err != nil {
@@ -241,10 +241,10 @@
 	if c.unread == nil {
 		c.unread = make(map[string]uint64)
 	}
-	if was, told := c.unread[e.Key]; told && was == e.Stamp {
+	if was, told := c.unread[e.Key]; told && was == e.Revision {
 		return
 	}
-	c.unread[e.Key] = e.Stamp
+	c.unread[e.Key] = e.Revision
 	c.log.Error("damaged record", "key", e.Key, "err", err)
 }
 
@@ -266,12 +266,12 @@
 	c.began(j)
 	a := t.book.Attach(c.at.Steady, j, h, l.Name)
 	a.Adopted, a.Recorded = true, true
-	j.BeginCounted = true // by an earlier leader, which knew whether it began in time
-	t.book.Move(c.at.Steady, a, state.AttemptLaunched)
+	j.StartSLOCounted = true // by an earlier leader, which knew whether it began in time
+	t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
 	if j.Spec.Kind == protocol.Gang {
 		j.GangAttempt = max(j.GangAttempt, l.Name.Number)
 	}
-	a.Stop = j.State != state.JobLive
+	a.StopRequested = j.State != state.JobActive
 	// It stays in the record that names it for as long as it may be there.
 	name := l.Name.TaskName.String()
 	t.launchPages.enter(l.page, name, launchBytes(a))
@@ -285,20 +285,20 @@
 	c.inherit()
 	for _, h := range t.book.Hosts() {
 		h.Type = c.typeByName[h.TypeName]
-		if h.OldRecord {
+		if h.LegacyRecord {
 			t.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, true)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(launches)) {
 		c.pin(launches[name])
 	}
-	for _, j := range slices.Clone(t.book.Line()) {
-		if j.Done > 0 {
+	for _, j := range slices.Clone(t.book.Jobs()) {
+		if j.CompletedTasks > 0 {
 			c.began(j)
 		}
 		c.checkFinished(j)
 	}
-	c.log.Info("leading", "epoch", t.epoch, "jobs", len(t.book.Line()), "hosts", len(t.book.Hosts()), "load_ms", int64((c.at.Steady-t.started)/protocol.Millisecond))
+	c.log.Info("leading", "epoch", t.epoch, "jobs", len(t.book.Jobs()), "hosts", len(t.book.Hosts()), "load_ms", int64((c.at.Steady-t.started)/protocol.Millisecond))
 	c.loadedConfig(t)
 	c.followJobs(t, rev)
 	c.readFinals(t)
@@ -325,7 +325,7 @@
 			return
 		}
 	}
-	value := state.EncodeEpoch(state.Epoch{N: t.epoch, Yields: t.yields, Level: c.level()})
+	value := state.EncodeEpoch(state.EpochRecord{Epoch: t.epoch, Transfers: t.yields, Level: c.level()})
 	c.lead(prioUrgent, c.underLevel(nil), []protocol.Change{{Key: state.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
 		c.otherLevel(o, r)
 		if o != txnApplied {
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -15,7 +15,7 @@
 
 // remembering is how a leader keeps its memory.
 type remembering struct {
-	kept    protocol.Memory // as the state service has it
+	kept    protocol.HandoverState // as the state service has it
 	told    map[string]toldMemory
 	next    micros // when it is looked at again
 	writing bool
@@ -50,45 +50,45 @@
 		return
 	}
 	t.memory.next = at + memoryEvery
-	m := protocol.Memory{Epoch: t.epoch, At: c.at.Wall}
-	cuts := make(map[string]*protocol.Cut)
+	m := protocol.HandoverState{Epoch: t.epoch, At: c.at.Wall}
+	cuts := make(map[string]*protocol.Partition)
 	for zone, seen := range t.cutSeen {
 		if at-seen < c.cutHolds() {
-			cuts[zone] = &protocol.Cut{Zone: zone, Since: c.at.Wall, Seen: c.wallOf(seen)}
+			cuts[zone] = &protocol.Partition{Zone: zone, Since: c.at.Wall, LastSeen: c.wallOf(seen)}
 		}
 	}
 	bytes, room := 200, c.room()
 	for _, h := range t.book.Hosts() {
-		if h.State != state.HostReady && (!h.FromRecord || h.Proven) || at-h.Heard <= release {
+		if h.State != state.HostReady && (!h.FromRecord || h.Reconciled) || at-h.LastContact <= release {
 			continue
 		}
 		if cut := cuts[h.Zone]; cut != nil {
-			cut.Since = min(cut.Since, c.wallOf(h.Heard))
+			cut.Since = min(cut.Since, c.wallOf(h.LastContact))
 			continue
 		}
-		s := protocol.Silence{Host: h.Name, Since: c.wallOf(h.Heard)}
-		m.Silent = append(m.Silent, s)
-		bytes += state.SilenceBytes(s)
+		s := protocol.SilentHost{Host: h.Name, Since: c.wallOf(h.LastContact)}
+		m.SilentHosts = append(m.SilentHosts, s)
+		bytes += state.SilentHostBytes(s)
 	}
 	for _, cut := range cuts {
-		m.Cuts = append(m.Cuts, *cut)
+		m.Partitions = append(m.Partitions, *cut)
 		bytes += len(cut.Zone) + 48
 	}
-	most := min(len(m.Silent), protocol.MaxSilent)
+	most := min(len(m.SilentHosts), protocol.MaxSilentHosts)
 	if bytes > room { // those that have been silent for longest fit
-		most = min(most, max(0, room/(bytes/max(1, len(m.Silent)))))
+		most = min(most, max(0, room/(bytes/max(1, len(m.SilentHosts)))))
 	}
 	m = leadership.Trim(m, most)
-	if same := leadership.Same(m, c.memory); !same || c.memory.Epoch != m.Epoch {
+	if same := leadership.SameContent(m, c.memory); !same || c.memory.Epoch != m.Epoch {
 		c.memory = m
 	}
 	kept := &t.memory.kept
-	again := len(m.Cuts) > 0 && m.At-kept.At >= cutsAgain
-	if t.memory.writing || leadership.Same(m, *kept) && !again {
+	again := len(m.Partitions) > 0 && m.At-kept.At >= cutsAgain
+	if t.memory.writing || leadership.SameContent(m, *kept) && !again {
 		return
 	}
 	t.memory.writing = true
-	c.lead(prioUrgent, nil, []protocol.Change{{Key: state.KeyMemory, Value: state.EncodeMemory(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
+	c.lead(prioUrgent, nil, []protocol.Change{{Key: state.KeyHandover, Value: state.EncodeHandoverState(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
 		t.memory.writing = false
 		t.memory.next = c.at.Steady + retryMemory
 		if o == txnApplied {
@@ -99,7 +99,7 @@
 
 // cutHolds is how long a zone counts as cut off after it last looked so: when a cut
 // ends, its hosts do not all come back at the same instant.
-func (c *Controller) cutHolds() micros { return 2*c.platform.ReportEvery + 4*protocol.Second }
+func (c *Controller) cutHolds() micros { return 2*c.platform.HeartbeatInterval + 4*protocol.Second }
 
 // inherit takes what earlier leaders have seen into a new leader's book.
 func (c *Controller) inherit() {
@@ -107,28 +107,28 @@
 	at := c.at.Steady
 	t.memory.kept, t.memory.told = c.memory, make(map[string]toldMemory)
 	in := leadership.Inherit(c.memory)
-	for zone, cut := range in.Cuts() {
-		if c.at.Wall-cut.Seen < c.cutKeep() {
+	for zone, cut := range in.Partitions() {
+		if c.at.Wall-cut.LastSeen < c.cutKeep() {
 			t.cutSeen[zone] = at // its hosts soon show whether it still is
 		}
 	}
 	silent := 0
 	for _, h := range t.book.Hosts() {
-		h.Heard = at
+		h.LastContact = at
 		if wall, ok := in.SilentSince(h.Name, h.Zone); ok {
-			h.Heard = min(at, c.steadyOf(wall))
+			h.LastContact = min(at, c.steadyOf(wall))
 			silent++
 		}
 	}
 	if silent > 0 {
-		c.log.Info("taken from earlier leaders", "epoch", t.epoch, "silent", silent, "zones_cut", len(in.Cuts()), "seen_ms_ago", int64((c.at.Wall-c.memory.At)/protocol.Millisecond))
+		c.log.Info("taken from earlier leaders", "epoch", t.epoch, "silent", silent, "zones_cut", len(in.Partitions()), "seen_ms_ago", int64((c.at.Wall-c.memory.At)/protocol.Millisecond))
 	}
 }
 
 // question makes a leader's question, with what it has seen. That is empty where the
 // other side has it already.
-func (c *Controller) question(m protocol.Memory) []byte {
-	return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerAsk, Epoch: c.term.epoch, From: c.platform.Node, Body: protocol.AppendMemory(nil, m)})
+func (c *Controller) question(m protocol.HandoverState) []byte {
+	return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerStatusRequest, Epoch: c.term.epoch, From: c.platform.ControllerName, Body: protocol.AppendHandoverState(nil, m)})
 }
 
 // hearMemory keeps what a leader tells.
@@ -136,21 +136,21 @@
 	if len(body) == 0 || leads(c.role) {
 		return
 	}
-	m, err := protocol.ParseMemory(body)
+	m, err := protocol.ParseHandoverState(body)
 	if err != nil {
 		c.malformed("controller", err)
 		return
 	}
-	c.memory = leadership.Newer(c.memory, m)
+	c.memory = leadership.Newest(c.memory, m)
 }
 
 // hearingOf reads how many workers another controller hears that can't reach this
 // one. One that doesn't tell zones apart counts all that came to it.
-func (c *Controller) hearingOf(m *protocol.PeerMessage) leadership.Hearing {
+func (c *Controller) hearingOf(m *protocol.PeerMessage) leadership.Reachability {
 	if len(m.Body) == 0 {
-		return leadership.Hearing{"": int(m.Heard)}
+		return leadership.Reachability{"": int(m.RedirectedWorkers)}
 	}
-	heard, err := protocol.ParseHearing(m.Body)
+	heard, err := protocol.ParseReachability(m.Body)
 	if err != nil {
 		c.malformed("controller", err)
 		return nil
@@ -162,7 +162,7 @@
 // and not the workers that are gone. To release them for that would end all that runs.
 // It reports whether it does. Where it may not, though others hear them, the zones count
 // as cut off.
-func (c *Controller) considerYield(zones map[string]leadership.Zone) bool {
+func (c *Controller) considerYield(zones map[string]leadership.ZoneWorkers) bool {
 	t := c.term
 	if t.yielding {
 		return true
@@ -170,22 +170,22 @@
 	if !c.mayStart() || c.at.Steady-t.led <= c.silence() {
 		return false
 	}
-	others := make(map[string]leadership.Hearing)
+	others := make(map[string]leadership.Reachability)
 	for name, o := range t.others {
 		if o.asked > 0 && c.at.Steady-o.asked <= standHolds {
 			others[name] = o.hearing
 		}
 	}
-	to, v := leadership.Judge(c.at.Wall, zones, others, t.yields)
+	to, v := leadership.Decide(c.at.Wall, zones, others, t.yields)
 	if v != t.verdict {
 		t.verdict = v
 		c.log.Info("workers heard", "verdict", v.String(), "epoch", t.epoch)
 	}
 	switch v {
-	case leadership.Yields:
-		c.yield(to, leadership.HeardOf(zones))
+	case leadership.Transfer:
+		c.yield(to, leadership.ReachableByZone(zones))
 		return true
-	case leadership.HearsMost, leadership.NobodyHears:
+	case leadership.KeepHearsMost, leadership.KeepNobodyHearsMore:
 	default:
 		for name, z := range zones {
 			heard := 0
@@ -209,8 +209,8 @@
 func (c *Controller) yield(to string, heard map[string]int) {
 	t := c.term
 	t.yielding = true
-	y := protocol.Yield{Node: c.platform.Node, To: to, Epoch: t.epoch, At: c.at.Wall, Heard: heard}
-	rec := state.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: leadership.Recent(append(t.yields, y), c.at.Wall), Level: c.level()}
+	y := protocol.LeadershipTransfer{From: c.platform.ControllerName, To: to, Epoch: t.epoch, At: c.at.Wall, ReachableWorkers: heard}
+	rec := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.unlisted, Transfers: leadership.RecentTransfers(append(t.yields, y), c.at.Wall), Level: c.level()}
 	then := []protocol.Change{{Key: state.KeyEpoch, Value: state.EncodeEpoch(rec)}, {Key: state.KeyLeader}}
 	c.lead(prioLeadership, c.underLevel(nil), then, func(o txnOutcome, r protocol.TxnResult) {
 		if other := c.otherLevel(o, r); other || o.undone() {
@@ -218,7 +218,7 @@
 			return
 		}
 		c.log.Info("giving the lease back: workers are heard by other nodes and not by this one", "epoch", t.epoch, "to", to,
-			"heard", leadership.Hearing(heard).Total())
+			"heard", leadership.Reachability(heard).Total())
 		c.shy = c.at.Steady + shyFor
 		c.endLease(c.seat.lease)
 		c.follow()
--- a/internal/controller/mute.go
+++ b/internal/controller/mute.go
@@ -9,5 +9,5 @@
 // on such machines once a lease, for as long as that lasted, beside others that were free.
 // What is on one stays until its lease ends, and stops still go out as direct commands.
 func (c *Controller) mute(h *state.Host) bool {
-	return c.at.Steady-max(h.Reported, h.Since, c.term.led) > c.platform.WorkerLease
+	return c.at.Steady-max(h.HeartbeatAt, h.KnownSince, c.term.led) > c.platform.WorkerLease
 }
--- a/internal/controller/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -17,8 +17,8 @@
 	c := busyLeader(t, 8, 0)
 	b := c.term.book
 	j := state.NewJob(&protocol.JobSpec{
-		Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Rank: protocol.High, Tasks: 4,
-		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, OneZone: true, Image: "img", Estimate: 60 * protocol.Second,
+		Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Priority: protocol.PriorityHigh, Tasks: 4,
+		TaskResources: protocol.Resources{CPU: 1000, GPU: 1000, Memory: 1000}, SingleZone: true, Image: "img", EstimatedRuntime: 60 * protocol.Second,
 	})
 	j.SubmittedWall = c.at.Wall
 	c.enter(j)
@@ -27,7 +27,7 @@
 		h.FromRecord = true
 		b.AddHost(h)
 		name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: try}
-		c.pin(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchPages.load(protocol.Entry{Key: state.LaunchPages + host[len(host)-1:]})})
+		c.pin(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchPages.load(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
 		return j.Tasks[index].Current
 	}
 	pin("n-900002", "b", 1, 7)
--- a/internal/controller/others.go
+++ b/internal/controller/others.go
@@ -27,7 +27,7 @@
 type stand struct {
 	asked    micros             // when it was asked; 0: it has not answered in this term
 	answered micros             // when it last answered a worker
-	hearing  leadership.Hearing // workers that come to it because they can't reach this node
+	hearing  leadership.Reachability // workers that come to it because they can't reach this node
 }
 
 // askOthers asks the other controllers whether they answer workers, as long as
@@ -37,8 +37,8 @@
 		return
 	}
 	asked := c.at.Steady
-	plain, full := c.question(protocol.Memory{}), c.question(c.memory)
-	for _, s := range c.platform.Siblings {
+	plain, full := c.question(protocol.HandoverState{}), c.question(c.memory)
+	for _, s := range c.platform.Peers {
 		frame, told := plain, c.memory.At
 		if was := t.memory.told[s.Name]; was.made != told || asked-was.at >= tellAgain {
 			frame = full
@@ -52,7 +52,7 @@
 				c.malformed("controller", err)
 				return
 			}
-			if m.Kind != protocol.PeerStand || m.Answers {
+			if m.Kind != protocol.PeerStatus || m.AnswersWorkers {
 				return
 			}
 			o := t.others[s.Name]
@@ -61,8 +61,8 @@
 			unbroken := o.asked > 0 && c.at.Steady-o.asked < isolatedAfter-drift(isolatedAfter)
 			o.asked, o.hearing = max(o.asked, asked), c.hearingOf(m)
 			t.memory.told[s.Name] = toldMemory{told, c.at.Steady}
-			if m.Age < protocol.Forever && !unbroken {
-				o.answered = max(o.answered, c.at.Steady-m.Age)
+			if m.AnsweredAgo < protocol.Forever && !unbroken {
+				o.answered = max(o.answered, c.at.Steady-m.AnsweredAgo)
 			}
 			t.others[s.Name] = o
 			c.allStand(t)
@@ -78,7 +78,7 @@
 	if t.stood {
 		return
 	}
-	for _, s := range c.platform.Siblings {
+	for _, s := range c.platform.Peers {
 		if c.at.Steady-t.others[s.Name].asked > standHolds || t.others[s.Name].asked == 0 {
 			return
 		}
@@ -86,8 +86,8 @@
 	t.stood = true
 	c.log.Info("no other controller answers workers", "epoch", t.epoch)
 	for _, h := range t.book.Hosts() {
-		if h.FromRecord && !h.Proven {
-			h.Answered = min(h.Answered, c.at.Steady)
+		if h.FromRecord && !h.Reconciled {
+			h.LeaseRenewedAt = min(h.LeaseRenewedAt, c.at.Steady)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 // answered it for that long.
 func (c *Controller) expired(h *state.Host) bool {
 	at, lease := c.at.Steady, c.platform.WorkerLease
-	answered := h.Answered
-	for _, s := range c.platform.Siblings {
+	answered := h.LeaseRenewedAt
+	for _, s := range c.platform.Peers {
 		if !c.keepsZone(s.Zone, h.Zone) {
 			continue
 		}
@@ -121,7 +121,7 @@
 	if c.platform.Zone == workers {
 		return false
 	}
-	return !slices.ContainsFunc(c.platform.Siblings, func(s protocol.Sibling) bool { return s.Zone == workers })
+	return !slices.ContainsFunc(c.platform.Peers, func(s protocol.Peer) bool { return s.Zone == workers })
 }
 
 // onAsk tells a leader whether this node answers workers. One that led under an
@@ -134,22 +134,22 @@
 	if e.Epoch > 0 {
 		c.narrow = len(e.Body) == 0
 	}
-	m := &protocol.PeerMessage{Kind: protocol.PeerStand, Age: protocol.Forever}
+	m := &protocol.PeerMessage{Kind: protocol.PeerStatus, AnsweredAgo: protocol.Forever}
 	if leads(c.role) || c.role == Claiming {
-		m.Answers = true
+		m.AnswersWorkers = true
 	} else if e.Epoch > 0 && e.Epoch >= c.leader.Epoch {
 		c.asked = c.at.Steady
 		if e.Epoch > c.leader.Epoch {
 			// The state service would say the same; it may refuse this node.
-			c.leader = state.Leadership{Node: e.From, Epoch: e.Epoch, AnswerOn: c.leader.AnswerOn}
+			c.leader = state.LeaderRecord{Controller: e.From, Epoch: e.Epoch, HeartbeatGrace: c.leader.HeartbeatGrace}
 			c.suspect = 0
 		}
 	}
-	m.Heard, m.Body = c.countCallers()
+	m.RedirectedWorkers, m.Body = c.countCallers()
 	c.hearMemory(e.Body)
 	// What the process before this one did, which may have ended a moment before, it
 	// can't say: it counts as having answered until this one was born.
-	m.Age = c.at.Steady - max(c.answered, c.born)
+	m.AnsweredAgo = c.at.Steady - max(c.answered, c.born)
 	c.emit(Reply{To: e.Reply, Status: 200, Body: protocol.AppendPeer(nil, m), Frame: true})
 }
 
@@ -169,8 +169,8 @@
 		return
 	}
 	c.felt = at
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerAsk, From: c.platform.Node, Body: protocol.AppendMemory(nil, protocol.Memory{})})
-	for _, s := range c.platform.Siblings {
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerStatusRequest, From: c.platform.ControllerName, Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})})
+	for _, s := range c.platform.Peers {
 		c.callAddr(ToPeer, "", s.Address, "", frame, askEvery, func(CallDone) {})
 	}
 }
--- a/internal/controller/pages.go
+++ b/internal/controller/pages.go
@@ -63,7 +63,7 @@
 // load takes a record that was read.
 func (p *pages) load(e protocol.Entry) *page {
 	p.skip(e.Key)
-	g := &page{key: e.Key, stamp: e.Stamp, bytes: len(e.Value), entries: make(map[string]int), due: protocol.Forever}
+	g := &page{key: e.Key, stamp: e.Revision, bytes: len(e.Value), entries: make(map[string]int), due: protocol.Forever}
 	p.list = append(p.list, g)
 	return g
 }
@@ -225,7 +225,7 @@
 		if size += len(ch.Value) + 100; size > txnBytes && len(then) > 0 {
 			break
 		}
-		when = append(when, protocol.Condition{Key: g.key, Stamp: g.stamp})
+		when = append(when, protocol.Condition{Key: g.key, Revision: g.stamp})
 		then = append(then, ch)
 		batch, applied = append(batch, g), append(applied, done)
 		g.writing, g.due, g.urgent = how, protocol.Forever, false
@@ -248,7 +248,7 @@
 		for i, g := range batch {
 			g.writing = notWriting
 			if o == txnApplied {
-				g.stamp, g.bytes, g.heirs, g.alone = r.Stamp, sizes[i], nil, false
+				g.stamp, g.bytes, g.heirs, g.alone = r.Revision, sizes[i], nil, false
 				if applied[i] != nil {
 					applied[i]()
 				}
@@ -256,7 +256,7 @@
 			}
 			g.due, g.urgent = c.at.Steady, g.urgent || how == writingUrgent
 			g.alone = g.alone || o == txnMalformed
-			g.lost = g.lost || o == txnUnknown || o == txnRefused && slices.Contains(r.Failed, g.key)
+			g.lost = g.lost || o == txnUnknown || o == txnRefused && slices.Contains(r.Conflicts, g.key)
 		}
 		if o == txnMalformed && len(batch) == 1 {
 			batch[0].due = c.at.Steady + unwritableAgain // it is told of, and holds up no others
@@ -358,6 +358,6 @@
 			p.next[writingUrgent] = c.at.Steady + 300*protocol.Millisecond
 			return
 		}
-		g.lost, g.stamp = false, e.Stamp // 0 where there is none
+		g.lost, g.stamp = false, e.Revision // 0 where there is none
 	})
 }
--- a/internal/controller/pages_test.go
+++ b/internal/controller/pages_test.go
@@ -17,7 +17,7 @@
 func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.role, c.seat.until = Leading, c.at.Steady+protocol.Second
-	p := c.newPages(state.LaunchPages, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
+	p := c.newPages(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
 	room := c.room()
 	p.put("req-900001/0", room-100, room, c.at.Steady, true)
 	p.put("req-900002/0", room-100, room, c.at.Steady, true)
@@ -77,7 +77,7 @@
 		}
 		return []byte(`"` + strings.Repeat("x", n-2) + `"`), nil
 	})
-	g := p.load(protocol.Entry{Key: "xp/1", Stamp: 5, Value: make([]byte, 4802)})
+	g := p.load(protocol.Entry{Key: "xp/1", Revision: 5, Value: make([]byte, 4802)})
 	for name, n := range bytes {
 		p.adopt(g, name, n)
 	}
@@ -113,7 +113,7 @@
 	c := busyLeader(t, 8, 0)
 	p := c.newPages("xp/", func([]string) ([]byte, func()) { return nil, nil })
 	for i := range 10 {
-		g := p.load(protocol.Entry{Key: p.prefix + strconv.Itoa(i+1), Stamp: uint64(i + 1)})
+		g := p.load(protocol.Entry{Key: p.prefix + strconv.Itoa(i+1), Revision: uint64(i + 1)})
 		p.adopt(g, "old-"+strconv.Itoa(i), 1000+100*i)
 	}
 	at := c.at.Steady
--- a/internal/controller/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -20,16 +20,16 @@
 	rng := rand.New(rand.NewPCG(7, uint64(machines)))
 	zones := []string{"a", "b", "c", "d"}
 	small := &protocol.MachineType{
-		Name: "small", Offer: protocol.Resources{CPU: 12_000, GPU: 2000, Mem: 48_000}, Cache: 80_000, FetchRate: 0.0004,
-		Price: 4, SpotPrice: 1.6, Boot: 25 * sec, Zones: zones[:3],
+		Name: "small", Capacity: protocol.Resources{CPU: 12_000, GPU: 2000, Memory: 48_000}, CacheSize: 80_000, FetchRate: 0.0004,
+		Price: 4, SpotPrice: 1.6, BootTime: 25 * sec, Zones: zones[:3],
 	}
 	large := &protocol.MachineType{
-		Name: "large", Offer: protocol.Resources{CPU: 32_000, GPU: 4000, Mem: 128_000}, Cache: 100_000, FetchRate: 0.0004,
-		Price: 11, SpotPrice: 4.6, Boot: 35 * sec, Zones: zones,
+		Name: "large", Capacity: protocol.Resources{CPU: 32_000, GPU: 4000, Memory: 128_000}, CacheSize: 100_000, FetchRate: 0.0004,
+		Price: 11, SpotPrice: 4.6, BootTime: 35 * sec, Zones: zones,
 	}
 	p := &protocol.Platform{
-		Node: "n0", Zone: "a", StateRate: 180, StateWriteRate: 40, TxnOps: 12, ValueBytes: 8192, CloudRate: 5,
-		CPUShare: 0.324, ReportEvery: 5 * sec, WorkerLease: 24 * sec, Cancel: 54 * sec, Teams: map[string]protocol.Team{},
+		ControllerName: "n0", Zone: "a", StateRequestRate: 180, StateWriteRate: 40, MaxTxnChanges: 12, MaxValueBytes: 8192, CloudRate: 5,
+		CPUShare: 0.324, HeartbeatInterval: 5 * sec, WorkerLease: 24 * sec, CancelTimeout: 54 * sec, Teams: map[string]protocol.Team{},
 	}
 	p.Objectives = []protocol.Objective{
 		{Kind: "wait", Class: "serve", Within: 12 * sec},
@@ -42,7 +42,7 @@
 	for i := range 16 {
 		p.Teams[fmt.Sprint("team-", i)] = protocol.Team{}
 	}
-	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.at = now{Steady: 1000 * sec, Wall: 1000 * sec}
 	c.role, c.seat.until, c.seat.epoch = Leading, protocol.Forever, 3
 	c.types = []*protocol.MachineType{small, large}
@@ -64,11 +64,11 @@
 	// put anywhere.
 	running := map[string]*state.Job{}
 	specs := map[string]protocol.JobSpec{
-		"serve": {Class: "serve", Kind: protocol.Service, Rank: protocol.Critical, Need: protocol.Resources{CPU: 4000, GPU: 1000, Mem: 14_000}},
-		"rerun": {Class: "rerun", Kind: protocol.Array, Rank: protocol.Standard, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 18_000}, Estimate: 300 * sec, Spot: true},
+		"serve": {Class: "serve", Kind: protocol.Service, Priority: protocol.PriorityCritical, TaskResources: protocol.Resources{CPU: 4000, GPU: 1000, Memory: 14_000}},
+		"rerun": {Class: "rerun", Kind: protocol.Array, Priority: protocol.PriorityStandard, TaskResources: protocol.Resources{CPU: 5000, GPU: 1000, Memory: 18_000}, EstimatedRuntime: 300 * sec, AllowSpot: true},
 		"small-train": {
-			Class: "small-train", Kind: protocol.Array, Rank: protocol.High, Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19_000},
-			Estimate: 600 * sec,
+			Class: "small-train", Kind: protocol.Array, Priority: protocol.PriorityHigh, TaskResources: protocol.Resources{CPU: 5000, GPU: 1000, Memory: 19_000},
+			EstimatedRuntime: 600 * sec,
 		},
 	}
 	for _, name := range []string{"serve", "rerun", "small-train"} {
@@ -80,13 +80,13 @@
 	for i := range machines {
 		typ := c.types[i%2]
 		h := state.NewHost(c.at.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
-		h.Type, h.Proven, h.Heard, h.Recorded = typ, true, c.at.Steady, true
-		h.To(state.HostReady)
+		h.Type, h.Reconciled, h.LastContact, h.Recorded = typ, true, c.at.Steady, true
+		h.SetState(state.HostReady)
 		t.book.AddHost(h)
 		for range 8 {
-			h.SawImage(c.at.Steady, fmt.Sprint("img-", rng.IntN(30)), 6000)
+			h.AddImage(c.at.Steady, fmt.Sprint("img-", rng.IntN(30)), 6000)
 		}
-		for range typ.Offer.GPU / 1000 {
+		for range typ.Capacity.GPU / 1000 {
 			name := []string{"serve", "rerun", "rerun", "rerun", "small-train"}[rng.IntN(5)]
 			if rng.IntN(200) == 0 {
 				continue // a GPU that is free
@@ -95,9 +95,9 @@
 			a := t.book.Attach(c.at.Steady, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: used[name]}, Number: 1})
 			used[name]++
 			a.Recorded = true
-			t.book.Move(c.at.Steady, a, state.AttemptLaunched)
-			t.book.Move(c.at.Steady, a, state.AttemptRunning)
-			a.Started = c.at.Steady - micros(rng.IntN(300_000))*protocol.Millisecond
+			t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
+			t.book.SetAttemptState(c.at.Steady, a, state.AttemptRunning)
+			a.StartedAt = c.at.Steady - micros(rng.IntN(300_000))*protocol.Millisecond
 		}
 	}
 	for _, j := range running {
@@ -111,19 +111,19 @@
 		s := protocol.JobSpec{Image: fmt.Sprint("img-", rng.IntN(30)), ImageSize: 6000, Tasks: 1}
 		switch i % 10 {
 		case 0:
-			s.Class, s.Kind, s.Rank, s.Spread = "serve", protocol.Service, protocol.Critical, true
-			s.Need, s.Tasks = specs["serve"].Need, 2+rng.IntN(3)
+			s.Class, s.Kind, s.Priority, s.SpreadZones = "serve", protocol.Service, protocol.PriorityCritical, true
+			s.TaskResources, s.Tasks = specs["serve"].TaskResources, 2+rng.IntN(3)
 		case 1, 2:
-			s.Class, s.Kind, s.Rank, s.OneZone, s.Estimate = "large-train", protocol.Gang, protocol.High, true, 100*sec
-			s.Need, s.Tasks = protocol.Resources{CPU: 28_000, GPU: 4000, Mem: 100_000}, 1<<rng.IntN(5)
+			s.Class, s.Kind, s.Priority, s.SingleZone, s.EstimatedRuntime = "large-train", protocol.Gang, protocol.PriorityHigh, true, 100*sec
+			s.TaskResources, s.Tasks = protocol.Resources{CPU: 28_000, GPU: 4000, Memory: 100_000}, 1<<rng.IntN(5)
 		case 3, 4, 5:
-			s.Class, s.Kind, s.Rank, s.OneZone, s.Estimate = "small-train", protocol.Gang, protocol.High, true, 80*sec
-			s.Need, s.Tasks = specs["small-train"].Need, 1<<rng.IntN(3)
-			s.CheckpointEvery, s.Saves = 30*sec, 5*sec
+			s.Class, s.Kind, s.Priority, s.SingleZone, s.EstimatedRuntime = "small-train", protocol.Gang, protocol.PriorityHigh, true, 80*sec
+			s.TaskResources, s.Tasks = specs["small-train"].TaskResources, 1<<rng.IntN(3)
+			s.CheckpointInterval, s.CheckpointDuration = 30*sec, 5*sec
 		default:
-			s.Class, s.Kind, s.Rank, s.Spot, s.Estimate = "rerun", protocol.Array, protocol.Standard, true, micros(20+rng.IntN(40))*sec
-			s.Need, s.Tasks = protocol.Resources{CPU: int64(4000 + rng.IntN(2000)), GPU: 1000, Mem: 18_000}, 5+rng.IntN(60)
-			s.Deadline = 3*s.Estimate + micros(rng.IntN(300))*sec
+			s.Class, s.Kind, s.Priority, s.AllowSpot, s.EstimatedRuntime = "rerun", protocol.Array, protocol.PriorityStandard, true, micros(20+rng.IntN(40))*sec
+			s.TaskResources, s.Tasks = protocol.Resources{CPU: int64(4000 + rng.IntN(2000)), GPU: 1000, Memory: 18_000}, 5+rng.IntN(60)
+			s.Deadline = 3*s.EstimatedRuntime + micros(rng.IntN(300))*sec
 		}
 		job(s, micros(rng.IntN(60))*sec)
 	}
@@ -142,7 +142,7 @@
 			c.effects = nil
 			return rows, rounds
 		}
-		c.at.Steady += c.operator.RoundGap
+		c.at.Steady += c.operator.MinCycleInterval
 	}
 }
 
@@ -153,17 +153,17 @@
 	c.at.Steady += 2 * protocol.Second
 	c.at.Wall += 2 * protocol.Second
 	for _, h := range t.book.Hosts() {
-		h.Heard = c.at.Steady
+		h.LastContact = c.at.Steady
 		for _, a := range h.Attempts() {
 			switch {
-			case a.Stop:
-				t.book.Move(c.at.Steady, a, state.AttemptGone)
+			case a.StopRequested:
+				t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
 			case a.State == state.AttemptAssigned:
-				t.book.Move(c.at.Steady, a, state.AttemptLaunched)
-				t.book.Move(c.at.Steady, a, state.AttemptRunning)
-			case a.Job != nil && a.Job.Spec.Kind == protocol.Array && c.at.Steady-a.Started >= a.Job.Spec.Estimate:
+				t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
+				t.book.SetAttemptState(c.at.Steady, a, state.AttemptRunning)
+			case a.Job != nil && a.Job.Spec.Kind == protocol.Array && c.at.Steady-a.StartedAt >= a.Job.Spec.EstimatedRuntime:
 				a.Job.Complete(a.Name.Index, true)
-				t.book.Move(c.at.Steady, a, state.AttemptGone)
+				t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
 			}
 		}
 	}
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -21,7 +21,7 @@
 type hopeless struct {
 	need          protocol.Resources
 	tasks         int
-	rank          protocol.Rank
+	rank          protocol.Priority
 	zone          string
 	types         []string
 	oneZone, spot bool
@@ -29,15 +29,15 @@
 
 func (h *hopeless) covers(j *state.Job, tasks int) bool {
 	s := j.Spec
-	return s.Need.Holds(h.need) && tasks >= h.tasks && j.Rank >= h.rank && (h.zone == "" || h.zone == s.Zone) &&
-		(!h.oneZone || s.OneZone || tasks == 1) && (h.spot || !s.Spot) && slices.Equal(h.types, s.Types)
+	return s.TaskResources.Covers(h.need) && tasks >= h.tasks && j.Priority >= h.rank && (h.zone == "" || h.zone == s.Zone) &&
+		(!h.oneZone || s.SingleZone || tasks == 1) && (h.spot || !s.AllowSpot) && slices.Equal(h.types, s.MachineTypes)
 }
 
 // giveUp remembers that no room can be made for some tasks of a job.
 func (p *pass) giveUp(j *state.Job, tasks int) {
 	s := j.Spec
 	if len(p.hopeless) < 64 {
-		p.hopeless = append(p.hopeless, hopeless{s.Need, tasks, j.Rank, s.Zone, s.Types, s.OneZone && tasks > 1, s.Spot})
+		p.hopeless = append(p.hopeless, hopeless{s.TaskResources, tasks, j.Priority, s.Zone, s.MachineTypes, s.SingleZone && tasks > 1, s.AllowSpot})
 	}
 }
 
@@ -51,7 +51,7 @@
 	at := c.at.Steady
 	j := w.job
 	s := j.Spec
-	if j.Rank > protocol.High || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobLive || at < j.NoRoomUntil {
+	if j.Priority > protocol.PriorityHigh || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.PreemptionRetryAt {
 		return
 	}
 	need := makeRoom{within: c.startWithin(s.Class), taken: make(map[*state.Host]bool)}
@@ -60,7 +60,7 @@
 	}
 	// A class that has to start at once can't wait for others to save.
 	need.hurry = need.within < pressingWithin
-	due := protocol.End(j.Free, need.within)
+	due := protocol.End(j.EligibleAt, need.within)
 	// A place that is free but has to fetch the image first may be too late,
 	// where one with the image would not be.
 	var cold []int
@@ -70,7 +70,7 @@
 		}
 	}
 	missing := min(len(w.tasks), w.request.Limit) - len(w.result.Start)
-	if at < j.Free+min(2*protocol.Second, need.within/16) {
+	if at < j.EligibleAt+min(2*protocol.Second, need.within/16) {
 		missing = 0
 	}
 	need.soonest = at + 10*protocol.Second + c.class(s.Class).length(s)
@@ -79,7 +79,7 @@
 	}
 	if s.Kind == protocol.Gang && len(w.tasks) > 1 {
 		switch {
-		case at < j.RoomUntil || w.request.Limit < len(w.tasks):
+		case at < j.ReservedUntil || w.request.Limit < len(w.tasks):
 		case missing > 0:
 			c.preemptForGang(p, w, need)
 		case len(cold) > 0 && c.recallable(w):
@@ -93,13 +93,13 @@
 		return
 	}
 	zones := newZoneCount(w)
-	for _, m := range j.Rooms {
+	for _, m := range j.Reservations {
 		need.taken[m.Host] = true
 		zones[m.Host.Zone]++
 	}
 	for ; missing > 0; missing-- {
 		if !c.preemptOne(p, w, &need, zones) {
-			j.NoRoomUntil = at + roomAgain
+			j.PreemptionRetryAt = at + roomAgain
 			break
 		}
 	}
@@ -112,7 +112,7 @@
 		need.soonest = w.result.Start[i].Ready
 		zones[a.Host.Zone]--
 		if !c.preemptOne(p, w, &need, zones) {
-			j.NoRoomUntil = at + roomAgain
+			j.PreemptionRetryAt = at + roomAgain
 			break
 		}
 		c.lost(a) // no launch has left yet
@@ -175,11 +175,11 @@
 			some = some || h != nil && need.taken[h]
 			return false
 		}
-		if s.Spread && zones[h.Zone] >= w.request.ZoneCap || s.OneZone && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[h.Zone] == 0 {
+		if s.SpreadZones && zones[h.Zone] >= w.request.ZoneCap || s.SingleZone && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[h.Zone] == 0 {
 			some = true
 			return false
 		}
-		if !h.Type.Offer.Add(h.Used(), -1).Add(c.yielding(p, h), 1).Holds(s.Need) {
+		if !h.Type.Capacity.Add(h.Used(), -1).Add(c.yielding(p, h), 1).Covers(s.TaskResources) {
 			return false
 		}
 		some = true
@@ -194,8 +194,8 @@
 		victims, loss := c.victims(h, j, 1)
 		saved := ready
 		for _, a := range victims {
-			if a.Job.Spec.Checkpoints() && !need.hurry {
-				saved = max(saved, ready+a.Job.Spec.Saves)
+			if a.Job.Spec.CanCheckpoint() && !need.hurry {
+				saved = max(saved, ready+a.Job.Spec.CheckpointDuration)
 			}
 		}
 		if saved+need.gain() > need.soonest || need.due > 0 && saved > need.due {
@@ -217,8 +217,8 @@
 	delete(p.yields, h)
 	need.taken[h] = true
 	zones[h.Zone]++
-	j.RoomUntil = at + roomFor
-	j.Rooms = append(j.Rooms, state.Room{Host: h, Until: j.RoomUntil})
+	j.ReservedUntil = at + roomFor
+	j.Reservations = append(j.Reservations, state.Reservation{Host: h, Until: j.ReservedUntil})
 	c.stopFor(j, best, need.hurry)
 	return true
 }
@@ -227,8 +227,8 @@
 func (c *Controller) stopFor(j *state.Job, victims []*state.Attempt, hurry bool) {
 	for _, a := range victims {
 		grace := micros(0)
-		if a.Job.Spec.Checkpoints() && !hurry {
-			grace = a.Job.Spec.Saves + protocol.Second
+		if a.Job.Spec.CanCheckpoint() && !hurry {
+			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
 		c.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
 		c.stop(a, grace)
@@ -257,7 +257,7 @@
 	zones := make(map[string][]room)
 	have := make(map[string]int)
 	if p.isHopeless(j, len(w.tasks)) {
-		j.NoRoomUntil = at + unviableFor
+		j.PreemptionRetryAt = at + unviableFor
 		return false
 	}
 	late := false
@@ -266,7 +266,7 @@
 		if h == nil || !c.mayTake(h, s) {
 			return false
 		}
-		n := h.Type.Offer.Add(h.Used(), -1).Add(c.yielding(p, h), 1).Times(s.Need)
+		n := h.Type.Capacity.Add(h.Used(), -1).Add(c.yielding(p, h), 1).MaxCopies(s.TaskResources)
 		if n < 1 {
 			return false
 		}
@@ -279,8 +279,8 @@
 		r.victims, loss = c.victims(h, j, r.tasks)
 		saves := micros(0)
 		for _, a := range r.victims {
-			if a.Job.Spec.Checkpoints() && !need.hurry {
-				saves = max(saves, a.Job.Spec.Saves)
+			if a.Job.Spec.CanCheckpoint() && !need.hurry {
+				saves = max(saves, a.Job.Spec.CheckpointDuration)
 			}
 		}
 		r.ready += saves
@@ -290,7 +290,7 @@
 		}
 		r.cost = (loss + (r.ready - at).Seconds()) / float64(r.tasks)
 		zone := h.Zone
-		if !s.OneZone {
+		if !s.SingleZone {
 			zone = ""
 		}
 		zones[zone] = append(zones[zone], r)
@@ -300,7 +300,7 @@
 	var best []room
 	var bestCost float64
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if have[zone] < len(w.tasks) || s.OneZone && w.request.ZoneUsed != nil && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[zone] == 0 {
+		if have[zone] < len(w.tasks) || s.SingleZone && w.request.ZoneUsed != nil && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[zone] == 0 {
 			continue
 		}
 		list := zones[zone]
@@ -322,17 +322,17 @@
 		if !late && len(w.request.ZoneUsed) == 0 {
 			p.giveUp(j, len(w.tasks))
 		}
-		j.NoRoomUntil = at + unviableFor // nothing to be had, for a while
+		j.PreemptionRetryAt = at + unviableFor // nothing to be had, for a while
 		return false
 	}
-	j.RoomUntil = at + roomFor
-	j.Places = j.Places[:0]
+	j.ReservedUntil = at + roomFor
+	j.Bookings = j.Bookings[:0]
 	for _, r := range best {
 		c.stopFor(j, r.victims, need.hurry)
 		delete(p.yields, r.h)
 		for range r.tasks {
-			if len(j.Places) < len(w.tasks) {
-				j.Places = append(j.Places, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
+			if len(j.Bookings) < len(w.tasks) {
+				j.Bookings = append(j.Bookings, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 
 // mayTake reports whether a job's task could be on a host, were it empty.
 func (c *Controller) mayTake(h *state.Host, s *protocol.JobSpec) bool {
-	return c.usable(h) && (!h.Spot || s.Spot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Offer.Holds(s.Need) && s.AllowsType(h.TypeName)
+	return c.usable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
 }
 
 // yielding is what a host's work of lower rank takes, and what is being
@@ -350,8 +350,8 @@
 	sum, ok := p.yields[h]
 	if !ok {
 		for _, a := range h.Attempts() {
-			if a.State.Occupies() && a.Job != nil && (a.Stop || c.yields(a.Job)) {
-				sum = sum.Add(a.Job.Spec.Need, 1)
+			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || c.yields(a.Job)) {
+				sum = sum.Add(a.Job.Spec.TaskResources, 1)
 			}
 		}
 		p.yields[h] = sum
@@ -362,33 +362,33 @@
 // yields reports whether a job's tasks may be stopped for one of the two upper
 // ranks.
 func (c *Controller) yields(j *state.Job) bool {
-	return j.Rank > protocol.High && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
+	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
 
 // victims finds attempts of lower rank on a host whose end makes room for n
 // tasks of a job, those that lose least first.
 func (c *Controller) victims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
 	at := c.at.Steady
-	need := protocol.Resources{}.Add(j.Spec.Need, int64(n))
-	free := h.Type.Offer.Add(h.Used(), -1)
+	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(n))
+	free := h.Type.Capacity.Add(h.Used(), -1)
 	var list []victim
 	for _, a := range h.Attempts() {
-		if !a.State.Occupies() || a.Job == nil {
+		if !a.State.HoldsResources() || a.Job == nil {
 			continue
 		}
-		if a.Stop {
-			free = free.Add(a.Job.Spec.Need, 1)
+		if a.StopRequested {
+			free = free.Add(a.Job.Spec.TaskResources, 1)
 			continue
 		}
 		s := a.Job.Spec
-		if a.Job.Rank <= j.Rank || !c.yields(a.Job) {
+		if a.Job.Priority <= j.Priority || !c.yields(a.Job) {
 			continue
 		}
 		ran := micros(0)
-		if a.Started > 0 {
-			ran = at - a.Started
-			if s.Checkpoints() {
-				ran = min(ran, s.Saves)
+		if a.StartedAt > 0 {
+			ran = at - a.StartedAt
+			if s.CanCheckpoint() {
+				ran = min(ran, s.CheckpointDuration)
 			}
 		}
 		list = append(list, victim{a, ran.Seconds() + 2})
@@ -414,14 +414,14 @@
 func fewest(list []victim, free, need protocol.Resources) (chosen []victim) {
 	sort.SliceStable(list, func(a, b int) bool { return list[a].loss < list[b].loss })
 	most := 0
-	for ; most < len(list) && !free.Holds(need); most++ {
-		free = free.Add(list[most].a.Job.Spec.Need, 1)
+	for ; most < len(list) && !free.Covers(need); most++ {
+		free = free.Add(list[most].a.Job.Spec.TaskResources, 1)
 	}
-	if !free.Holds(need) {
+	if !free.Covers(need) {
 		return nil
 	}
 	for i := most - 1; i >= 0; i-- {
-		if rest := free.Add(list[i].a.Job.Spec.Need, -1); rest.Holds(need) {
+		if rest := free.Add(list[i].a.Job.Spec.TaskResources, -1); rest.Covers(need) {
 			free = rest
 		} else {
 			chosen = append(chosen, list[i])
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -42,7 +42,7 @@
 	var attempts []*state.Attempt
 	for _, name := range names {
 		a := t.launches[name]
-		if a == nil || !a.State.Occupies() {
+		if a == nil || !a.State.HoldsResources() {
 			delete(t.launches, name)
 			t.launchPages.drop(name, protocol.Forever)
 			continue
@@ -89,7 +89,7 @@
 			if h.RecordedWall == 0 {
 				h.RecordedWall = c.at.Wall
 			}
-			h.ImagesNew = false
+			h.ImagesUnrecorded = false
 			hosts = append(hosts, h)
 		}
 	}
@@ -104,9 +104,9 @@
 				t.dirty = true
 				c.wantCall(h)
 			}
-			if h.OldRecord {
-				h.OldRecord = false
-				t.orphans = append(t.orphans, state.OldHostPrefix+h.Name)
+			if h.LegacyRecord {
+				h.LegacyRecord = false
+				t.orphans = append(t.orphans, state.LegacyHostPrefix+h.Name)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 	}
 	t.nextImages = c.at.Steady + imagesAfter(len(t.hostPages.list), c.writeRate())
 	for _, h := range t.book.Hosts() {
-		if h.Recorded && h.ImagesNew && h.State == state.HostReady {
+		if h.Recorded && h.ImagesUnrecorded && h.State == state.HostReady {
 			t.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, false)
 		}
 	}
@@ -145,7 +145,7 @@
 	t := c.term
 	return state.EncodeBookings(refs, func(ref string) micros {
 		if j := t.book.Job(ref); j != nil {
-			return j.Booked - c.at.Steady + c.at.Wall
+			return j.BookedStart - c.at.Steady + c.at.Wall
 		}
 		return 0
 	}), nil
@@ -158,11 +158,11 @@
 	var tasks [][]int
 	for _, ref := range refs {
 		j := t.book.Job(ref)
-		if j == nil || j.State != state.JobLive {
+		if j == nil || j.State != state.JobActive {
 			t.donePages.drop(ref, protocol.Forever) // its final record covers it
 			continue
 		}
-		jobs, tasks = append(jobs, j), append(tasks, j.Undurable(0, len(j.Tasks)))
+		jobs, tasks = append(jobs, j), append(tasks, j.CompletedNotDurable(0, len(j.Tasks)))
 	}
 	return state.EncodeCompletions(jobs), func() {
 		for i, j := range jobs {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -37,22 +37,22 @@
 // outOfReach reports whether a worker seems unable to reach the leader: it was
 // sent there and came back, or it has served under this leader before and tries
 // other nodes now.
-func (c *Controller) outOfReach(r *protocol.Report) (yes, returned bool) {
+func (c *Controller) outOfReach(r *protocol.Heartbeat) (yes, returned bool) {
 	at := c.at.Steady
 	k, known := c.callers[r.Host]
 	switch {
 	case k.to > 0 && k.to != c.leader.Epoch:
 		// It was sent to another leader, and not to this one yet. Workers that had been sent to one that
 		// had ended counted as out of reach of the next, which gave its lease back for that.
-	case k.sent > 0 && at-k.sent < returnsIn && r.Epoch <= c.leader.Epoch:
+	case k.sent > 0 && at-k.sent < returnsIn && r.Token <= c.leader.Epoch:
 		returned = true
 		k.relays = at + 2*c.platform.WorkerLease
 	case at < k.relays:
 		returned = true
 	}
 	first := !known || at-k.last >= returnsIn
-	yes = returned || first && r.Epoch > 0 && r.Epoch == c.leader.Epoch
-	k.last, k.sent, k.zone, k.session, k.tick = at, 0, r.Zone, r.Session, r.Tick
+	yes = returned || first && r.Token > 0 && r.Token == c.leader.Epoch
+	k.last, k.sent, k.zone, k.session, k.tick = at, 0, r.Zone, r.AgentEpoch, r.Sequence
 	if yes {
 		k.astray, k.epoch = at, c.leader.Epoch
 	}
@@ -61,21 +61,21 @@
 }
 
 // sendOn sends a worker to the leader, or its report where the worker can't go.
-func (c *Controller) sendOn(e WorkerReport, r *protocol.Report) {
-	if k, known := c.callers[r.Host]; known && !r.Newer(k.session, k.tick) {
+func (c *Controller) sendOn(e WorkerReport, r *protocol.Heartbeat) {
+	if k, known := c.callers[r.Host]; known && !r.NewerThan(k.session, k.tick) {
 		// A late copy: it shows nothing of whom the worker reaches now. Counted as the
 		// worker's coming back it was passed on, and the leader counted as out of reach.
 		c.tellLeader(e)
 		return
 	}
 	yes, returned := c.outOfReach(r)
-	addr := c.addressOf(c.leader.Node)
+	addr := c.addressOf(c.leader.Controller)
 	if !yes || addr == "" || c.at.Steady < c.relayAfter || c.relaying >= maxRelaying {
 		c.sendAway(e, r.Host)
 		return
 	}
 	c.relaying++
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerReport, Returned: returned, Body: e.Body})
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHeartbeat, ReturnedFromLeader: returned, Body: e.Body})
 	c.callAddr(ToPeer, "", addr, "", frame, relayTimeout, func(d CallDone) {
 		c.relaying--
 		if m := c.peerAnswer(d); m != nil && m.Status != 0 {
@@ -99,8 +99,8 @@
 
 // tellLeader answers a report with who leads, as far as known.
 func (c *Controller) tellLeader(e WorkerReport) {
-	leader := c.leader.Node
-	if leader == c.platform.Node {
+	leader := c.leader.Controller
+	if leader == c.platform.ControllerName {
 		leader = ""
 	}
 	c.reply(e.Reply, 421, protocol.LeaderBody(leader), 0)
@@ -125,7 +125,7 @@
 			delete(c.callers, host)
 		}
 	}
-	return n, protocol.AppendHearing(nil, astray)
+	return n, protocol.AppendReachability(nil, astray)
 }
 
 // peerAnswer reads what another controller answered to a call, a report or a
@@ -139,7 +139,7 @@
 		c.malformed("controller", err)
 		return nil
 	}
-	if m.Kind != protocol.PeerAnswer {
+	if m.Kind != protocol.PeerResponse {
 		return nil
 	}
 	return m
@@ -147,7 +147,7 @@
 
 // addressOf finds a controller's address, "" if it is unknown or this node.
 func (c *Controller) addressOf(node string) string {
-	for _, s := range c.platform.Siblings {
+	for _, s := range c.platform.Peers {
 		if s.Name == node {
 			return s.Address
 		}
@@ -168,13 +168,13 @@
 // It reports whether there is a node to ask.
 func (c *Controller) probeThrough(h *state.Host, body []byte, done func(CallDone)) bool {
 	t := c.term
-	for i := range c.platform.Siblings {
-		s := c.platform.Siblings[(t.probes.through+i)%len(c.platform.Siblings)]
+	for i := range c.platform.Peers {
+		s := c.platform.Peers[(t.probes.through+i)%len(c.platform.Peers)]
 		if o := t.others[s.Name]; o.asked == 0 || c.at.Steady-o.asked > standHolds {
 			continue // it can hardly be reached itself
 		}
 		t.probes.through += i + 1
-		frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerProbe, Addr: h.Addr, Body: body})
+		frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerWorkerProbe, Addr: h.Addr, Body: body})
 		c.callAddr(ToPeer, "", s.Address, "", frame, callTimeout, func(d CallDone) {
 			if m := c.peerAnswer(d); m != nil {
 				done(CallDone{Status: int(m.Status), Body: m.Body})
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -14,10 +14,10 @@
 func follower(t *testing.T) *Controller {
 	t.Helper()
 	p := &protocol.Platform{
-		Node: "n0", Zone: "y", Siblings: []protocol.Sibling{{Name: "n1", Zone: "z", Address: "n1:1"}}, StateRate: 100, StateWriteRate: 20,
+		ControllerName: "n0", Zone: "y", Peers: []protocol.Peer{{Name: "n1", Zone: "z", Address: "n1:1"}}, StateRequestRate: 100, StateWriteRate: 20,
 		WorkerLease: 24 * protocol.Second,
 	}
-	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	first := c.Start(now{})
 	c.Step(now{Steady: 1000}, CallDone{
 		ID: first[0].(Call).ID, Status: 200,
@@ -69,7 +69,7 @@
 	var got *Reply
 	for _, e := range c.Step(now{Steady: sec + 1}, CallDone{
 		ID: call.ID, Status: 200,
-		Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerAnswer, Status: 200, Body: []byte(`{"epoch":3,"orders":[]}`)}),
+		Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerResponse, Status: 200, Body: []byte(`{"epoch":3,"orders":[]}`)}),
 	}) {
 		if r, ok := e.(Reply); ok {
 			got = &r
@@ -126,7 +126,7 @@
 		t.Fatal("not passed on")
 	}
 	var got *Reply
-	for _, e := range c.Step(now{Steady: protocol.Second + 1}, CallDone{ID: call.ID, Status: 200, Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerAnswer})}) {
+	for _, e := range c.Step(now{Steady: protocol.Second + 1}, CallDone{ID: call.ID, Status: 200, Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerResponse})}) {
 		if r, ok := e.(Reply); ok {
 			got = &r
 		}
@@ -146,7 +146,7 @@
 	c := follower(t)
 	sec := protocol.Second
 	ask := func(at micros) {
-		c.Step(now{Steady: at}, PeerQuestion{Epoch: 3, From: "n1", Body: protocol.AppendMemory(nil, protocol.Memory{})})
+		c.Step(now{Steady: at}, PeerQuestion{Epoch: 3, From: "n1", Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})})
 	}
 	cancel := func(at micros) *Call {
 		for _, e := range c.Step(now{Steady: at}, UserCall{Op: protocol.OpCancel, Ref: "req-000001"}) {
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -52,14 +52,14 @@
 }
 
 func (r *rental) booted(h *state.Host, at micros) {
-	if h.Type == nil || h.Type.Boot <= 0 {
+	if h.Type == nil || h.Type.BootTime <= 0 {
 		return
 	}
 	f := r.bootFactor[h.TypeName]
 	if f == 0 {
 		f = 1
 	}
-	x := max(0.3, min(2, float64(at-h.Since)/float64(h.Type.Boot)))
+	x := max(0.3, min(2, float64(at-h.KnownSince)/float64(h.Type.BootTime)))
 	r.bootFactor[h.TypeName] = f + (x-f)*0.2
 }
 
@@ -68,19 +68,19 @@
 	if f == 0 {
 		f = 1
 	}
-	return micros(float64(t.Boot) * f)
+	return micros(float64(t.BootTime) * f)
 }
 
 // bootedAt is when a booting host is expected to report.
 func (c *Controller) bootedAt(h *state.Host) micros {
-	due := h.Since + c.bootTime(h.Type)
-	age := c.at.Steady - h.Since
+	due := h.KnownSince + c.bootTime(h.Type)
+	age := c.at.Steady - h.KnownSince
 	return max(due, c.at.Steady+max(age/2, 2*protocol.Second))
 }
 
 // tookTypes takes machine types as the cloud tells them.
 func (c *Controller) tookTypes(value []byte) {
-	types, err := protocol.ParseTypes(value)
+	types, err := protocol.ParseMachineTypes(value)
 	if err != nil {
 		c.malformed("machine types", err)
 		return
@@ -108,7 +108,7 @@
 		for _, h := range c.term.book.Hosts() {
 			// Types stay what they are; only their prices move.
 			if typ := c.typeByName[h.TypeName]; typ != h.Type {
-				h.Type, h.Changed = typ, true
+				h.Type, h.Stale = typ, true
 				c.term.dropRow(h)
 			}
 		}
@@ -145,7 +145,7 @@
 	if c.term != t {
 		return
 	}
-	listed := make(map[string]protocol.CloudHost, len(t.book.Hosts()))
+	listed := make(map[string]protocol.CloudMachine, len(t.book.Hosts()))
 	var page func(since string)
 	page = func(since string) {
 		path := "/machines?page=500"
@@ -158,7 +158,7 @@
 			}
 			t.rental.answering = r.Status == 200
 			if r.Status == 200 {
-				hosts, more, err := protocol.ParseHosts(r.Body)
+				hosts, more, err := protocol.ParseMachines(r.Body)
 				if err != nil {
 					c.malformed("cloud", err)
 				} else {
@@ -180,7 +180,7 @@
 
 // tookList compares the machine list with the book. The list lags and can go
 // back, so it only ever leads to a release, which is safe to repeat.
-func (c *Controller) tookList(listed map[string]protocol.CloudHost) {
+func (c *Controller) tookList(listed map[string]protocol.CloudMachine) {
 	t := c.term
 	at := c.at.Steady
 	for name, l := range listed {
@@ -190,38 +190,38 @@
 		h := t.book.Host(name)
 		if h == nil {
 			h = state.NewHost(at, name, l.Type, l.Zone, l.Spot)
-			h.Since = at - l.Age
+			h.KnownSince = at - l.Age
 			h.Type = c.typeByName[l.Type]
 			h.Addr = l.Addr
 			t.book.AddHost(h)
 			t.dirty = true
 		}
-		h.Listed, h.ListedState, h.AbsentSince = true, l.State, 0
+		h.Listed, h.CloudState, h.UnlistedSince = true, l.State, 0
 		if h.Addr == "" {
 			h.Addr = l.Addr
 		}
 	}
 	for _, h := range t.book.Hosts() {
 		if h.Type == nil {
-			h.Type, h.Changed = c.typeByName[h.TypeName], true
+			h.Type, h.Stale = c.typeByName[h.TypeName], true
 		}
 		_, here := listed[h.Name]
-		if !here && h.AbsentSince == 0 {
-			h.AbsentSince = at
+		if !here && h.UnlistedSince == 0 {
+			h.UnlistedSince = at
 		}
-		silent := at-h.Heard > c.silence()+protocol.Second && !c.lagging(c.silence())
+		silent := at-h.LastContact > c.silence()+protocol.Second && !c.lagging(c.silence())
 		// A list is at most twice the lag old, so a machine that had reported
 		// before that and is not in it is gone.
-		known := h.RecordedWall > 0 && c.at.Wall-h.RecordedWall > 2*c.platform.ListLag+2*protocol.Second
+		known := h.RecordedWall > 0 && c.at.Wall-h.RecordedWall > 2*c.platform.MachineListLag+2*protocol.Second
 		switch {
 		case h.State == state.HostReleasing || h.State == state.HostGone:
-		case here && h.ListedState == protocol.CloudFailed:
+		case here && h.CloudState == protocol.CloudFailed:
 			c.release(h, "failed")
 		case !here && silent && known:
 			c.release(h, "not listed any more")
-		case !here && h.Listed && silent && at-h.AbsentSince > 2*c.platform.ListLag+protocol.Second:
+		case !here && h.Listed && silent && at-h.UnlistedSince > 2*c.platform.MachineListLag+protocol.Second:
 			c.release(h, "not listed any more")
-		case h.State == state.HostBooting && !h.FromRecord && h.Type != nil && at-h.Since > 3*h.Type.Boot+10*protocol.Second:
+		case h.State == state.HostBooting && !h.FromRecord && h.Type != nil && at-h.KnownSince > 3*h.Type.BootTime+10*protocol.Second:
 			c.release(h, "does not come up")
 		}
 	}
@@ -239,8 +239,8 @@
 			c.lost(a)
 		}
 	}
-	h.To(state.HostReleasing)
-	h.ReleaseWhy = why
+	h.SetState(state.HostReleasing)
+	h.ReleaseReason = why
 	c.term.dirty = true
 }
 
@@ -260,7 +260,7 @@
 		return
 	}
 	t.rental.releasing = true
-	c.call(ToCloud, prioUrgent, "POST", "/machines/release", protocol.AppendNames(nil, names), 5*protocol.Second, 0, func(r CallDone) {
+	c.call(ToCloud, prioUrgent, "POST", "/machines/release", protocol.AppendMachineNames(nil, names), 5*protocol.Second, 0, func(r CallDone) {
 		if c.term != t {
 			return
 		}
@@ -274,17 +274,17 @@
 			if h == nil {
 				continue
 			}
-			c.loseAll(h, "released: "+h.ReleaseWhy)
-			h.To(state.HostGone)
-			h.Proven = true
+			c.loseAll(h, "released: "+h.ReleaseReason)
+			h.SetState(state.HostGone)
+			h.Reconciled = true
 			t.gone[name] = c.at.Steady
 			t.book.RemoveHost(h)
 			t.dropRow(h)
 			// A record left over would only make a successor release the name
 			// once more, and wait for that.
 			t.hostPages.drop(name, c.at.Steady+protocol.Second)
-			if h.OldRecord {
-				t.orphans = append(t.orphans, state.OldHostPrefix+name)
+			if h.LegacyRecord {
+				t.orphans = append(t.orphans, state.LegacyHostPrefix+name)
 			}
 		}
 		t.dirty = true
@@ -339,7 +339,7 @@
 				}
 				tt := typ
 				offers = append(offers, &slottable.Offer{
-					Type: typ.Name, Zone: zone, Spot: spot, Resources: typ.Offer, Price: price,
+					Type: typ.Name, Zone: zone, Spot: spot, Resources: typ.Capacity, Price: price,
 					Boot: c.bootTime(typ) + protocol.Second, Fetch: func(size int64) micros { return c.fetchTime(tt, size) }, Most: most,
 				})
 				kinds = append(kinds, k)
@@ -347,7 +347,7 @@
 		}
 	}
 	for _, w := range list {
-		if w.request == nil || w.job.State != state.JobLive || w.job.Suspect {
+		if w.request == nil || w.job.State != state.JobActive || w.job.Suspect {
 			continue
 		}
 		left := *w.request
@@ -358,7 +358,7 @@
 		// ready at. Without this, in a burst that never lets the queue end, every
 		// plan found a place within a boot time, and nothing was rented for 100 s
 		// while 99 jobs waited and 300 machines could be had.
-		left.Waited = (at - w.job.Free) / 2
+		left.Waited = (at - w.job.EligibleAt) / 2
 		left.Tasks -= len(w.result.Start) + len(w.result.Booked)
 		// A booking far away is as good as none, if a machine that is rented now
 		// could be ready sooner.
@@ -458,13 +458,13 @@
 		}
 		anchored := false
 		for _, a := range h.Attempts() {
-			anchored = anchored || a.State.Occupies() && a.Job != nil && !c.yields(a.Job)
+			anchored = anchored || a.State.HoldsResources() && a.Job != nil && !c.yields(a.Job)
 		}
 		if !anchored && !h.Empty() {
 			k.yielding++
 		}
 		k.hosts++
-		k.gpus += h.Type.Offer.GPU / 1000
+		k.gpus += h.Type.Capacity.GPU / 1000
 		k.used += h.Used().GPU / 1000
 		if h.Empty() {
 			k.empty++
@@ -489,7 +489,7 @@
 	s := k.last
 	var boot micros
 	for _, typ := range c.types {
-		if typ.Offer.Holds(s.Need) && s.AllowsType(typ.Name) {
+		if typ.Capacity.Covers(s.TaskResources) && s.AllowsType(typ.Name) {
 			if b := c.bootTime(typ) + c.fetchTime(typ, s.ImageSize); boot == 0 || b < boot {
 				boot = b
 			}
@@ -500,8 +500,8 @@
 		return nil
 	}
 	return &slottable.Request{
-		Tasks: min(n, 8), Limit: min(n, 8), Need: s.Need, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.Types, Spot: s.Spot, Length: 30 * protocol.Second, Spare: true,
+		Tasks: min(n, 8), Limit: min(n, 8), Need: s.TaskResources, Image: s.Image, ImageSize: s.ImageSize,
+		Types: s.MachineTypes, Spot: s.AllowSpot, Length: 30 * protocol.Second, Spare: true,
 		// Room is missing only if a job that came now would start too late:
 		// a machine that is soon free does as well as an empty one.
 		Patient: c.at.Steady + c.startWithin(name)*7/10,
@@ -536,7 +536,7 @@
 	if within == 0 || j.Spec.Kind == protocol.Service {
 		return 0
 	}
-	return j.Free + within*7/10 - c.class(j.Spec.Class).length(j.Spec)
+	return j.EligibleAt + within*7/10 - c.class(j.Spec.Class).length(j.Spec)
 }
 
 // startWithin is the shortest time that an aim gives a class to start, or 0.
@@ -566,7 +566,7 @@
 	cl.tries++
 	k := cl.kind
 	r := &t.rental
-	body := protocol.AppendRental(nil, cl.name, k.typ, k.zone, k.spot, cl.count)
+	body := protocol.AppendRentRequest(nil, cl.name, k.typ, k.zone, k.spot, cl.count)
 	asked := c.at.Steady
 	c.call(ToCloud, prioUrgent, "POST", "/machines", body, claimTimeout, 0, func(res CallDone) {
 		if c.term != t {
@@ -575,7 +575,7 @@
 		at := c.at.Steady
 		switch res.Status {
 		case 200:
-			names, err := protocol.ParseNames(res.Body)
+			names, err := protocol.ParseMachineNames(res.Body)
 			if err != nil {
 				c.malformed("cloud", err)
 				break
@@ -590,7 +590,7 @@
 				if _, gone := t.gone[name]; t.book.Host(name) == nil && !gone {
 					h := state.NewHost(asked, name, k.typ, k.zone, k.spot)
 					h.Type, h.Rented = c.typeByName[k.typ], true
-					h.Heard = at
+					h.LastContact = at
 					t.book.AddHost(h)
 				}
 			}
@@ -644,10 +644,10 @@
 		t.rental.crowded = at
 	}
 	for _, h := range t.book.Hosts() {
-		if h.State != state.HostReady || !h.Proven || c.held(h) || t.rental.needed[t.rows[h]] {
+		if h.State != state.HostReady || !h.Reconciled || c.held(h) || t.rental.needed[t.rows[h]] {
 			continue
 		}
-		if at-max(h.IdleSince, t.rental.crowded) <= c.operator.IdleReturn {
+		if at-max(h.IdleSince, t.rental.crowded) <= c.operator.IdleScaleInDelay {
 			continue
 		}
 		if !h.Empty() {
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -40,7 +40,7 @@
 // EnableRollouts switches roll-outs on, before Start.
 func (c *Controller) EnableRollouts(s rollout.Settings) {
 	s.ValueBytes = c.limits.target.valueBytes
-	s.Others = len(c.platform.Siblings)
+	s.Others = len(c.platform.Peers)
 	c.rollouts = &s
 	c.ownCalls = make(map[uint64]func(int, []byte))
 	c.asking = make(map[uint64]Address)
@@ -66,8 +66,8 @@
 	if j == nil {
 		return rollout.Job{}
 	}
-	out := rollout.Job{Life: rollout.Live, Settled: j.Settled(), Service: j.Spec.Kind == protocol.Service, Spec: j.Spec}
-	if j.State != state.JobLive && j.State != state.JobWaiting {
+	out := rollout.Job{Life: rollout.Live, Settled: j.NoActiveAttempts(), Service: j.Spec.Kind == protocol.Service, Spec: j.Spec}
+	if j.State != state.JobActive && j.State != state.JobBlocked {
 		out.Life = rollout.Cancelled
 	}
 	if each == nil {
@@ -76,8 +76,8 @@
 	for k := range j.Tasks {
 		i := rollout.Instance{Index: k}
 		a := j.Tasks[k].Current
-		i.Unheard = a != nil && a.Adopted && a.State == state.AttemptLaunched && !a.Host.Proven
-		if a != nil && a.State == state.AttemptRunning && !a.Stop {
+		i.Unheard = a != nil && a.Adopted && a.State == state.AttemptLaunched && !a.Host.Reconciled
+		if a != nil && a.State == state.AttemptRunning && !a.StopRequested {
 			i.Running, i.Attempt = true, a.Name.Number
 			i.IP, _, _ = net.SplitHostPort(a.Host.Addr)
 		}
@@ -96,7 +96,7 @@
 		t.rollouts.damaged[service] = true
 		return
 	}
-	t.rollouts.stamps[service] = e.Stamp
+	t.rollouts.stamps[service] = e.Revision
 }
 
 // stepRollouts hands an event to the roll-outs and does what follows.
@@ -181,7 +181,7 @@
 // not lead any more.
 func (c *Controller) saveRollout(t *term, e rollout.Save) {
 	key := rollout.Prefix + e.Service
-	when := []protocol.Condition{{Key: key, Stamp: t.rollouts.stamps[e.Service]}}
+	when := []protocol.Condition{{Key: key, Revision: t.rollouts.stamps[e.Service]}}
 	again := func(d micros) {
 		c.after(d, func() {
 			if c.term == t {
@@ -201,7 +201,7 @@
 	c.lead(prioUser, when, []protocol.Change{{Key: key, Value: e.Value}}, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
 		case txnApplied:
-			t.rollouts.stamps[e.Service] = r.Stamp
+			t.rollouts.stamps[e.Service] = r.Revision
 			c.stepRollouts(rollout.Saved{Service: e.Service})
 		case txnRefused:
 			// An earlier try may have been applied late. Nobody else writes it.
@@ -209,11 +209,11 @@
 				switch {
 				case c.term != t:
 				case ok && found && sameJSON(now.Value, e.Value):
-					t.rollouts.stamps[e.Service] = now.Stamp
+					t.rollouts.stamps[e.Service] = now.Revision
 					c.stepRollouts(rollout.Saved{Service: e.Service})
 				default:
 					if ok {
-						t.rollouts.stamps[e.Service] = now.Stamp // 0: it is not there
+						t.rollouts.stamps[e.Service] = now.Revision // 0: it is not there
 					}
 					again(500 * protocol.Millisecond)
 				}
@@ -271,9 +271,9 @@
 	for _, n := range e.Not {
 		not[n] = true
 	}
-	siblings := c.platform.Siblings
+	siblings := c.platform.Peers
 	for _, bold := range []bool{false, true} { // those that others disputed come after this node
-		if bold && !not[c.platform.Node] {
+		if bold && !not[c.platform.ControllerName] {
 			break
 		}
 		for i := range siblings {
@@ -282,7 +282,7 @@
 				continue
 			}
 			t.rollouts.turn += i + 1
-			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
+			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
 			c.callAddr(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallDone) {
 				if m := c.peerAnswer(d); m != nil {
 					judge(s.Name, int(m.Status), m.Body)
@@ -293,11 +293,11 @@
 			return
 		}
 	}
-	if not[c.platform.Node] {
+	if not[c.platform.ControllerName] {
 		c.after(0, func() { end(false, false, "", "") })
 		return
 	}
-	c.makeCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(c.platform.Node, status, body) })
+	c.makeCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(c.platform.ControllerName, status, body) })
 }
 
 // noAnswer is the status of an instance that gives none; the body says why. 0 is that
@@ -374,7 +374,7 @@
 		}
 		// All instances and the surge at once have to be within what the team may use.
 		job := *r.Spec.Job
-		job.Kind, job.Tasks = protocol.Service, r.Spec.Count+r.Spec.Surge
+		job.Kind, job.Tasks = protocol.Service, r.Spec.Count+r.Spec.MaxSurge
 		if why := c.impossible(&job); why != "" {
 			c.reply(e.Reply, 422, protocol.ErrorBody("job, with count and surge: "+why), 0)
 			return
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -159,11 +159,11 @@
 	p := &pass{held: make(map[string]protocol.Resources), yields: make(map[*state.Host]protocol.Resources), began: c.at.Steady}
 	if !t.recovered && t.unlisted {
 		for _, h := range t.book.Hosts() {
-			if h.FromRecord && !h.Proven {
+			if h.FromRecord && !h.Reconciled {
 				if h.Type == nil {
 					p.unknown = true
 				} else {
-					p.unproven = p.unproven.Add(h.Type.Offer, 1)
+					p.unproven = p.unproven.Add(h.Type.Capacity, 1)
 				}
 			}
 		}
@@ -187,7 +187,7 @@
 func (c *Controller) mayChoose(w *wanted) bool {
 	j := w.job
 	s := j.Spec
-	if s.Kind != protocol.Array || j.Rank < protocol.Standard || guest(j) || j.Suspect || len(j.Places) > 0 || s.ImageSize == 0 {
+	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || guest(j) || j.Suspect || len(j.Bookings) > 0 || s.ImageSize == 0 {
 		return false
 	}
 	var fetch micros
@@ -196,7 +196,7 @@
 			fetch = max(fetch, c.fetchTime(typ, s.ImageSize))
 		}
 	}
-	return c.at.Steady-j.Free < chooseFetches*fetch
+	return c.at.Steady-j.EligibleAt < chooseFetches*fetch
 }
 
 // placeHot starts what an array can at once on machines that have its image.
@@ -224,20 +224,20 @@
 	}
 	r := w.request
 	r.Limit = c.allowance(p, j, p.held[j.Spec.Team])
-	if r.Gang && r.Limit < r.Tasks && j.Rank <= protocol.High && !j.Suspect {
+	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Suspect {
 		// Its team's limit leaves no room for all of its tasks at once.
 		// Without this, smaller jobs of the team would take what comes free,
 		// one task at a time, for as long as they last.
-		p.held[j.Spec.Team] = p.held[j.Spec.Team].Add(j.Spec.Need, int64(r.Tasks))
+		p.held[j.Spec.Team] = p.held[j.Spec.Team].Add(j.Spec.TaskResources, int64(r.Tasks))
 	}
 	res := c.term.table.Next(r)
 	w.result = res
-	j.Places = j.Places[:0]
+	j.Bookings = j.Bookings[:0]
 	for _, b := range res.Booked {
-		j.Places = append(j.Places, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
+		j.Bookings = append(j.Bookings, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
 	}
 	if res.Late {
-		j.UnviableUntil = c.at.Steady + unviableFor
+		j.BookingRetryAt = c.at.Steady + unviableFor
 	}
 	for i, pl := range res.Start {
 		c.assign(w, w.tasks[i], pl)
@@ -246,7 +246,7 @@
 		c.term.dirty = true // the rest of a long array comes with the next round
 	}
 	if len(res.Booked) > 0 {
-		j.Zone = res.Booked[0].Machine.Zone
+		j.BookedZone = res.Booked[0].Machine.Zone
 		c.book(w, res)
 	}
 }
@@ -275,17 +275,17 @@
 		if m == nil {
 			typ := h.Type
 			m = &slottable.Machine{
-				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Offer,
+				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Capacity,
 				Fetch: func(size int64) micros { return c.fetchTime(typ, size) },
 			}
 			t.rows[h] = m
 			t.table.Add(m)
-			h.Changed = true
+			h.Stale = true
 		}
 		if !usable && !m.Blocked {
 			c.dropStale(h)
 		}
-		if h.Changed || booting || m.Blocked == usable || m.NextEnd() <= at {
+		if h.Stale || booting || m.Blocked == usable || m.NextEnd() <= at {
 			c.fill(h, m, usable, booting)
 		}
 	}
@@ -311,15 +311,15 @@
 // usable reports whether tasks may be put on a host.
 func (c *Controller) usable(h *state.Host) bool {
 	at := c.at.Steady
-	return h.State == state.HostReady && h.Proven && h.Type != nil && !h.Noticed && !deaf(h) && !c.mute(h) && c.drained(h) == configuration.NotDrained &&
-		at >= h.FaultUntil && at >= h.FullUntil && at-h.Heard < 2*c.platform.ReportEvery+protocol.Second
+	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !deaf(h) && !c.mute(h) && c.drained(h) == configuration.NotDrained &&
+		at >= h.QuarantinedUntil && at >= h.FullUntil && at-h.LastContact < 2*c.platform.HeartbeatInterval+protocol.Second
 }
 
 // fill makes a host's row from what is known of it.
 func (c *Controller) fill(h *state.Host, m *slottable.Machine, usable, booting bool) {
 	at := c.at.Steady
 	table := &c.term.table
-	h.Changed = false
+	h.Stale = false
 	m.Reset()
 	m.From = at
 	switch {
@@ -329,10 +329,10 @@
 	default:
 		m.Blocked = true
 	}
-	if h.Slowness > 1.8 {
-		m.Penalty = micros((h.Slowness - 1) * 10 * float64(protocol.Second))
+	if h.RuntimeRatio > 1.8 {
+		m.Penalty = micros((h.RuntimeRatio - 1) * 10 * float64(protocol.Second))
 	}
-	if len(h.Blamed) > 0 {
+	if len(h.SuspectedBy) > 0 {
 		m.Penalty += 10 * protocol.Second
 	}
 	m.Unheld = !h.Spot && !c.held(h)
@@ -341,25 +341,25 @@
 	}
 	var gives protocol.Resources
 	for _, a := range h.Attempts() {
-		if !a.State.Occupies() || a.Job == nil {
+		if !a.State.HoldsResources() || a.Job == nil {
 			continue
 		}
 		s := a.Job.Spec
 		k := c.class(s.Class)
 		till := protocol.Forever
 		switch {
-		case a.Stop:
+		case a.StopRequested:
 			till = at + a.StopGrace/2 + protocol.Second
 		case a.State == state.AttemptRunning:
-			if r := k.remaining(s, at-a.Started); r < protocol.Forever {
+			if r := k.remaining(s, at-a.StartedAt); r < protocol.Forever {
 				till = at + r
 			}
 		case s.Kind != protocol.Service:
 			till = max(at, a.ExpectedReady) + k.length(s)
 		}
-		m.Occupy(slottable.Span{From: at, To: till, Need: s.Need, Guest: guest(a.Job)})
-		if a.Stop || c.yields(a.Job) {
-			gives = gives.Add(s.Need, 1)
+		m.Occupy(slottable.Span{From: at, To: till, Need: s.TaskResources, Guest: guest(a.Job)})
+		if a.StopRequested || c.yields(a.Job) {
+			gives = gives.Add(s.TaskResources, 1)
 		}
 		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching {
 			if !table.HasImage(m, s.Image) {
@@ -368,7 +368,7 @@
 		}
 	}
 	if usable {
-		m.Makes = h.Type.Offer.Add(h.Used(), -1).Add(gives, 1)
+		m.Makes = h.Type.Capacity.Add(h.Used(), -1).Add(gives, 1)
 	}
 	table.Update(m)
 }
@@ -381,25 +381,25 @@
 	at := c.at.Steady
 	sums := make(map[string]protocol.Resources)
 	var list []*wanted
-	for _, j := range t.book.Line() {
-		if j.State != state.JobLive {
+	for _, j := range t.book.Jobs() {
+		if j.State != state.JobActive {
 			continue
 		}
 		s := j.Spec
-		sums[s.Team] = sums[s.Team].Add(s.Need, int64(s.Tasks-j.Done))
-		if j.Queued == 0 || at < j.Held {
+		sums[s.Team] = sums[s.Team].Add(s.TaskResources, int64(s.Tasks-j.CompletedTasks))
+		if j.QueuedTasks == 0 || at < j.BackoffUntil {
 			continue
 		}
-		if !t.recovered && t.unlisted && j.Epoch != t.epoch {
+		if !t.recovered && t.unlisted && j.LeaderEpoch != t.epoch {
 			continue // its tasks may be on hosts that have not reported yet
 		}
 		w := &wanted{job: j, within: holdsGuarantee(c.guarantee(s.Team), sums[s.Team])}
-		w.missed, w.room = c.missed(j), at < j.RoomUntil
-		w.turn = j.Free
+		w.missed, w.room = c.missed(j), at < j.ReservedUntil
+		w.turn = j.EligibleAt
 		if s.Kind == protocol.Array {
 			// Jobs count alike, so a large one lets small ones pass that come a
 			// little later: by its work, spread over some machines.
-			w.turn += c.class(s.Class).length(s) * micros(s.Tasks-j.Done) / 8
+			w.turn += c.class(s.Class).length(s) * micros(s.Tasks-j.CompletedTasks) / 8
 		}
 		list = append(list, w)
 	}
@@ -408,8 +408,8 @@
 		if x.job.Suspect != y.job.Suspect {
 			return y.job.Suspect
 		}
-		if x.job.Rank != y.job.Rank {
-			return x.job.Rank < y.job.Rank
+		if x.job.Priority != y.job.Priority {
+			return x.job.Priority < y.job.Priority
 		}
 		if x.room != y.room {
 			return x.room
@@ -435,36 +435,36 @@
 	at := c.at.Steady
 	j := w.job
 	s := j.Spec
-	if j.State != state.JobLive || j.Queued == 0 || at < j.Held {
+	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.BackoffUntil {
 		return false
 	}
 	if j.Suspect && c.sound(j) {
 		c.acquit(j)
 	}
-	if j.Suspect && j.Attempts > 0 {
+	if j.Suspect && j.AttemptCount > 0 {
 		return false // what is being tried says whether it can run
 	}
 	if s.Kind == protocol.Gang && (j.GangStarted || c.stopping(j)) {
 		return false // what is left of the attempt has to end first
 	}
 	var used map[string]int
-	if s.Spread || s.OneZone {
+	if s.SpreadZones || s.SingleZone {
 		used = make(map[string]int)
-		for _, a := range j.On() {
+		for _, a := range j.ActiveAttempts() {
 			if task := a.Task(); task != nil && task.Current == a {
 				used[a.Host.Zone]++
 			}
 		}
 	}
-	if s.OneZone && len(used) > 1 {
+	if s.SingleZone && len(used) > 1 {
 		// A record names where a task was before, in another zone: its job has begun anew
 		// since, and the leader before this one ended before all launches were recorded.
 		// Until one of the two is proven gone, either zone may be the wrong one.
 		return false
 	}
 	first := -1
-	w.tasks = make([]int, 0, min(j.Queued, mostTasks))
-	for i := j.Lowest; i < len(j.Tasks) && len(w.tasks) < mostTasks; i++ {
+	w.tasks = make([]int, 0, min(j.QueuedTasks, mostTasks))
+	for i := j.FirstQueuedTask; i < len(j.Tasks) && len(w.tasks) < mostTasks; i++ {
 		task := &j.Tasks[i]
 		if task.State != state.TaskQueued {
 			continue
@@ -472,51 +472,51 @@
 		if first < 0 {
 			first = i
 		}
-		if task.Live == 0 && at >= task.NotBefore {
+		if task.ActiveAttempts == 0 && at >= task.NotBefore {
 			w.tasks = append(w.tasks, i)
 		}
 	}
 	if first >= 0 {
-		j.Lowest = first
+		j.FirstQueuedTask = first
 	}
-	if len(w.tasks) == 0 || s.Kind == protocol.Gang && len(w.tasks) != j.Queued {
+	if len(w.tasks) == 0 || s.Kind == protocol.Gang && len(w.tasks) != j.QueuedTasks {
 		return false
 	}
 	r := &slottable.Request{
-		Tasks: len(w.tasks), Need: s.Need, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, ZoneUsed: used, Spot: s.Spot, Length: c.class(s.Class).length(s),
+		Tasks: len(w.tasks), Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
+		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: c.class(s.Class).length(s),
 		Guest: guest(j), Frugal: c.frugal(j),
 	}
 	w.request = r
-	if r.Gang && s.OneZone {
-		r.Stay = j.Zone
+	if r.Gang && s.SingleZone {
+		r.Stay = j.BookedZone
 	}
-	if s.Spread {
+	if s.SpreadZones {
 		r.ZoneCap = (s.Tasks + 1) / 2
 	}
 	if due := deadlineOf(j); due > 0 {
 		r.Deadline = due - c.operator.DeadlineMargin
-		r.NoBooking = at < j.UnviableUntil
+		r.NoBooking = at < j.BookingRetryAt
 	}
 	if j.Suspect && s.Kind != protocol.Gang {
 		w.tasks = w.tasks[:1]
 		r.Tasks = 1
 	}
-	if len(j.Failures) > 0 && !j.Suspect {
-		failures := j.Failures
+	if len(j.FailuresByHost) > 0 && !j.Suspect {
+		failures := j.FailuresByHost
 		r.Avoid = func(name string) bool { return failures[name] > 0 }
 	}
-	if len(j.Rooms) > 0 && !c.takeRooms(w) {
+	if len(j.Reservations) > 0 && !c.takeRooms(w) {
 		return false
 	}
-	for _, b := range j.Places {
+	for _, b := range j.Bookings {
 		h := t.book.Host(b.Machine)
 		if h == nil || t.rows[h] == nil {
 			r.Kept = nil
 			break
 		}
 		begin := b.Begin
-		if at < j.RoomUntil && len(j.Rooms) == 0 {
+		if at < j.ReservedUntil && len(j.Reservations) == 0 {
 			// What was stopped for it may take a little longer to end.
 			r.Hold = true
 			begin = max(begin, at+2*protocol.Second)
@@ -533,14 +533,14 @@
 func (c *Controller) takeRooms(w *wanted) bool {
 	t := c.term
 	j, r := w.job, w.request
-	j.Rooms = slices.DeleteFunc(j.Rooms, func(m state.Room) bool {
+	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool {
 		return c.at.Steady >= m.Until || t.rows[m.Host] == nil || !c.usable(m.Host)
 	})
 	waiting := 0
-	for _, m := range j.Rooms {
+	for _, m := range j.Reservations {
 		row := t.rows[m.Host]
 		r.Preferred = append(r.Preferred, row)
-		if !row.Free().Holds(r.Need) {
+		if !row.Free().Covers(r.Need) {
 			waiting++
 		}
 	}
@@ -557,8 +557,8 @@
 // overload each late job would make the next one late too.
 func (c *Controller) missed(j *state.Job) bool {
 	due := c.dueOf(j)
-	if j.NeededBy > 0 && (due == 0 || j.NeededBy < due) {
-		due = j.NeededBy
+	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
+		due = j.InheritedDeadline
 	}
 	if due == 0 {
 		return false
@@ -580,7 +580,7 @@
 	}
 	for _, o := range c.platform.Objectives {
 		if o.Kind == "finished" && o.Class == s.Class {
-			due = max(due, j.Free+o.Within)
+			due = max(due, j.EligibleAt+o.Within)
 		}
 	}
 	return due
@@ -588,8 +588,8 @@
 
 // stopping reports whether an attempt of a job is being stopped.
 func (c *Controller) stopping(j *state.Job) bool {
-	for _, a := range j.On() {
-		if task := a.Task(); a.Stop && task != nil && task.Current == a {
+	for _, a := range j.ActiveAttempts() {
+		if task := a.Task(); a.StopRequested && task != nil && task.Current == a {
 			return true
 		}
 	}
@@ -611,7 +611,7 @@
 	t := c.term
 	team, _ := c.team(j.Spec.Team)
 	limit := team.Limit
-	used := t.book.Used[j.Spec.Team].Add(held, 1)
+	used := t.book.UsedByTeam[j.Spec.Team].Add(held, 1)
 	if !t.recovered && t.unlisted && limit != (protocol.Resources{}) {
 		if p.unknown {
 			return 0
@@ -619,11 +619,11 @@
 		used = used.Add(p.unproven, 1)
 	}
 	n := int64(protocol.MaxTasks)
-	if limit.CPU > 0 && j.Spec.Need.CPU > 0 {
-		n = min(n, (limit.CPU-used.CPU)/j.Spec.Need.CPU)
+	if limit.CPU > 0 && j.Spec.TaskResources.CPU > 0 {
+		n = min(n, (limit.CPU-used.CPU)/j.Spec.TaskResources.CPU)
 	}
-	if limit.GPU > 0 && j.Spec.Need.GPU > 0 {
-		n = min(n, (limit.GPU-used.GPU)/j.Spec.Need.GPU)
+	if limit.GPU > 0 && j.Spec.TaskResources.GPU > 0 {
+		n = min(n, (limit.GPU-used.GPU)/j.Spec.TaskResources.GPU)
 	}
 	return int(max(n, 0))
 }
@@ -651,12 +651,12 @@
 		return // the host still knows this attempt: it would ignore the launch
 	}
 	if !guest(j) {
-		c.clearGuests(h, j.Spec.Need)
+		c.clearGuests(h, j.Spec.TaskResources)
 	}
 	a := t.book.Attach(c.at.Steady, j, h, name)
 	a.ExpectedReady = p.Ready
-	j.Rooms = slices.DeleteFunc(j.Rooms, func(m state.Room) bool { return m.Host == h })
-	t.book.Move(c.at.Steady, a, state.AttemptAssigned)
+	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool { return m.Host == h })
+	t.book.SetAttemptState(c.at.Steady, a, state.AttemptAssigned)
 	c.touchIdle(h)
 	c.recordLaunch(a, c.launchDue(j.Spec))
 	c.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-c.at.Steady)/protocol.Millisecond))
@@ -674,9 +674,9 @@
 // book keeps a deadline job's booking.
 func (c *Controller) book(w *wanted, res slottable.Result) {
 	j := w.job
-	j.Booked = res.Booked[0].Begin
-	if j.Spec.Deadline > 0 && res.Viable && !j.BookingKept {
-		j.BookingKept = true
+	j.BookedStart = res.Booked[0].Begin
+	if j.Spec.Deadline > 0 && res.Viable && !j.BookingPersisted {
+		j.BookingPersisted = true
 		c.term.bookingPages.put(j.Spec.Ref, bookingBytes(j.Spec.Ref), c.room(), c.at.Steady+bookingsEvery, false)
 	}
 }
--- a/internal/controller/service.go
+++ b/internal/controller/service.go
@@ -22,27 +22,27 @@
 	if within == 0 {
 		return 0, false
 	}
-	return j.Free + within, false
+	return j.EligibleAt + within, false
 }
 
 // countServed counts a job once it has what is asked of its class, or it is too late.
 // It is looked at with the sweep over all jobs. What was due before this node led is
 // not counted: nobody knows it.
 func (c *Controller) countServed(j *state.Job) {
-	if j.Counted || j.State > state.JobLive && j.State != state.JobFinishing && j.State != state.JobDone {
+	if j.SLOCounted || j.State > state.JobActive && j.State != state.JobFinishing && j.State != state.JobDone {
 		return
 	}
 	at := c.at.Steady
 	due, toEnd := c.askedBy(j)
 	switch {
 	case due == 0 || due < c.term.led || guest(j):
-		j.Counted = true
+		j.SLOCounted = true
 		return
-	case toEnd && j.Done == len(j.Tasks), !toEnd && j.Running+j.Done >= len(j.Tasks):
-		j.Counted = true
+	case toEnd && j.CompletedTasks == len(j.Tasks), !toEnd && j.RunningTasks+j.CompletedTasks >= len(j.Tasks):
+		j.SLOCounted = true
 		c.served(j, at <= due+protocol.Second)
 	case at > due:
-		j.Counted = true
+		j.SLOCounted = true
 		c.served(j, false)
 	}
 }
@@ -67,27 +67,27 @@
 // countBegun counts a job that is among the largest of its class, of at least half as many
 // tasks as the largest one that this leader has seen, once it has begun or should have.
 func (c *Controller) countBegun(j *state.Job) {
-	if j.BeginCounted || j.State != state.JobLive && j.State != state.JobFinishing {
+	if j.StartSLOCounted || j.State != state.JobActive && j.State != state.JobFinishing {
 		return
 	}
 	t := c.term
 	name := j.Spec.Class
-	if 2*j.Spec.Tasks < c.class(name).most || guest(j) || j.Free+beginWithin < t.led {
-		j.BeginCounted = true
+	if 2*j.Spec.Tasks < c.class(name).most || guest(j) || j.EligibleAt+beginWithin < t.led {
+		j.StartSLOCounted = true
 		return
 	}
-	wait := c.at.Steady - j.Free
-	begun := j.Running+j.Done > 0
+	wait := c.at.Steady - j.EligibleAt
+	begun := j.RunningTasks+j.CompletedTasks > 0
 	if j.Spec.Kind == protocol.Gang {
-		begun = j.Running+j.Done >= len(j.Tasks)
+		begun = j.RunningTasks+j.CompletedTasks >= len(j.Tasks)
 	}
 	if !begun {
 		t.longest[name] = max(t.longest[name], wait)
 		if wait <= beginWithin {
 			return
 		}
-		c.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.Attempts)
+		c.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.AttemptCount)
 	}
-	j.BeginCounted = true
+	j.StartSLOCounted = true
 	c.count(slo.Largest, name, wait <= beginWithin)
 }
--- a/internal/controller/slottable/index.go
+++ b/internal/controller/slottable/index.go
@@ -64,12 +64,12 @@
 // widen has the bounds hold for a row.
 func (s *shelf) widen(free resources) {
 	s.most = atLeast(s.most, free)
-	s.least = resources{CPU: min(s.least.CPU, free.CPU), GPU: min(s.least.GPU, free.GPU), Mem: min(s.least.Mem, free.Mem)}
+	s.least = resources{CPU: min(s.least.CPU, free.CPU), GPU: min(s.least.GPU, free.GPU), Memory: min(s.least.Memory, free.Memory)}
 }
 
 // atLeast is the least amount that holds both.
 func atLeast(a, b resources) resources {
-	return resources{CPU: max(a.CPU, b.CPU), GPU: max(a.GPU, b.GPU), Mem: max(a.Mem, b.Mem)}
+	return resources{CPU: max(a.CPU, b.CPU), GPU: max(a.GPU, b.GPU), Memory: max(a.Memory, b.Memory)}
 }
 
 // reshelve takes a row from one shelf to another; -1 is none.
@@ -422,7 +422,7 @@
 		}
 	}
 	look := func(m *Machine) {
-		if m.seen[0] == stamp || !m.Makes.Holds(need) {
+		if m.seen[0] == stamp || !m.Makes.Covers(need) {
 			return
 		}
 		m.seen[0] = stamp
@@ -435,12 +435,12 @@
 	cursors := t.walk[:0]
 	rows := 0
 	for _, g := range t.all {
-		if !g.suits(r) || !g.offer.Holds(need) {
+		if !g.suits(r) || !g.offer.Covers(need) {
 			continue
 		}
 		t.Work += workLook
 		for l := level; l <= maxLevel; l++ {
-			if s := &g.makes[l]; len(s.rows) > 0 && s.most.Holds(need) {
+			if s := &g.makes[l]; len(s.rows) > 0 && s.most.Covers(need) {
 				cursors = append(cursors, cursor{list: s.rows})
 				rows += len(s.rows)
 			}
--- a/internal/controller/slottable/profile.go
+++ b/internal/controller/slottable/profile.go
@@ -62,7 +62,7 @@
 // fits reports whether need is free during [from, to).
 func (p profile) fits(need resources, from, to micros) bool {
 	for i := p.at(from); ; i++ {
-		if !p[i].free.Holds(need) {
+		if !p[i].free.Covers(need) {
 			return false
 		}
 		if i+1 == len(p) || p[i+1].at >= to {
@@ -75,7 +75,7 @@
 func (p profile) room(need resources, after, length micros) (micros, bool) {
 	from := after
 	for i := p.at(after); i < len(p); i++ {
-		if !p[i].free.Holds(need) {
+		if !p[i].free.Covers(need) {
 			if i+1 < len(p) {
 				from = p[i+1].at
 			}
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -55,9 +55,9 @@
 	offer resources
 	rate  int64
 }{
-	{"small", resources{CPU: 12_000, GPU: 2000, Mem: 48_000}, 1},
-	{"large", resources{CPU: 32_000, GPU: 4000, Mem: 128_000}, 2},
-	{"plain", resources{CPU: 16_000, Mem: 64_000}, 1},
+	{"small", resources{CPU: 12_000, GPU: 2000, Memory: 48_000}, 1},
+	{"large", resources{CPU: 32_000, GPU: 4000, Memory: 128_000}, 2},
+	{"plain", resources{CPU: 16_000, Memory: 64_000}, 1},
 }
 
 const drawnNow = 100 * sec
@@ -84,7 +84,7 @@
 	for range rapid.IntRange(0, 5).Draw(rt, "spans") {
 		need := resources{
 			CPU: int64(rapid.IntRange(1, 9).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 2).Draw(rt, "gpu")) * 1000,
-			Mem: int64(rapid.IntRange(1, 30).Draw(rt, "mem")) * 1000,
+			Memory: int64(rapid.IntRange(1, 30).Draw(rt, "mem")) * 1000,
 		}
 		if d.offer.GPU == 0 {
 			need.GPU = 0
@@ -96,7 +96,7 @@
 		if rapid.IntRange(0, 9).Draw(rt, "service") == 0 {
 			s.To = protocol.Forever
 		}
-		if free.Holds(need) {
+		if free.Covers(need) {
 			free = free.Add(need, -1)
 			d.spans = append(d.spans, s)
 		}
@@ -110,7 +110,7 @@
 		Tasks: rapid.IntRange(1, 8).Draw(rt, "tasks"),
 		Need: resources{
 			CPU: int64(rapid.IntRange(1, 30).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 8).Draw(rt, "gpu")) * 500,
-			Mem: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000,
+			Memory: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000,
 		},
 		Image: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "image"), ImageSize: int64(rapid.SampledFrom([]int{0, 1000, 8000, 20_000}).Draw(rt, "size")),
 		Gang: rapid.Bool().Draw(rt, "gang"), OneZone: rapid.Bool().Draw(rt, "one"), Spot: rapid.Bool().Draw(rt, "spot"),
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -56,7 +56,7 @@
 	}
 	t.Work += workLook * len(rows)
 	for _, m := range rows {
-		if !m.freeFor(r).Holds(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
+		if !m.freeFor(r).Covers(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
 		}
 		if c, ok := t.nowOn(r, m); ok {
@@ -77,7 +77,7 @@
 		} else {
 			m = t.rented[i-len(t.machines)]
 		}
-		if m.Blocked || !m.Offer.Holds(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
+		if m.Blocked || !m.Offer.Covers(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
 		}
 		if image {
@@ -395,7 +395,7 @@
 				if ok && r.Spare && (p.Begin <= t.Now+slack || p.Ready <= r.Patient) {
 					continue
 				}
-				fit := max(1, min(o.Resources.Times(r.Need), int64(n-i)))
+				fit := max(1, min(o.Resources.MaxCopies(r.Need), int64(n-i)))
 				cost := o.Price / float64(fit)
 				// Between equal prices the zone with fewer of the job's tasks.
 				cost *= 1 + 0.001*float64(z.count[o.Zone]) + 0.0005*float64(rent[oi])
--- a/internal/controller/slottable/rental.go
+++ b/internal/controller/slottable/rental.go
@@ -82,7 +82,7 @@
 				if ok && r.Spare && (p.Begin <= t.Now+slack || p.Ready <= r.Patient) {
 					continue
 				}
-				fit := max(1, min(o.Resources.Times(r.Need), int64(n-i)))
+				fit := max(1, min(o.Resources.MaxCopies(r.Need), int64(n-i)))
 				cost := o.Price / float64(fit)
 				// Between equal prices the zone with fewer of the job's tasks.
 				cost *= 1 + 0.001*float64(z.count[o.Zone]) + 0.0005*float64(rent[oi])
@@ -133,7 +133,7 @@
 		if m.From > until {
 			break
 		}
-		if r.allows(m) && z.allows(m.Zone) && m.Offer.Holds(r.Need) {
+		if r.allows(m) && z.allows(m.Zone) && m.Offer.Covers(r.Need) {
 			t.Work += workRoom
 			if c, ok := t.laterOn(r, m, t.Now); ok && c.place.Ready <= until {
 				return c.place, full, true
@@ -158,5 +158,5 @@
 
 // Suits reports whether a machine of that kind could take a request's tasks.
 func (o *Offer) Suits(r *Request) bool {
-	return (!o.Spot || r.Spot) && (o.Spot || !r.Frugal) && (r.Zone == "" || r.Zone == o.Zone) && o.Resources.Holds(r.Need) && allowsType(r.Types, o.Type)
+	return (!o.Spot || r.Spot) && (o.Spot || !r.Frugal) && (r.Zone == "" || r.Zone == o.Zone) && o.Resources.Covers(r.Need) && allowsType(r.Types, o.Type)
 }
--- a/internal/controller/slottable/search.go
+++ b/internal/controller/slottable/search.go
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, g := range groups {
-		if !g.suits(r) || !g.offer.Holds(r.Need) || !z.allows(g.zone) {
+		if !g.suits(r) || !g.offer.Covers(r.Need) || !z.allows(g.zone) {
 			continue
 		}
 		t.Work += workLook
@@ -120,12 +120,12 @@
 		}
 		for l := level; l <= maxLevel; l++ {
 			sh := &g.shelves[l]
-			if len(sh.rows) == 0 || !sh.most.Holds(r.Need) {
+			if len(sh.rows) == 0 || !sh.most.Covers(r.Need) {
 				continue
 			}
 			n := int64(1)
 			if !r.Guest {
-				n = max(1, sh.least.Times(r.Need))
+				n = max(1, sh.least.MaxCopies(r.Need))
 			}
 			waste := min(micros(n)*wasteTask, wasteMost)
 			if r.Need.GPU == 0 && l > 0 && !r.Guest { // for a guest, others may have those GPUs
@@ -219,7 +219,7 @@
 // on is the place that a row has for one more task.
 func (s *search) on(m *Machine) (candidate, bool) {
 	if s.later {
-		if m.Blocked || !m.Offer.Holds(s.r.Need) {
+		if m.Blocked || !m.Offer.Covers(s.r.Need) {
 			return candidate{}, false
 		}
 		s.t.Work += workRoom
@@ -229,7 +229,7 @@
 	if s.r.HotOnly && c.place.Ready > s.t.Now+patience {
 		return candidate{}, false
 	}
-	if !ok && m.freeFor(s.r).Holds(s.r.Need) {
+	if !ok && m.freeFor(s.r).Covers(s.r.Need) {
 		s.booked = true
 	}
 	return c, ok
@@ -381,7 +381,7 @@
 	}
 	for i := range t.refusals {
 		f := &t.refusals[i]
-		if !r.Need.Holds(f.need) || r.Spot && !f.spot || f.guest && !r.Guest || f.frugal && !r.Frugal {
+		if !r.Need.Covers(f.need) || r.Spot && !f.spot || f.guest && !r.Guest || f.frugal && !r.Frugal {
 			continue
 		}
 		if f.image >= 0 && (f.image != r.image || r.Length < f.length || r.ImageSize < f.size) {
--- a/internal/controller/slottable/table.go
+++ b/internal/controller/slottable/table.go
@@ -176,12 +176,12 @@
 			used = used.Add(s.Need, 1)
 		}
 	}
-	return m.Offer.Holds(used)
+	return m.Offer.Covers(used)
 }
 
 // room is the earliest time from after on at which need is free for length.
 func (m *Machine) room(r *Request, after, length micros) (micros, bool) {
-	if !m.Offer.Holds(r.Need) || m.Blocked {
+	if !m.Offer.Covers(r.Need) || m.Blocked {
 		return 0, false
 	}
 	after = max(after, m.From)
@@ -440,7 +440,7 @@
 
 // nowOn is the place that a machine has for a task at once.
 func (t *Table) nowOn(r *Request, m *Machine) (candidate, bool) {
-	if !m.freeFor(r).Holds(r.Need) || m.Blocked || m.From > t.Now {
+	if !m.freeFor(r).Covers(r.Need) || m.Blocked || m.From > t.Now {
 		return candidate{}, false
 	}
 	fetch := m.fetch(t.Now, r)
@@ -485,12 +485,12 @@
 // larger machine, or a free one, is kept for what needs it.
 func (t *Table) waste(r *Request, m *Machine) micros {
 	free := m.freeFor(r)
-	w := min(micros(free.Times(r.Need))*wasteTask, wasteMost)
+	w := min(micros(free.MaxCopies(r.Need))*wasteTask, wasteMost)
 	if r.Need.GPU == 0 && free.GPU > 0 {
 		// What needs no GPU goes where it is in the way of nothing that does.
 		return w + wasteGPU
 	}
-	if !r.Guest && !free.Add(m.guests, -1).Holds(r.Need) {
+	if !r.Guest && !free.Add(m.guests, -1).Covers(r.Need) {
 		w += 3 * protocol.Second // a guest's work would be lost
 	}
 	if r.Spot && !m.Spot {
--- a/internal/controller/slottable/table_test.go
+++ b/internal/controller/slottable/table_test.go
@@ -8,7 +8,7 @@
 
 const sec = protocol.Second
 
-func gpus(n int64) resources { return resources{CPU: n * 1000, GPU: n * 1000, Mem: n * 1000} }
+func gpus(n int64) resources { return resources{CPU: n * 1000, GPU: n * 1000, Memory: n * 1000} }
 
 func row(name string, size int64, spans ...Span) *Machine {
 	m := &Machine{
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -62,7 +62,7 @@
 	}
 	c.emit(Span{
 		Name: "take-over", From: c.seat.asked, To: c.at.Steady, Stages: stages,
-		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.book.Line()))}, {"hosts", int64(len(t.book.Hosts()))}},
+		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.book.Jobs()))}, {"hosts", int64(len(t.book.Hosts()))}},
 	})
 }
 
@@ -126,21 +126,21 @@
 	s.Hosts, s.Waiting, s.Running = make(map[string]int), make(map[string]int), make(map[string]int)
 	for _, h := range c.term.book.Hosts() {
 		s.Hosts[h.State.String()]++
-		if h.FromRecord && !h.Proven {
+		if h.FromRecord && !h.Reconciled {
 			s.Unproven++
 		}
 	}
-	for _, j := range c.term.book.Line() {
-		if j.State == state.JobWaiting {
+	for _, j := range c.term.book.Jobs() {
+		if j.State == state.JobBlocked {
 			s.Awaiting++
 		}
-		if j.State != state.JobLive {
+		if j.State != state.JobActive {
 			continue
 		}
-		if j.Queued > 0 {
+		if j.QueuedTasks > 0 {
 			s.Waiting[j.Spec.Class]++
 		}
-		s.Running[j.Spec.Class] += j.Running
+		s.Running[j.Spec.Class] += j.RunningTasks
 	}
 	return s
 }
--- a/internal/controller/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -12,8 +12,8 @@
 // told makes a controller that follows, and what it logs.
 func told() (*Controller, *bytes.Buffer) {
 	var log bytes.Buffer
-	p := &protocol.Platform{Node: "n0", Siblings: []protocol.Sibling{{Name: "n1", Address: "n1"}}, StateRate: 100, StateWriteRate: 20}
-	return New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(&log, nil))), &log
+	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
+	return New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(&log, nil))), &log
 }
 
 // A service that can't be reached has one warning when that begins and one line
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -55,14 +55,14 @@
 		c.refuse(to, spec, why)
 		return
 	}
-	if len(spec.Awaits) == 0 {
-		c.directCreate(to, spec, protocol.Queued, over)
+	if len(spec.DependsOn) == 0 {
+		c.directCreate(to, spec, protocol.PhaseQueued, over)
 		return
 	}
 	c.admitAwaits(to, spec, over, func(cancelled bool) {
-		phase := protocol.Queued
+		phase := protocol.PhaseQueued
 		if cancelled {
-			phase = protocol.Cancelled
+			phase = protocol.PhaseCancelled
 		}
 		c.directCreate(to, spec, phase, over)
 	})
@@ -150,12 +150,12 @@
 				c.replyFinal(to, ref, f)
 				return
 			}
-			j.Stamp = r.Stamp
+			j.Revision = r.Revision
 			if c.mayStart() && c.term == t && t.book.Job(ref) == nil {
 				c.enter(j)
 			}
-			body := protocol.JobAnswer(ref, phase, 0, 0)
-			if len(j.Spec.Awaits) > 0 && c.knows(j) {
+			body := protocol.JobStatusBody(ref, phase, 0, 0)
+			if len(j.Spec.DependsOn) > 0 && c.knows(j) {
 				body = c.jobAnswer(j)
 			}
 			c.reply(to, 201, body, 0)
@@ -190,7 +190,7 @@
 	}
 	fits := false
 	for _, t := range c.types {
-		if !t.Offer.Holds(s.Need) || !s.AllowsType(t.Name) {
+		if !t.Capacity.Covers(s.TaskResources) || !s.AllowsType(t.Name) {
 			continue
 		}
 		if s.Zone == "" {
@@ -208,7 +208,7 @@
 		n = 1
 	}
 	var none protocol.Resources
-	if !withinLimit(team.Limit, none.Add(s.Need, n)) {
+	if !withinLimit(team.Limit, none.Add(s.TaskResources, n)) {
 		return "the job needs more than the team's limit"
 	}
 	return ""
@@ -293,9 +293,9 @@
 	t.submits[ref] = nil
 	line.began()
 	j := state.NewJob(spec)
-	j.SubmittedWall, j.Epoch = c.at.Wall, t.epoch
-	c.create(to, j, protocol.Queued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		when = append([]protocol.Condition{{Key: state.KeyLeader, Stamp: c.seat.stamp}}, when...)
+	j.SubmittedWall, j.LeaderEpoch = c.at.Wall, t.epoch
+	c.create(to, j, protocol.PhaseQueued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
+		when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: c.seat.stamp}}, when...)
 		c.txn(prio, c.underRevision(when), then, func(o txnOutcome, r protocol.TxnResult) {
 			others := t.submits[ref]
 			delete(t.submits, ref)
@@ -310,7 +310,7 @@
 				return
 			}
 			if o == txnRefused {
-				for _, k := range r.Failed {
+				for _, k := range r.Conflicts {
 					if k == state.KeyLeader {
 						o = txnRejected
 						if c.term == t {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -13,7 +13,7 @@
 
 // term is what a leader knows and does during one epoch.
 type term struct {
-	book      *state.Book
+	book      *state.Cluster
 	epoch     uint64
 	started   micros
 	led       micros      // when the records were read
@@ -47,11 +47,11 @@
 	launchesSent micros                    // when a record of launches was last sent
 	finals       finalWriter
 	memory       remembering
-	yields       []protocol.Yield   // leases that were given back lately
+	yields       []protocol.LeadershipTransfer   // leases that were given back lately
 	yielding     bool               // this one is being given back
 	served       slo.Window         // which part of each class and team is served
 	longest      map[string]micros  // for which a largest job has waited to begin, by class
-	verdict      leadership.Verdict // last found
+	verdict      leadership.Decision // last found
 	unlisted     bool               // earlier launches may be in no record, see EncodeEpoch
 	chunks       chunkWriter
 
@@ -76,17 +76,17 @@
 // newTerm is what a leader of the seat's epoch knows before it has read anything.
 func (c *Controller) newTerm() *term {
 	t := &term{
-		book: state.NewBook(), epoch: c.seat.epoch, started: c.at.Steady,
+		book: state.NewCluster(), epoch: c.seat.epoch, started: c.at.Steady,
 		submits: make(map[string][]Address), cancels: make(map[string][]Address), gone: make(map[string]micros),
 		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*state.Host]*slottable.Machine),
 	}
 	t.rental.init()
 	t.chains = newChains()
 	t.probes.init()
-	t.hostPages = c.newPages(state.HostPages, c.hostRecord)
-	t.bookingPages = c.newPages(state.BookingPages, c.bookingRecord)
-	t.donePages = c.newPages(state.CompletionPages, c.doneRecord)
-	t.launchPages = c.newPages(state.LaunchPages, c.launchRecord)
+	t.hostPages = c.newPages(state.HostShardPrefix, c.hostRecord)
+	t.bookingPages = c.newPages(state.BookingShardPrefix, c.bookingRecord)
+	t.donePages = c.newPages(state.CompletionShardPrefix, c.doneRecord)
+	t.launchPages = c.newPages(state.LaunchShardPrefix, c.launchRecord)
 	t.longest = make(map[string]micros)
 	t.launches = make(map[string]*state.Attempt)
 	t.unlisted, t.yields = c.seat.unlisted, c.seat.yields
@@ -140,7 +140,7 @@
 		c.damaged(e, err)
 		return nil
 	}
-	j.Stamp = e.Stamp
+	j.Revision = e.Revision
 	c.enter(j)
 	return j
 }
@@ -152,15 +152,15 @@
 	t.book.AddJob(j)
 	c.link(j)
 	// An attempt of a job that was not known yet may have been reported.
-	for _, a := range t.book.Rebind(c.at.Steady, j) {
+	for _, a := range t.book.BindAttempts(c.at.Steady, j) {
 		c.began(j)
 		c.recordLaunch(a, c.at.Steady)
 	}
-	if len(j.Spec.Awaits) == 0 {
+	if len(j.Spec.DependsOn) == 0 {
 		c.class(j.Spec.Class).arrived(c.at.Steady, j)
 	}
-	c.log.Debug("job", "ref", j.Spec.Ref, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks, "rank", int(j.Spec.Rank),
-		"cpus", float64(j.Spec.Need.CPU)/1000, "gpus", float64(j.Spec.Need.GPU)/1000, "mem_gb", float64(j.Spec.Need.Mem)/1000, "saves", j.Spec.Checkpoints(), "estimate_ms", int64(j.Spec.Estimate/protocol.Millisecond))
+	c.log.Debug("job", "ref", j.Spec.Ref, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks, "rank", int(j.Spec.Priority),
+		"cpus", float64(j.Spec.TaskResources.CPU)/1000, "gpus", float64(j.Spec.TaskResources.GPU)/1000, "mem_gb", float64(j.Spec.TaskResources.Memory)/1000, "saves", j.Spec.CanCheckpoint(), "estimate_ms", int64(j.Spec.EstimatedRuntime/protocol.Millisecond))
 	t.dirty = true
 }
 
@@ -204,7 +204,7 @@
 	c.writeFinals() // of jobs that ended while the lease was in doubt
 	c.writePages(t.bookingPages)
 	since := c.at.Steady - t.lastRound
-	if t.pass != nil || since >= c.operator.RoundEvery || (t.dirty && since >= c.operator.RoundGap) {
+	if t.pass != nil || since >= c.operator.MaxCycleInterval || (t.dirty && since >= c.operator.MinCycleInterval) {
 		c.round()
 	}
 	if c.term == t && c.mayStart() {
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -29,7 +29,7 @@
 type levelTerm struct {
 	next  micros // when the roster is looked at again
 	busy  bool   // it is being read, or a level is being made active
-	waits []featuregate.Wait
+	waits []featuregate.Blocker
 	told  string // for whom, as last logged
 	// Controllers that answered as a version without levels, with the stamps that their
 	// entries had then.
@@ -66,8 +66,8 @@
 
 // controllers are the names of all controllers of the settings.
 func (c *Controller) controllers() []string {
-	names := []string{c.platform.Node}
-	for _, s := range c.platform.Siblings {
+	names := []string{c.platform.ControllerName}
+	for _, s := range c.platform.Peers {
 		names = append(names, s.Name)
 	}
 	return names
@@ -80,10 +80,10 @@
 		return
 	}
 	t.levels.busy = true
-	roster := make(map[string]featuregate.Kept)
-	c.list(prioNormal, featuregate.RosterPrefix, func(e protocol.Entry) {
+	roster := make(map[string]featuregate.StoredEntry)
+	c.list(prioNormal, featuregate.RegistryPrefix, func(e protocol.Entry) {
 		entry, err := featuregate.DecodeEntry(e.Value)
-		roster[strings.TrimPrefix(e.Key, featuregate.RosterPrefix)] = featuregate.Kept{Entry: entry, Stamp: e.Stamp, Err: err}
+		roster[strings.TrimPrefix(e.Key, featuregate.RegistryPrefix)] = featuregate.StoredEntry{Entry: entry, Revision: e.Revision, Err: err}
 	}, func(_ uint64, ok bool) {
 		if c.term != t {
 			return
@@ -104,11 +104,11 @@
 
 // considerLevel tells for whom the highest level waits, and makes active the one that all
 // have.
-func (c *Controller) considerLevel(t *term, roster map[string]featuregate.Kept) {
+func (c *Controller) considerLevel(t *term, roster map[string]featuregate.StoredEntry) {
 	s := c.levels
 	names := c.controllers()
 	d := featuregate.Decide(names, s.serves, s.active, roster)
-	t.levels.waits = d.Waits
+	t.levels.waits = d.Blockers
 	// Without machine types there would be nothing to write in the later form.
 	if d.Next <= s.active || len(c.types) == 0 {
 		c.tellWaits(t)
@@ -118,8 +118,8 @@
 	c.askLevels(t, roster, func() {
 		withdrawn := false
 		for _, name := range names {
-			if stamp, old := t.levels.old[name]; old && stamp == roster[name].Stamp {
-				t.levels.waits = append(t.levels.waits, featuregate.Wait{Node: name, Why: featuregate.RunsOld})
+			if stamp, old := t.levels.old[name]; old && stamp == roster[name].Revision {
+				t.levels.waits = append(t.levels.waits, featuregate.Blocker{Controller: name, Reason: featuregate.RunsOld})
 				withdrawn = true
 			}
 		}
@@ -148,8 +148,8 @@
 // notes those that answer as a version without levels. An operator who went back to that
 // version leaves the entry of the newer one in the roster, which counts for nothing from then
 // on until it is written again. Who does not answer says nothing: the roster has what it runs.
-func (c *Controller) askLevels(t *term, roster map[string]featuregate.Kept, done func()) {
-	waiting := len(c.platform.Siblings)
+func (c *Controller) askLevels(t *term, roster map[string]featuregate.StoredEntry, done func()) {
+	waiting := len(c.platform.Peers)
 	if waiting == 0 {
 		done()
 		return
@@ -157,14 +157,14 @@
 	if t.levels.old == nil {
 		t.levels.old = make(map[string]uint64)
 	}
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerLevels, From: c.platform.Node})
-	for _, s := range c.platform.Siblings {
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerFeatureRequest, From: c.platform.ControllerName})
+	for _, s := range c.platform.Peers {
 		c.callAddr(ToPeer, "", s.Address, "", frame, askEvery, func(r CallDone) {
 			if c.term != t {
 				return
 			}
 			if m := c.peerAnswer(r); m != nil {
-				t.levels.old[s.Name] = roster[s.Name].Stamp
+				t.levels.old[s.Name] = roster[s.Name].Revision
 			}
 			if waiting--; waiting == 0 {
 				done()
@@ -180,17 +180,17 @@
 		c.reply(e.Reply, 0, nil, 0)
 		return
 	}
-	m := &protocol.PeerMessage{Kind: protocol.PeerServes, Low: uint64(c.levels.serves.Low), High: uint64(c.levels.serves.High)}
+	m := &protocol.PeerMessage{Kind: protocol.PeerFeatureRange, MinLevel: uint64(c.levels.serves.Low), MaxLevel: uint64(c.levels.serves.High)}
 	c.emit(Reply{To: e.Reply, Status: 200, Body: protocol.AppendPeer(nil, m), Frame: true})
 }
 
 // activate makes a level active.
-func (c *Controller) activate(t *term, next featuregate.Level, names []string, roster map[string]featuregate.Kept) {
+func (c *Controller) activate(t *term, next featuregate.Level, names []string, roster map[string]featuregate.StoredEntry) {
 	when := c.underLevel(nil)
 	for _, name := range names {
-		when = append(when, protocol.Condition{Key: featuregate.RosterKey(name), Stamp: roster[name].Stamp})
+		when = append(when, protocol.Condition{Key: featuregate.RegistryKey(name), Revision: roster[name].Revision})
 	}
-	epoch := state.Epoch{N: t.epoch, Unlisted: t.unlisted, Yields: t.yields, Level: next}
+	epoch := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.unlisted, Transfers: t.yields, Level: next}
 	types, _ := c.typesRecord(next) // none of the later form is better than those of the earlier
 	then := []protocol.Change{
 		{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(next)},
@@ -200,7 +200,7 @@
 	c.log.Info("making a feature level active", "level", uint64(next), "controllers", len(names))
 	c.lead(prioUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if o == txnApplied {
-			c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: then[0].Value, Stamp: r.Stamp})
+			c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: then[0].Value, Revision: r.Revision})
 			c.lookAtLevelAgain(t)
 			return
 		}
@@ -252,7 +252,7 @@
 	if c.term != nil && c.levels.active < c.levels.serves.High {
 		s.Waits = make(map[string]string, len(c.term.levels.waits))
 		for _, w := range c.term.levels.waits {
-			s.Waits[w.Node] = w.Why.String()
+			s.Waits[w.Controller] = w.Reason.String()
 		}
 	}
 	return s
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -15,10 +15,10 @@
 func levelled(t *testing.T) (*Controller, []Effect) {
 	t.Helper()
 	p := &protocol.Platform{
-		Node: "n0", Siblings: []protocol.Sibling{{Name: "n1", Address: "n1"}}, StateRate: 100, StateWriteRate: 20, ValueBytes: 8 << 10, TxnOps: 12,
+		ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20, MaxValueBytes: 8 << 10, MaxTxnChanges: 12,
 		Teams: map[string]protocol.Team{"red": {Name: "red"}},
 	}
-	c := New(p, protocol.DefaultOperator(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return c, c.Start(now{})
 }
 
@@ -73,7 +73,7 @@
 
 // atLevel has a controller know the level by a record with stamp 7.
 func atLevel(c *Controller, l featuregate.Level) {
-	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Stamp: 7})
+	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Revision: 7})
 }
 
 // What a leader writes that has a form by the level depends on the level's record: a
@@ -108,8 +108,8 @@
 func TestDirectAcceptanceUnderTheLevel(t *testing.T) {
 	c, _ := levelled(t)
 	atLevel(c, 1)
-	c.types = []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 8000, Mem: 64000}, Zones: []string{"a"}}}
-	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Tasks: 1, Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "i"}
+	c.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, Zones: []string{"a"}}}
+	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Tasks: 1, TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "i"}
 	over := 0
 	c.directSubmit(Address{Conn: 1}, spec, func() { over++ })
 	written := calls(c.flush(), `"set":"j/req-000001"`)
@@ -132,7 +132,7 @@
 // a controller that knew only some of them would refuse what fits the others.
 func TestTypesThatDoNotFit(t *testing.T) {
 	c, _ := levelled(t)
-	c.types = []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 8000, Mem: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, Boot: protocol.Second, Zones: []string{"a"}}}
+	c.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
 	value, fits := c.typesRecord(1)
 	if types, later, err := state.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
 		t.Errorf("%s, %v, %v", value, fits, err)
@@ -160,7 +160,7 @@
 	if !c.allows(featuregate.ChainedJobs) {
 		t.Error("not allowed at its level")
 	}
-	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Stamp: 9})
+	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Revision: 9})
 	if !c.allows(featuregate.ChainedJobs) || c.levels.known {
 		t.Errorf("after a record that can't be read: %+v", c.levels)
 	}
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -38,7 +38,7 @@
 
 func (c *Controller) alone() bool {
 	at := c.at.Steady
-	return len(c.platform.Siblings) > 0 && at-max(c.stateHeard, c.born) > aloneAfter && at-max(c.siblingHeard, c.born) > aloneAfter
+	return len(c.platform.Peers) > 0 && at-max(c.stateHeard, c.born) > aloneAfter && at-max(c.siblingHeard, c.born) > aloneAfter
 }
 
 // onUser handles a user's call, wherever it came in.
@@ -59,7 +59,7 @@
 			return
 		}
 		e.Ref = spec.Ref
-		if len(spec.Awaits) > 0 && !c.allows(featuregate.ChainedJobs) {
+		if len(spec.DependsOn) > 0 && !c.allows(featuregate.ChainedJobs) {
 			c.unavailable(e.Reply, refusedFeature)
 			return
 		}
@@ -97,10 +97,10 @@
 
 func (c *Controller) replyFinal(to Address, ref string, f final) {
 	done := 0
-	if f.phase == protocol.Done {
+	if f.phase == protocol.PhaseDone {
 		done = f.tasks
 	}
-	c.reply(to, 200, protocol.JobAnswer(ref, f.phase, done, 0), 0)
+	c.reply(to, 200, protocol.JobStatusBody(ref, f.phase, done, 0), 0)
 }
 
 // passOn gives a user's call to the leader, or goes to the state service
@@ -210,11 +210,11 @@
 // reports whether there is a leader to give it to. over is called when the call is over,
 // otherwise after it when the leader did not serve it.
 func (c *Controller) toLeader(e UserCall, timeout micros, over func(), otherwise func(CallDone)) bool {
-	addr := c.addressOf(c.leader.Node)
+	addr := c.addressOf(c.leader.Controller)
 	if addr == "" || c.at.Steady < c.suspect || leads(c.role) {
 		return false
 	}
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerCall, Op: e.Op, Ref: e.Ref, From: c.platform.Node, Body: e.Body})
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerUserRequest, Op: e.Op, Ref: e.Ref, From: c.platform.ControllerName, Body: e.Body})
 	c.callAddr(ToPeer, "", addr, "", frame, timeout, func(r CallDone) {
 		over()
 		if m := c.peerAnswer(r); m != nil && m.Status != 0 {
@@ -231,8 +231,8 @@
 // serveDirect serves a call from the state service alone. What its rate has no
 // room for is refused at once: waiting in line would only make the others late.
 func (c *Controller) serveDirect(e UserCall, spec *protocol.JobSpec) {
-	nodes := len(c.platform.Siblings) + 1
-	room, under := c.platform.StateRate*ReadShare(nodes, false)/2, c.direct
+	nodes := len(c.platform.Peers) + 1
+	room, under := c.platform.StateRequestRate*ReadShare(nodes, false)/2, c.direct
 	if e.Op == protocol.OpSubmit {
 		room, under = c.limits.rate*WriteShare(nodes, false), c.directSubmits
 	}
@@ -292,7 +292,7 @@
 				done(nil, final{}, false, false)
 				return
 			}
-			j.Stamp = e.Stamp
+			j.Revision = e.Revision
 			if c.mayStart() && c.term == t {
 				if known := c.learnJob(e); known != nil {
 					j = known
@@ -321,25 +321,25 @@
 
 // jobAnswer says how a job of the book stands.
 func (c *Controller) jobAnswer(j *state.Job) []byte {
-	phase := protocol.Queued
-	running := j.Running
+	phase := protocol.PhaseQueued
+	running := j.RunningTasks
 	switch {
-	case j.Doomed:
-		return protocol.JobAnswer(j.Spec.Ref, protocol.Cancelled, 0, 0)
-	case j.State == state.JobWaiting:
-		return protocol.AwaitingAnswer(j.Spec.Ref, j.Awaiting)
+	case j.DependencyCancelled:
+		return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0)
+	case j.State == state.JobBlocked:
+		return protocol.WaitingJobStatusBody(j.Spec.Ref, j.UnmetDependencies)
 	}
 	switch j.State {
 	case state.JobDone:
-		phase, running = protocol.Done, 0
-	case state.JobCancelled, state.JobClosed:
-		phase, running = protocol.Cancelled, 0
+		phase, running = protocol.PhaseDone, 0
+	case state.JobCancelledLegacy, state.JobClosed:
+		phase, running = protocol.PhaseCancelled, 0
 	default:
 		if running > 0 || j.State == state.JobFinishing {
-			phase = protocol.Running
+			phase = protocol.PhaseRunning
 		}
 	}
-	return protocol.JobAnswer(j.Spec.Ref, phase, j.Done, running)
+	return protocol.JobStatusBody(j.Spec.Ref, phase, j.CompletedTasks, running)
 }
 
 // ending reports whether a job's final record is on its way. It may be durable before its
@@ -349,7 +349,7 @@
 // It is the same for a job that awaits others while one of their records is on its way, or
 // not read yet. A doomed job is cancelled whatever becomes of its own record.
 func ending(j *state.Job) bool {
-	return !j.Doomed && (j.State == state.JobFinishing || j.Closing || j.Unsure)
+	return !j.DependencyCancelled && (j.State == state.JobFinishing || j.FinalWriteInFlight || j.DependencyUncertain)
 }
 
 func (c *Controller) query(to Address, ref string) {
@@ -369,5 +369,5 @@
 // come second to what the leader has to write and read itself: a storm of questions about
 // jobs that nobody knows would use up the rate.
 func (c *Controller) askedTooMuch() bool {
-	return float64(c.looking) >= max(4, c.platform.StateRate*ReadShare(len(c.platform.Siblings)+1, true)/2*directWait.Seconds())
+	return float64(c.looking) >= max(4, c.platform.StateRequestRate*ReadShare(len(c.platform.Peers)+1, true)/2*directWait.Seconds())
 }
