--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,7 +11,7 @@
 // onReport handles a worker's report. Only the leader answers with 200: a
 // worker that gets a 200 it has to drop stays while its lease runs out.
 func (c *Controller) onReport(e WorkerReport) {
-	r, err := protocol.ParseReport(e.Body)
+	r, err := protocol.ParseHeartbeat(e.Body)
 	if err != nil {
 		c.malformed("worker", err)
 		c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
@@ -22,7 +22,7 @@
 		// The epoch is ours already. The records are not read yet, so there
 		// are no commands; the worker's lease is renewed and its next report
 		// comes under the new epoch.
-		if r.Epoch <= c.seat.epoch && c.at.Steady < c.seat.until {
+		if r.Token <= c.seat.epoch && c.at.Steady < c.seat.until {
 			c.reply(e.Reply, 200, protocol.AppendCommands(nil, c.seat.epoch, 0, nil), 0)
 			return
 		}
@@ -34,18 +34,18 @@
 			c.reply(e.Reply, 0, nil, 0) // this node does not lead
 			return
 		}
-		if c.isolated() && (r.Zone == c.platform.Zone || !c.narrow && c.keepsZone(c.platform.Zone, r.Zone)) && r.Epoch > 0 {
+		if c.isolated() && (r.Zone == c.platform.Zone || !c.narrow && c.keepsZone(c.platform.Zone, r.Zone)) && r.Token > 0 {
 			// Cut off together with the worker: under the token that it knows its
 			// tasks go on. It gets no commands.
 			c.answered = c.at.Steady
-			c.reply(e.Reply, 200, protocol.AppendCommands(nil, r.Epoch, 0, nil), 0)
+			c.reply(e.Reply, 200, protocol.AppendCommands(nil, r.Token, 0, nil), 0)
 			return
 		}
 		c.sendOn(e, r)
 		return
 	}
 	t := c.term
-	if r.Epoch > t.epoch {
+	if r.Token > t.epoch {
 		c.deposed("a worker has seen a newer epoch")
 		c.reply(e.Reply, 421, protocol.LeaderBody(""), 0)
 		return
@@ -58,73 +58,73 @@
 	if h == nil {
 		h = state.NewHost(c.at.Steady, r.Host, r.Type, r.Zone, r.Spot)
 		h.Type = c.typeByName[r.Type]
-		h.Stray, h.Addr = r.Epoch != t.epoch, r.Addr
+		h.Unverified, h.Addr = r.Token != t.epoch, r.Addr
 		t.book.AddHost(h)
 		c.probe(t, h)
 		c.log.Debug("machine reports that was not rented in this term", "host", r.Host)
 	}
-	if h.Knows(r) {
+	if h.IsStale(r) {
 		// What it says is older than what is known: it was held up on the way,
 		// or crossed the answer to a direct command. In the second case the
 		// worker still waits, so it is answered, but the book stays as it is.
 		// A worker's lease runs from when it sent what is answered, and that was before
 		// the newer message was heard: a copy that comes again and again proves no more.
-		if r.Session == h.Session {
-			h.Answered = max(h.Answered, h.Heard)
+		if r.AgentEpoch == h.AgentEpoch {
+			h.LeaseRenewedAt = max(h.LeaseRenewedAt, h.LastContact)
 		}
 		c.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, nil), 0)
 		return
 	}
 	if !e.Reply.Peer {
-		h.Unreached, h.PassedOn = 0, 0
+		h.LeaderUnreachableAt, h.ForwardedAt = 0, 0
 	} else {
-		h.PassedOn = c.at.Steady
+		h.ForwardedAt = c.at.Steady
 		if e.Returned {
-			h.Unreached = c.at.Steady
+			h.LeaderUnreachableAt = c.at.Steady
 		}
 	}
 	c.takeReport(h, r, false)
 	cmds := c.commands(h)
-	h.Answered = max(h.Answered, c.at.Steady)
-	h.Replied = c.at.Steady
+	h.LeaseRenewedAt = max(h.LeaseRenewedAt, c.at.Steady)
+	h.RepliedAt = c.at.Steady
 	c.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, cmds), 0)
 }
 
 // takeReport brings the book to what a newer report says. direct tells that
 // it answers a direct command.
-func (c *Controller) takeReport(h *state.Host, r *protocol.Report, direct bool) {
+func (c *Controller) takeReport(h *state.Host, r *protocol.Heartbeat, direct bool) {
 	t := c.term
 	at := c.at.Steady
-	current := r.Epoch == t.epoch
-	if h.Session > 0 && r.Session > h.Session {
+	current := r.Token == t.epoch
+	if h.AgentEpoch > 0 && r.AgentEpoch > h.AgentEpoch {
 		// The worker's lease expired: it has killed and forgotten everything.
-		c.loseBefore(h, r.Session)
+		c.loseBefore(h, r.AgentEpoch)
 	}
-	if r.Session > h.Session && h.Replied > 0 && at <= h.Replied+c.platform.WorkerLease {
-		h.Unheeded = deafAfter // an answer since would have kept its lease
+	if r.AgentEpoch > h.AgentEpoch && h.RepliedAt > 0 && at <= h.RepliedAt+c.platform.WorkerLease {
+		h.IneffectiveMessages = deafAfter // an answer since would have kept its lease
 	}
 	if direct {
-		h.Unheeded = 0
-	} else if h.Reported = at; r.Epoch < t.epoch && h.Replied > 0 {
-		h.Unheeded++ // it was answered under this epoch, and has not seen it
+		h.IneffectiveMessages = 0
+	} else if h.HeartbeatAt = at; r.Token < t.epoch && h.RepliedAt > 0 {
+		h.IneffectiveMessages++ // it was answered under this epoch, and has not seen it
 	}
-	if r.Session > h.Session {
+	if r.AgentEpoch > h.AgentEpoch {
 		// The lease of a session runs from its beginning, which may be now. Counted
 		// from an answer to the session before, or from none, a task that was launched
 		// by a direct call, of which the worker's reports don't get here, was gone
 		// before it had begun, and was started elsewhere too.
-		h.Answered = max(h.Answered, at)
+		h.LeaseRenewedAt = max(h.LeaseRenewedAt, at)
 	}
 	if current {
 		// It drops what an earlier leader may go on answering. Counted until that one has
 		// certainly stopped, a host that fell silent after a change of leader held the room
 		// of what was on it for three minutes while the cloud could not release it.
-		h.Answered = min(h.Answered, at)
+		h.LeaseRenewedAt = min(h.LeaseRenewedAt, at)
 	}
-	h.Session, h.Tick, h.Heard, h.ProbeFailed = r.Session, r.Tick, at, false
+	h.AgentEpoch, h.Sequence, h.LastContact, h.ProbeFailed = r.AgentEpoch, r.Sequence, at, false
 	h.Addr = r.Addr
 	if h.Type == nil {
-		h.Type, h.Changed = c.typeByName[r.Type], true
+		h.Type, h.Stale = c.typeByName[r.Type], true
 	}
 	if h.State == state.HostBooting || h.State == state.HostSilent {
 		if h.State == state.HostBooting && h.Rented {
@@ -132,33 +132,33 @@
 			// the start taught that machines boot in no time.
 			t.rental.booted(h, at)
 		}
-		h.To(state.HostReady)
+		h.SetState(state.HostReady)
 		c.record(h)
 		t.dirty = true
 	}
-	if r.Noticed != h.Noticed || r.Noticed {
-		if !h.Noticed {
+	if r.Interrupted != h.Interrupted || r.Interrupted {
+		if !h.Interrupted {
 			t.dirty = true
-			c.log.Info("machine will be taken", "host", h.Name, "in_ms", int64(r.Notice/protocol.Millisecond))
+			c.log.Info("machine will be taken", "host", h.Name, "in_ms", int64(r.InterruptedIn/protocol.Millisecond))
 		}
-		h.Noticed, h.TakenAt = r.Noticed, at+r.Notice
+		h.Interrupted, h.InterruptedAt = r.Interrupted, at+r.InterruptedIn
 	}
-	if (current || !h.FromRecord && !h.Stray) && !h.Proven {
+	if (current || !h.FromRecord && !h.Unverified) && !h.Reconciled {
 		// Nothing is ever launched on a host before it is recorded, so one that
 		// was not holds nothing, whatever epoch it has seen. To wait for its next
 		// report would have its room missing from the plans meanwhile, and more
 		// machines rented in its place. One that is in no record and no list may be a
 		// late copy's, of a machine that is gone: it is asked first.
-		h.Proven = true
+		h.Reconciled = true
 		t.dirty = true
 	}
-	h.Reports++
+	h.HeartbeatCount++
 	missed := false
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
 		a := h.Find(task.AttemptName)
 		if a == nil {
-			if !current && !t.unlisted && !(task.State == protocol.Exited && task.Reason == protocol.ExitDone) {
+			if !current && !t.unlisted && !(task.State == protocol.TaskExited && task.Reason == protocol.ExitDone) {
 				// Whatever may be on a host is in a record. This isn't: what says so is
 				// older than the end of the attempt, a late copy of a report mostly. Taken
 				// for true it held the task, or an old attempt of the whole gang, on a
@@ -168,49 +168,49 @@
 			}
 			a = c.adopt(h, *task)
 		}
-		a.Seen = h.Reports
-		if a.SentSession == 0 {
-			a.SentSession = r.Session // or an earlier one
+		a.LastHeartbeat = h.HeartbeatCount
+		if a.LaunchAgentEpoch == 0 {
+			a.LaunchAgentEpoch = r.AgentEpoch // or an earlier one
 		}
 		if a.State == state.AttemptLaunched {
-			h.Unheeded = 0 // it came
+			h.IneffectiveMessages = 0 // it came
 		}
 		c.observe(a, *task)
 	}
 	for _, a := range h.Attempts() {
-		if a.Seen == h.Reports || a.State == state.AttemptAssigned {
+		if a.LastHeartbeat == h.HeartbeatCount || a.State == state.AttemptAssigned {
 			continue
 		}
 		if a.State == state.AttemptExited {
-			t.book.Move(at, a, state.AttemptGone)
+			t.book.SetAttemptState(at, a, state.AttemptGone)
 			continue
 		}
 		if !a.State.MayRun() {
 			continue
 		}
-		if a.SentSession == 0 && (current || direct) {
+		if a.LaunchAgentEpoch == 0 && (current || direct) {
 			// An earlier leader launched it, before this message was made.
-			a.SentSession = r.Session
+			a.LaunchAgentEpoch = r.AgentEpoch
 		}
 		if !current {
 			// A worker that has not seen this epoch may still get commands of
 			// the one before: absence proves nothing yet.
 			continue
 		}
-		if a.State == state.AttemptLaunched && !r.Newer(a.SentSession, a.SentTick) {
+		if a.State == state.AttemptLaunched && !r.NewerThan(a.LaunchAgentEpoch, a.LaunchSequence) {
 			continue
 		}
-		if a.Doubt {
+		if a.LaunchUncertain {
 			continue // the launch may still be on its way
 		}
-		if a.State == state.AttemptLaunched && a.ViaReport && direct {
+		if a.State == state.AttemptLaunched && a.LaunchedByHeartbeat && direct {
 			// The answer with the launch and this message may have crossed.
 			// Only the next report must come after it.
 			continue
 		}
-		if a.State == state.AttemptLaunched && a.ViaReport && !missed {
+		if a.State == state.AttemptLaunched && a.LaunchedByHeartbeat && !missed {
 			missed = true
-			h.Unheeded++
+			h.IneffectiveMessages++
 		}
 		// The launch did not arrive, or the task is gone.
 		c.log.Debug("attempt is not on its host", "task", a.Name.TaskName.String(), "host", h.Name, "state", a.State.String())
@@ -226,7 +226,7 @@
 }
 
 // adopt takes an attempt that an earlier leader started into the book.
-func (c *Controller) adopt(h *state.Host, task protocol.TaskReport) *state.Attempt {
+func (c *Controller) adopt(h *state.Host, task protocol.TaskStatus) *state.Attempt {
 	t := c.term
 	j := t.book.Job(task.Job)
 	if j != nil && task.Index >= len(j.Tasks) {
@@ -237,34 +237,34 @@
 	}
 	a := t.book.Attach(c.at.Steady, j, h, task.AttemptName)
 	a.Adopted = true
-	if j != nil && j.Spec.Kind == protocol.Gang && task.State != protocol.Exited {
+	if j != nil && j.Spec.Kind == protocol.Gang && task.State != protocol.TaskExited {
 		j.GangAttempt = max(j.GangAttempt, task.Number)
 	}
-	if j != nil && a.Task().Current != a && task.State != protocol.Exited {
+	if j != nil && a.Task().Current != a && task.State != protocol.TaskExited {
 		on := ""
 		if o := a.Task().Current; o != nil {
 			on = o.Host.Name
 		}
 		c.log.Error("task is on two hosts", "task", task.TaskName.String(), "host", h.Name, "other", on, "state", a.Task().State)
 	}
-	if j == nil || j.State != state.JobLive || a.Task().Current != a {
-		a.Stop = true
+	if j == nil || j.State != state.JobActive || a.Task().Current != a {
+		a.StopRequested = true
 		c.wantCall(h)
 	}
-	if j != nil && task.State != protocol.Exited && a.Task().Current == a {
+	if j != nil && task.State != protocol.TaskExited && a.Task().Current == a {
 		c.recordLaunch(a, c.at.Steady) // a leader of form 1 did not
 	}
 	return a
 }
 
 var stateOf = map[protocol.TaskState]state.AttemptState{
-	protocol.Fetching: state.AttemptFetching, protocol.Waiting: state.AttemptWaiting,
-	protocol.Executing: state.AttemptRunning, protocol.Saving: state.AttemptSaving,
-	protocol.Exited: state.AttemptExited,
+	protocol.TaskFetching: state.AttemptFetching, protocol.TaskWaiting: state.AttemptWaiting,
+	protocol.TaskRunning: state.AttemptRunning, protocol.TaskCheckpointing: state.AttemptCheckpointing,
+	protocol.TaskExited: state.AttemptExited,
 }
 
 // observe takes what a report says of one attempt.
-func (c *Controller) observe(a *state.Attempt, task protocol.TaskReport) {
+func (c *Controller) observe(a *state.Attempt, task protocol.TaskStatus) {
 	t := c.term
 	at := c.at.Steady
 	to := stateOf[task.State]
@@ -273,8 +273,8 @@
 	}
 	from := a.State
 	j := a.Job
-	if j != nil && (to == state.AttemptRunning || to == state.AttemptWaiting || to == state.AttemptSaving) {
-		a.Host.SawImage(at, j.Spec.Image, j.Spec.ImageSize)
+	if j != nil && (to == state.AttemptRunning || to == state.AttemptWaiting || to == state.AttemptCheckpointing) {
+		a.Host.AddImage(at, j.Spec.Image, j.Spec.ImageSize)
 		if from == state.AttemptFetching {
 			c.learnFetch(a)
 		}
@@ -286,19 +286,19 @@
 		c.exited(a, task)
 		return
 	}
-	t.book.Move(at, a, to)
+	t.book.SetAttemptState(at, a, to)
 	c.log.Debug("task", "task", a.Name.TaskName.String(), "host", a.Host.Name, "state", to.String())
 }
 
 // exited handles the end of an attempt.
-func (c *Controller) exited(a *state.Attempt, task protocol.TaskReport) {
+func (c *Controller) exited(a *state.Attempt, task protocol.TaskStatus) {
 	t := c.term
 	at := c.at.Steady
-	a.Reason = task.Reason
+	a.ExitReason = task.Reason
 	j, h := a.Job, a.Host
 	t.dirty = true
-	c.log.Debug("exited", "task", a.Name.TaskName.String(), "host", h.Name, "why", string(task.Reason), "saved", task.Saved)
-	if j != nil && j.State == state.JobLive && j.Done < len(j.Tasks) {
+	c.log.Debug("exited", "task", a.Name.TaskName.String(), "host", h.Name, "why", string(task.Reason), "saved", task.Checkpointed)
+	if j != nil && j.State == state.JobActive && j.CompletedTasks < len(j.Tasks) {
 		switch task.Reason {
 		case protocol.ExitDone:
 			c.completed(a)
@@ -308,12 +308,12 @@
 			h.FullUntil = at + 2*protocol.Second
 			c.log.Info("start refused: no room", "task", a.Name.TaskName.String(), "host", h.Name)
 		case protocol.ExitUnknown:
-			j.Held = at + 2*protocol.Second
+			j.BackoffUntil = at + 2*protocol.Second
 		case protocol.ExitBusy:
 			a.Task().NotBefore = at + 3*protocol.Second
 		}
 	}
-	t.book.Move(at, a, state.AttemptExited)
+	t.book.SetAttemptState(at, a, state.AttemptExited)
 	if j != nil {
 		c.settle(j)
 		c.checkFinished(j)
@@ -323,7 +323,7 @@
 
 // settle lets a gang of which nothing is left start anew.
 func (c *Controller) settle(j *state.Job) {
-	if j.Settled() {
+	if j.NoActiveAttempts() {
 		j.GangAttempt, j.GangStarted = 0, false
 		c.endCancelled(j)
 	}
@@ -335,12 +335,12 @@
 	if j.Spec.Kind == protocol.Service {
 		return // a replica has no end of its own: it is started again
 	}
-	if took := c.at.Steady - a.Started; a.Started > 0 && !a.Adopted {
+	if took := c.at.Steady - a.StartedAt; a.StartedAt > 0 && !a.Adopted {
 		k := c.class(j.Spec.Class)
 		// Machines differ by a tenth, estimates by half: only a machine that is
 		// far off for several tasks in a row shows.
 		r := max(0.3, min(5, float64(took)/float64(k.length(j.Spec))))
-		a.Host.Slowness += (r - a.Host.Slowness) * 0.25
+		a.Host.RuntimeRatio += (r - a.Host.RuntimeRatio) * 0.25
 		k.ran(j, took)
 	}
 	c.acquit(j)
@@ -352,7 +352,7 @@
 		return
 	}
 	j.Complete(a.Name.Index, false)
-	if j.Done < len(j.Tasks) {
+	if j.CompletedTasks < len(j.Tasks) {
 		c.markChunk(j, a.Name.Index)
 	}
 }
@@ -361,7 +361,7 @@
 func (c *Controller) lost(a *state.Attempt) {
 	t := c.term
 	j, h := a.Job, a.Host
-	t.book.Move(c.at.Steady, a, state.AttemptGone)
+	t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
 	if j != nil {
 		c.settle(j)
 		c.checkFinished(j)
@@ -376,13 +376,13 @@
 // session, and the launch, a direct command held up on the way, still match this one.
 func (c *Controller) loseBefore(h *state.Host, session uint64) {
 	c.lose(h, "its session ended", func(a *state.Attempt) bool {
-		return !a.State.MayRun() || a.SentSession > 0 && a.SentSession < session
+		return !a.State.MayRun() || a.LaunchAgentEpoch > 0 && a.LaunchAgentEpoch < session
 	})
 }
 
 // outlived notes that a host's lease has certainly ended, and its session with it.
 func (c *Controller) outlived(h *state.Host) {
-	h.Over = h.Session
+	h.EndedAgentEpoch = h.AgentEpoch
 	c.loseAll(h, "silent for longer than its lease")
 }
 
@@ -414,11 +414,11 @@
 	case a.State == state.AttemptAssigned:
 		c.lost(a) // no launch has left
 	case a.State.MayRun():
-		if a.Stop {
+		if a.StopRequested {
 			grace = min(grace, a.StopGrace)
 		}
-		a.Stop, a.StopGrace = true, grace
-		a.Host.Changed = true
+		a.StopRequested, a.StopGrace = true, grace
+		a.Host.Stale = true
 		c.wantCall(a.Host)
 	}
 }
@@ -426,13 +426,13 @@
 // commands is what a report is answered with.
 func (c *Controller) commands(h *state.Host) []protocol.Command {
 	t := c.term
-	if h.Proven && h.State == state.HostReleasing {
+	if h.Reconciled && h.State == state.HostReleasing {
 		// It was silent, and the cloud has not answered its release: it may report again
 		// for as long as the cloud is down. Without a stop the tasks of cancelled jobs went
 		// on, held their team's limit and had their users wait until the cloud was back.
 		return c.endings(h)
 	}
-	if !h.Proven || h.State != state.HostReady {
+	if !h.Reconciled || h.State != state.HostReady {
 		return nil
 	}
 	if !c.mayStart() {
@@ -450,36 +450,36 @@
 		switch {
 		case a.State == state.AttemptExited:
 			// Results are durable before the worker may forget them.
-			if a.Reason == protocol.ExitDone && j != nil && j.State <= state.JobFinishing && j.State != state.JobCancelled {
+			if a.ExitReason == protocol.ExitDone && j != nil && j.State <= state.JobFinishing && j.State != state.JobCancelledLegacy {
 				if task := a.Task(); task != nil && task.State == state.TaskDone && !task.Durable {
 					continue
 				}
 			}
-			if a.Doubt {
+			if a.LaunchUncertain {
 				// A launch that comes late has no effect only as long as the
 				// worker knows the attempt.
 				continue
 			}
-			cmds = append(cmds, protocol.Command{Verb: protocol.Forget, Name: a.Name})
+			cmds = append(cmds, protocol.Command{Verb: protocol.VerbForget, Name: a.Name})
 		case a.State.MayRun():
-			if a.State == state.AttemptLaunched && a.Doubt && !h.Calling {
+			if a.State == state.AttemptLaunched && a.LaunchUncertain && !h.CommandInFlight {
 				// In doubt: repeated to the same host, it has no effect twice.
-				a.SentSession, a.SentTick = h.Session, h.Tick
-				cmds = append(cmds, protocol.Command{Verb: protocol.Launch, Name: a.Name})
+				a.LaunchAgentEpoch, a.LaunchSequence = h.AgentEpoch, h.Sequence
+				cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 			}
-			if !a.Stop && (j == nil || j.State != state.JobLive) {
-				a.Stop, a.StopGrace = true, 0
+			if !a.StopRequested && (j == nil || j.State != state.JobActive) {
+				a.StopRequested, a.StopGrace = true, 0
 			}
-			if a.Stop && !(a.State == state.AttemptSaving && a.StopGrace > 0) {
+			if a.StopRequested && !(a.State == state.AttemptCheckpointing && a.StopGrace > 0) {
 				cmds = append(cmds, c.stopNow(a, a.StopGrace))
 			}
 		}
 	}
 	// Launches come after the stops that make room for them.
 	for _, a := range c.launchable(h, protocol.MaxCommands-len(cmds)) {
-		a.SentSession, a.SentTick, a.ViaReport = h.Session, h.Tick, true
-		t.book.Move(at, a, state.AttemptLaunched)
-		cmds = append(cmds, protocol.Command{Verb: protocol.Launch, Name: a.Name})
+		a.LaunchAgentEpoch, a.LaunchSequence, a.LaunchedByHeartbeat = h.AgentEpoch, h.Sequence, true
+		t.book.SetAttemptState(at, a, state.AttemptLaunched)
+		cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 	}
 	return cmds
 }
@@ -490,7 +490,7 @@
 // tasks of a cancelled job end also while the state service is down for everybody, for
 // longer than a cancellation has, and the user is told as soon as it is back.
 func unwanted(a *state.Attempt) bool {
-	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelled)
+	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelledLegacy)
 }
 
 // endings is what a leader may say whose lease could have ended, and all that is said to a
@@ -498,7 +498,7 @@
 func (c *Controller) endings(h *state.Host) []protocol.Command {
 	var cmds []protocol.Command
 	for _, a := range h.Attempts() {
-		if a.State.MayRun() && a.Stop && unwanted(a) && len(cmds) < protocol.MaxCommands {
+		if a.State.MayRun() && a.StopRequested && unwanted(a) && len(cmds) < protocol.MaxCommands {
 			cmds = append(cmds, c.stopNow(a, 0))
 		}
 	}
@@ -507,10 +507,10 @@
 
 // stopNow makes the command that stops an attempt.
 func (c *Controller) stopNow(a *state.Attempt, grace micros) protocol.Command {
-	if a.StopAt == 0 {
-		a.StopAt = c.at.Steady
+	if a.StopSentAt == 0 {
+		a.StopSentAt = c.at.Steady
 	}
-	return protocol.Command{Verb: protocol.Stop, Name: a.Name, Grace: grace}
+	return protocol.Command{Verb: protocol.VerbStop, Name: a.Name, Grace: grace}
 }
 
 // launchable lists the attempts whose launch may leave for a host: recorded, and
@@ -519,18 +519,18 @@
 	var list []*state.Attempt
 	var used protocol.Resources
 	for _, a := range h.Attempts() {
-		if a.State.MayRun() && a.Job != nil && !(a.StopAt > 0 && a.StopGrace == 0) {
-			used = used.Add(a.Job.Spec.Need, 1)
+		if a.State.MayRun() && a.Job != nil && !(a.StopSentAt > 0 && a.StopGrace == 0) {
+			used = used.Add(a.Job.Spec.TaskResources, 1)
 		}
 	}
 	for _, a := range h.Attempts() {
 		if len(list) >= most {
 			break
 		}
-		if a.State != state.AttemptAssigned || !a.Recorded || !h.Recorded || a.Job.State != state.JobLive {
+		if a.State != state.AttemptAssigned || !a.Recorded || !h.Recorded || a.Job.State != state.JobActive {
 			continue
 		}
-		if with := used.Add(a.Job.Spec.Need, 1); h.Type == nil || h.Type.Offer.Holds(with) {
+		if with := used.Add(a.Job.Spec.TaskResources, 1); h.Type == nil || h.Type.Capacity.Covers(with) {
 			used = with
 			list = append(list, a)
 		}
@@ -544,7 +544,7 @@
 // again and again, a gang's others waiting for it.
 const deafAfter = 2
 
-func deaf(h *state.Host) bool { return h.Unheeded >= deafAfter }
+func deaf(h *state.Host) bool { return h.IneffectiveMessages >= deafAfter }
 
 // callTimeout is how long a worker has to answer a direct command.
 const callTimeout = 2 * protocol.Second
@@ -555,8 +555,8 @@
 
 // wantCall notes that commands wait for a host.
 func (c *Controller) wantCall(h *state.Host) {
-	if !h.CallQueued {
-		h.CallQueued = true
+	if !h.CommandQueued {
+		h.CommandQueued = true
 		c.term.toCall = append(c.term.toCall, h)
 	}
 }
@@ -571,7 +571,7 @@
 			waiting = append(waiting, t.toCall[i:]...)
 			break
 		}
-		if h.Calling {
+		if h.CommandInFlight {
 			waiting = append(waiting, h)
 			continue
 		}
@@ -579,13 +579,13 @@
 			waiting = append(waiting, h) // until the lease certainly holds
 			continue
 		}
-		h.CallQueued = false
-		if at < h.NoCalls || h.Addr == "" || !c.usable(h) && !h.Noticed && !c.mute(h) || h.State != state.HostReady || !h.Proven {
+		h.CommandQueued = false
+		if at < h.CommandRetryAt || h.Addr == "" || !c.usable(h) && !h.Interrupted && !c.mute(h) || h.State != state.HostReady || !h.Reconciled {
 			continue // they go with the answer to its next report
 		}
 		var cmds []protocol.Command
 		for _, a := range h.Attempts() {
-			if a.State.MayRun() && a.Stop && a.StopAt == 0 && a.State != state.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == Leading || unwanted(a)) {
+			if a.State.MayRun() && a.StopRequested && a.StopSentAt == 0 && a.State != state.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == Leading || unwanted(a)) {
 				cmds = append(cmds, c.stopNow(a, a.StopGrace))
 			}
 		}
@@ -594,7 +594,7 @@
 			launched = c.launchable(h, protocol.MaxCommands-len(cmds))
 		}
 		for _, a := range launched {
-			cmds = append(cmds, protocol.Command{Verb: protocol.Launch, Name: a.Name})
+			cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 		}
 		if len(cmds) > 0 {
 			c.callHost(h, cmds, launched)
@@ -608,33 +608,33 @@
 // long after this node has given up.
 func (c *Controller) callHost(h *state.Host, cmds []protocol.Command, launched []*state.Attempt) {
 	t := c.term
-	h.Calling = true
+	h.CommandInFlight = true
 	t.calling++
 	for _, a := range launched {
-		a.Doubt, a.ViaReport = true, false
-		a.SentSession, a.SentTick = h.Session, h.Tick
-		t.book.Move(c.at.Steady, a, state.AttemptLaunched)
+		a.LaunchUncertain, a.LaunchedByHeartbeat = true, false
+		a.LaunchAgentEpoch, a.LaunchSequence = h.AgentEpoch, h.Sequence
+		t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
 	}
-	body := protocol.AppendCommands(nil, t.epoch, h.Session, cmds)
+	body := protocol.AppendCommands(nil, t.epoch, h.AgentEpoch, cmds)
 	c.callAddr(ToWorker, "POST", h.Addr, "/commands", body, callTimeout, func(r CallDone) {
 		if c.term != t {
 			return
 		}
-		h.Calling = false
+		h.CommandInFlight = false
 		t.calling--
 		report := c.answerOf(h, r)
 		if report == nil {
-			h.NoCalls = c.at.Steady + 8*protocol.Second
+			h.CommandRetryAt = c.at.Steady + 8*protocol.Second
 			if !r.Unsent {
-				h.Unheeded++
+				h.IneffectiveMessages++
 				return
 			}
 		}
 		for _, a := range launched {
-			a.Doubt = false
+			a.LaunchUncertain = false
 			if report != nil {
 				// Any later message must show what came of the launch.
-				a.SentSession, a.SentTick = report.Session, report.Tick-1
+				a.LaunchAgentEpoch, a.LaunchSequence = report.AgentEpoch, report.Sequence-1
 			}
 		}
 		if report == nil {
@@ -650,11 +650,11 @@
 }
 
 // answerOf reads the report with which a worker answers a call, or nil.
-func (c *Controller) answerOf(h *state.Host, r CallDone) *protocol.Report {
+func (c *Controller) answerOf(h *state.Host, r CallDone) *protocol.Heartbeat {
 	if r.Status != 200 && r.Status != 409 {
 		return nil
 	}
-	report, err := protocol.ParseReport(r.Body)
+	report, err := protocol.ParseHeartbeat(r.Body)
 	if err != nil || report.Host != h.Name {
 		c.malformed("worker", err)
 		return nil
@@ -664,12 +664,12 @@
 
 // takeAnswer takes the report that answered a call, unless a newer one came
 // first. It tells whether this node still leads.
-func (c *Controller) takeAnswer(h *state.Host, report *protocol.Report) bool {
-	if report.Epoch > c.term.epoch {
+func (c *Controller) takeAnswer(h *state.Host, report *protocol.Heartbeat) bool {
+	if report.Token > c.term.epoch {
 		c.deposed("a worker has seen a newer epoch")
 		return false
 	}
-	if c.term.book.Host(h.Name) == h && !h.Knows(report) {
+	if c.term.book.Host(h.Name) == h && !h.IsStale(report) {
 		c.takeReport(h, report, true)
 	}
 	return true
@@ -721,11 +721,11 @@
 			rest = append(rest, h)
 			continue
 		}
-		if t.book.Host(h.Name) != h || h.Proven && at-h.Heard < c.platform.ReportEvery && !deaf(h) {
+		if t.book.Host(h.Name) != h || h.Reconciled && at-h.LastContact < c.platform.HeartbeatInterval && !deaf(h) {
 			h.Probing = false // it has reported meanwhile
 			continue
 		}
-		c.sendProbe(t, h, max(1, h.Session), 2)
+		c.sendProbe(t, h, max(1, h.AgentEpoch), 2)
 	}
 	p.queue = rest
 }
@@ -751,16 +751,16 @@
 		if t.book.Host(h.Name) != h {
 			return
 		}
-		if waiting == 0 && failed && h.Heard < asked && !c.lagging(c.at.Steady-asked+protocol.Second) {
+		if waiting == 0 && failed && h.LastContact < asked && !c.lagging(c.at.Steady-asked+protocol.Second) {
 			h.ProbeFailed = true
 		}
 		report := c.answerOf(h, r)
 		if report == nil || !c.takeAnswer(h, report) {
 			return
 		}
-		if tries > 1 && !h.Proven && report.Session != session {
+		if tries > 1 && !h.Reconciled && report.AgentEpoch != session {
 			h.Probing = true
-			c.sendProbe(t, h, report.Session, tries-1)
+			c.sendProbe(t, h, report.AgentEpoch, tries-1)
 		}
 	}
 	c.callAddr(ToWorker, "POST", h.Addr, "/commands", body, callTimeout, func(r CallDone) {
@@ -773,14 +773,14 @@
 		failed = r.Status == 0 && !r.unmade()
 		over(r)
 	})
-	if h.Proven && c.probeThrough(h, body, over) {
+	if h.Reconciled && c.probeThrough(h, body, over) {
 		waiting++
 	}
 }
 
 // silence is after how long without a report a host counts as silent: its
 // report is overdue by half of the time between two.
-func (c *Controller) silence() micros { return c.platform.ReportEvery * 3 / 2 }
+func (c *Controller) silence() micros { return c.platform.HeartbeatInterval * 3 / 2 }
 
 // cutShare is the part of a zone's hosts that are silent when it counts as cut
 // off. The first of them would be released a fixed time after it fell silent, and
@@ -790,7 +790,7 @@
 	if hosts < 30 {
 		return 0.5
 	}
-	begun := float64(release-c.silence()) / float64(c.platform.ReportEvery)
+	begun := float64(release-c.silence()) / float64(c.platform.HeartbeatInterval)
 	return max(0.2, min(0.5, 0.6*begun))
 }
 
@@ -802,8 +802,8 @@
 
 // cutKeep is how long the machines of a zone that is cut off are kept.
 func (c *Controller) cutKeep() micros {
-	if c.operator.CutKeep > 0 {
-		return c.operator.CutKeep
+	if c.operator.PartitionRetention > 0 {
+		return c.operator.PartitionRetention
 	}
 	return cutPatience * c.platform.WorkerLease
 }
@@ -814,20 +814,20 @@
 	t := c.term
 	at := c.at.Steady
 	silent, reporting := 0, 0
-	zones := make(map[string]leadership.Zone, len(c.platform.Zones))
-	release := max(c.operator.SilentRelease, c.silence()+callTimeout)
+	zones := make(map[string]leadership.ZoneWorkers, len(c.platform.Zones))
+	release := max(c.operator.SilentReleaseDelay, c.silence()+callTimeout)
 	for _, h := range t.book.Hosts() {
-		if h.State == state.HostReady && (h.Proven || !h.Stray) || h.FromRecord && !h.Proven {
+		if h.State == state.HostReady && (h.Reconciled || !h.Unverified) || h.FromRecord && !h.Reconciled {
 			z := zones[h.Zone]
 			reporting++
 			z.All++
-			if at-h.Heard > c.silence() {
+			if at-h.LastContact > c.silence() {
 				z.Silent++
-			} else if h.Unreached > 0 && at-h.Unreached < c.platform.WorkerLease {
+			} else if h.LeaderUnreachableAt > 0 && at-h.LeaderUnreachableAt < c.platform.WorkerLease {
 				z.Relayed++
 			}
 			zones[h.Zone] = z
-			if at-h.Heard > release {
+			if at-h.LastContact > release {
 				silent++
 			}
 		}
@@ -850,16 +850,16 @@
 	lease := c.platform.WorkerLease
 	mayRelease := c.mayStart() && !c.lagging(release)
 	for _, h := range t.book.Hosts() {
-		if h.FromRecord && !h.Proven {
+		if h.FromRecord && !h.Reconciled {
 			unproven++
-		} else if h.State == state.HostReady && at-h.Heard <= c.silence() {
-			if h.Noticed {
+		} else if h.State == state.HostReady && at-h.LastContact <= c.silence() {
+			if h.Interrupted {
 				c.drainNoticed(h)
 			}
 			if deaf(h) && mayRelease && c.holdsCancelled(h) {
 				c.release(h, "deaf, and a cancelled task may be on it")
-			} else if deaf(h) && at >= h.ProbeAt && c.mayStart() {
-				h.ProbeAt = at + callTimeout
+			} else if deaf(h) && at >= h.NextProbe && c.mayStart() {
+				h.NextProbe = at + callTimeout
 				c.probe(t, h)
 			}
 			continue
@@ -878,7 +878,7 @@
 			// on it goes on, if that is before its lease ends.
 			limit = max(limit, 2*lease)
 		}
-		if h.PassedOn > 0 && at-h.PassedOn < lease {
+		if h.ForwardedAt > 0 && at-h.ForwardedAt < lease {
 			// It is asked to try this node now and then, and comes round to the one
 			// that passes its reports on only after that.
 			limit = max(limit, returnsIn)
@@ -891,30 +891,30 @@
 			}
 			if expired {
 				c.outlived(h)
-				h.To(state.HostSilent)
-				h.Proven = true
-			} else if at-h.Heard > c.silence() && (h.ProbeFailed || at-t.led > c.silence()) && mayRelease && c.holdsCancelled(h) {
+				h.SetState(state.HostSilent)
+				h.Reconciled = true
+			} else if at-h.LastContact > c.silence() && (h.ProbeFailed || at-t.led > c.silence()) && mayRelease && c.holdsCancelled(h) {
 				c.release(h, "silent, and a cancelled task may be on it")
-			} else if at-h.Heard > limit && (h.ProbeFailed || h.Addr == "" || at-max(h.Heard, t.led) > limit+limit/2) && mayRelease {
+			} else if at-h.LastContact > limit && (h.ProbeFailed || h.Addr == "" || at-max(h.LastContact, t.led) > limit+limit/2) && mayRelease {
 				// It neither reports nor answers.
 				c.release(h, "silent")
-			} else if at-h.Heard > c.silence() && at >= h.ProbeAt && c.mayStart() {
-				h.ProbeAt = at + callTimeout
+			} else if at-h.LastContact > c.silence() && at >= h.NextProbe && c.mayStart() {
+				h.NextProbe = at + callTimeout
 				c.probe(t, h)
 			}
 		case state.HostSilent:
-			if at-h.Heard > limit+lease && mayRelease {
+			if at-h.LastContact > limit+lease && mayRelease {
 				c.release(h, "silent")
 			}
 		case state.HostReleasing:
-			if expired && !h.Proven {
-				h.Proven = true
+			if expired && !h.Reconciled {
+				h.Reconciled = true
 			}
 			if expired {
 				c.outlived(h)
 			}
 		}
-		if h.Noticed && h.State == state.HostReady {
+		if h.Interrupted && h.State == state.HostReady {
 			c.drainNoticed(h)
 		}
 	}
@@ -932,8 +932,8 @@
 // the cloud, which may be in trouble itself.
 func (c *Controller) holdsCancelled(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if j := a.Job; j != nil && a.State.MayRun() && (j.State == state.JobCancelled || j.State == state.JobCancelling) &&
-			c.at.Wall-j.CancelledWall > c.platform.Cancel/2 {
+		if j := a.Job; j != nil && a.State.MayRun() && (j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) &&
+			c.at.Wall-j.CancelRequestedWall > c.platform.CancelTimeout/2 {
 			return true
 		}
 	}
@@ -942,10 +942,10 @@
 
 // drainNoticed saves what it can from a machine that is about to be taken.
 func (c *Controller) drainNoticed(h *state.Host) {
-	left := h.TakenAt - c.at.Steady
+	left := h.InterruptedAt - c.at.Steady
 	for _, a := range h.Attempts() {
 		j := a.Job
-		if j == nil || a.Stop || !a.State.Occupies() {
+		if j == nil || a.StopRequested || !a.State.HoldsResources() {
 			continue
 		}
 		switch {
@@ -953,8 +953,8 @@
 			c.stop(a, 0)
 		case j.Spec.Kind == protocol.Service:
 			c.stop(a, 0)
-		case j.Spec.Checkpoints() && left < j.Spec.Saves+2*c.platform.ReportEvery:
-			c.stop(a, j.Spec.Saves+protocol.Second)
+		case j.Spec.CanCheckpoint() && left < j.Spec.CheckpointDuration+2*c.platform.HeartbeatInterval:
+			c.stop(a, j.Spec.CheckpointDuration+protocol.Second)
 		}
 	}
 }
--- a/internal/featuregate/decide.go
+++ b/internal/featuregate/decide.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Kept is a controller's entry of the roster as the state service has it.
-type Kept struct {
+// StoredEntry is a controller's entry of the roster as the state service has it.
+type StoredEntry struct {
 	Entry
-	Stamp uint64
+	Revision uint64
 	Err   error // it can't be read
 }
 
@@ -31,52 +31,52 @@
 	}[r]
 }
 
-// Wait is a controller for which a level waits, and why.
-type Wait struct {
-	Node string
-	Why  Reason
+// Blocker is a controller for which a level waits, and why.
+type Blocker struct {
+	Controller string
+	Reason  Reason
 }
 
 // Decision is what the leader does about the active level.
 type Decision struct {
 	Next  Level  // the level that every controller has: to be made active if it is above the active one
-	Waits []Wait // for whom the highest level that the leader serves waits, in the order of the settings
+	Blockers []Blocker // for whom the highest level that the leader serves waits, in the order of the settings
 }
 
 // Decide compares the controllers of the settings with the roster. A level is ready when
 // all of them have it, whether they answer just now or not; an entry of a controller that
 // the settings don't name counts for nothing.
-func Decide(names []string, leader Range, active Level, roster map[string]Kept) Decision {
+func Decide(names []string, leader Range, active Level, roster map[string]StoredEntry) Decision {
 	d := Decision{Next: leader.High}
 	for _, name := range names {
 		k, found := roster[name]
 		switch {
 		case !found:
-			d.wait(name, NoEntry, active)
-		case k.Err != nil || k.Node != name:
-			d.wait(name, Unreadable, active)
+			d.block(name, NoEntry, active)
+		case k.Err != nil || k.Controller != name:
+			d.block(name, Unreadable, active)
 		case k.Levels.High < leader.High:
-			d.wait(name, ServesLess, max(active, min(d.Next, k.Levels.High)))
+			d.block(name, ServesLess, max(active, min(d.Next, k.Levels.High)))
 		}
 	}
 	for _, name := range names {
 		if k, found := roster[name]; found && k.Err == nil && k.Levels.Low > d.Next {
-			d.wait(name, Withdrawn, active)
+			d.block(name, Withdrawn, active)
 		}
 	}
 	return d
 }
 
-func (d *Decision) wait(name string, why Reason, next Level) {
-	d.Waits = append(d.Waits, Wait{name, why})
+func (d *Decision) block(name string, why Reason, next Level) {
+	d.Blockers = append(d.Blockers, Blocker{name, why})
 	d.Next = min(d.Next, next)
 }
 
 // Describe names those for whom a level waits, for the log.
-func Describe(waits []Wait) string {
+func Describe(waits []Blocker) string {
 	parts := make([]string, len(waits))
 	for i, w := range waits {
-		parts[i] = fmt.Sprintf("%s (%s)", w.Node, w.Why)
+		parts[i] = fmt.Sprintf("%s (%s)", w.Controller, w.Reason)
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/featuregate/golden_test.go
+++ b/internal/featuregate/golden_test.go
@@ -53,7 +53,7 @@
 	if b := state.EncodeTypes(machineTypes(), 0); !bytes.Equal(b, types) {
 		t.Errorf("machine types\nwritten as %q\nproduction %q", b, types)
 	}
-	if kept, later, err := state.DecodeTypes(types); err != nil || later || !bytes.Equal(protocol.AppendTypes(nil, kept), types) {
+	if kept, later, err := state.DecodeTypes(types); err != nil || later || !bytes.Equal(protocol.AppendMachineTypes(nil, kept), types) {
 		t.Errorf("machine types read as %v, later form %v: %v", kept, later, err)
 	}
 	files, err := filepath.Glob("testdata/level0/*")
@@ -66,9 +66,9 @@
 // refuses, by its own rules: it reads an epoch only of form 2, or that is a number, and
 // machine types only with a list of "flavors". This version reads both forms.
 func TestLaterForms(t *testing.T) {
-	e := state.Epoch{N: 9, Unlisted: true, Level: 1, Yields: []protocol.Yield{{Node: "node-1", To: "node-2", Epoch: 8, At: wall, Heard: map[string]int{"a": 1}}}}
+	e := state.EpochRecord{Epoch: 9, LaunchesUnrecorded: true, Level: 1, Transfers: []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 8, At: wall, ReachableWorkers: map[string]int{"a": 1}}}}
 	value := state.EncodeEpoch(e)
-	if got, err := state.DecodeEpoch(value); err != nil || got.N != 9 || got.Level != 1 || !got.Unlisted || len(got.Yields) != 1 {
+	if got, err := state.DecodeEpoch(value); err != nil || got.Epoch != 9 || got.Level != 1 || !got.LaunchesUnrecorded || len(got.Transfers) != 1 {
 		t.Errorf("%s is read as %+v, %v", value, got, err)
 	}
 	if !bytes.HasPrefix(value, []byte(`{"form":3,"level":1,"epoch":9`)) {
@@ -85,10 +85,10 @@
 			t.Errorf("%s: %v\nwritten as %s\nnot as    %s", name, err, b, kept)
 		}
 	}
-	if got, later, err := state.DecodeTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendTypes(nil, got), protocol.AppendTypes(nil, machineTypes())) {
+	if got, later, err := state.DecodeTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendMachineTypes(nil, got), protocol.AppendMachineTypes(nil, machineTypes())) {
 		t.Errorf("%s is read as %v, %v, %v", types, got, later, err)
 	}
-	if got, err := protocol.ParseTypes(types); err == nil {
+	if got, err := protocol.ParseMachineTypes(types); err == nil {
 		t.Errorf("production's rule reads machine types of the later form as %v", got)
 	}
 	for _, bad := range []string{`{"form":4,"types":{"flavors":[]}}`, `{"form":3}`, `{"form":3,"types":{}}`} {
@@ -101,8 +101,8 @@
 // The messages about levels, which only versions with levels send each other.
 func TestMessages(t *testing.T) {
 	for text, m := range map[string]*protocol.PeerMessage{
-		"\x00\x00\x00\x0e\x01\x0a\x00\x06node-1\x00\x00\x00\x00":                                                   {Kind: protocol.PeerLevels, From: "node-1"},
-		"\x00\x00\x00\x16\x01\x0b\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x02\x00\x00\x00\x00": {Kind: protocol.PeerServes, Low: 1, High: 2},
+		"\x00\x00\x00\x0e\x01\x0a\x00\x06node-1\x00\x00\x00\x00":                                                   {Kind: protocol.PeerFeatureRequest, From: "node-1"},
+		"\x00\x00\x00\x16\x01\x0b\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x02\x00\x00\x00\x00": {Kind: protocol.PeerFeatureRange, MinLevel: 1, MaxLevel: 2},
 	} {
 		b := protocol.AppendPeer(nil, m)
 		frame, _, err := protocol.SplitPeer([]byte(text))
@@ -114,7 +114,7 @@
 			t.Errorf("%q is read as %+v, %v", text, got, err)
 		}
 	}
-	bad := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerServes, Low: 2, High: 1})
+	bad := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerFeatureRange, MinLevel: 2, MaxLevel: 1})
 	if m, err := protocol.ParsePeer(bad[4:]); err == nil {
 		t.Errorf("a range that is none is read as %+v", m)
 	}
@@ -122,7 +122,7 @@
 
 // The records of levels are read as they were written, and nothing else is read as one.
 func TestRecords(t *testing.T) {
-	entry := featuregate.Entry{Node: `node-"1"`, Levels: featuregate.Range{Low: 0, High: 1}, Build: "0.2.0"}
+	entry := featuregate.Entry{Controller: `node-"1"`, Levels: featuregate.Range{Low: 0, High: 1}, Build: "0.2.0"}
 	value := featuregate.EncodeEntry(entry)
 	if got, err := featuregate.DecodeEntry(value); err != nil || got != entry {
 		t.Errorf("%s is read as %+v, %v", value, got, err)
--- a/internal/featuregate/production_test.go
+++ b/internal/featuregate/production_test.go
@@ -22,7 +22,7 @@
 	}
 	for name, read := range map[string]func([]byte) error{
 		"epoch.json":         func(b []byte) error { _, err := state.DecodeEpoch(b); return err },
-		"machine-types.json": func(b []byte) error { _, err := protocol.ParseTypes(b); return err },
+		"machine-types.json": func(b []byte) error { _, err := protocol.ParseMachineTypes(b); return err },
 	} {
 		b, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil {
--- a/internal/featuregate/record.go
+++ b/internal/featuregate/record.go
@@ -13,11 +13,11 @@
 // Keys of the state service.
 const (
 	KeyLevel     = "level"   // the active level; there is none at level 0
-	RosterPrefix = "roster/" // what each controller runs, by its name
+	RegistryPrefix = "roster/" // what each controller runs, by its name
 )
 
-// RosterKey is the key of a controller's entry of the roster.
-func RosterKey(node string) string { return RosterPrefix + node }
+// RegistryKey is the key of a controller's entry of the roster.
+func RegistryKey(node string) string { return RegistryPrefix + node }
 
 // form is that of both records. A later one is not read: nothing is known of what it says.
 const form = 1
@@ -26,14 +26,14 @@
 
 // Entry is what a controller runs. It is written when its process starts.
 type Entry struct {
-	Node   string
+	Controller   string
 	Levels Range
 	Build  string // its version, for people
 }
 
 // EncodeEntry writes an entry of the roster.
 func EncodeEntry(e Entry) []byte {
-	b := protocol.AppendQuoted(fmt.Appendf(nil, `{"form":%d,"node":`, form), e.Node)
+	b := protocol.AppendQuoted(fmt.Appendf(nil, `{"form":%d,"node":`, form), e.Controller)
 	b = fmt.Appendf(b, `,"low":%d,"high":%d,"build":`, e.Levels.Low, e.Levels.High)
 	return append(protocol.AppendQuoted(b, e.Build), '}')
 }
@@ -48,8 +48,8 @@
 	}
 	low, err1 := protocol.Member(v, "low").Uint64()
 	high, err2 := protocol.Member(v, "high").Uint64()
-	e := Entry{Node: string(v.GetStringBytes("node")), Levels: Range{Level(low), Level(high)}, Build: string(v.GetStringBytes("build"))}
-	if err1 != nil || err2 != nil || e.Node == "" || low > high {
+	e := Entry{Controller: string(v.GetStringBytes("node")), Levels: Range{Level(low), Level(high)}, Build: string(v.GetStringBytes("build"))}
+	if err1 != nil || err2 != nil || e.Controller == "" || low > high {
 		return Entry{}, errRecord
 	}
 	return e, nil
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -31,26 +31,26 @@
 
 const wall = protocol.Micros(1_700_000_000_123_456)
 
-func jobSpec(ref string, kind protocol.Kind, tasks int) *protocol.JobSpec {
+func jobSpec(ref string, kind protocol.JobKind, tasks int) *protocol.JobSpec {
 	return &protocol.JobSpec{
-		Ref: ref, Class: "work", Team: "red", Kind: kind, Rank: protocol.High, Tasks: tasks,
-		Need: protocol.Resources{CPU: 5000, GPU: 1000, Mem: 19500}, Image: "work:7", ImageSize: 8250, Estimate: 80 * protocol.Second,
+		Ref: ref, Class: "work", Team: "red", Kind: kind, Priority: protocol.PriorityHigh, Tasks: tasks,
+		TaskResources: protocol.Resources{CPU: 5000, GPU: 1000, Memory: 19500}, Image: "work:7", ImageSize: 8250, EstimatedRuntime: 80 * protocol.Second,
 	}
 }
 
 // fullSpec uses whatever a job may have.
 func fullSpec() *protocol.JobSpec {
 	s := jobSpec("req-000405", protocol.Gang, 4)
-	s.Types, s.Zone = []string{"big", `qu"oted`}, "a"
-	s.OneZone, s.Spread, s.Spot = true, true, true
-	s.CheckpointEvery, s.Saves, s.Deadline = 30*protocol.Second, 2*protocol.Second, 240*protocol.Second
+	s.MachineTypes, s.Zone = []string{"big", `qu"oted`}, "a"
+	s.SingleZone, s.SpreadZones, s.AllowSpot = true, true, true
+	s.CheckpointInterval, s.CheckpointDuration, s.Deadline = 30*protocol.Second, 2*protocol.Second, 240*protocol.Second
 	return s
 }
 
 func machineTypes() []*protocol.MachineType {
 	return []*protocol.MachineType{{
-		Name: "big", Offer: protocol.Resources{CPU: 32000, GPU: 4000, Mem: 256000}, Cache: 500_000, FetchRate: 0.0012,
-		Price: 8.25, SpotPrice: 2.31, Boot: 40 * protocol.Second, Zones: []string{"a", "b"},
+		Name: "big", Capacity: protocol.Resources{CPU: 32000, GPU: 4000, Memory: 256000}, CacheSize: 500_000, FetchRate: 0.0012,
+		Price: 8.25, SpotPrice: 2.31, BootTime: 40 * protocol.Second, Zones: []string{"a", "b"},
 	}}
 }
 
@@ -79,7 +79,7 @@
 		list = append(list, sample{name, b, again})
 	}
 	job := func(name string, j *state.Job) {
-		j.SubmittedWall, j.Epoch = wall, 7
+		j.SubmittedWall, j.LeaderEpoch = wall, 7
 		add(name, state.EncodeJob(j), func(b []byte) ([]byte, error) {
 			j, err := state.DecodeJob(b)
 			if err != nil {
@@ -92,36 +92,36 @@
 	job("job-service", state.NewJob(jobSpec("req-000002", protocol.Service, 2)))
 	job("job-with-everything", state.NewJob(fullSpec()))
 	asked := state.NewJob(jobSpec("req-000003", protocol.Array, 1))
-	asked.State, asked.CancelledWall = state.JobCancelling, wall+5
+	asked.State, asked.CancelRequestedWall = state.JobCancelling, wall+5
 	job("job-being-cancelled", asked)
 	told := state.NewJob(jobSpec("req-000004", protocol.Array, 1))
-	told.State, told.CancelledWall = state.JobCancelled, wall+6
+	told.State, told.CancelRequestedWall = state.JobCancelledLegacy, wall+6
 	job("job-cancelled-by-an-earlier-version", told)
-	for _, p := range []protocol.Phase{protocol.Done, protocol.Cancelled} {
+	for _, p := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
 		add("final-"+string(p), state.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
 			p, n, err := state.DecodeFinal(b)
 			return state.EncodeFinal(p, n), err
 		})
 	}
-	yields := []protocol.Yield{{Node: "node-1", To: "node-2", Epoch: 6, At: wall, Heard: map[string]int{"a": 3, "b": 0}}}
-	for name, e := range map[string]state.Epoch{"epoch": {N: 7}, "epoch-unlisted": {N: 8, Unlisted: true}, "epoch-with-yields": {N: 9, Yields: yields}} {
+	yields := []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 6, At: wall, ReachableWorkers: map[string]int{"a": 3, "b": 0}}}
+	for name, e := range map[string]state.EpochRecord{"epoch": {Epoch: 7}, "epoch-unlisted": {Epoch: 8, LaunchesUnrecorded: true}, "epoch-with-yields": {Epoch: 9, Transfers: yields}} {
 		add(name, state.EncodeEpoch(e), func(b []byte) ([]byte, error) {
 			e, err := state.DecodeEpoch(b)
 			return state.EncodeEpoch(e), err
 		})
 	}
-	add("leader", state.EncodeLeader(state.Leadership{Node: "node-1", Epoch: 7, Lease: 12, AnswerOn: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
+	add("leader", state.EncodeLeader(state.LeaderRecord{Controller: "node-1", Epoch: 7, Lease: 12, HeartbeatGrace: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
 		l, err := state.DecodeLeader(b)
 		return state.EncodeLeader(l), err
 	})
-	add("machine-types", protocol.AppendTypes(nil, machineTypes()), func(b []byte) ([]byte, error) {
-		types, err := protocol.ParseTypes(b)
-		return protocol.AppendTypes(nil, types), err
+	add("machine-types", protocol.AppendMachineTypes(nil, machineTypes()), func(b []byte) ([]byte, error) {
+		types, err := protocol.ParseMachineTypes(b)
+		return protocol.AppendMachineTypes(nil, types), err
 	})
-	memory := protocol.Memory{Epoch: 7, At: wall, Cuts: []protocol.Cut{{Zone: "a", Since: wall - 9, Seen: wall - 1}}, Silent: []protocol.Silence{{Host: "n-000009", Since: wall - 7}}}
-	add("memory", state.EncodeMemory(memory), func(b []byte) ([]byte, error) {
-		m, err := state.DecodeMemory(b)
-		return state.EncodeMemory(m), err
+	memory := protocol.HandoverState{Epoch: 7, At: wall, Partitions: []protocol.Partition{{Zone: "a", Since: wall - 9, LastSeen: wall - 1}}, SilentHosts: []protocol.SilentHost{{Host: "n-000009", Since: wall - 7}}}
+	add("memory", state.EncodeHandoverState(memory), func(b []byte) ([]byte, error) {
+		m, err := state.DecodeHandoverState(b)
+		return state.EncodeHandoverState(m), err
 	})
 	hosts := func(images bool) []byte {
 		var list []*state.Host
@@ -204,18 +204,18 @@
 }
 
 // messages are all kinds of messages between controllers.
-func messages(memory protocol.Memory) map[string]*protocol.PeerMessage {
+func messages(memory protocol.HandoverState) map[string]*protocol.PeerMessage {
 	m := map[string]*protocol.PeerMessage{
-		"answer":         {Kind: protocol.PeerAnswer, Status: 503, RetryAfter: protocol.Second, Body: []byte(`{"error":"later"}`)},
-		"answer-refused": {Kind: protocol.PeerAnswer},
-		"question":       {Kind: protocol.PeerAsk, Epoch: 7, From: "node-1", Body: protocol.AppendMemory(nil, memory)},
-		"question-empty": {Kind: protocol.PeerAsk, Epoch: 7, From: "node-1", Body: protocol.AppendMemory(nil, protocol.Memory{})},
-		"stand":          {Kind: protocol.PeerStand, Answers: true, Age: 5 * protocol.Second, Heard: 2, Body: protocol.AppendHearing(nil, map[string]int{"a": 2})},
-		"report":         {Kind: protocol.PeerReport, Returned: true, Body: []byte(`{"host":"n-000001"}`)},
-		"probe":          {Kind: protocol.PeerProbe, Addr: "10.0.0.1:9000", Body: []byte(`{"orders":[]}`)},
-		"check":          {Kind: protocol.PeerCheck, Check: protocol.CheckTCP, Addr: "10.0.0.1:80", Path: "/ok", Timeout: protocol.Second},
-		"grant":          {Kind: protocol.PeerGrant, Epoch: 7, From: "node-1", Revision: 3, Life: 99, At: 5, Body: []byte(`{"log/level":"debug"}`)},
-		"goes-by":        {Kind: protocol.PeerGoesBy, Revision: 3, Life: 99, At: 6},
+		"answer":         {Kind: protocol.PeerResponse, Status: 503, RetryAfter: protocol.Second, Body: []byte(`{"error":"later"}`)},
+		"answer-refused": {Kind: protocol.PeerResponse},
+		"question":       {Kind: protocol.PeerStatusRequest, Epoch: 7, From: "node-1", Body: protocol.AppendHandoverState(nil, memory)},
+		"question-empty": {Kind: protocol.PeerStatusRequest, Epoch: 7, From: "node-1", Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})},
+		"stand":          {Kind: protocol.PeerStatus, AnswersWorkers: true, AnsweredAgo: 5 * protocol.Second, RedirectedWorkers: 2, Body: protocol.AppendReachability(nil, map[string]int{"a": 2})},
+		"report":         {Kind: protocol.PeerHeartbeat, ReturnedFromLeader: true, Body: []byte(`{"host":"n-000001"}`)},
+		"probe":          {Kind: protocol.PeerWorkerProbe, Addr: "10.0.0.1:9000", Body: []byte(`{"orders":[]}`)},
+		"check":          {Kind: protocol.PeerHealthCheck, Check: protocol.CheckTCP, Addr: "10.0.0.1:80", Path: "/ok", Timeout: protocol.Second},
+		"grant":          {Kind: protocol.PeerConfigGrant, Epoch: 7, From: "node-1", Revision: 3, Incarnation: 99, At: 5, Body: []byte(`{"log/level":"debug"}`)},
+		"goes-by":        {Kind: protocol.PeerConfigAck, Revision: 3, Incarnation: 99, At: 6},
 	}
 	for name, op := range map[string]protocol.UserOp{
 		"submit": protocol.OpSubmit, "query": protocol.OpQuery, "cancel": protocol.OpCancel, "rollout": protocol.OpRollout,
@@ -223,7 +223,7 @@
 		"rollout-revert": protocol.OpRolloutRevert, "config": protocol.OpConfig, "config-apply": protocol.OpConfigApply, "config-history": protocol.OpConfigHistory,
 		"config-rollback": protocol.OpConfigRollback, "config-wait": protocol.OpConfigWait, "config-status": protocol.OpConfigStatus,
 	} {
-		m["call-"+name] = &protocol.PeerMessage{Kind: protocol.PeerCall, Op: op, Ref: "req-000405", From: "node-1", Body: []byte(`{"ref":"req-000405"}`)}
+		m["call-"+name] = &protocol.PeerMessage{Kind: protocol.PeerUserRequest, Op: op, Ref: "req-000405", From: "node-1", Body: []byte(`{"ref":"req-000405"}`)}
 	}
 	return m
 }
--- a/internal/leadership/yield.go
+++ b/internal/leadership/yield.go
@@ -15,19 +15,19 @@
 
 type micros = protocol.Micros
 
-// Zone is how a leader hears the workers of one zone.
-type Zone struct {
+// ZoneWorkers is how a leader hears the workers of one zone.
+type ZoneWorkers struct {
 	All     int // that it should hear
 	Silent  int // that it does not
 	Relayed int // that it hears by way of another controller only
 }
 
-// Hearing is how many workers a controller hears, by zone. Zone "" stands for
+// Reachability is how many workers a controller hears, by zone. Zone "" stands for
 // workers of any zone, of a controller that does not tell them apart.
-type Hearing map[string]int
+type Reachability map[string]int
 
 // Total is how many workers it is in all.
-func (h Hearing) Total() int {
+func (h Reachability) Total() int {
 	n := 0
 	for _, k := range h {
 		n += k
@@ -35,63 +35,63 @@
 	return n
 }
 
-// Verdict says why a leader keeps its lease, or that it yields.
-type Verdict uint8
+// Decision says why a leader keeps its lease, or that it yields.
+type Decision uint8
 
 // Verdicts. The first that applies is given.
 const (
-	HearsMost   Verdict = iota // less than half of the workers are missed
-	NobodyHears                // those that it misses come to no other controller either
-	HearsNoMore                // the one before it gave the lease back and heard as many: it is not the leader
-	Settled                    // the lease was given back often enough
-	NoneLeft                   // whoever hears them has given the lease back itself
-	Yields                     // another controller hears them
+	KeepHearsMost   Decision = iota // less than half of the workers are missed
+	KeepNobodyHearsMore                // those that it misses come to no other controller either
+	KeepNoImprovement                // the one before it gave the lease back and heard as many: it is not the leader
+	KeepTransferLimit                    // the lease was given back often enough
+	KeepNoSuccessor                   // whoever hears them has given the lease back itself
+	Transfer                     // another controller hears them
 )
 
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	return [...]string{"hears most", "nobody hears more", "hears no more than the one before", "settled", "none left", "yields"}[v]
 }
 
-// The law. Troubles that stand still make the leader change at most MostYields
-// times, because so many yields within YieldMemory are all there are; and one
+// The law. Troubles that stand still make the leader change at most MaxTransfers
+// times, because so many yields within TransferWindow are all there are; and one
 // that leads in another's place and hears no more than that one did keeps the
 // lease, because then the link of neither is what is lost.
 const (
-	MostYields   = 2
-	YieldMemory  = 10 * 60 * protocol.Second
-	fewestMissed = 3
+	MaxTransfers   = 2
+	TransferWindow  = 10 * 60 * protocol.Second
+	minMissedWorkers = 3
 )
 
 // Recent drops the yields that are too old to count, and all but the newest
-// MostYields. A time of day that was put back counts as recent.
-func Recent(past []protocol.Yield, now micros) []protocol.Yield {
-	var list []protocol.Yield
+// MaxTransfers. A time of day that was put back counts as recent.
+func RecentTransfers(past []protocol.LeadershipTransfer, now micros) []protocol.LeadershipTransfer {
+	var list []protocol.LeadershipTransfer
 	for _, y := range past {
-		if now-y.At < YieldMemory {
+		if now-y.At < TransferWindow {
 			list = append(list, y)
 		}
 	}
-	return list[max(0, len(list)-MostYields):]
+	return list[max(0, len(list)-MaxTransfers):]
 }
 
-// Judge says whether a leader should give its lease back, and to whom: most of the
+// Decide says whether a leader should give its lease back, and to whom: most of the
 // workers are silent to it or heard through others only, and the others hear them.
 //
 // Zone by zone, what others hear counts only as far as it is missed here: workers
 // that came to another controller and were sent to this one are no reason to yield
 // for those behind a cut, whom nobody hears.
-func Judge(now micros, own map[string]Zone, others map[string]Hearing, past []protocol.Yield) (to string, v Verdict) {
+func Decide(now micros, own map[string]ZoneWorkers, others map[string]Reachability, past []protocol.LeadershipTransfer) (to string, v Decision) {
 	all, missed, heard := 0, 0, 0
 	for _, z := range own {
 		all += z.All
 		missed += z.Silent + z.Relayed
 		heard += z.All - z.Silent - z.Relayed
 	}
-	if missed < fewestMissed || 2*missed < all {
-		return "", HearsMost
+	if missed < minMissedWorkers || 2*missed < all {
+		return "", KeepHearsMost
 	}
 	gain, anywhere := 0, 0
-	sum := make(Hearing)
+	sum := make(Reachability)
 	for _, o := range others {
 		for zone, n := range o {
 			sum[zone] += n
@@ -105,30 +105,30 @@
 		}
 	}
 	if gain = min(missed, gain+anywhere); 2*gain < missed {
-		return "", NobodyHears
+		return "", KeepNobodyHearsMore
 	}
-	past = Recent(past, now)
-	if len(past) > 0 && heard <= Hearing(past[len(past)-1].Heard).Total() {
-		return "", HearsNoMore
+	past = RecentTransfers(past, now)
+	if len(past) > 0 && heard <= Reachability(past[len(past)-1].ReachableWorkers).Total() {
+		return "", KeepNoImprovement
 	}
-	if len(past) >= MostYields {
-		return "", Settled
+	if len(past) >= MaxTransfers {
+		return "", KeepTransferLimit
 	}
 	best := 0
 	for _, name := range slices.Sorted(maps.Keys(others)) {
-		gave := slices.ContainsFunc(past, func(y protocol.Yield) bool { return y.Node == name })
+		gave := slices.ContainsFunc(past, func(y protocol.LeadershipTransfer) bool { return y.From == name })
 		if n := others[name].Total(); n > best && !gave {
 			to, best = name, n
 		}
 	}
 	if to == "" {
-		return "", NoneLeft
+		return "", KeepNoSuccessor
 	}
-	return to, Yields
+	return to, Transfer
 }
 
-// HeardOf is what a leader hears by itself, for the record of its yield.
-func HeardOf(own map[string]Zone) map[string]int {
+// ReachableByZone is what a leader hears by itself, for the record of its yield.
+func ReachableByZone(own map[string]ZoneWorkers) map[string]int {
 	h := make(map[string]int, len(own))
 	for zone, z := range own {
 		h[zone] = z.All - z.Silent - z.Relayed
@@ -136,13 +136,13 @@
 	return h
 }
 
-// FirstTurn is how long the others let the one go first that a lease was given
+// DeferralTime is how long the others let the one go first that a lease was given
 // back for.
-const FirstTurn = 700 * protocol.Millisecond
+const DeferralTime = 700 * protocol.Millisecond
 
-// Waits reports whether a controller lets another one go first: the newest yield
+// ShouldDefer reports whether a controller lets another one go first: the newest yield
 // is of the last epoch, names that other one, and is fresh.
-func Waits(self string, epoch uint64, now micros, past []protocol.Yield) bool {
+func ShouldDefer(self string, epoch uint64, now micros, past []protocol.LeadershipTransfer) bool {
 	if len(past) == 0 {
 		return false
 	}
--- a/internal/protocol/awaits_test.go
+++ b/internal/protocol/awaits_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", c.list, err)
 		}
-		if d := cmp.Diff(c.want, s.Awaits); d != "" {
+		if d := cmp.Diff(c.want, s.DependsOn); d != "" {
 			t.Errorf("%s: %s", c.list, d)
 		}
 		again, err := ParseJob(AppendJob(nil, s))
@@ -37,7 +37,7 @@
 }
 
 func TestParseAwaitsRefuses(t *testing.T) {
-	long := make([]string, MaxAwaits+1)
+	long := make([]string, MaxDependencies+1)
 	for i := range long {
 		long[i] = fmt.Sprintf(`"req-%06d"`, i+1000)
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	if _, err := ParseJob([]byte(awaiting("[" + strings.Join(long[1:], ",") + "]"))); err != nil {
-		t.Errorf("%d jobs: %v", MaxAwaits, err)
+		t.Errorf("%d jobs: %v", MaxDependencies, err)
 	}
 }
 
@@ -65,17 +65,17 @@
 		t.Errorf("%s", b)
 	}
 	_, spec, err := ParseJobFile([]byte(goodJobFile), "req-000001")
-	if err != nil || spec.Awaits != nil {
+	if err != nil || spec.DependsOn != nil {
 		t.Errorf("%+v %v", spec, err)
 	}
 }
 
 func TestJobFileAwaits(t *testing.T) {
 	body, spec, err := ParseJobFile([]byte(goodJobFile+`awaits = ["req-000398"]`), "req-000001")
-	if err != nil || !cmp.Equal(spec.Awaits, []string{"req-000398"}) {
+	if err != nil || !cmp.Equal(spec.DependsOn, []string{"req-000398"}) {
 		t.Errorf("%s %+v %v", body, spec, err)
 	}
-	if _, spec, err = ParseJobFile([]byte(goodJobFile+`awaits = ["req-000398"]`), "req-000001", "req-000399"); err != nil || !cmp.Equal(spec.Awaits, []string{"req-000398", "req-000399"}) {
+	if _, spec, err = ParseJobFile([]byte(goodJobFile+`awaits = ["req-000398"]`), "req-000001", "req-000399"); err != nil || !cmp.Equal(spec.DependsOn, []string{"req-000398", "req-000399"}) {
 		t.Errorf("%+v %v", spec, err)
 	}
 	if _, _, err := ParseJobFile([]byte(goodJobFile+`awaits = ["job-1"]`), "req-000001"); err == nil || !strings.Contains(err.Error(), "awaits") {
@@ -85,11 +85,11 @@
 
 // What a user hears of a job that awaits as many as it may fits into a line.
 func TestAwaitingAnswerIsBounded(t *testing.T) {
-	refs := make([]string, MaxAwaits)
+	refs := make([]string, MaxDependencies)
 	for i := range refs {
 		refs[i] = fmt.Sprintf("req-%020d", i)
 	}
-	if b := AwaitingAnswer("req-000001", refs); len(b) >= 2048 {
+	if b := WaitingJobStatusBody("req-000001", refs); len(b) >= 2048 {
 		t.Errorf("%d bytes", len(b))
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -11,11 +11,11 @@
 // MachineType is what the cloud rents.
 type MachineType struct {
 	Name             string
-	Offer            Resources
-	Cache            int64   // thousandths of a GB
+	Capacity            Resources
+	CacheSize            int64   // thousandths of a GB
 	FetchRate        float64 // thousandths of a GB per microsecond
 	Price, SpotPrice float64 // per hour
-	Boot             Micros
+	BootTime             Micros
 	Zones            []string
 }
 
@@ -27,8 +27,8 @@
 	return Micros(float64(size) / t.FetchRate)
 }
 
-// ParseTypes reads the cloud's machine types.
-func ParseTypes(body []byte) ([]*MachineType, error) {
+// ParseMachineTypes reads the cloud's machine types.
+func ParseMachineTypes(body []byte) ([]*MachineType, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
 	v, err := parseObject(p, body)
@@ -44,12 +44,12 @@
 		f := &fields{obj: it}
 		t := &MachineType{
 			Name: f.text("label"),
-			Offer: Resources{
+			Capacity: Resources{
 				CPU: offerThousandths(f.number("cores")), GPU: offerThousandths(f.number("gpus")),
-				Mem: offerThousandths(f.number("memoryGb")),
+				Memory: offerThousandths(f.number("memoryGb")),
 			},
-			Cache: offerThousandths(f.number("cacheGb")), FetchRate: f.number("fetchGbPerS") * 1000 / float64(Second),
-			Price: f.number("hourly"), SpotPrice: f.number("spotPrice"), Boot: FromSeconds(f.number("readyS")),
+			CacheSize: offerThousandths(f.number("cacheGb")), FetchRate: f.number("fetchGbPerS") * 1000 / float64(Second),
+			Price: f.number("hourly"), SpotPrice: f.number("spotPrice"), BootTime: FromSeconds(f.number("readyS")),
 		}
 		for _, z := range it.GetArray("regions") {
 			t.Zones = append(t.Zones, string(z.GetStringBytes()))
@@ -65,8 +65,8 @@
 	return types, nil
 }
 
-// CloudHost is one machine of the cloud's list.
-type CloudHost struct {
+// CloudMachine is one machine of the cloud's list.
+type CloudMachine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	State                  CloudState
@@ -83,8 +83,8 @@
 	CloudFailed
 )
 
-// ParseHosts reads a page of the machine list.
-func ParseHosts(body []byte) (hosts []CloudHost, more bool, err error) {
+// ParseMachines reads a page of the machine list.
+func ParseMachines(body []byte) (hosts []CloudMachine, more bool, err error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
 	v, err := parseObject(p, body)
@@ -95,10 +95,10 @@
 	if err != nil {
 		return nil, false, errors.New("hosts: invalid")
 	}
-	hosts = make([]CloudHost, 0, len(list))
+	hosts = make([]CloudMachine, 0, len(list))
 	for _, it := range list {
 		f := &fields{obj: it}
-		h := CloudHost{
+		h := CloudMachine{
 			Name: f.text("ref"), Type: f.text("flavor"), Zone: f.text("region"), Spot: f.flag("reclaimable"),
 			Age: FromSeconds(f.number("heldS")),
 		}
@@ -123,8 +123,8 @@
 	return hosts, v.GetBool("truncated"), nil
 }
 
-// AppendRental writes a rental request.
-func AppendRental(b []byte, claim, typ, zone string, spot bool, count int) []byte {
+// AppendRentRequest writes a rental request.
+func AppendRentRequest(b []byte, claim, typ, zone string, spot bool, count int) []byte {
 	b = AppendQuoted(append(b, `{"claim":`...), claim)
 	b = AppendQuoted(append(b, `,"flavor":`...), typ)
 	b = AppendQuoted(append(b, `,"region":`...), zone)
@@ -133,8 +133,8 @@
 	return append(b, '}')
 }
 
-// AppendNames writes a release request.
-func AppendNames(b []byte, hosts []string) []byte {
+// AppendMachineNames writes a release request.
+func AppendMachineNames(b []byte, hosts []string) []byte {
 	b = append(b, `{"hosts":[`...)
 	for i, h := range hosts {
 		if i > 0 {
@@ -145,8 +145,8 @@
 	return append(b, "]}"...)
 }
 
-// ParseNames reads the machines that were rented.
-func ParseNames(body []byte) ([]string, error) {
+// ParseMachineNames reads the machines that were rented.
+func ParseMachineNames(body []byte) ([]string, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
 	v, err := parseObject(p, body)
@@ -167,22 +167,22 @@
 	return names, nil
 }
 
-// AppendTypes writes machine types in the cloud's form, to be kept.
-func AppendTypes(b []byte, types []*MachineType) []byte {
+// AppendMachineTypes writes machine types in the cloud's form, to be kept.
+func AppendMachineTypes(b []byte, types []*MachineType) []byte {
 	b = append(b, `{"flavors":[`...)
 	for i, t := range types {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		b = AppendQuoted(append(b, `{"label":`...), t.Name)
-		b = appendThousandths(append(b, `,"cores":`...), t.Offer.CPU)
-		b = appendThousandths(append(b, `,"gpus":`...), t.Offer.GPU)
-		b = appendThousandths(append(b, `,"memoryGb":`...), t.Offer.Mem)
-		b = appendThousandths(append(b, `,"cacheGb":`...), t.Cache)
+		b = appendThousandths(append(b, `,"cores":`...), t.Capacity.CPU)
+		b = appendThousandths(append(b, `,"gpus":`...), t.Capacity.GPU)
+		b = appendThousandths(append(b, `,"memoryGb":`...), t.Capacity.Memory)
+		b = appendThousandths(append(b, `,"cacheGb":`...), t.CacheSize)
 		b = strconv.AppendFloat(append(b, `,"fetchGbPerS":`...), math.Round(t.FetchRate*float64(Second)*1e3)/1e6, 'f', -1, 64)
 		b = strconv.AppendFloat(append(b, `,"hourly":`...), t.Price, 'f', -1, 64)
 		b = strconv.AppendFloat(append(b, `,"spotPrice":`...), t.SpotPrice, 'f', -1, 64)
-		b = appendSeconds(append(b, `,"readyS":`...), t.Boot)
+		b = appendSeconds(append(b, `,"readyS":`...), t.BootTime)
 		b = append(b, `,"regions":[`...)
 		for j, z := range t.Zones {
 			if j > 0 {
--- a/internal/protocol/files.go
+++ b/internal/protocol/files.go
@@ -236,12 +236,12 @@
 // SettingsFile writes a platform's file, for deployments that mapleslip sets up itself.
 func SettingsFile(p *Platform) ([]byte, error) {
 	var f platformFile
-	f.NodeName, f.Area, f.ClientListen, f.ClusterListen = p.Node, p.Zone, p.ClientListen, p.ClusterListen
-	for _, s := range p.Siblings {
-		f.Siblings = append(f.Siblings, siblingFile{s.Name, s.Zone, s.Address})
+	f.NodeName, f.Area, f.ClientListen, f.ClusterListen = p.ControllerName, p.Zone, p.ClientListen, p.ClusterListen
+	for _, s := range p.Peers {
+		f.Siblings = append(f.Siblings, peerFile{s.Name, s.Zone, s.Address})
 	}
 	f.Services.Cloud, f.Services.State = p.CloudAddr, p.StateAddr
-	f.Facts.Nodes, f.Facts.Zones, f.Facts.ClockOffMS = len(p.Siblings)+1, p.Zones, math.Round(p.ClockOff.Seconds()*1000)
+	f.Facts.Nodes, f.Facts.Zones, f.Facts.ClockOffMS = len(p.Peers)+1, p.Zones, math.Round(p.MaxClockOffset.Seconds()*1000)
 	for _, t := range p.Teams {
 		f.Facts.Teams = append(f.Facts.Teams, teamFile{t.Name, float64(t.Guarantee.CPU) / 1000, float64(t.Limit.CPU) / 1000, float64(t.Guarantee.GPU) / 1000, float64(t.Limit.GPU) / 1000})
 	}
@@ -249,12 +249,12 @@
 		f.Facts.Objectives = append(f.Facts.Objectives, objectiveFile{o.Kind, o.Class, o.Within.Seconds(), o.Share})
 	}
 	w := &f.Facts.Workers
-	w.ReportS, w.LeaseS, w.GangWaitS, w.GangPeerS, w.CancelS = p.ReportEvery.Seconds(), p.WorkerLease.Seconds(), p.GangWait.Seconds(), p.GangPeer.Seconds(), p.Cancel.Seconds()
-	f.Facts.State.RPS, f.Facts.State.WriteRPS, f.Facts.State.ValueKB, f.Facts.State.TxnOps = p.StateRate, p.StateWriteRate, float64(p.ValueBytes)/1024, p.TxnOps
-	if n := p.StateNext; n != nil {
-		f.Facts.State.Next = &stateNextFile{n.WriteRate, float64(n.ValueBytes) / 1024, n.TxnOps}
+	w.ReportS, w.LeaseS, w.GangWaitS, w.GangPeerS, w.CancelS = p.HeartbeatInterval.Seconds(), p.WorkerLease.Seconds(), p.GangWaitTimeout.Seconds(), p.GangPeerTimeout.Seconds(), p.CancelTimeout.Seconds()
+	f.Facts.State.RPS, f.Facts.State.WriteRPS, f.Facts.State.ValueKB, f.Facts.State.TxnOps = p.StateRequestRate, p.StateWriteRate, float64(p.MaxValueBytes)/1024, p.MaxTxnChanges
+	if n := p.AnnouncedStateLimits; n != nil {
+		f.Facts.State.Next = &stateNextFile{n.WriteRate, float64(n.MaxValueBytes) / 1024, n.MaxTxnChanges}
 	}
-	f.Facts.Cloud.RPS, f.Facts.Cloud.ListLagS = p.CloudRate, p.ListLag.Seconds()
+	f.Facts.Cloud.RPS, f.Facts.Cloud.ListLagS = p.CloudRate, p.MachineListLag.Seconds()
 	f.Facts.Quota.CPU, f.Facts.Quota.MemoryMB, f.Facts.Quota.MaxConnections = p.CPUShare, float64(p.MemoryBytes)/1e6, p.MaxConnections
 	return toml.Marshal(&f)
 }
--- a/internal/protocol/hearing_test.go
+++ b/internal/protocol/hearing_test.go
@@ -17,30 +17,30 @@
 
 func TestHearing(t *testing.T) {
 	heard := map[string]int{"a": 5, "bb": 256}
-	b := AppendHearing(nil, heard)
+	b := AppendReachability(nil, heard)
 	if string(b) != goldenHearing {
 		t.Errorf("%q", b)
 	}
-	if got, err := ParseHearing(b); err != nil || !reflect.DeepEqual(got, heard) {
+	if got, err := ParseReachability(b); err != nil || !reflect.DeepEqual(got, heard) {
 		t.Errorf("%v %v", got, err)
 	}
-	m := Memory{Epoch: 7, At: Second, Cuts: []Cut{{"b", 2, 3}}, Silent: []Silence{{"n-1", 4}}}
-	if b = AppendMemory(nil, m); string(b) != goldenMemory {
+	m := HandoverState{Epoch: 7, At: Second, Partitions: []Partition{{"b", 2, 3}}, SilentHosts: []SilentHost{{"n-1", 4}}}
+	if b = AppendHandoverState(nil, m); string(b) != goldenMemory {
 		t.Errorf("%q", b)
 	}
-	if got, err := ParseMemory(b); err != nil || !reflect.DeepEqual(got, m) {
+	if got, err := ParseHandoverState(b); err != nil || !reflect.DeepEqual(got, m) {
 		t.Errorf("%+v %v", got, err)
 	}
 	for _, bad := range []string{
 		"", "\x02\x00\x00", "\x01\x00\x01", "\x01\xff\xff", goldenHearing + "x", goldenHearing[:9],
 		"\x01\x00\x02\x00\x01a\x00\x00\x00\x05\x00\x01a\x00\x00\x00\x05",
 	} {
-		if got, err := ParseHearing([]byte(bad)); err == nil {
+		if got, err := ParseReachability([]byte(bad)); err == nil {
 			t.Errorf("%q: read as %v", bad, got)
 		}
 	}
 	for _, bad := range []string{"", "\x02", goldenMemory + "x", goldenMemory[:40], goldenMemory[:17] + "\xff\xff"} {
-		if got, err := ParseMemory([]byte(bad)); err == nil {
+		if got, err := ParseHandoverState([]byte(bad)); err == nil {
 			t.Errorf("%q: read as %+v", bad, got)
 		}
 	}
@@ -52,11 +52,11 @@
 	f.Add([]byte(goldenHearing))
 	f.Add([]byte(goldenMemory))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if m, err := ParseMemory(body); err == nil && !bytes.Equal(AppendMemory(nil, m), body) {
+		if m, err := ParseHandoverState(body); err == nil && !bytes.Equal(AppendHandoverState(nil, m), body) {
 			t.Errorf("%+v", m)
 		}
-		if heard, err := ParseHearing(body); err == nil {
-			if again, err := ParseHearing(AppendHearing(nil, heard)); err != nil || !reflect.DeepEqual(again, heard) {
+		if heard, err := ParseReachability(body); err == nil {
+			if again, err := ParseReachability(AppendReachability(nil, heard)); err != nil || !reflect.DeepEqual(again, heard) {
 				t.Errorf("%v %v %v", heard, again, err)
 			}
 		}
--- a/internal/protocol/json.go
+++ b/internal/protocol/json.go
@@ -169,6 +169,6 @@
 		return n, true
 	}
 	x, err := strconv.ParseFloat(string(b), 64)
-	n, whole := wholeNumber(x)
+	n, whole := integerValue(x)
 	return n, whole && err == nil
 }
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -11,7 +11,7 @@
 // few entries, and the largest that are not shared, completions of 8,192 tasks, take
 // 1,368 bytes.
 const (
-	MinTxnOps     = 4
+	MinTxnChanges     = 4
 	MinValueBytes = 2048
 	MinWriteRate  = 2
 )
@@ -20,7 +20,7 @@
 // holds them, without notice. What is stored stays readable.
 type StateLimits struct {
 	WriteRate          float64 // changes a second
-	ValueBytes, TxnOps int
+	MaxValueBytes, MaxTxnChanges int
 }
 
 // check refuses limits that no deployment of this version can keep to.
@@ -33,8 +33,8 @@
 		v, least, most float64
 	}{
 		{"facts.state.next.write_rps", l.WriteRate, MinWriteRate, 1e9},
-		{"facts.state.next.value_kb", float64(l.ValueBytes) / 1024, MinValueBytes / 1024, 1e6},
-		{"facts.state.next.txn_ops", float64(l.TxnOps), MinTxnOps, 1e6},
+		{"facts.state.next.value_kb", float64(l.MaxValueBytes) / 1024, MinValueBytes / 1024, 1e6},
+		{"facts.state.next.txn_ops", float64(l.MaxTxnChanges), MinTxnChanges, 1e6},
 	} {
 		if math.IsNaN(n.v) || n.v < n.least || n.v > n.most {
 			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be from %g to %g", n.least, n.most)}
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -10,9 +10,9 @@
 func settingsWith(t *testing.T, change func(*Platform)) string {
 	t.Helper()
 	p := &Platform{
-		Node: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
-		Zones: []string{"a"}, ReportEvery: Second, WorkerLease: 10 * Second, GangWait: 20 * Second, GangPeer: 5 * Second, Cancel: 21 * Second,
-		StateRate: 500, StateWriteRate: 35, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 99,
+		ControllerName: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
+		Zones: []string{"a"}, HeartbeatInterval: Second, WorkerLease: 10 * Second, GangWaitTimeout: 20 * Second, GangPeerTimeout: 5 * Second, CancelTimeout: 21 * Second,
+		StateRequestRate: 500, StateWriteRate: 35, MaxValueBytes: 8192, MaxTxnChanges: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 99,
 	}
 	change(p)
 	text, err := SettingsFile(p)
@@ -26,23 +26,23 @@
 // doesn't know beside them is ignored.
 func TestAnnouncedLimits(t *testing.T) {
 	next := func(rate float64, bytes, ops int) func(*Platform) {
-		return func(p *Platform) { p.StateNext = &StateLimits{rate, bytes, ops} }
+		return func(p *Platform) { p.AnnouncedStateLimits = &StateLimits{rate, bytes, ops} }
 	}
 	p, err := ParsePlatform([]byte(settingsWith(t, func(*Platform) {})))
-	if err != nil || p.StateNext != nil {
-		t.Fatalf("%+v, %v", p.StateNext, err)
+	if err != nil || p.AnnouncedStateLimits != nil {
+		t.Fatalf("%+v, %v", p.AnnouncedStateLimits, err)
 	}
 	text := settingsWith(t, next(24, 2048, 4))
 	p, err = ParsePlatform([]byte(strings.Replace(text, "[facts.state.next]", "[facts.state.next]\nfrom_s = 9", 1)))
-	if err != nil || *p.StateNext != (StateLimits{24, 2048, 4}) {
-		t.Fatalf("%+v, %v", p.StateNext, err)
+	if err != nil || *p.AnnouncedStateLimits != (StateLimits{24, 2048, 4}) {
+		t.Fatalf("%+v, %v", p.AnnouncedStateLimits, err)
 	}
 	for key, change := range map[string]func(*Platform){
 		"facts.state.next.write_rps": next(1, 2048, 4),
 		"facts.state.next.value_kb":  next(24, 1024, 4),
 		"facts.state.next.txn_ops":   next(24, 2048, 3),
-		"facts.state.txn_ops":        func(p *Platform) { p.TxnOps = 3 },
-		"facts.state.value_kb":       func(p *Platform) { p.ValueBytes = 2000 },
+		"facts.state.txn_ops":        func(p *Platform) { p.MaxTxnChanges = 3 },
+		"facts.state.value_kb":       func(p *Platform) { p.MaxValueBytes = 2000 },
 	} {
 		_, err := ParsePlatform([]byte(settingsWith(t, change)))
 		var at *KeyError
@@ -50,7 +50,7 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	if _, err := ParsePlatform([]byte(settingsWith(t, func(p *Platform) { p.TxnOps, p.ValueBytes = MinTxnOps, MinValueBytes }))); err != nil {
+	if _, err := ParsePlatform([]byte(settingsWith(t, func(p *Platform) { p.MaxTxnChanges, p.MaxValueBytes = MinTxnChanges, MinValueBytes }))); err != nil {
 		t.Errorf("the smallest limits: %v", err)
 	}
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -18,17 +18,17 @@
 
 // Kinds of frames.
 const (
-	PeerCall PeerKind = 1 + iota
-	PeerAnswer
-	PeerAsk    // a leader asks whether another node answers workers
-	PeerStand  // the answer
-	PeerReport // a worker's report, passed to the leader; a PeerAnswer comes back
-	PeerProbe  // a leader's call to a worker, to be made by another node; so too
-	PeerCheck  // a leader's check of an instance, to be made by another node; so too
-	PeerGrant  // a leader says which revision of the configuration it goes by
-	PeerGoesBy // the answer: which one the other node does
-	PeerLevels // a leader asks which feature levels another node serves
-	PeerServes // the answer; a version without levels answers a PeerAnswer of status 0
+	PeerUserRequest PeerKind = 1 + iota
+	PeerResponse
+	PeerStatusRequest    // a leader asks whether another node answers workers
+	PeerStatus  // the answer
+	PeerHeartbeat // a worker's report, passed to the leader; a PeerResponse comes back
+	PeerWorkerProbe  // a leader's call to a worker, to be made by another node; so too
+	PeerHealthCheck  // a leader's check of an instance, to be made by another node; so too
+	PeerConfigGrant  // a leader says which revision of the configuration it goes by
+	PeerConfigAck // the answer: which one the other node does
+	PeerFeatureRequest // a leader asks which feature levels another node serves
+	PeerFeatureRange // the answer; a version without levels answers a PeerResponse of status 0
 )
 
 // UserOp is what a user asks.
@@ -68,11 +68,11 @@
 	Epoch uint64
 	// Its answer: whether the node answers workers, and how long ago it last did,
 	// Forever: never since it was started.
-	Answers bool
-	Age     Micros
-	Heard   uint32 // workers that it lately sent to the leader
+	AnswersWorkers bool
+	AnsweredAgo     Micros
+	RedirectedWorkers   uint32 // workers that it lately sent to the leader
 	// A report: the worker was sent to the leader and came back.
-	Returned bool
+	ReturnedFromLeader bool
 	// A call to a worker: its address. A check: the instance's, and how it is made.
 	Addr    string
 	Check   CheckKind
@@ -82,10 +82,10 @@
 	// has heard of the other node the life of its process and the time by its steady
 	// clock. The answer has those of the node itself. The body is the
 	// document, where the other side doesn't have it.
-	Revision, Life uint64
+	Revision, Incarnation uint64
 	At             Micros
 	// The feature levels that a node serves.
-	Low, High uint64
+	MinLevel, MaxLevel uint64
 	// The body of a call, a report or an answer.
 	Body []byte
 }
@@ -97,34 +97,34 @@
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, peerVersion, byte(m.Kind))
 	switch m.Kind {
-	case PeerCall:
+	case PeerUserRequest:
 		b = append(b, byte(m.Op))
 		b = appendPeerText(b, m.Ref)
 		b = appendPeerText(b, m.From)
-	case PeerAnswer:
+	case PeerResponse:
 		b = binary.BigEndian.AppendUint16(b, m.Status)
 		b = binary.BigEndian.AppendUint64(b, uint64(m.RetryAfter))
-	case PeerAsk:
+	case PeerStatusRequest:
 		b = binary.BigEndian.AppendUint64(b, m.Epoch)
 		b = appendPeerText(b, m.From)
-	case PeerStand:
-		b = binary.BigEndian.AppendUint64(appendPeerFlag(b, m.Answers), uint64(m.Age))
-		b = binary.BigEndian.AppendUint32(b, m.Heard)
-	case PeerReport:
-		b = appendPeerFlag(b, m.Returned)
-	case PeerGrant:
+	case PeerStatus:
+		b = binary.BigEndian.AppendUint64(appendPeerFlag(b, m.AnswersWorkers), uint64(m.AnsweredAgo))
+		b = binary.BigEndian.AppendUint32(b, m.RedirectedWorkers)
+	case PeerHeartbeat:
+		b = appendPeerFlag(b, m.ReturnedFromLeader)
+	case PeerConfigGrant:
 		b = binary.BigEndian.AppendUint64(b, m.Epoch)
 		b = appendPeerText(b, m.From)
 		b = appendPeerRevision(b, m)
-	case PeerGoesBy:
+	case PeerConfigAck:
 		b = appendPeerRevision(b, m)
-	case PeerLevels:
+	case PeerFeatureRequest:
 		b = appendPeerText(b, m.From)
-	case PeerServes:
-		b = binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, m.Low), m.High)
-	case PeerProbe:
+	case PeerFeatureRange:
+		b = binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, m.MinLevel), m.MaxLevel)
+	case PeerWorkerProbe:
 		b = appendPeerText(b, m.Addr)
-	case PeerCheck:
+	case PeerHealthCheck:
 		b = append(b, byte(m.Check))
 		b = appendPeerText(b, m.Addr)
 		b = appendPeerText(b, m.Path)
@@ -138,7 +138,7 @@
 
 func appendPeerRevision(b []byte, m *PeerMessage) []byte {
 	b = binary.BigEndian.AppendUint64(b, m.Revision)
-	b = binary.BigEndian.AppendUint64(b, m.Life)
+	b = binary.BigEndian.AppendUint64(b, m.Incarnation)
 	return binary.BigEndian.AppendUint64(b, uint64(m.At))
 }
 
@@ -177,47 +177,47 @@
 	}
 	m := &PeerMessage{Kind: PeerKind(r.byte())}
 	switch m.Kind {
-	case PeerCall:
+	case PeerUserRequest:
 		m.Op = UserOp(r.byte())
 		m.Ref = string(r.take(int(r.uint(2))))
 		m.From = string(r.take(int(r.uint(2))))
 		if m.Op < OpSubmit || m.Op > OpConfigStatus {
 			return nil, errFrame
 		}
-	case PeerAnswer:
+	case PeerResponse:
 		m.Status = uint16(r.uint(2))
 		m.RetryAfter = Micros(r.uint(8))
 		if m.RetryAfter < 0 {
 			return nil, errFrame
 		}
-	case PeerAsk:
+	case PeerStatusRequest:
 		m.Epoch = r.uint(8)
 		m.From = string(r.take(int(r.uint(2))))
-	case PeerStand:
-		m.Answers, m.Age, m.Heard = r.flag(), Micros(r.uint(8)), uint32(r.uint(4))
-		if m.Age < 0 {
+	case PeerStatus:
+		m.AnswersWorkers, m.AnsweredAgo, m.RedirectedWorkers = r.flag(), Micros(r.uint(8)), uint32(r.uint(4))
+		if m.AnsweredAgo < 0 {
 			return nil, errFrame
 		}
-	case PeerReport:
-		m.Returned = r.flag()
-	case PeerGrant, PeerGoesBy:
-		if m.Kind == PeerGrant {
+	case PeerHeartbeat:
+		m.ReturnedFromLeader = r.flag()
+	case PeerConfigGrant, PeerConfigAck:
+		if m.Kind == PeerConfigGrant {
 			m.Epoch = r.uint(8)
 			m.From = string(r.take(int(r.uint(2))))
 		}
-		m.Revision, m.Life, m.At = r.uint(8), r.uint(8), Micros(r.uint(8))
+		m.Revision, m.Incarnation, m.At = r.uint(8), r.uint(8), Micros(r.uint(8))
 		if m.At < 0 {
 			return nil, errFrame
 		}
-	case PeerLevels:
+	case PeerFeatureRequest:
 		m.From = string(r.take(int(r.uint(2))))
-	case PeerServes:
-		if m.Low, m.High = r.uint(8), r.uint(8); m.Low > m.High {
+	case PeerFeatureRange:
+		if m.MinLevel, m.MaxLevel = r.uint(8), r.uint(8); m.MinLevel > m.MaxLevel {
 			return nil, errFrame
 		}
-	case PeerProbe:
+	case PeerWorkerProbe:
 		m.Addr = string(r.take(int(r.uint(2))))
-	case PeerCheck:
+	case PeerHealthCheck:
 		m.Check = CheckKind(r.byte())
 		m.Addr = string(r.take(int(r.uint(2))))
 		m.Path = string(r.take(int(r.uint(2))))
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -17,9 +17,9 @@
 
 func TestParseJob(t *testing.T) {
 	want := &JobSpec{
-		Ref: "req-000412", Class: "train", Team: "vision", Kind: Gang, Rank: High, Tasks: 16,
-		Need: Resources{8000, 1000, 64000}, Image: "img-07", ImageSize: 6200, Types: []string{"g8"}, OneZone: true, Spot: true,
-		Estimate: 240 * Second, CheckpointEvery: 30 * Second, Saves: 4 * Second, Deadline: 900 * Second,
+		Ref: "req-000412", Class: "train", Team: "vision", Kind: Gang, Priority: PriorityHigh, Tasks: 16,
+		TaskResources: Resources{8000, 1000, 64000}, Image: "img-07", ImageSize: 6200, MachineTypes: []string{"g8"}, SingleZone: true, AllowSpot: true,
+		EstimatedRuntime: 240 * Second, CheckpointInterval: 30 * Second, CheckpointDuration: 4 * Second, Deadline: 900 * Second,
 	}
 	got, err := ParseJob([]byte(goodJob))
 	if err != nil {
@@ -78,14 +78,14 @@
 func TestParseReport(t *testing.T) {
 	in := `{"host":"n-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","reclaimable":true,"tenure":1,"tick":88,"epoch":41,
 "reclaimInS":12.5,"new":1,"shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"exited","exitReason":"stopped","saved":true}]}`
-	want := &Report{
-		Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Tick: 88, Epoch: 41,
-		Noticed: true, Notice: 12500 * Millisecond, Tasks: []TaskReport{
-			{AttemptName: AttemptName{TaskName{"req-000412", 3}, 2}, State: Executing},
-			{AttemptName: AttemptName{TaskName{"req-000398", 0}, 1}, State: Exited, Reason: ExitStopped, Saved: true},
+	want := &Heartbeat{
+		Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 88, Token: 41,
+		Interrupted: true, InterruptedIn: 12500 * Millisecond, Tasks: []TaskStatus{
+			{AttemptName: AttemptName{TaskName{"req-000412", 3}, 2}, State: TaskRunning},
+			{AttemptName: AttemptName{TaskName{"req-000398", 0}, 1}, State: TaskExited, Reason: ExitStopped, Checkpointed: true},
 		},
 	}
-	got, err := ParseReport([]byte(in))
+	got, err := ParseHeartbeat([]byte(in))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,8 +95,8 @@
 }
 
 func TestOperatorSettings(t *testing.T) {
-	o, err := ParseOperator([]byte("round_s = 5\nwarm_spare = 0.5\nsource_address = \"10.0.0.7\"\n"))
-	if err != nil || o.RoundEvery != 5*Second || o.WarmSpare != 0.5 || o.SourceAddress.String() != "10.0.0.7" || o.LeaderLease != DefaultOperator().LeaderLease {
+	o, err := ParseOperatorSettings([]byte("round_s = 5\nwarm_spare = 0.5\nsource_address = \"10.0.0.7\"\n"))
+	if err != nil || o.MaxCycleInterval != 5*Second || o.WarmSpare != 0.5 || o.SourceAddress.String() != "10.0.0.7" || o.LeaderLease != DefaultOperatorSettings().LeaderLease {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for in, key := range map[string]string{
@@ -104,7 +104,7 @@
 		`source_address = "10.0.0"`: "source_address", `source_address = "::1"`: "source_address",
 	} {
 		var ke *KeyError
-		if _, err := ParseOperator([]byte(in)); !errors.As(err, &ke) || ke.Key != key {
+		if _, err := ParseOperatorSettings([]byte(in)); !errors.As(err, &ke) || ke.Key != key {
 			t.Errorf("%s: %v, want a word on %s", in, err, key)
 		}
 	}
@@ -192,14 +192,14 @@
 
 func TestPeerMessages(t *testing.T) {
 	for _, m := range []*PeerMessage{
-		{Kind: PeerCall, Op: OpSubmit, Ref: "req-000001", From: "n0", Body: []byte(goodJob)},
-		{Kind: PeerAnswer, Status: 503, RetryAfter: 2 * Second, Body: []byte("{}")},
-		{Kind: PeerAsk, Epoch: 1 << 40, From: "n1"},
-		{Kind: PeerStand, Answers: true, Age: 1, Heard: 700},
-		{Kind: PeerStand, Age: Forever},
-		{Kind: PeerReport, Returned: true, Body: []byte("{}")},
-		{Kind: PeerReport, Body: []byte("{}")},
-		{Kind: PeerProbe, Addr: "10.0.0.9:9000", Body: []byte("{}")},
+		{Kind: PeerUserRequest, Op: OpSubmit, Ref: "req-000001", From: "n0", Body: []byte(goodJob)},
+		{Kind: PeerResponse, Status: 503, RetryAfter: 2 * Second, Body: []byte("{}")},
+		{Kind: PeerStatusRequest, Epoch: 1 << 40, From: "n1"},
+		{Kind: PeerStatus, AnswersWorkers: true, AnsweredAgo: 1, RedirectedWorkers: 700},
+		{Kind: PeerStatus, AnsweredAgo: Forever},
+		{Kind: PeerHeartbeat, ReturnedFromLeader: true, Body: []byte("{}")},
+		{Kind: PeerHeartbeat, Body: []byte("{}")},
+		{Kind: PeerWorkerProbe, Addr: "10.0.0.9:9000", Body: []byte("{}")},
 	} {
 		b := AppendPeer(nil, m)
 		frame, used, err := SplitPeer(append(b, 1, 2, 3))
@@ -225,16 +225,16 @@
 
 // Whatever is taken from another controller reads the same when written again.
 func FuzzPeer(f *testing.F) {
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerCall, Op: OpCancel, Ref: "req-000001", From: "n0"}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerAnswer, Status: 200, Body: []byte("{}")}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerAsk, Epoch: 7, From: "n0"}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerStand, Answers: true, Age: 5, Heard: 9}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerReport, Returned: true, Body: []byte("{}")}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerProbe, Addr: "10.0.0.9:9000", Body: []byte("{}")}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerCheck, Check: CheckTCP, Addr: "10.0.0.9:20001", Path: "/healthz", Timeout: Second}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerGrant, Epoch: 7, From: "n0", Revision: 412, Life: 1 << 63, At: 5 * Second, Body: []byte(`{"log/level":"info"}`)}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerGoesBy, Revision: 412, Life: 1 << 63, At: 5 * Second}))
-	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerCall, Op: OpConfigStatus, From: "n0"}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerUserRequest, Op: OpCancel, Ref: "req-000001", From: "n0"}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerResponse, Status: 200, Body: []byte("{}")}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerStatusRequest, Epoch: 7, From: "n0"}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerStatus, AnswersWorkers: true, AnsweredAgo: 5, RedirectedWorkers: 9}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerHeartbeat, ReturnedFromLeader: true, Body: []byte("{}")}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerWorkerProbe, Addr: "10.0.0.9:9000", Body: []byte("{}")}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerHealthCheck, Check: CheckTCP, Addr: "10.0.0.9:20001", Path: "/healthz", Timeout: Second}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerConfigGrant, Epoch: 7, From: "n0", Revision: 412, Incarnation: 1 << 63, At: 5 * Second, Body: []byte(`{"log/level":"info"}`)}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerConfigAck, Revision: 412, Incarnation: 1 << 63, At: 5 * Second}))
+	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerUserRequest, Op: OpConfigStatus, From: "n0"}))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		frame, used, err := SplitPeer(in)
 		if err != nil || used == 0 {
@@ -271,10 +271,10 @@
 func TestAnswersWithoutTheirList(t *testing.T) {
 	for name, parse := range map[string]func([]byte) error{
 		"page":   func(b []byte) error { _, err := ParsePage(b); return err },
-		"follow": func(b []byte) error { _, _, err := ParseFollow(b); return err },
-		"types":  func(b []byte) error { _, err := ParseTypes(b); return err },
-		"hosts":  func(b []byte) error { _, _, err := ParseHosts(b); return err },
-		"names":  func(b []byte) error { _, err := ParseNames(b); return err },
+		"follow": func(b []byte) error { _, _, err := ParseWatch(b); return err },
+		"types":  func(b []byte) error { _, err := ParseMachineTypes(b); return err },
+		"hosts":  func(b []byte) error { _, _, err := ParseMachines(b); return err },
+		"names":  func(b []byte) error { _, err := ParseMachineNames(b); return err },
 	} {
 		for _, body := range []string{`{}`, `{"generation":1}`, `{"generation":1,"entries":1,"news":1,"flavors":1,"hosts":1}`} {
 			if parse([]byte(body)) == nil {
@@ -303,7 +303,7 @@
 		if e.Path == "" || e.Stamp == 0 || e.Data == nil {
 			return Page{}, false
 		}
-		p.Entries = append(p.Entries, Entry{Key: e.Path, Value: e.Data, Stamp: e.Stamp})
+		p.Entries = append(p.Entries, Entry{Key: e.Path, Value: e.Data, Revision: e.Stamp})
 	}
 	return p, true
 }
@@ -334,10 +334,10 @@
 // Whole numbers may be written with a point, here as in every other message, and
 // keys are bounded alike.
 func TestEntryNumbersAndKeys(t *testing.T) {
-	if p, err := ParsePage([]byte(`{"entries":[{"path":"a","data":1,"stamp":16.0}],"generation":4.1e1}`)); err != nil || p.Revision != 41 || p.Entries[0].Stamp != 16 {
+	if p, err := ParsePage([]byte(`{"entries":[{"path":"a","data":1,"stamp":16.0}],"generation":4.1e1}`)); err != nil || p.Revision != 41 || p.Entries[0].Revision != 16 {
 		t.Errorf("%+v %v", p, err)
 	}
-	if e, err := ParseEntry([]byte(`{"path":"a/b","data":{"x":1},"stamp":412.0,"hold":7}`)); err != nil || e.Stamp != 412 || string(e.Value) != `{"x":1}` {
+	if e, err := ParseEntry([]byte(`{"path":"a/b","data":{"x":1},"stamp":412.0,"hold":7}`)); err != nil || e.Revision != 412 || string(e.Value) != `{"x":1}` {
 		t.Errorf("%+v %v", e, err)
 	}
 	long := strings.Repeat("k", 201)
@@ -363,8 +363,8 @@
 			return
 		}
 		for _, e := range got.Entries {
-			if e.Key == "" || e.Stamp == 0 || !json.Valid(e.Value) {
-				t.Fatalf("%q: %q %d %q", body, e.Key, e.Stamp, e.Value)
+			if e.Key == "" || e.Revision == 0 || !json.Valid(e.Value) {
+				t.Fatalf("%q: %q %d %q", body, e.Key, e.Revision, e.Value)
 			}
 		}
 	})
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -25,25 +25,25 @@
 // HealthCheck says how an instance of a service is checked.
 type HealthCheck struct {
 	Kind         CheckKind
-	At           string // template of the address, IP:port
+	AddressTemplate           string // template of the address, IP:port
 	Path         string // template of the path, of an HTTP check
-	Every        Micros // between two checks of an instance
+	Interval        Micros // between two checks of an instance
 	Timeout      Micros // of one, from the connection on; then it has failed
-	Passes, Fail int    // in a row
+	SuccessThreshold, FailureThreshold int    // in a row
 }
 
 // RolloutSpec is what a roll-out is asked to do. Job has neither ref nor tasks.
 type RolloutSpec struct {
 	ID, Service         string
 	Job                 *JobSpec
-	Count, Floor, Surge int
+	Count, MinHealthy, MaxSurge int
 	Stages              []int // instances of the new version at the end of each, rising up to Count
 	Check               HealthCheck
-	Soak                Micros   // all new instances of a stage have to stay healthy for that long
-	StartWithin         Micros   // an instance that got no place by then pauses the roll-out
-	HealthyWithin       Micros   // an instance that runs and has not passed by then is faulty
-	Faulty              int      // new instances that may be faulty before all are taken back
-	Adopt               []string // jobs that are the version before, where no roll-out made them
+	SoakTime                Micros   // all new instances of a stage have to stay healthy for that long
+	StartTimeout         Micros   // an instance that got no place by then pauses the roll-out
+	HealthTimeout       Micros   // an instance that runs and has not passed by then is faulty
+	MaxFaulty              int      // new instances that may be faulty before all are taken back
+	AdoptJobs               []string // jobs that are the version before, where no roll-out made them
 }
 
 // Limits of a roll-out.
@@ -75,11 +75,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return RolloutFrom(v)
+	return RolloutFromJSON(v)
 }
 
-// RolloutFrom checks a request for a roll-out that is parsed already.
-func RolloutFrom(v *fastjson.Value) (*RolloutSpec, error) {
+// RolloutFromJSON checks a request for a roll-out that is parsed already.
+func RolloutFromJSON(v *fastjson.Value) (*RolloutSpec, error) {
 	f := &fields{obj: v}
 	s := &RolloutSpec{ID: f.text("id"), Service: f.text("service")}
 	for _, n := range []struct{ key, v string }{{"id", s.ID}, {"service", s.Service}} {
@@ -96,7 +96,7 @@
 			job.Set(none, a.NewNumberInt(0))
 		}
 		job.Del("dueS")
-		spec, err := JobFrom(job)
+		spec, err := JobFromJSON(job)
 		if err != nil {
 			f.fail("job", err.Error())
 		} else {
@@ -111,9 +111,9 @@
 		return int(min(n, uint64(math.MaxInt32)))
 	}
 	s.Count = within("count", f.count("count"), 1, MaxInstances)
-	s.Floor = within("floor", f.count("floor"), 0, MaxInstances)
-	s.Surge = within("surge", f.count("surge"), 0, MaxInstances)
-	s.Faulty = within("faulty", f.count("faulty"), 0, MaxInstances)
+	s.MinHealthy = within("floor", f.count("floor"), 0, MaxInstances)
+	s.MaxSurge = within("surge", f.count("surge"), 0, MaxInstances)
+	s.MaxFaulty = within("faulty", f.count("faulty"), 0, MaxInstances)
 	if list := f.get("stages", fastjson.TypeArray); list != nil {
 		s.Stages = f.stages(list.GetArray(), s.Count)
 	}
@@ -124,9 +124,9 @@
 		}
 		return FromSeconds(n)
 	}
-	s.Soak = span(f, "soakS", 0, 86400)
-	s.StartWithin = span(f, "startS", 1, 86400)
-	s.HealthyWithin = span(f, "healthyS", 1, 86400)
+	s.SoakTime = span(f, "soakS", 0, 86400)
+	s.StartTimeout = span(f, "startS", 1, 86400)
+	s.HealthTimeout = span(f, "healthyS", 1, 86400)
 	if list := f.optional("adopt"); list != nil {
 		refs, err := list.Array()
 		if err != nil || len(refs) > maxAdopted {
@@ -138,20 +138,20 @@
 				f.fail("adopt", fmt.Sprintf("%q is no job", ref))
 				break
 			}
-			s.Adopt = append(s.Adopt, ref)
+			s.AdoptJobs = append(s.AdoptJobs, ref)
 		}
 	}
 	if check := f.get("check", fastjson.TypeObject); check != nil {
 		g := &fields{obj: check}
-		s.Check = HealthCheck{Kind: CheckKind(g.choice("how", checkNames)), At: g.text("at"), Every: span(g, "everyS", 0.2, 3600), Timeout: span(g, "timeoutS", 0.05, 60)}
+		s.Check = HealthCheck{Kind: CheckKind(g.choice("how", checkNames)), AddressTemplate: g.text("at"), Interval: span(g, "everyS", 0.2, 3600), Timeout: span(g, "timeoutS", 0.05, 60)}
 		if s.Check.Kind == CheckHTTP {
 			s.Check.Path = g.text("path")
 		}
-		s.Check.Passes, s.Check.Fail = int(g.count("passes")), int(g.count("fails"))
+		s.Check.SuccessThreshold, s.Check.FailureThreshold = int(g.count("passes")), int(g.count("fails"))
 		for _, n := range []struct {
 			key string
 			v   int
-		}{{"passes", s.Check.Passes}, {"fails", s.Check.Fail}} {
+		}{{"passes", s.Check.SuccessThreshold}, {"fails", s.Check.FailureThreshold}} {
 			if g.err == nil && (n.v < 1 || n.v > 100) {
 				g.fail(n.key, "must be from 1 to 100")
 			}
@@ -212,26 +212,26 @@
 	number := func(name string, n int) { b = appendInt(appendName(append(b, ','), name), n) }
 	span := func(name string, v Micros) { b = appendSeconds(appendName(append(b, ','), name), v) }
 	number("count", s.Count)
-	number("floor", s.Floor)
-	number("surge", s.Surge)
-	number("faulty", s.Faulty)
+	number("floor", s.MinHealthy)
+	number("surge", s.MaxSurge)
+	number("faulty", s.MaxFaulty)
 	b = appendList(appendName(append(b, ','), "stages"), s.Stages, appendInt)
-	span("soakS", s.Soak)
-	span("startS", s.StartWithin)
-	span("healthyS", s.HealthyWithin)
-	if len(s.Adopt) > 0 {
-		b = appendList(appendName(append(b, ','), "adopt"), s.Adopt, AppendQuoted)
+	span("soakS", s.SoakTime)
+	span("startS", s.StartTimeout)
+	span("healthyS", s.HealthTimeout)
+	if len(s.AdoptJobs) > 0 {
+		b = appendList(appendName(append(b, ','), "adopt"), s.AdoptJobs, AppendQuoted)
 	}
 	b = append(appendName(append(b, ','), "check"), '{')
 	b = append(AppendQuoted(appendName(b, "how"), s.Check.Kind.String()), ',')
-	b = AppendQuoted(appendName(b, "at"), s.Check.At)
+	b = AppendQuoted(appendName(b, "at"), s.Check.AddressTemplate)
 	if s.Check.Kind == CheckHTTP {
 		b = AppendQuoted(appendName(append(b, ','), "path"), s.Check.Path)
 	}
-	span("everyS", s.Check.Every)
+	span("everyS", s.Check.Interval)
 	span("timeoutS", s.Check.Timeout)
-	number("passes", s.Check.Passes)
-	number("fails", s.Check.Fail)
+	number("passes", s.Check.SuccessThreshold)
+	number("fails", s.Check.FailureThreshold)
 	return append(b, "}}"...)
 }
 
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Sibling is another controller.
-type Sibling struct {
+// Peer is another controller.
+type Peer struct {
 	Name, Zone, Address string
 }
 
@@ -32,28 +32,28 @@
 
 // Platform is the file that the platform hands over, checked and converted.
 type Platform struct {
-	Node, Zone                  string
+	ControllerName, Zone                  string
 	ClientListen, ClusterListen string
-	Siblings                    []Sibling
+	Peers                    []Peer
 	CloudAddr, StateAddr        string
 	Zones                       []string
-	ClockOff                    Micros
+	MaxClockOffset                    Micros
 	Teams                       map[string]Team
 	Objectives                  []Objective
 
-	ReportEvery, WorkerLease   Micros
-	GangWait, GangPeer, Cancel Micros
-	StateRate, StateWriteRate  float64
-	ValueBytes, TxnOps         int
-	StateNext                  *StateLimits // announced; nil: nothing is
+	HeartbeatInterval, WorkerLease   Micros
+	GangWaitTimeout, GangPeerTimeout, CancelTimeout Micros
+	StateRequestRate, StateWriteRate  float64
+	MaxValueBytes, MaxTxnChanges         int
+	AnnouncedStateLimits                  *StateLimits // announced; nil: nothing is
 	CloudRate                  float64
-	ListLag                    Micros
+	MachineListLag                    Micros
 	CPUShare                   float64
 	MemoryBytes                int64
 	MaxConnections             int
 }
 
-type siblingFile struct {
+type peerFile struct {
 	NodeName string `toml:"node_name"`
 	Area     string `toml:"area"`
 	Address  string `toml:"address"`
@@ -85,7 +85,7 @@
 	Area          string        `toml:"area"`
 	ClientListen  string        `toml:"client_listen"`
 	ClusterListen string        `toml:"cluster_listen"`
-	Siblings      []siblingFile `toml:"siblings"`
+	Siblings      []peerFile `toml:"siblings"`
 	Services      struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -151,24 +151,24 @@
 		return nil, err
 	}
 	p := &Platform{
-		Node: f.NodeName, Zone: f.Area, ClientListen: f.ClientListen, ClusterListen: f.ClusterListen,
+		ControllerName: f.NodeName, Zone: f.Area, ClientListen: f.ClientListen, ClusterListen: f.ClusterListen,
 		CloudAddr: f.Services.Cloud, StateAddr: f.Services.State, Zones: f.Facts.Zones,
-		ClockOff:    FromSeconds(f.Facts.ClockOffMS / 1000),
+		MaxClockOffset:    FromSeconds(f.Facts.ClockOffMS / 1000),
 		Teams:       make(map[string]Team),
-		ReportEvery: FromSeconds(f.Facts.Workers.ReportS), WorkerLease: FromSeconds(f.Facts.Workers.LeaseS),
-		GangWait: FromSeconds(f.Facts.Workers.GangWaitS), GangPeer: FromSeconds(f.Facts.Workers.GangPeerS),
-		Cancel:    FromSeconds(f.Facts.Workers.CancelS),
-		StateRate: f.Facts.State.RPS, StateWriteRate: f.Facts.State.WriteRPS,
-		ValueBytes: int(f.Facts.State.ValueKB * 1024), TxnOps: f.Facts.State.TxnOps,
-		CloudRate: f.Facts.Cloud.RPS, ListLag: FromSeconds(f.Facts.Cloud.ListLagS),
+		HeartbeatInterval: FromSeconds(f.Facts.Workers.ReportS), WorkerLease: FromSeconds(f.Facts.Workers.LeaseS),
+		GangWaitTimeout: FromSeconds(f.Facts.Workers.GangWaitS), GangPeerTimeout: FromSeconds(f.Facts.Workers.GangPeerS),
+		CancelTimeout:    FromSeconds(f.Facts.Workers.CancelS),
+		StateRequestRate: f.Facts.State.RPS, StateWriteRate: f.Facts.State.WriteRPS,
+		MaxValueBytes: int(f.Facts.State.ValueKB * 1024), MaxTxnChanges: f.Facts.State.TxnOps,
+		CloudRate: f.Facts.Cloud.RPS, MachineListLag: FromSeconds(f.Facts.Cloud.ListLagS),
 		CPUShare: f.Facts.Quota.CPU, MemoryBytes: int64(f.Facts.Quota.MemoryMB * 1e6),
 		MaxConnections: f.Facts.Quota.MaxConnections,
 	}
 	if n := f.Facts.State.Next; n != nil {
-		p.StateNext = &StateLimits{WriteRate: n.WriteRPS, ValueBytes: int(n.ValueKB * 1024), TxnOps: n.TxnOps}
+		p.AnnouncedStateLimits = &StateLimits{WriteRate: n.WriteRPS, MaxValueBytes: int(n.ValueKB * 1024), MaxTxnChanges: n.TxnOps}
 	}
 	for _, s := range f.Siblings {
-		p.Siblings = append(p.Siblings, Sibling{s.NodeName, s.Area, s.Address})
+		p.Peers = append(p.Peers, Peer{s.NodeName, s.Area, s.Address})
 	}
 	for _, t := range f.Facts.Teams {
 		p.Teams[t.Name] = Team{
@@ -184,7 +184,7 @@
 }
 
 func (p *Platform) check(f *platformFile) error {
-	texts := []struct{ key, v string }{{"node_name", p.Node}, {"area", p.Zone}}
+	texts := []struct{ key, v string }{{"node_name", p.ControllerName}, {"area", p.Zone}}
 	for _, t := range texts {
 		if t.v == "" {
 			return &KeyError{t.key, "missing"}
@@ -196,7 +196,7 @@
 		{"services.cloud", p.CloudAddr},
 		{"services.state", p.StateAddr},
 	}
-	for i, s := range p.Siblings {
+	for i, s := range p.Peers {
 		if s.Name == "" {
 			return &KeyError{fmt.Sprintf("siblings[%d].node_name", i), "missing"}
 		}
@@ -218,15 +218,15 @@
 		v   float64
 		max float64
 	}{
-		{"facts.workers.report_s", p.ReportEvery.Seconds(), 3600},
+		{"facts.workers.report_s", p.HeartbeatInterval.Seconds(), 3600},
 		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 86400},
-		{"facts.workers.gang_wait_s", p.GangWait.Seconds(), 86400},
-		{"facts.workers.gang_peer_s", p.GangPeer.Seconds(), 86400},
-		{"facts.workers.cancel_s", p.Cancel.Seconds(), 86400},
-		{"facts.state.rps", p.StateRate, 1e9},
+		{"facts.workers.gang_wait_s", p.GangWaitTimeout.Seconds(), 86400},
+		{"facts.workers.gang_peer_s", p.GangPeerTimeout.Seconds(), 86400},
+		{"facts.workers.cancel_s", p.CancelTimeout.Seconds(), 86400},
+		{"facts.state.rps", p.StateRequestRate, 1e9},
 		{"facts.state.write_rps", p.StateWriteRate, 1e9},
 		{"facts.state.value_kb", f.Facts.State.ValueKB, 1e6},
-		{"facts.state.txn_ops", float64(p.TxnOps), 1e6},
+		{"facts.state.txn_ops", float64(p.MaxTxnChanges), 1e6},
 		{"facts.cloud.rps", p.CloudRate, 1e9},
 		{"facts.quota.cpu", p.CPUShare, 4096},
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 1e9},
@@ -237,21 +237,21 @@
 			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be above 0 and at most %g", n.max)}
 		}
 	}
-	if p.TxnOps < MinTxnOps {
-		return &KeyError{"facts.state.txn_ops", fmt.Sprintf("at least %d changes in a transaction are needed", MinTxnOps)}
+	if p.MaxTxnChanges < MinTxnChanges {
+		return &KeyError{"facts.state.txn_ops", fmt.Sprintf("at least %d changes in a transaction are needed", MinTxnChanges)}
 	}
-	if err := p.StateNext.check(); err != nil {
+	if err := p.AnnouncedStateLimits.check(); err != nil {
 		return err
 	}
-	nodes, report := float64(len(p.Siblings)+1), p.ReportEvery.Seconds()
+	nodes, report := float64(len(p.Peers)+1), p.HeartbeatInterval.Seconds()
 	for _, n := range []struct {
 		key     string
 		v, need float64
 		why     string
 	}{
 		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 2*report + 4, "a report that is not answered within 4 s, and the one after it, take two times report_s more"},
-		{"facts.workers.cancel_s", p.Cancel.Seconds(), 2 * (1.5*report + 2), "within half of it a silent machine has to be noticed and asked"},
-		{"facts.state.rps", p.StateRate, max(8, nodes), "the leader renews its lease, and each controller has to look who leads"},
+		{"facts.workers.cancel_s", p.CancelTimeout.Seconds(), 2 * (1.5*report + 2), "within half of it a silent machine has to be noticed and asked"},
+		{"facts.state.rps", p.StateRequestRate, max(8, nodes), "the leader renews its lease, and each controller has to look who leads"},
 		{"facts.state.write_rps", p.StateWriteRate, MinWriteRate, "a leader records each launch and each job"},
 		{"facts.state.value_kb", f.Facts.State.ValueKB, MinValueBytes / 1024, "a job's description has to fit"},
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 16, "that is what a controller takes that does nothing"},
@@ -261,7 +261,7 @@
 			return &KeyError{n.key, fmt.Sprintf("%g is too little for %g controllers: at least %g, since %s", n.v, nodes, n.need, n.why)}
 		}
 	}
-	if p.ListLag < 0 || p.ClockOff < 0 {
+	if p.MachineListLag < 0 || p.MaxClockOffset < 0 {
 		return &KeyError{"facts", "list_lag_s and clock_off_ms must not be negative"}
 	}
 	for i, t := range f.Facts.Teams {
@@ -277,27 +277,27 @@
 	return nil
 }
 
-// Operator holds the operators' own settings, all optional.
-type Operator struct {
+// OperatorSettings holds the operators' own settings, all optional.
+type OperatorSettings struct {
 	LeaderLease    Micros  // time the leader's lease lasts without renewal
-	RoundEvery     Micros  // longest time between planning rounds
-	RoundGap       Micros  // shortest time between planning rounds
+	MaxCycleInterval     Micros  // longest time between planning rounds
+	MinCycleInterval       Micros  // shortest time between planning rounds
 	DeadlineMargin Micros  // kept between a booked end and its deadline
-	AnswerOn       Micros  // how long workers are answered after the lease may have ended
-	SilentRelease  Micros  // silence after which a machine is released as a fence
-	IdleReturn     Micros  // idle time after which a machine goes back
-	CutKeep        Micros  // how long the machines of a zone that is cut off are kept; 0: eight leases
+	HeartbeatGrace       Micros  // how long workers are answered after the lease may have ended
+	SilentReleaseDelay  Micros  // silence after which a machine is released as a fence
+	IdleScaleInDelay     Micros  // idle time after which a machine goes back
+	PartitionRetention        Micros  // how long the machines of a zone that is cut off are kept; 0: eight leases
 	WarmSpare      float64 // arrivals per class for which room is kept, in units of what comes during a boot
 
 	SourceAddress netip.Addr // local address of outbound connections; the zero value: the system's choice
 }
 
-// DefaultOperator holds the values used where the operators set none.
-func DefaultOperator() Operator {
-	return Operator{
-		LeaderLease: 2 * Second, RoundEvery: 2 * Second, RoundGap: 200 * Millisecond,
-		DeadlineMargin: 3 * Second, AnswerOn: 180 * Second, SilentRelease: 6 * Second,
-		IdleReturn: 20 * Second, WarmSpare: 0.4,
+// DefaultOperatorSettings holds the values used where the operators set none.
+func DefaultOperatorSettings() OperatorSettings {
+	return OperatorSettings{
+		LeaderLease: 2 * Second, MaxCycleInterval: 2 * Second, MinCycleInterval: 200 * Millisecond,
+		DeadlineMargin: 3 * Second, HeartbeatGrace: 180 * Second, SilentReleaseDelay: 6 * Second,
+		IdleScaleInDelay: 20 * Second, WarmSpare: 0.4,
 	}
 }
 
@@ -314,12 +314,12 @@
 	SourceAddress   *string  `toml:"source_address"`
 }
 
-// LoadOperator reads the operators' file; an unknown key is an error.
-func LoadOperator(path string) (Operator, error) { return LoadFile(path, ParseOperator) }
+// LoadOperatorSettings reads the operators' file; an unknown key is an error.
+func LoadOperatorSettings(path string) (OperatorSettings, error) { return LoadFile(path, ParseOperatorSettings) }
 
-// ParseOperator checks the text of the operators' file.
-func ParseOperator(text []byte) (Operator, error) {
-	o := DefaultOperator()
+// ParseOperatorSettings checks the text of the operators' file.
+func ParseOperatorSettings(text []byte) (OperatorSettings, error) {
+	o := DefaultOperatorSettings()
 	var f operatorFile
 	if err := DecodeStrict(text, &f); err != nil {
 		return o, err
@@ -331,13 +331,13 @@
 		min, max float64
 	}{
 		{"leader_lease_s", f.LeaderLeaseS, &o.LeaderLease, 1, 60},
-		{"round_s", f.RoundS, &o.RoundEvery, 0.1, 60},
-		{"round_gap_s", f.RoundGapS, &o.RoundGap, 0.01, 10},
+		{"round_s", f.RoundS, &o.MaxCycleInterval, 0.1, 60},
+		{"round_gap_s", f.RoundGapS, &o.MinCycleInterval, 0.01, 10},
 		{"deadline_margin_s", f.DeadlineMarginS, &o.DeadlineMargin, 0, 3600},
-		{"answer_on_s", f.AnswerOnS, &o.AnswerOn, 0, 600},
-		{"silent_release_s", f.SilentReleaseS, &o.SilentRelease, 5, 3600},
-		{"idle_return_s", f.IdleReturnS, &o.IdleReturn, 1, 86400},
-		{"cut_keep_s", f.CutKeepS, &o.CutKeep, 0, 86400},
+		{"answer_on_s", f.AnswerOnS, &o.HeartbeatGrace, 0, 600},
+		{"silent_release_s", f.SilentReleaseS, &o.SilentReleaseDelay, 5, 3600},
+		{"idle_return_s", f.IdleReturnS, &o.IdleScaleInDelay, 1, 86400},
+		{"cut_keep_s", f.CutKeepS, &o.PartitionRetention, 0, 86400},
 	}
 	for _, s := range spans {
 		seconds := s.to.Seconds()
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -11,13 +11,13 @@
 type Entry struct {
 	Key   string
 	Value []byte // JSON
-	Stamp uint64
+	Revision uint64
 }
 
 // Condition asks that a key has a stamp (0: that it does not exist).
 type Condition struct {
 	Key   string
-	Stamp uint64
+	Revision uint64
 }
 
 // Change is one put, or a delete where Value is nil.
@@ -35,7 +35,7 @@
 			b = append(b, ',')
 		}
 		b = AppendQuoted(append(b, `{"path":`...), c.Key)
-		b = strconv.AppendUint(append(b, `,"stamp":`...), c.Stamp, 10)
+		b = strconv.AppendUint(append(b, `,"stamp":`...), c.Revision, 10)
 		b = append(b, '}')
 	}
 	b = append(b, `],"then":[`...)
@@ -59,8 +59,8 @@
 
 // TxnResult is the answer to a transaction.
 type TxnResult struct {
-	Stamp  uint64
-	Failed []string
+	Revision  uint64
+	Conflicts []string
 }
 
 // ParseTxn reads the answer to a transaction.
@@ -73,9 +73,9 @@
 		return r, err
 	}
 	f := &fields{obj: v}
-	r.Stamp = f.count("generation")
+	r.Revision = f.count("generation")
 	for _, k := range v.GetArray("failed") {
-		r.Failed = append(r.Failed, string(k.GetStringBytes()))
+		r.Conflicts = append(r.Conflicts, string(k.GetStringBytes()))
 	}
 	return r, f.err
 }
@@ -142,7 +142,7 @@
 			}
 		case "stamp":
 			var ok bool
-			if e.Stamp, ok = value.count(); !ok {
+			if e.Revision, ok = value.count(); !ok {
 				err = errors.New("stamp: invalid")
 			}
 		case "data":
@@ -154,7 +154,7 @@
 	case err != nil:
 	case e.Key == "":
 		err = errors.New("path: missing")
-	case e.Stamp == 0:
+	case e.Revision == 0:
 		err = errors.New("stamp: missing")
 	case e.Value == nil:
 		err = errors.New("data: missing")
@@ -162,8 +162,8 @@
 	return e, err
 }
 
-// ParseFollow reads the changes of a watch; a dropped key has a nil Value.
-func ParseFollow(body []byte) (entries []Entry, revision uint64, err error) {
+// ParseWatch reads the changes of a watch; a dropped key has a nil Value.
+func ParseWatch(body []byte) (entries []Entry, revision uint64, err error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
 	v, err := parseObject(p, body)
@@ -178,7 +178,7 @@
 	}
 	for _, it := range list {
 		nf := &fields{obj: it}
-		e := Entry{Stamp: nf.count("stamp")}
+		e := Entry{Revision: nf.count("stamp")}
 		if it.Exists("drop") {
 			e.Key = nf.text("drop")
 		} else {
--- a/internal/protocol/units.go
+++ b/internal/protocol/units.go
@@ -51,23 +51,23 @@
 // Resources is an amount of what machines offer and tasks take, in
 // thousandths (of a processor, of a GPU, of a GB).
 type Resources struct {
-	CPU, GPU, Mem int64
+	CPU, GPU, Memory int64
 }
 
 // Add returns r plus o taken n times.
 func (r Resources) Add(o Resources, n int64) Resources {
-	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Mem + n*o.Mem}
+	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Memory + n*o.Memory}
 }
 
-// Holds reports whether o fits into r.
-func (r Resources) Holds(o Resources) bool {
-	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Mem <= r.Mem
+// Covers reports whether o fits into r.
+func (r Resources) Covers(o Resources) bool {
+	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Memory <= r.Memory
 }
 
-// Times says how many times o fits into r.
-func (r Resources) Times(o Resources) int64 {
+// MaxCopies says how many times o fits into r.
+func (r Resources) MaxCopies(o Resources) int64 {
 	n := int64(math.MaxInt32)
-	for _, p := range [][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Mem, o.Mem}} {
+	for _, p := range [][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
 		if p[1] > 0 {
 			n = min(n, max(p[0], 0)/p[1])
 		}
--- a/internal/protocol/user.go
+++ b/internal/protocol/user.go
@@ -9,66 +9,66 @@
 	"github.com/valyala/fastjson"
 )
 
-// Kind is a job's shape.
-type Kind uint8
+// JobKind is a job's shape.
+type JobKind uint8
 
 // Kinds of jobs.
 const (
-	Array   Kind = iota // independent tasks
+	Array   JobKind = iota // independent tasks
 	Gang                // all tasks run at the same time
 	Service             // replicas run until cancelled
 )
 
-// Rank is a job's priority; a lower value goes first.
-type Rank uint8
+// Priority is a job's priority; a lower value goes first.
+type Priority uint8
 
 // Ranks, highest first.
 const (
-	Critical Rank = iota
-	High
-	Standard
-	Low
+	PriorityCritical Priority = iota
+	PriorityHigh
+	PriorityStandard
+	PriorityLow
 )
 
 var (
 	kindNames = []string{"array", "ensemble", "daemon"}
-	rankNames = []string{"critical", "high", "standard", "low"}
+	priorityNames = []string{"critical", "high", "standard", "low"}
 )
 
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100000
 
-// MaxAwaits is how many jobs one job may await. A job's record has to fit into a value of
+// MaxDependencies is how many jobs one job may await. A job's record has to fit into a value of
 // the state service, also of one with low limits.
-const MaxAwaits = 64
+const MaxDependencies = 64
 
 // JobSpec is what a user submits.
 type JobSpec struct {
 	Ref, Class, Team       string
-	Kind                   Kind
-	Rank                   Rank
+	Kind                   JobKind
+	Priority                   Priority
 	Tasks                  int
-	Need                   Resources
+	TaskResources                   Resources
 	Image                  string
 	ImageSize              int64    // thousandths of a GB
-	Types                  []string // nil: any
+	MachineTypes                  []string // nil: any
 	Zone                   string   // "": any
-	OneZone, Spread, Spot  bool
-	Estimate               Micros
-	CheckpointEvery, Saves Micros   // 0: never saves
+	SingleZone, SpreadZones, AllowSpot  bool
+	EstimatedRuntime               Micros
+	CheckpointInterval, CheckpointDuration Micros   // 0: never saves
 	Deadline               Micros   // from submission; 0: none
-	Awaits                 []string // jobs that have to be done before any task starts, each once
+	DependsOn                 []string // jobs that have to be done before any task starts, each once
 }
 
 // Durable reports whether tasks can save progress.
-func (s *JobSpec) Checkpoints() bool { return s.CheckpointEvery > 0 }
+func (s *JobSpec) CanCheckpoint() bool { return s.CheckpointInterval > 0 }
 
 // AllowsType reports whether the job may run on a machine type.
 func (s *JobSpec) AllowsType(name string) bool {
-	if s.Types == nil {
+	if s.MachineTypes == nil {
 		return true
 	}
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		if t == name {
 			return true
 		}
@@ -178,7 +178,7 @@
 		// 16.0 is a whole number too.
 		x, ferr := v.Float64()
 		var whole bool
-		if n, whole = wholeNumber(x); ferr != nil || !whole {
+		if n, whole = integerValue(x); ferr != nil || !whole {
 			f.fail(name, "invalid")
 			return 0
 		}
@@ -186,7 +186,7 @@
 	return n
 }
 
-func wholeNumber(x float64) (uint64, bool) {
+func integerValue(x float64) (uint64, bool) {
 	if x >= 0 && x == math.Trunc(x) && x < 1<<53 {
 		return uint64(x), true
 	}
@@ -215,24 +215,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return JobFrom(v)
+	return JobFromJSON(v)
 }
 
-// JobFrom checks a submission that is parsed already.
-func JobFrom(v *fastjson.Value) (*JobSpec, error) {
+// JobFromJSON checks a submission that is parsed already.
+func JobFromJSON(v *fastjson.Value) (*JobSpec, error) {
 	f := &fields{obj: v}
 	s := &JobSpec{
 		Ref: f.text("ref"), Class: f.text("jobclass"), Team: f.text("owner"),
-		Kind: Kind(f.choice("shape", kindNames)), Rank: Rank(f.choice("rank", rankNames)),
-		Need: Resources{
+		Kind: JobKind(f.choice("shape", kindNames)), Priority: Priority(f.choice("rank", priorityNames)),
+		TaskResources: Resources{
 			CPU: needThousandths(f.number("cores")), GPU: needThousandths(f.number("gpus")),
-			Mem: needThousandths(f.number("memoryGb")),
+			Memory: needThousandths(f.number("memoryGb")),
 		},
 		Image: f.text("bundle"), ImageSize: needThousandths(f.number("sizeGb")),
-		OneZone: f.flag("samePlace"), Spread: f.flag("apart"), Spot: f.flag("reclaimable"),
-		Estimate:        FromSeconds(f.number("expectS")),
-		CheckpointEvery: FromSeconds(f.number("snapshotEveryS")),
-		Saves:           FromSeconds(f.number("snapshotS")),
+		SingleZone: f.flag("samePlace"), SpreadZones: f.flag("apart"), AllowSpot: f.flag("reclaimable"),
+		EstimatedRuntime:        FromSeconds(f.number("expectS")),
+		CheckpointInterval: FromSeconds(f.number("snapshotEveryS")),
+		CheckpointDuration:           FromSeconds(f.number("snapshotS")),
 	}
 	if f.err == nil && !ValidRef(s.Ref) {
 		f.fail("ref", "invalid")
@@ -247,13 +247,13 @@
 		if err != nil || len(list) > 1000 {
 			f.fail("flavors", "invalid")
 		}
-		s.Types = []string{}
+		s.MachineTypes = []string{}
 		for _, t := range list {
 			if t.Type() != fastjson.TypeString {
 				f.fail("flavors", "invalid")
 				break
 			}
-			s.Types = append(s.Types, string(t.GetStringBytes()))
+			s.MachineTypes = append(s.MachineTypes, string(t.GetStringBytes()))
 		}
 	}
 	if f.optional("region") != nil {
@@ -264,12 +264,12 @@
 			s.Deadline = 1
 		}
 	}
-	s.Awaits = f.awaits(s.Ref)
+	s.DependsOn = f.dependencies(s.Ref)
 	return s, f.err
 }
 
-// awaits reads the jobs that a job awaits. One that is named twice counts once.
-func (f *fields) awaits(ref string) []string {
+// dependencies reads the jobs that a job awaits. One that is named twice counts once.
+func (f *fields) dependencies(ref string) []string {
 	const name = "awaits"
 	v := f.optional(name)
 	if v == nil {
@@ -280,8 +280,8 @@
 		f.fail(name, "invalid")
 		return nil
 	}
-	if len(list) > MaxAwaits {
-		f.fail(name, fmt.Sprintf("more than %d jobs", MaxAwaits))
+	if len(list) > MaxDependencies {
+		f.fail(name, fmt.Sprintf("more than %d jobs", MaxDependencies))
 		return nil
 	}
 	var refs []string
@@ -313,34 +313,34 @@
 	text("jobclass", s.Class)
 	text("owner", s.Team)
 	text("shape", kindNames[s.Kind])
-	text("rank", rankNames[s.Rank])
+	text("rank", priorityNames[s.Priority])
 	b = append(b, `"shards":`...)
 	b = strconv.AppendInt(b, int64(s.Tasks), 10)
 	b = append(b, ',')
-	amount("cores", s.Need.CPU)
-	amount("gpus", s.Need.GPU)
-	amount("memoryGb", s.Need.Mem)
+	amount("cores", s.TaskResources.CPU)
+	amount("gpus", s.TaskResources.GPU)
+	amount("memoryGb", s.TaskResources.Memory)
 	text("bundle", s.Image)
 	amount("sizeGb", s.ImageSize)
-	if s.Types != nil {
-		b = append(appendList(appendName(b, "flavors"), s.Types, AppendQuoted), ',')
+	if s.MachineTypes != nil {
+		b = append(appendList(appendName(b, "flavors"), s.MachineTypes, AppendQuoted), ',')
 	}
 	if s.Zone != "" {
 		text("region", s.Zone)
 	}
-	flag("samePlace", s.OneZone)
-	flag("apart", s.Spread)
-	flag("reclaimable", s.Spot)
-	span("expectS", s.Estimate)
-	span("snapshotEveryS", s.CheckpointEvery)
+	flag("samePlace", s.SingleZone)
+	flag("apart", s.SpreadZones)
+	flag("reclaimable", s.AllowSpot)
+	span("expectS", s.EstimatedRuntime)
+	span("snapshotEveryS", s.CheckpointInterval)
 	if s.Deadline > 0 {
 		span("dueS", s.Deadline)
 	}
-	if len(s.Awaits) > 0 {
-		b = append(appendList(appendName(b, "awaits"), s.Awaits, AppendQuoted), ',')
+	if len(s.DependsOn) > 0 {
+		b = append(appendList(appendName(b, "awaits"), s.DependsOn, AppendQuoted), ',')
 	}
 	b = append(b, `"snapshotS":`...)
-	b = appendSeconds(b, s.Saves)
+	b = appendSeconds(b, s.CheckpointDuration)
 	return append(b, '}')
 }
 
@@ -374,14 +374,14 @@
 
 // Phases of a job.
 const (
-	Queued    Phase = "queued"
-	Running   Phase = "running"
-	Done      Phase = "done"
-	Cancelled Phase = "cancelled"
+	PhaseQueued    Phase = "queued"
+	PhaseRunning   Phase = "running"
+	PhaseDone      Phase = "done"
+	PhaseCancelled Phase = "cancelled"
 )
 
-// JobAnswer is the body that says how a job stands.
-func JobAnswer(ref string, p Phase, done, running int) []byte {
+// JobStatusBody is the body that says how a job stands.
+func JobStatusBody(ref string, p Phase, done, running int) []byte {
 	b := append([]byte(`{"ref":`), AppendQuoted(nil, ref)...)
 	b = append(b, `,"phase":"`...)
 	b = append(b, p...)
@@ -392,9 +392,9 @@
 	return append(b, '}')
 }
 
-// AwaitingAnswer is a JobAnswer of a queued job that awaits others still, with their names.
-func AwaitingAnswer(ref string, awaiting []string) []byte {
-	b := JobAnswer(ref, Queued, 0, 0)
+// WaitingJobStatusBody is a JobStatusBody of a queued job that awaits others still, with their names.
+func WaitingJobStatusBody(ref string, awaiting []string) []byte {
+	b := JobStatusBody(ref, PhaseQueued, 0, 0)
 	b = appendName(append(b[:len(b)-1], ','), "awaiting")
 	return append(appendList(b, awaiting, AppendQuoted), '}')
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -11,14 +11,14 @@
 
 // States of a task on a machine.
 const (
-	Fetching TaskState = iota
-	Waiting
-	Executing
-	Saving
-	Exited
+	TaskFetching TaskState = iota
+	TaskWaiting
+	TaskRunning
+	TaskCheckpointing
+	TaskExited
 )
 
-var taskStates = map[string]TaskState{"fetching": Fetching, "waiting": Waiting, "running": Executing, "saving": Saving, "exited": Exited}
+var taskStates = map[string]TaskState{"fetching": TaskFetching, "waiting": TaskWaiting, "running": TaskRunning, "saving": TaskCheckpointing, "exited": TaskExited}
 
 // ExitReason says why a task ended.
 type ExitReason string
@@ -49,31 +49,31 @@
 	Number uint64
 }
 
-// TaskReport is one task of a report.
-type TaskReport struct {
+// TaskStatus is one task of a report.
+type TaskStatus struct {
 	AttemptName
 	State  TaskState
 	Reason ExitReason
-	Saved  bool
+	Checkpointed  bool
 }
 
-// Report is what a worker says of its machine.
-type Report struct {
+// Heartbeat is what a worker says of its machine.
+type Heartbeat struct {
 	Host, Addr, Type, Zone string
 	Spot                   bool
-	Session, Tick, Epoch   uint64
-	Noticed                bool
-	Notice                 Micros
-	Tasks                  []TaskReport
+	AgentEpoch, Sequence, Token   uint64
+	Interrupted                bool
+	InterruptedIn                 Micros
+	Tasks                  []TaskStatus
 }
 
-// Newer reports whether r is newer than the message (session, tick).
-func (r *Report) Newer(session, tick uint64) bool {
-	return r.Session > session || (r.Session == session && r.Tick > tick)
+// NewerThan reports whether r is newer than the message (session, tick).
+func (r *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
+	return r.AgentEpoch > agentEpoch || (r.AgentEpoch == agentEpoch && r.Sequence > sequence)
 }
 
-// ParseReport checks a worker's report.
-func ParseReport(body []byte) (*Report, error) {
+// ParseHeartbeat checks a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
 	v, err := parseObject(p, body)
@@ -81,12 +81,12 @@
 		return nil, err
 	}
 	f := &fields{obj: v}
-	r := &Report{
+	r := &Heartbeat{
 		Host: f.text("host"), Addr: f.text("addr"), Type: f.text("flavor"), Zone: f.text("region"),
-		Spot: f.flag("reclaimable"), Session: f.count("tenure"), Tick: f.count("tick"), Epoch: f.count("epoch"),
+		Spot: f.flag("reclaimable"), AgentEpoch: f.count("tenure"), Sequence: f.count("tick"), Token: f.count("epoch"),
 	}
 	if f.optional("reclaimInS") != nil {
-		r.Noticed, r.Notice = true, FromSeconds(f.number("reclaimInS"))
+		r.Interrupted, r.InterruptedIn = true, FromSeconds(f.number("reclaimInS"))
 	}
 	list := v.Get("shards")
 	if list == nil {
@@ -96,16 +96,16 @@
 	if err != nil {
 		return nil, errors.New("shards: invalid")
 	}
-	r.Tasks = make([]TaskReport, 0, len(items))
+	r.Tasks = make([]TaskStatus, 0, len(items))
 	for _, it := range items {
 		tf := &fields{obj: it}
 		name, ok := parseTaskName(tf.text("shard"))
 		state, known := taskStates[tf.text("phase")]
-		t := TaskReport{AttemptName: AttemptName{name, tf.count("try")}, State: state}
+		t := TaskStatus{AttemptName: AttemptName{name, tf.count("try")}, State: state}
 		if v := it.Get("saved"); v != nil {
-			t.Saved = v.GetBool()
+			t.Checkpointed = v.GetBool()
 		}
-		if state == Exited && tf.optional("exitReason") != nil {
+		if state == TaskExited && tf.optional("exitReason") != nil {
 			t.Reason = ExitReason(tf.text("exitReason"))
 		}
 		if tf.err != nil || !ok || !known {
@@ -127,9 +127,9 @@
 
 // Commands to workers.
 const (
-	Launch Verb = iota
-	Stop
-	Forget
+	VerbLaunch Verb = iota
+	VerbStop
+	VerbForget
 )
 
 // Command is one command to a worker.
@@ -141,12 +141,12 @@
 
 // AppendCommands writes the answer to a report. The line limit is 64 KiB, so
 // commands beyond it wait for the next report: Fits says how many go.
-func AppendCommands(b []byte, epoch uint64, session uint64, cmds []Command) []byte {
+func AppendCommands(b []byte, token uint64, agentEpoch uint64, cmds []Command) []byte {
 	b = append(b, `{"epoch":`...)
-	b = strconv.AppendUint(b, epoch, 10)
-	if session > 0 {
+	b = strconv.AppendUint(b, token, 10)
+	if agentEpoch > 0 {
 		b = append(b, `,"tenure":`...)
-		b = strconv.AppendUint(b, session, 10)
+		b = strconv.AppendUint(b, agentEpoch, 10)
 	}
 	b = append(b, `,"orders":[`...)
 	for i, c := range cmds {
@@ -157,7 +157,7 @@
 		b = AppendQuoted(b, c.Name.TaskName.String())
 		b = append(b, `,"try":`...)
 		b = strconv.AppendUint(b, c.Name.Number, 10)
-		if c.Verb == Stop {
+		if c.Verb == VerbStop {
 			b = append(b, `,"drainS":`...)
 			b = appendSeconds(b, c.Grace)
 		}
--- a/internal/rollout/address.go
+++ b/internal/rollout/address.go
@@ -113,7 +113,7 @@
 func newTarget(h *protocol.HealthCheck) (*target, error) {
 	t := &target{spec: h}
 	var err error
-	if t.at, err = compile("check.at", h.At); err != nil {
+	if t.at, err = compile("check.at", h.AddressTemplate); err != nil {
 		return nil, err
 	}
 	if h.Kind == protocol.CheckHTTP {
--- a/internal/rollout/instance.go
+++ b/internal/rollout/instance.go
@@ -148,14 +148,14 @@
 	if ok {
 		i.row = max(i.row, 0) + 1
 		i.passed = began
-		if i.row >= h.Passes {
+		if i.row >= h.SuccessThreshold {
 			i.health, i.passing = Passing, true
 		}
 		return
 	}
 	i.window |= 1
 	i.why = why
-	if i.row = min(i.row, 0) - 1; -i.row >= h.Fail {
+	if i.row = min(i.row, 0) - 1; -i.row >= h.FailureThreshold {
 		i.health = Failing
 	}
 }
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -95,17 +95,17 @@
 	if m.rec.OldCount == 0 {
 		return 0
 	}
-	return m.spec().Floor
+	return m.spec().MinHealthy
 }
 
 // most is how many instances there may be at any time.
-func (m *machine) most() int { return max(m.spec().Count, m.rec.OldCount) + m.spec().Surge }
+func (m *machine) most() int { return max(m.spec().Count, m.rec.OldCount) + m.spec().MaxSurge }
 
 // step is how many instances a job has at most. So many go at once, so all others
 // being healthy must be enough; and a later roll-out with less surge must be able to
 // take them away: there are ten jobs or more, where there are ten instances.
 func step(s *protocol.RolloutSpec) int {
-	return max(1, min(s.Surge+s.Count-s.Floor, (s.Count+9)/10, mostInBatch))
+	return max(1, min(s.MaxSurge+s.Count-s.MinHealthy, (s.Count+9)/10, mostInBatch))
 }
 
 // mostInBatch bounds what a single job takes with it when it goes.
@@ -113,7 +113,7 @@
 
 // good is how long a pass counts.
 func (m *machine) good(v *Version, stretched micros) micros {
-	return 3*max(v.Spec.Check.Every, stretched) + 2*v.Spec.Check.Timeout
+	return 3*max(v.Spec.Check.Interval, stretched) + 2*v.Spec.Check.Timeout
 }
 
 // look takes in how the jobs stand, and counts.
@@ -176,7 +176,7 @@
 			}
 			t.running++
 			due(i)
-			if i.health != Unknown || now-max(i.since, m.clock) > v.Spec.HealthyWithin {
+			if i.health != Unknown || now-max(i.since, m.clock) > v.Spec.HealthTimeout {
 				t.checked++
 			}
 			if i.row < 0 {
@@ -231,11 +231,11 @@
 		}
 		waited := now - max(i.since, m.clock)
 		switch {
-		case !i.running && waited > s.StartWithin:
+		case !i.running && waited > s.StartTimeout:
 			unplaced++
-		case i.running && !i.passing && waited > s.HealthyWithin && i.doubted > 0 && i.results == 0:
+		case i.running && !i.passing && waited > s.HealthTimeout && i.doubted > 0 && i.results == 0:
 			doubted = append(doubted, i)
-		case i.running && !i.passing && waited > s.HealthyWithin:
+		case i.running && !i.passing && waited > s.HealthTimeout:
 			unhealthy = append(unhealthy, i)
 		}
 	}
@@ -272,7 +272,7 @@
 		if why == "" {
 			why = "no check was made"
 		}
-		m.blame(i, fmt.Sprintf("did not pass within %g s: %s", s.HealthyWithin.Seconds(), why))
+		m.blame(i, fmt.Sprintf("did not pass within %g s: %s", s.HealthTimeout.Seconds(), why))
 	}
 }
 
@@ -337,7 +337,7 @@
 	}
 	if r.State.forward() {
 		m.findFaults(now)
-		if len(m.faults) > m.spec().Faulty {
+		if len(m.faults) > m.spec().MaxFaulty {
 			// Where the old ones fail as well it is not the version: to take away
 			// the new ones would mend nothing.
 			if o := m.oldTally; 2*o.failing > o.running && o.running > 0 {
@@ -374,7 +374,7 @@
 			m.furthest, m.progress = max(at, m.furthest), now
 		}
 	}
-	if s := m.spec(); now-m.progress > s.StartWithin+s.HealthyWithin+2*s.Soak {
+	if s := m.spec(); now-m.progress > s.StartTimeout+s.HealthTimeout+2*s.SoakTime {
 		return m.pause("nothing went on for too long: " + cmp.Or(m.blocked, "checks are missing"))
 	}
 	return n
@@ -456,11 +456,11 @@
 	unplaced, unhealthy, doubted := m.late(now, fresh, s)
 	switch {
 	case unplaced > 0:
-		return m.pause(fmt.Sprintf("no room: %d %s instances got no place within %g s", unplaced, which, s.StartWithin.Seconds()))
+		return m.pause(fmt.Sprintf("no room: %d %s instances got no place within %g s", unplaced, which, s.StartTimeout.Seconds()))
 	case len(doubted) > 0:
 		return m.pause(fmt.Sprintf("%s does not answer here, and no other controller can be asked to check it", doubted[0]))
 	case r.State == Reverting && len(unhealthy) > 0 && m.oldTally.healthy+m.newTally.healthy < m.floor():
-		return m.pause(fmt.Sprintf("the old version fails as well: %s did not pass within %g s", unhealthy[0], s.HealthyWithin.Seconds()))
+		return m.pause(fmt.Sprintf("the old version fails as well: %s did not pass within %g s", unhealthy[0], s.HealthTimeout.Seconds()))
 	}
 	return nil
 }
@@ -584,7 +584,7 @@
 	case m.soak == 0:
 		m.soak = now
 		return nil
-	case now-m.soak >= m.spec().Soak:
+	case now-m.soak >= m.spec().SoakTime:
 		m.soak = 0
 		n.to(Promoting, "")
 	default:
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -395,7 +395,7 @@
 		m.known[e.Ref] = true
 		m.tried[e.Ref] = false
 		m.sent[e.Ref] = 0
-		if e.Phase == protocol.Cancelled {
+		if e.Phase == protocol.PhaseCancelled {
 			m.out[e.Ref], m.gone[e.Ref] = true, true
 		}
 	case e.Status == 400 || e.Status == 422:
@@ -411,7 +411,7 @@
 	if i.busy || i.place >= 0 {
 		return
 	}
-	every := g.healthCheck(i).Every
+	every := g.healthCheck(i).Interval
 	i.due = g.now + micros(g.rng.Int64N(int64(every)))
 	heap.Push(&i.m.due, i)
 }
@@ -473,7 +473,7 @@
 	addr, path, err := t.of(Place{IP: i.ip, Job: i.ref, Number: Number(i.ref), Index: i.index, Attempt: i.attempt, Service: m.rec.Service, Version: v.Hash})
 	if err != nil {
 		i.took(g.now, false, "", err.Error(), t.spec)
-		i.due = g.now + t.spec.Every
+		i.due = g.now + t.spec.Interval
 		heap.Push(&m.due, i)
 		return
 	}
@@ -526,7 +526,7 @@
 		}
 	}
 	if i.running && i.place < 0 {
-		every := g.healthCheck(i).Every
+		every := g.healthCheck(i).Interval
 		i.due = max(g.now, c.began+every*9/10+micros(g.rng.Int64N(int64(every/5)+1)))
 		heap.Push(&i.m.due, i)
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -183,7 +183,7 @@
 		if o == nil {
 			continue
 		}
-		spec, err := protocol.RolloutFrom(protocol.Member(o, "spec"))
+		spec, err := protocol.RolloutFromJSON(protocol.Member(o, "spec"))
 		if err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errRecord, part.name, err)
 		}
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -131,7 +131,7 @@
 	if r.Old.live() == 0 {
 		r.Old = Version{}
 	}
-	if len(s.Adopt) > 0 {
+	if len(s.AdoptJobs) > 0 {
 		old, status, why := g.adopt(s, r)
 		if why != "" {
 			g.problem(e.To, status, "adopt: %s", why)
@@ -167,7 +167,7 @@
 		return nil, 409, "the service has a version that a roll-out made"
 	}
 	v := &Version{}
-	for _, ref := range s.Adopt {
+	for _, ref := range s.AdoptJobs {
 		job := g.fleet.Job(ref, nil)
 		switch {
 		case job.Life != Live:
@@ -177,12 +177,12 @@
 		case g.owners[ref] != nil:
 			return nil, 409, ref + " is of service " + g.owners[ref].rec.Service
 		case v.Spec != nil && VersionOf(job.Spec) != v.Hash:
-			return nil, 422, ref + " differs from " + s.Adopt[0]
+			return nil, 422, ref + " differs from " + s.AdoptJobs[0]
 		}
 		if v.Spec == nil {
 			spec, old := *s, *job.Spec
 			old.Ref, old.Tasks = "", 0
-			spec.ID, spec.Job, spec.Adopt = "adopted", &old, nil
+			spec.ID, spec.Job, spec.AdoptJobs = "adopted", &old, nil
 			v.Spec, v.Hash = &spec, VersionOf(&old)
 		}
 		for _, b := range v.Batches {
@@ -199,15 +199,15 @@
 // than its floor at some time, or nothing.
 func (g *Manager) impossible(r *Record) string {
 	s := r.New.Spec
-	if s.Floor > s.Count {
-		return fmt.Sprintf("floor: %d of %d instances can't be healthy", s.Floor, s.Count)
+	if s.MinHealthy > s.Count {
+		return fmt.Sprintf("floor: %d of %d instances can't be healthy", s.MinHealthy, s.Count)
 	}
 	if r.OldCount > 0 {
-		if s.Floor > r.OldCount {
-			return fmt.Sprintf("floor: the service has %d instances, %d can't be healthy", r.OldCount, s.Floor)
+		if s.MinHealthy > r.OldCount {
+			return fmt.Sprintf("floor: the service has %d instances, %d can't be healthy", r.OldCount, s.MinHealthy)
 		}
 		// What may be missing while a job goes: the surge, and what is above the floor.
-		slack := max(s.Count, r.OldCount) + s.Surge - s.Floor
+		slack := max(s.Count, r.OldCount) + s.MaxSurge - s.MinHealthy
 		if slack < 1 {
 			return "surge: none, and the floor is all instances: none could ever be replaced"
 		}
@@ -230,7 +230,7 @@
 	r, s := m.rec, m.spec()
 	st := &protocol.RolloutStatus{
 		Service: r.Service, ID: s.ID, State: r.State.String(), Reason: r.Reason, Stage: r.Stage + 1, Stages: s.Stages,
-		Count: s.Count, Floor: s.Floor, Surge: s.Surge, Changes: r.Changes,
+		Count: s.Count, Floor: s.MinHealthy, Surge: s.MaxSurge, Changes: r.Changes,
 	}
 	if r.State == Paused {
 		st.Reason = fmt.Sprintf("in %s: %s", r.From, r.Reason)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -210,9 +210,9 @@
 				j, status = w.enter(e.Job), 201
 				w.checkMost()
 			}
-			phase := protocol.Running
+			phase := protocol.PhaseRunning
 			if j.cancelled {
-				phase = protocol.Cancelled
+				phase = protocol.PhaseCancelled
 			}
 			tell(second/50, Submitted{Ref: e.Job.Ref, Status: status, Phase: phase})
 		})
@@ -377,7 +377,7 @@
 		return
 	}
 	c := w.spec.Check
-	window := micros(c.Fail)*c.Every*11/10 + 2*c.Timeout + 3*second
+	window := micros(c.FailureThreshold)*c.Interval*11/10 + 2*c.Timeout + 3*second
 	own, healthy, lately := 0, 0, 0
 	for r, o := range w.jobs {
 		for _, t := range o.tasks {
@@ -392,8 +392,8 @@
 			}
 		}
 	}
-	if own > 0 && healthy+lately < w.spec.Floor {
-		w.fatal("%s is taken away with %d healthy instances: %d others are healthy, %d broke lately, the floor is %d", ref, own, healthy, lately, w.spec.Floor)
+	if own > 0 && healthy+lately < w.spec.MinHealthy {
+		w.fatal("%s is taken away with %d healthy instances: %d others are healthy, %d broke lately, the floor is %d", ref, own, healthy, lately, w.spec.MinHealthy)
 	}
 }
 
@@ -405,7 +405,7 @@
 			n += len(j.tasks)
 		}
 	}
-	if most := max(w.spec.Count, w.old) + w.spec.Surge; n > most {
+	if most := max(w.spec.Count, w.old) + w.spec.MaxSurge; n > most {
 		w.fatal("%d instances, and only %d may be", n, most)
 	}
 }
@@ -467,9 +467,9 @@
 
 func testSpec() *protocol.RolloutSpec {
 	return &protocol.RolloutSpec{
-		ID: "r-1", Service: "picker", Job: &protocol.JobSpec{Class: "live", Team: "red", Kind: protocol.Service, Image: "new", Need: protocol.Resources{CPU: 1000}},
-		Count: 4, Floor: 3, Surge: 1, Stages: []int{1, 4}, Soak: 4 * second, StartWithin: 20 * second, HealthyWithin: 12 * second,
-		Check: protocol.HealthCheck{At: "{{.IP}}:{{add 20000 .Index}}", Path: "/healthz", Every: second, Timeout: second / 2, Passes: 2, Fail: 2},
+		ID: "r-1", Service: "picker", Job: &protocol.JobSpec{Class: "live", Team: "red", Kind: protocol.Service, Image: "new", TaskResources: protocol.Resources{CPU: 1000}},
+		Count: 4, MinHealthy: 3, MaxSurge: 1, Stages: []int{1, 4}, SoakTime: 4 * second, StartTimeout: 20 * second, HealthTimeout: 12 * second,
+		Check: protocol.HealthCheck{AddressTemplate: "{{.IP}}:{{add 20000 .Index}}", Path: "/healthz", Interval: second, Timeout: second / 2, SuccessThreshold: 2, FailureThreshold: 2},
 	}
 }
 
@@ -553,16 +553,16 @@
 		if rapid.IntRange(0, 5).Draw(t, "scales") == 0 {
 			old = rapid.IntRange(0, 9).Draw(t, "old")
 		}
-		s.Surge = rapid.IntRange(0, 3).Draw(t, "surge")
-		s.Floor = rapid.IntRange(0, s.Count).Draw(t, "floor")
-		s.Faulty = max(0, rapid.IntRange(-3, 1).Draw(t, "faulty"))
+		s.MaxSurge = rapid.IntRange(0, 3).Draw(t, "surge")
+		s.MinHealthy = rapid.IntRange(0, s.Count).Draw(t, "floor")
+		s.MaxFaulty = max(0, rapid.IntRange(-3, 1).Draw(t, "faulty"))
 		s.Stages = nil
 		for n := rapid.IntRange(1, s.Count).Draw(t, "first"); n < s.Count; n += rapid.IntRange(1, 4).Draw(t, "more") {
 			s.Stages = append(s.Stages, n)
 		}
 		s.Stages = append(s.Stages, s.Count)
 		spare := rapid.IntRange(-1, 20).Draw(t, "spare")
-		w := newWorld(t, s, old, max(s.Count, old)+s.Surge+spare)
+		w := newWorld(t, s, old, max(s.Count, old)+s.MaxSurge+spare)
 		w.made["new"] = rapid.SampledFrom([]string{"", "", "", "bad", "later", "flaps", "crash"}).Draw(t, "version")
 		faults := rapid.SliceOfN(rapid.Custom(drawFault), 0, 6).Draw(t, "faults")
 		w.run(4*second, func() bool { return false }) // the old ones start
@@ -595,7 +595,7 @@
 			case "later", "crash", "flaps": // it may have shown when it was over only
 				want = []State{Done, Reverted}
 			}
-			if !slices.Contains(want, r.State) && s.Faulty == 0 {
+			if !slices.Contains(want, r.State) && s.MaxFaulty == 0 {
 				w.fatal("%v with nothing in the way: %s", r.State, r.Reason)
 			}
 		}
@@ -674,10 +674,10 @@
 		"":                                      "is not IP:port",
 	} {
 		got := ""
-		if _, err := newTarget(&protocol.HealthCheck{At: "{{.IP}}:1", Path: "/a\x01b"}); err == nil {
+		if _, err := newTarget(&protocol.HealthCheck{AddressTemplate: "{{.IP}}:1", Path: "/a\x01b"}); err == nil {
 			t.Error("a path with a control character was taken")
 		}
-		tg, err := newTarget(&protocol.HealthCheck{Kind: protocol.CheckTCP, At: text})
+		tg, err := newTarget(&protocol.HealthCheck{Kind: protocol.CheckTCP, AddressTemplate: text})
 		if err == nil {
 			got, _, err = tg.of(Place{IP: "10.0.0.9", Job: "req-000412", Number: 412, Index: 3})
 		}
@@ -767,9 +767,9 @@
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for range b.N {
 				s := testSpec()
-				s.Count, s.Floor, s.Surge, s.Stages = n, n*9/10, n/5, []int{n / 10, n / 2, n}
-				s.Soak, s.StartWithin, s.HealthyWithin = 4*second, 120*second, 120*second
-				s.Check.Every = 5 * second
+				s.Count, s.MinHealthy, s.MaxSurge, s.Stages = n, n*9/10, n/5, []int{n / 10, n / 2, n}
+				s.SoakTime, s.StartTimeout, s.HealthTimeout = 4*second, 120*second, 120*second
+				s.Check.Interval = 5 * second
 				w := newWorld(b, s, n, 2*n)
 				w.run(4*second, func() bool { return false })
 				w.ask(Start)
@@ -911,8 +911,8 @@
 	for k, service := range []string{"big", "small"} {
 		s := testSpec()
 		s.Service, s.Check.Timeout = service, 60*second
-		s.Count, s.Floor, s.Stages = 2, 0, []int{2}
-		s.Adopt = []string{fmt.Sprintf("req-00000%d", k+1)}
+		s.Count, s.MinHealthy, s.Stages = 2, 0, []int{2}
+		s.AdoptJobs = []string{fmt.Sprintf("req-00000%d", k+1)}
 		for _, e := range g.Step(0, Request{To: 1, Op: Start, Service: service, Spec: s}) {
 			if a, refused := e.(Answer); refused {
 				t.Fatalf("%s", a.Body)
--- a/internal/scale/checker/gang.go
+++ b/internal/scale/checker/gang.go
@@ -111,7 +111,7 @@
 	if a.state != toSave {
 		return
 	}
-	if at > a.first+int64(h.platform.GangPeer) {
+	if at > a.first+int64(h.platform.GangPeerTimeout) {
 		h.falls(a, at)
 		return
 	}
@@ -125,8 +125,8 @@
 func (h *Hub) lateSavers(at int64) {
 	rest := h.saving[:0]
 	for _, a := range h.saving {
-		if a.state == toSave && a.told.n < a.job.spec.Tasks && at > a.first+int64(h.platform.GangPeer) {
-			h.falls(a, a.first+int64(h.platform.GangPeer))
+		if a.state == toSave && a.told.n < a.job.spec.Tasks && at > a.first+int64(h.platform.GangPeerTimeout) {
+			h.falls(a, a.first+int64(h.platform.GangPeerTimeout))
 		}
 		if a.state == toSave && len(a.on) > 0 {
 			rest = append(rest, a)
@@ -172,7 +172,7 @@
 		stopped = min(at, a.first)
 	}
 	a.state = over
-	if every := int64(a.job.spec.CheckpointEvery); every > 0 {
+	if every := int64(a.job.spec.CheckpointInterval); every > 0 {
 		done := a.job.run - max(0, a.end-stopped)
 		left := a.job.run - done/every*every
 		if a.job.gang == 0 || left < a.job.gang {
@@ -180,7 +180,7 @@
 		}
 	}
 	for index := range a.on {
-		h.tellGang(a, &wire.Message{Kind: wire.Peers, Task: a.name(index), At: at + int64(h.platform.GangPeer)/2})
+		h.tellGang(a, &wire.Message{Kind: wire.Peers, Task: a.name(index), At: at + int64(h.platform.GangPeerTimeout)/2})
 		break
 	}
 }
--- a/internal/scale/checker/judge.go
+++ b/internal/scale/checker/judge.go
@@ -41,11 +41,11 @@
 	}
 	h.judgePlace(p, m)
 	used := h.team(s.Team)
-	*used = used.Add(s.Need, 1)
+	*used = used.Add(s.TaskResources, 1)
 	if limit := h.platform.Teams[s.Team].Limit; limit.CPU > 0 && used.CPU > limit.CPU || limit.GPU > 0 && used.GPU > limit.GPU {
 		h.violated(m.At, "quota", "team %s uses %+v of %+v thousandths with %s on %s", s.Team, *used, limit, m.Task, m.Name)
 	}
-	if j.cancelled > 0 && m.At > j.cancelled+int64(h.platform.Cancel) {
+	if j.cancelled > 0 && m.At > j.cancelled+int64(h.platform.CancelTimeout) {
 		h.violated(m.At, "ran_cancelled", "%s starts on %s %.3f s after its user was told that it is cancelled", m.Task, m.Name, float64(m.At-j.cancelled)/1e6)
 	}
 	if left, early := where.early[m.Task]; early {
@@ -63,15 +63,15 @@
 		h.violated(m.At, "wrong_place", "%s starts on %s (%s, zone %s, spot %t): %s", m.Task, m.Name, where.Type, where.Zone, where.Spot, why)
 	}
 	switch t := h.types[where.Type]; {
-	case !s.AllowsType(where.Type) || t == nil || !t.Offer.Holds(s.Need):
+	case !s.AllowsType(where.Type) || t == nil || !t.Capacity.Covers(s.TaskResources):
 		wrong("its job doesn't allow the type")
 	case s.Zone != "" && s.Zone != where.Zone:
 		wrong("its job allows only zone " + s.Zone)
-	case where.Spot && !s.Spot:
+	case where.Spot && !s.AllowSpot:
 		wrong("its job allows no spot machines")
-	case s.OneZone && len(p.job.zones) > 1:
+	case s.SingleZone && len(p.job.zones) > 1:
 		wrong("others of its job are in another zone")
-	case s.Spread && p.job.zones[where.Zone] > (s.Tasks+1)/2:
+	case s.SpreadZones && p.job.zones[where.Zone] > (s.Tasks+1)/2:
 		wrong("more than half of its job are in that zone")
 	}
 }
@@ -94,7 +94,7 @@
 		delete(p.job.zones, p.machine.Zone)
 	}
 	used := h.team(s.Team)
-	*used = used.Add(s.Need, -1)
+	*used = used.Add(s.TaskResources, -1)
 	h.counts.Running--
 	h.class(s.Class).Running--
 }
@@ -221,10 +221,10 @@
 		}
 	case m.Phase == "cancelled" && j.cancelled == 0:
 		j.cancelled = m.At
-		deadline := m.At + int64(h.platform.Cancel)
+		deadline := m.At + int64(h.platform.CancelTimeout)
 		h.push(deadline, byDeadline, func() {
 			for _, p := range j.on {
-				h.violated(deadline, "ran_cancelled", "%s is on %s %.3f s after its user was told that it is cancelled", p.name(), p.machine.Name, h.platform.Cancel.Seconds())
+				h.violated(deadline, "ran_cancelled", "%s is on %s %.3f s after its user was told that it is cancelled", p.name(), p.machine.Name, h.platform.CancelTimeout.Seconds())
 			}
 		})
 		if j.asked == 0 || j.asked > m.At {
--- a/internal/scale/checker/trace_test.go
+++ b/internal/scale/checker/trace_test.go
@@ -50,9 +50,9 @@
 func testHub(send func(string, *wire.Message)) *Hub {
 	p := &protocol.Platform{
 		Teams:  map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
-		Cancel: 20 * protocol.Second, GangPeer: 6 * protocol.Second,
+		CancelTimeout: 20 * protocol.Second, GangPeerTimeout: 6 * protocol.Second,
 	}
-	types := []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 64000, GPU: 8000, Mem: 256000}}, {Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 32000}}}
+	types := []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 64000, GPU: 8000, Memory: 256000}}, {Name: "small", Capacity: protocol.Resources{CPU: 8000, Memory: 32000}}}
 	return New(p, types, send)
 }
 
--- a/internal/scale/fakes/cloud.go
+++ b/internal/scale/fakes/cloud.go
@@ -67,7 +67,7 @@
 
 func newCloud(c *wire.Config, p *protocol.Platform, now func() int64, say func(*wire.Message)) *cloud {
 	s := &cloud{
-		platform: p, types: make(map[string]*protocol.MachineType), list: protocol.AppendTypes(nil, c.Types), say: say, now: now,
+		platform: p, types: make(map[string]*protocol.MachineType), list: protocol.AppendMachineTypes(nil, c.Types), say: say, now: now,
 		rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*rental), spare: make(map[string]int), regions: make(map[string]string),
 		claims: make(map[string][]string), zoned: make(map[string]int), waits: make(map[uint64]*release),
 	}
@@ -154,7 +154,7 @@
 
 // page is a page of the machine list as it was some time ago.
 func (s *cloud) page(now int64, since string, page int) []byte {
-	lag := int64(s.platform.ListLag)
+	lag := int64(s.platform.MachineListLag)
 	if s.rng.IntN(10) == 0 {
 		lag += int64(s.rng.Float64() * float64(lag))
 	}
@@ -210,7 +210,7 @@
 		return 400, []byte(`{"error":"malformed"}`)
 	}
 	if names, known := s.claims[claim]; known {
-		return 200, protocol.AppendNames(nil, names)
+		return 200, protocol.AppendMachineNames(nil, names)
 	}
 	spot := v.GetBool("reclaimable")
 	kind := typ.Name + "/" + zone
@@ -230,7 +230,7 @@
 			m.Rack = zone + "-rk" + strconv.Itoa(s.zoned[zone]/rackSize)
 		}
 		s.zoned[zone]++
-		h := &rental{Machine: m, rented: now, up: now + s.boot(int64(typ.Boot)), dead: never, gone: never}
+		h := &rental{Machine: m, rented: now, up: now + s.boot(int64(typ.BootTime)), dead: never, gone: never}
 		s.hosts = append(s.hosts, h)
 		s.byName[m.Name] = h
 		s.rentals++
@@ -243,7 +243,7 @@
 		return 503, []byte(`{"error":"no capacity"}`)
 	}
 	s.claims[claim] = names
-	return 200, protocol.AppendNames(nil, names)
+	return 200, protocol.AppendMachineNames(nil, names)
 }
 
 // slot takes a free address of a zone's region.
@@ -288,7 +288,7 @@
 // release takes machines away; it is answered when the processes that play them have
 // confirmed that they are gone.
 func (s *cloud) release(now int64, body []byte) (int, []byte, <-chan struct{}) {
-	names, err := protocol.ParseNames(body)
+	names, err := protocol.ParseMachineNames(body)
 	if err != nil || len(names) > maxRelease {
 		return 400, []byte(`{"error":"malformed"}`), nil
 	}
@@ -363,7 +363,7 @@
 func (s *cloud) tick(now int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	oldest := now - 2*int64(s.platform.ListLag) - int64(protocol.Second)
+	oldest := now - 2*int64(s.platform.MachineListLag) - int64(protocol.Second)
 	s.hosts = slices.DeleteFunc(s.hosts, func(h *rental) bool { return h.gone < oldest })
 }
 
--- a/internal/scale/fakes/standin_test.go
+++ b/internal/scale/fakes/standin_test.go
@@ -30,13 +30,13 @@
 	r := &cloudRig{t: t, time: 1000 * second}
 	config := &wire.Config{
 		Seed: 1, Spare: map[string]int{"big/r1-z1": 60, "big/r2-z1/spot": 2},
-		Types:    []*protocol.MachineType{{Name: "big", Offer: protocol.Resources{CPU: 8000}, Boot: 40 * protocol.Second, Zones: []string{"r1-z1", "r2-z1"}}},
+		Types:    []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000}, BootTime: 40 * protocol.Second, Zones: []string{"r1-z1", "r2-z1"}}},
 		Machines: []wire.Machine{{Name: "n-000007", Type: "big", Zone: "r1-z1", Region: "r1", Public: "10.0.0.7:9000"}},
 	}
 	for i := range slots {
 		config.Machines = append(config.Machines, wire.Machine{Public: fmt.Sprintf("10.0.1.%d:9000", i), Region: []string{"r1", ""}[i%2]})
 	}
-	r.c = newCloud(config, &protocol.Platform{CloudRate: 20, ListLag: 2 * protocol.Second}, func() int64 { return r.time }, func(m *wire.Message) { r.said = append(r.said, m) })
+	r.c = newCloud(config, &protocol.Platform{CloudRate: 20, MachineListLag: 2 * protocol.Second}, func() int64 { return r.time }, func(m *wire.Message) { r.said = append(r.said, m) })
 	return r
 }
 
@@ -54,7 +54,7 @@
 }
 
 func rents(claim, zone string, spot bool, count int) string {
-	return string(protocol.AppendRental(nil, claim, "big", zone, spot, count))
+	return string(protocol.AppendRentRequest(nil, claim, "big", zone, spot, count))
 }
 
 func TestCloudRents(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 	r.time += 5 * second
 	_, list, _ := r.ask("GET", "/machines?since=n-000008&page=2", "")
-	hosts, more, err := protocol.ParseHosts([]byte(list))
+	hosts, more, err := protocol.ParseMachines([]byte(list))
 	if err != nil || !more || len(hosts) != 2 || hosts[0].Name != "n-000009" || hosts[0].State != protocol.CloudBooting || hosts[0].Addr == "" {
 		t.Errorf("%v %v %v", hosts, more, err)
 	}
@@ -144,9 +144,9 @@
 		return l.Addr().String()
 	}
 	p := protocol.Platform{
-		Node: "a", Zone: "z", Zones: []string{"z"}, ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", StateAddr: "127.0.0.1:3", CloudAddr: "127.0.0.1:4",
-		Teams: map[string]protocol.Team{}, ReportEvery: protocol.Second, WorkerLease: 10 * protocol.Second, GangWait: protocol.Second, GangPeer: protocol.Second, Cancel: 20 * protocol.Second,
-		StateRate: 1000, StateWriteRate: 1000, ValueBytes: 8192, TxnOps: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 1e8, MaxConnections: 100,
+		ControllerName: "a", Zone: "z", Zones: []string{"z"}, ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", StateAddr: "127.0.0.1:3", CloudAddr: "127.0.0.1:4",
+		Teams: map[string]protocol.Team{}, HeartbeatInterval: protocol.Second, WorkerLease: 10 * protocol.Second, GangWaitTimeout: protocol.Second, GangPeerTimeout: protocol.Second, CancelTimeout: 20 * protocol.Second,
+		StateRequestRate: 1000, StateWriteRate: 1000, MaxValueBytes: 8192, MaxTxnChanges: 12, CloudRate: 20, CPUShare: 1, MemoryBytes: 1e8, MaxConnections: 100,
 	}
 	text, err := protocol.SettingsFile(&p)
 	if err != nil {
--- a/internal/scale/hollow/run.go
+++ b/internal/scale/hollow/run.go
@@ -147,7 +147,7 @@
 		p: p, m: m, typ: typ, head: reportHead(&m), send: make(chan struct{}, 1),
 		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.hello},
 	}
-	w.images = images{rate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, cache: typ.Cache, list: make(map[string]*image)}
+	w.images = images{rate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, cache: typ.CacheSize, list: make(map[string]*image)}
 	if w.images.rate <= 0 {
 		w.images.rate = math.MaxInt32
 	}
@@ -262,9 +262,9 @@
 // goes takes word that the gang is whole, or that all its tasks were told to save.
 func (t *task) goes(now int64, m *wire.Message) {
 	switch {
-	case m.Text == "saved" && t.state == protocol.Saving:
-		t.later(max(now, m.At, t.first+int64(t.job.spec.Saves)), func(now int64) { t.exit(now, protocol.ExitStopped, true) })
-	case m.Text == "" && t.state == protocol.Waiting:
+	case m.Text == "saved" && t.state == protocol.TaskCheckpointing:
+		t.later(max(now, m.At, t.first+int64(t.job.spec.CheckpointDuration)), func(now int64) { t.exit(now, protocol.ExitStopped, true) })
+	case m.Text == "" && t.state == protocol.TaskWaiting:
 		t.runs(now, m.At)
 	}
 }
@@ -272,9 +272,9 @@
 // alone ends a task whose gang has lost another one.
 func (t *task) alone(now int64) {
 	switch t.state {
-	case protocol.Executing:
+	case protocol.TaskRunning:
 		t.exit(now, protocol.ExitPeers, false)
-	case protocol.Saving:
+	case protocol.TaskCheckpointing:
 		t.exit(now, protocol.ExitStopped, false)
 	}
 }
@@ -408,7 +408,7 @@
 			if t.on {
 				on++
 			}
-			if t.state == protocol.Executing {
+			if t.state == protocol.TaskRunning {
 				running++
 			}
 		}
--- a/internal/scale/hollow/task.go
+++ b/internal/scale/hollow/task.go
@@ -63,7 +63,7 @@
 
 // ready has a task start that is known and has its image.
 func (t *task) ready(now int64) {
-	if t.state != protocol.Fetching || !t.told || t.image == nil || !t.image.here {
+	if t.state != protocol.TaskFetching || !t.told || t.image == nil || !t.image.here {
 		return
 	}
 	spec := t.job.spec
@@ -77,10 +77,10 @@
 		return
 	}
 	if spec.Kind == protocol.Gang && t.job.run >= 0 {
-		t.becomes(now, protocol.Waiting)
+		t.becomes(now, protocol.TaskWaiting)
 		t.w.p.joins(t)
 		t.w.p.tell(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.w.m.Name, At: now})
-		t.later(now+int64(t.w.p.platform.GangWait), func(now int64) { t.exit(now, protocol.ExitIncomplete, false) })
+		t.later(now+int64(t.w.p.platform.GangWaitTimeout), func(now int64) { t.exit(now, protocol.ExitIncomplete, false) })
 		return
 	}
 	t.runs(now, now+t.left)
@@ -89,7 +89,7 @@
 // runs has a task run until an instant.
 func (t *task) runs(now, ends int64) {
 	t.since, t.ends = now, ends
-	t.becomes(now, protocol.Executing)
+	t.becomes(now, protocol.TaskRunning)
 	switch {
 	case t.job.run < 0:
 		t.later(now-t.job.run, func(now int64) { t.exit(now, protocol.ExitError, false) })
@@ -106,7 +106,7 @@
 
 // longer has a task that works by itself end later, since its machine stood still.
 func (t *task) longer(now, by int64) {
-	if t.state != protocol.Executing || t.job.spec.Kind != protocol.Array || t.job.run < 0 {
+	if t.state != protocol.TaskRunning || t.job.spec.Kind != protocol.Array || t.job.run < 0 {
 		return
 	}
 	t.since, t.ends = t.since+by, t.ends+by
@@ -117,8 +117,8 @@
 // checkpoint is what is left of a task's run if it is killed now: it goes on from the
 // last multiple of its interval. Of a gang the supervisor knows it.
 func (t *task) checkpoint(now int64) int64 {
-	every := int64(t.job.spec.CheckpointEvery)
-	if every <= 0 || t.job.spec.Kind != protocol.Array || t.state != protocol.Executing {
+	every := int64(t.job.spec.CheckpointInterval)
+	if every <= 0 || t.job.spec.Kind != protocol.Array || t.state != protocol.TaskRunning {
 		return t.left
 	}
 	done := t.job.run - max(0, t.left-(now-t.since))
@@ -128,27 +128,27 @@
 // stop carries out a command.
 func (t *task) stop(now int64, grace protocol.Micros) {
 	switch t.state {
-	case protocol.Exited:
-	case protocol.Saving:
+	case protocol.TaskExited:
+	case protocol.TaskCheckpointing:
 		if grace == 0 {
 			t.exit(now, protocol.ExitStopped, false)
 		}
-	case protocol.Executing:
+	case protocol.TaskRunning:
 		spec := t.job.spec
-		if !spec.Checkpoints() || grace < spec.Saves {
+		if !spec.CanCheckpoint() || grace < spec.CheckpointDuration {
 			t.exit(now, protocol.ExitStopped, false)
 			return
 		}
 		if spec.Kind == protocol.Gang {
 			t.first = now
-			t.becomes(now, protocol.Saving)
+			t.becomes(now, protocol.TaskCheckpointing)
 			t.w.p.tell(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.w.m.Name, At: now, Text: "saving"})
 			return
 		}
 		left := max(0, t.left-(now-t.since))
 		t.left = t.checkpoint(now) // if it doesn't come to the end of saving
-		t.becomes(now, protocol.Saving)
-		t.later(now+int64(spec.Saves), func(now int64) {
+		t.becomes(now, protocol.TaskCheckpointing)
+		t.later(now+int64(spec.CheckpointDuration), func(now int64) {
 			t.left = left
 			t.exit(now, protocol.ExitStopped, true)
 		})
@@ -159,21 +159,21 @@
 
 // exit ends a task. It stays in the reports until it is forgotten.
 func (t *task) exit(now int64, why protocol.ExitReason, saved bool) {
-	if t.state == protocol.Exited {
+	if t.state == protocol.TaskExited {
 		return
 	}
 	t.leave(now, string(why), saved)
 	t.reason, t.saved = why, saved
-	t.becomes(now, protocol.Exited)
+	t.becomes(now, protocol.TaskExited)
 }
 
 // leave takes a task off its machine.
 func (t *task) leave(now int64, why string, saved bool) {
-	if t.state == protocol.Exited {
+	if t.state == protocol.TaskExited {
 		return
 	}
 	if t.job != nil {
-		t.w.used = t.w.used.Add(t.job.spec.Need, -1)
+		t.w.used = t.w.used.Add(t.job.spec.TaskResources, -1)
 	}
 	if t.image != nil {
 		if t.on {
--- a/internal/scale/hollow/worker.go
+++ b/internal/scale/hollow/worker.go
@@ -77,7 +77,7 @@
 	w.up, w.server = true, server
 	w.session, w.leaseFrom, w.due = 1, now, now
 	if spread { // a fleet that is there from the beginning doesn't report all at once
-		w.due += w.rng.Int64N(int64(w.p.platform.ReportEvery) + 1)
+		w.due += w.rng.Int64N(int64(w.p.platform.HeartbeatInterval) + 1)
 	}
 	w.notBefore = w.due
 	w.stale = true
@@ -114,7 +114,7 @@
 	for _, t := range w.tasks {
 		t.leave(now, why, false)
 		t.turn++
-		t.state = protocol.Exited
+		t.state = protocol.TaskExited
 	}
 	clear(w.tasks)
 	w.tasks = w.tasks[:0]
@@ -156,7 +156,7 @@
 	}
 	w.hungUntil = max(w.hungUntil, until)
 	w.p.timers.at(w.hungUntil, w.resumes)
-	if notice := int64(w.p.platform.GangPeer) / noticing; until-now > notice {
+	if notice := int64(w.p.platform.GangPeerTimeout) / noticing; until-now > notice {
 		from := w.hungFrom
 		w.p.timers.at(now+notice, func(now int64) { w.missed(now, from) })
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, t := range w.tasks {
-		if t.on && t.job.spec.Kind == protocol.Gang && (t.state == protocol.Executing || t.state == protocol.Saving) {
+		if t.on && t.job.spec.Kind == protocol.Gang && (t.state == protocol.TaskRunning || t.state == protocol.TaskCheckpointing) {
 			w.p.tell(&wire.Message{Kind: wire.Peers, Task: t.name, Name: w.m.Name, At: now})
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	sent = w.p.now()
 	w.sent, w.changed, w.armed = sent, false, 0
-	every := int64(w.p.platform.ReportEvery)
+	every := int64(w.p.platform.HeartbeatInterval)
 	w.due = sent + every*3/4 + w.rng.Int64N(every/2+1)
 	w.notBefore = 0
 	w.body = w.append(w.body[:0])
@@ -401,7 +401,7 @@
 		if t.index == index && t.ref == ref {
 			if t.try == try {
 				known = t
-			} else if t.state != protocol.Exited {
+			} else if t.state != protocol.TaskExited {
 				busy = true
 			}
 		}
@@ -416,7 +416,7 @@
 			known.stop(now, protocol.FromSeconds(grace))
 		}
 	case "forget":
-		if known != nil && known.state == protocol.Exited {
+		if known != nil && known.state == protocol.TaskExited {
 			for i, t := range w.tasks {
 				if t == known {
 					w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
@@ -455,8 +455,8 @@
 		t.exit(now, protocol.ExitUnknown, false)
 		return false
 	}
-	used := w.used.Add(j.spec.Need, 1)
-	if !w.typ.Offer.Holds(used) {
+	used := w.used.Add(j.spec.TaskResources, 1)
+	if !w.typ.Capacity.Covers(used) {
 		t.exit(now, protocol.ExitFull, false)
 		return false
 	}
@@ -471,7 +471,7 @@
 func (w *worker) described(m *wire.Message) {
 	w.locked(w.p.now(), func(now int64) {
 		for _, t := range w.tasks {
-			if t.name != m.Task || t.state != protocol.Fetching || t.told {
+			if t.name != m.Task || t.state != protocol.TaskFetching || t.told {
 				continue
 			}
 			j := w.p.job(t.ref)
@@ -506,7 +506,7 @@
 		list := w.images.arrived(now)
 		for _, i := range list {
 			for _, t := range w.tasks {
-				if t.image == i && t.state == protocol.Fetching {
+				if t.image == i && t.state == protocol.TaskFetching {
 					t.fetched = now - t.began
 					t.ready(now)
 				}
@@ -542,7 +542,7 @@
 	return string(append(b, `,"tenure":`...))
 }
 
-var stateNames = [...]string{protocol.Fetching: "fetching", protocol.Waiting: "waiting", protocol.Executing: "running", protocol.Saving: "saving", protocol.Exited: "exited"}
+var stateNames = [...]string{protocol.TaskFetching: "fetching", protocol.TaskWaiting: "waiting", protocol.TaskRunning: "running", protocol.TaskCheckpointing: "saving", protocol.TaskExited: "exited"}
 
 func appendTasks(b []byte, tasks []*task) []byte {
 	for i, t := range tasks {
@@ -553,7 +553,7 @@
 		b = strconv.AppendInt(b, int64(t.index), 10)
 		b = strconv.AppendUint(append(b, `","try":`...), t.try, 10)
 		b = append(append(append(b, `,"phase":"`...), stateNames[t.state]...), '"')
-		if t.state == protocol.Exited {
+		if t.state == protocol.TaskExited {
 			b = append(append(append(b, `,"exitReason":"`...), t.reason...), '"')
 			if t.saved {
 				b = append(b, `,"saved":true`...)
--- a/internal/scale/hollow/worker_test.go
+++ b/internal/scale/hollow/worker_test.go
@@ -32,8 +32,8 @@
 	r := &rig{t: t, time: 1000 * second, runs: make(map[string]int64), left: make(map[string]int64)}
 	p := &process{
 		config: &wire.Config{}, timers: newTimers(), now: func() int64 { return r.time }, more: make(chan struct{}, 1),
-		types:    map[string]*protocol.MachineType{"big": {Name: "big", Offer: protocol.Resources{CPU: 8000, GPU: 4000, Mem: 64000}, Cache: 5000, FetchRate: 0.001}},
-		platform: &protocol.Platform{ReportEvery: 4 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWait: 30 * protocol.Second, GangPeer: 8 * protocol.Second},
+		types:    map[string]*protocol.MachineType{"big": {Name: "big", Capacity: protocol.Resources{CPU: 8000, GPU: 4000, Memory: 64000}, CacheSize: 5000, FetchRate: 0.001}},
+		platform: &protocol.Platform{HeartbeatInterval: 4 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWaitTimeout: 30 * protocol.Second, GangPeerTimeout: 8 * protocol.Second},
 		workers:  make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool),
 	}
 	for _, n := range []string{"a", "b", "c"} {
@@ -121,14 +121,14 @@
 }
 
 func (r *rig) states(report []byte) string {
-	rep, err := protocol.ParseReport(report)
+	rep, err := protocol.ParseHeartbeat(report)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	list := []string{fmt.Sprint(rep.Session)}
+	list := []string{fmt.Sprint(rep.AgentEpoch)}
 	for _, t := range rep.Tasks {
 		s := fmt.Sprintf("%s#%d:%s%s", t.TaskName, t.Number, stateNames[t.State], t.Reason)
-		if t.Saved {
+		if t.Checkpointed {
 			s += "+saved"
 		}
 		list = append(list, strings.TrimPrefix(s, "req-"))
--- a/internal/scale/launch.go
+++ b/internal/scale/launch.go
@@ -118,11 +118,11 @@
 	for i, c := range s.controllers {
 		p := s.f.platform()
 		home := c.region == s.f.State.Region
-		p.Node, p.Zone, p.ClientListen, p.ClusterListen = c.name, c.zone, c.client(true), c.cluster(true)
+		p.ControllerName, p.Zone, p.ClientListen, p.ClusterListen = c.name, c.zone, c.client(true), c.cluster(true)
 		p.StateAddr, p.CloudAddr = s.stateAddr(home), s.cloudAddr(home)
 		for _, o := range s.controllers {
 			if o != c {
-				p.Siblings = append(p.Siblings, protocol.Sibling{Name: o.name, Zone: o.zone, Address: o.cluster(o.region == c.region)})
+				p.Peers = append(p.Peers, protocol.Peer{Name: o.name, Zone: o.zone, Address: o.cluster(o.region == c.region)})
 			}
 		}
 		text, err := protocol.SettingsFile(&p)
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -29,7 +29,7 @@
 }
 
 func submitted(m *meter, ref, class string, tasks int, due int64) *protocol.JobSpec {
-	s := &protocol.JobSpec{Ref: ref, Class: class, Team: "team-00", Rank: protocol.Critical, Tasks: tasks, Image: "i", Need: protocol.Resources{CPU: 1000}}
+	s := &protocol.JobSpec{Ref: ref, Class: class, Team: "team-00", Priority: protocol.PriorityCritical, Tasks: tasks, Image: "i", TaskResources: protocol.Resources{CPU: 1000}}
 	m.take(&process{}, &wire.Message{Kind: wire.Submit, Ref: ref, Due: due, Specs: []json.RawMessage{protocol.AppendJob(nil, s)}})
 	return s
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -313,9 +313,9 @@
 	s := protocol.FromSeconds
 	p := protocol.Platform{
 		Teams:       make(map[string]protocol.Team),
-		ReportEvery: s(f.Workers.ReportS), WorkerLease: s(f.Workers.LeaseS), GangWait: s(f.Workers.GangWaitS), GangPeer: s(f.Workers.GangPeerS), Cancel: s(f.Workers.CancelS),
-		StateRate: f.State.RPS, StateWriteRate: f.State.WriteRPS, ValueBytes: int(f.State.ValueKB * 1024), TxnOps: f.State.TxnOps,
-		CloudRate: f.Cloud.RPS, ListLag: s(f.Cloud.ListLagS), ClockOff: s(f.Controllers.ClockOffMS / 1000),
+		HeartbeatInterval: s(f.Workers.ReportS), WorkerLease: s(f.Workers.LeaseS), GangWaitTimeout: s(f.Workers.GangWaitS), GangPeerTimeout: s(f.Workers.GangPeerS), CancelTimeout: s(f.Workers.CancelS),
+		StateRequestRate: f.State.RPS, StateWriteRate: f.State.WriteRPS, MaxValueBytes: int(f.State.ValueKB * 1024), MaxTxnChanges: f.State.TxnOps,
+		CloudRate: f.Cloud.RPS, MachineListLag: s(f.Cloud.ListLagS), MaxClockOffset: s(f.Controllers.ClockOffMS / 1000),
 		CPUShare: f.Controllers.CPUShare, MemoryBytes: int64(f.Controllers.MemoryMB * 1e6), MaxConnections: f.Controllers.MaxConnections,
 	}
 	for _, r := range f.Regions {
@@ -357,7 +357,7 @@
 
 func offer(t MachineType) protocol.Resources {
 	v := func(x float64) int64 { return int64(math.Round(x * 1000)) }
-	return protocol.Resources{CPU: v(t.CPUs), GPU: v(t.GPUs), Mem: v(t.MemoryGB)}
+	return protocol.Resources{CPU: v(t.CPUs), GPU: v(t.GPUs), Memory: v(t.MemoryGB)}
 }
 
 // machineTypes are the cloud's.
@@ -369,9 +369,9 @@
 	var types []*protocol.MachineType
 	for _, t := range f.Types {
 		types = append(types, &protocol.MachineType{
-			Name: t.Name, Offer: offer(t), Cache: int64(t.CacheGB * 1000),
+			Name: t.Name, Capacity: offer(t), CacheSize: int64(t.CacheGB * 1000),
 			FetchRate: t.FetchGBPerS * 1000 / float64(protocol.Second), Price: t.Price, SpotPrice: t.SpotPrice,
-			Boot: protocol.FromSeconds(t.BootS), Zones: all,
+			BootTime: protocol.FromSeconds(t.BootS), Zones: all,
 		})
 	}
 	return types
--- a/internal/scale/settings_test.go
+++ b/internal/scale/settings_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s, written and read again: %v", name, err)
 		}
 		p := f.platform()
-		p.Node, p.Zone = "n", "z"
+		p.ControllerName, p.Zone = "n", "z"
 		p.ClientListen, p.ClusterListen, p.StateAddr, p.CloudAddr = "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"
 		settings, err := protocol.SettingsFile(&p)
 		if err != nil {
--- a/internal/scale/users/mix.go
+++ b/internal/scale/users/mix.go
@@ -73,8 +73,8 @@
 }
 
 var (
-	kinds = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
-	ranks = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+	kinds = map[string]protocol.JobKind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
+	ranks = map[string]protocol.Priority{"critical": protocol.PriorityCritical, "high": protocol.PriorityHigh, "standard": protocol.PriorityStandard, "low": protocol.PriorityLow}
 )
 
 // check says what is wrong with a distribution of values from low to high.
@@ -234,12 +234,12 @@
 	run := c.RunS.draw(d.r)
 	thousandths := func(v float64) int64 { return int64(math.Round(v * 1000)) }
 	s := &protocol.JobSpec{
-		Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Rank: ranks[c.Rank],
+		Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Priority: ranks[c.Rank],
 		Tasks: int(math.Round(c.Tasks.draw(d.r))),
-		Need:  protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Mem: thousandths(c.MemoryGB)},
-		Image: fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), Types: c.Types,
-		OneZone: c.OneZone, Spread: c.Spread, Spot: c.Spot,
-		CheckpointEvery: protocol.FromSeconds(c.CheckpointS), Saves: protocol.FromSeconds(c.SaveS),
+		TaskResources:  protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Memory: thousandths(c.MemoryGB)},
+		Image: fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), MachineTypes: c.Types,
+		SingleZone: c.OneZone, SpreadZones: c.Spread, AllowSpot: c.Spot,
+		CheckpointInterval: protocol.FromSeconds(c.CheckpointS), CheckpointDuration: protocol.FromSeconds(c.SaveS),
 	}
 	j := &job{spec: s, class: class, region: d.plan.Regions[d.r.IntN(len(d.plan.Regions))], due: due, run: micros(run)}
 	noise := math.Exp(c.EstimateError * d.r.NormFloat64())
@@ -248,7 +248,7 @@
 	if s.Kind == protocol.Service {
 		j.run, j.cancelAt = 0, micros(run)
 	} else {
-		s.Estimate = protocol.Micros(max(1000, micros(run*noise)))
+		s.EstimatedRuntime = protocol.Micros(max(1000, micros(run*noise)))
 	}
 	if early {
 		j.cancelAt = max(1, micros(run*when))
--- a/internal/simulation/chains.go
+++ b/internal/simulation/chains.go
@@ -17,7 +17,7 @@
 // awaitedBy lists the jobs that a job awaits, as far as their users submitted them.
 func (w *World) awaitedBy(j *userJob) []*userJob {
 	var list []*userJob
-	for _, ref := range j.spec.Awaits {
+	for _, ref := range j.spec.DependsOn {
 		if o := w.jobs[ref]; o != nil {
 			list = append(list, o)
 		}
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, o := range w.before(j) {
-		if o.toldCancelled > 0 && w.now > o.toldCancelled+w.Platform.Cancel {
+		if o.toldCancelled > 0 && w.now > o.toldCancelled+w.Platform.CancelTimeout {
 			w.broken("orphaned: %s is %s, %s was cancelled at %.2f", j.spec.Ref, phase, o.spec.Ref, o.toldCancelled.Seconds())
 		}
 	}
@@ -79,7 +79,7 @@
 // nameable reports whether a user may name all the jobs that a job awaits: they were
 // accepted, and none is a service.
 func (w *World) nameable(j *userJob) bool {
-	for _, ref := range j.spec.Awaits {
+	for _, ref := range j.spec.DependsOn {
 		if o := w.jobs[ref]; o == nil || !o.accepted || o.spec.Kind == protocol.Service {
 			return false
 		}
@@ -90,7 +90,7 @@
 // checkChained checks the answer to the submission of a job that awaits others. nameable
 // says whether it could name them when it was submitted.
 func (w *World) checkChained(j *userJob, nameable bool, status int, body []byte) {
-	if len(j.spec.Awaits) == 0 {
+	if len(j.spec.DependsOn) == 0 {
 		return
 	}
 	switch status {
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -42,7 +42,7 @@
 }
 
 func (w *World) configBounds() *configuration.Bounds {
-	return &configuration.Bounds{Teams: w.Platform.Teams, Zones: w.Platform.Zones, Operator: w.Operator, ValueBytes: w.Platform.ValueBytes}
+	return &configuration.Bounds{Teams: w.Platform.Teams, Zones: w.Platform.Zones, Operator: w.Operator, ValueBytes: w.Platform.MaxValueBytes}
 }
 
 // allowed reports whether some revision from one on allows something.
@@ -64,7 +64,7 @@
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
 			if t.job.spec.Team == team && t.state != "exited" {
-				sum = sum.Add(t.job.spec.Need, 1)
+				sum = sum.Add(t.job.spec.TaskResources, 1)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.last].Teams[j.Spec.Team].Retired {
 				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.last)
 			}
-		case strings.HasPrefix(key, state.LaunchPages):
+		case strings.HasPrefix(key, state.LaunchShardPrefix):
 			w.committedLaunches(value)
 		}
 	}
@@ -148,7 +148,7 @@
 		if m := w.machines[l.Host]; m != nil && m.tasks[fmt.Sprintf("%s/%d#%d", l.Name.Job, l.Name.Index, l.Name.Number)] != nil {
 			continue // it was launched by an earlier leader
 		}
-		fresh[j.spec.Team] = fresh[j.spec.Team].Add(j.spec.Need, 1)
+		fresh[j.spec.Team] = fresh[j.spec.Team].Add(j.spec.TaskResources, 1)
 		if m := w.machines[l.Host]; m != nil && s.Drained(m.name, m.zone, w.workerAddr(m)) != configuration.NotDrained {
 			w.broken("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.last)
 		}
@@ -188,7 +188,7 @@
 		if string(o.GetStringBytes("verb")) != "launch" || stopped[name] || m.tasks[name] != nil || j == nil {
 			continue
 		}
-		used := w.there(j.spec.Team).Add(j.spec.Need, 1)
+		used := w.there(j.spec.Team).Add(j.spec.TaskResources, 1)
 		if !g.allowed(g.reported, func(s *configuration.Settings) bool {
 			return within(s.Teams[j.spec.Team].Limit, used) && s.Drained(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
 		}) {
--- a/internal/simulation/freshmachine_test.go
+++ b/internal/simulation/freshmachine_test.go
@@ -79,7 +79,7 @@
 				since := strings.NewReplacer("ENDS+5", fmt.Sprintf("%g", ends+5), "ENDS+4", fmt.Sprintf("%g", ends+4), "ENDS", fmt.Sprintf("%g", ends))
 				text := inOrder(fmt.Sprintf(freshMachines, since.Replace(trouble.begins), ends, backs[i%2], trouble.ends, starts))
 				w, err := playTrace(text, func(w *World) {
-					w.Operator.IdleReturn = 15 * protocol.Second
+					w.Operator.IdleScaleInDelay = 15 * protocol.Second
 					if trouble.lease > 0 {
 						w.Operator.LeaderLease = protocol.FromSeconds(trouble.lease)
 					}
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -24,11 +24,11 @@
 // not to come again as it is.
 func (l *fallenLimits) refuses(body []byte, then []*fastjson.Value) string {
 	problem := ""
-	if len(then) > l.TxnOps {
+	if len(then) > l.MaxTxnChanges {
 		problem = "too many changes"
 	}
 	for _, c := range then {
-		if data := c.Get("data"); data != nil && len(data.MarshalTo(nil)) > l.ValueBytes {
+		if data := c.Get("data"); data != nil && len(data.MarshalTo(nil)) > l.MaxValueBytes {
 			problem = "a value is too large"
 		}
 	}
@@ -64,13 +64,13 @@
 // limitsFrom reads limits of the state service: value=2048 ops=4 changes=24.
 func limitsFrom(words []string) protocol.StateLimits {
 	o := options(words)
-	return protocol.StateLimits{ValueBytes: int(number(o, "value", 2048)), TxnOps: int(number(o, "ops", 4)), WriteRate: number(o, "changes", 24)}
+	return protocol.StateLimits{MaxValueBytes: int(number(o, "value", 2048)), MaxTxnChanges: int(number(o, "ops", 4)), WriteRate: number(o, "changes", 24)}
 }
 
 // sceneNext announces limits of the state service in the settings: next value=2048 ops=4 changes=24.
 func (w *World) sceneNext(words []string) error {
 	l := limitsFrom(words)
-	w.Platform.StateNext = &l
+	w.Platform.AnnouncedStateLimits = &l
 	return nil
 }
 
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -244,7 +244,7 @@
 	if err != nil {
 		return ""
 	}
-	return lead.Node
+	return lead.Controller
 }
 
 // Behave says what the instances of an image do from now on: passes, fails, hangs,
--- a/internal/simulation/live_test.go
+++ b/internal/simulation/live_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(func() { network.Close() })
 	return LiveSettings{
 		State: freeAddr(t), Cloud: freeAddr(t), Names: []string{"node-0"}, Clients: []string{controller}, Network: network.Prefix,
-		Platform: NewWorld(0).Platform, Types: []*protocol.MachineType{{Name: "small", Offer: protocol.Resources{CPU: 8000, Mem: 8000}, Cache: 9000, FetchRate: 1, Zones: []string{"a"}}},
+		Platform: NewWorld(0).Platform, Types: []*protocol.MachineType{{Name: "small", Capacity: protocol.Resources{CPU: 8000, Memory: 8000}, CacheSize: 9000, FetchRate: 1, Zones: []string{"a"}}},
 	}
 }
 
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -156,7 +156,7 @@
 	for _, t := range m.sorted() {
 		w.tickTask(m, t)
 	}
-	if !m.inFlight && (w.now >= m.next || m.changed && w.now >= m.next-w.Platform.ReportEvery+protocol.Second/2) {
+	if !m.inFlight && (w.now >= m.next || m.changed && w.now >= m.next-w.Platform.HeartbeatInterval+protocol.Second/2) {
 		w.sendReport(m)
 	}
 }
@@ -188,7 +188,7 @@
 			w.live.run(m, t)
 		}
 	case "waiting":
-		if w.now > t.started+w.Platform.GangWait {
+		if w.now > t.started+w.Platform.GangWaitTimeout {
 			w.exit(m, t, "incomplete")
 		}
 	case "running":
@@ -259,7 +259,7 @@
 	w.note("%s starts on %s", name, m.name)
 	w.checkEarly(t.job, name)
 	typ := w.typeOf(m)
-	if !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.Spot || !typ.Offer.Holds(s.Need) {
+	if !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot || !typ.Capacity.Covers(s.TaskResources) {
 		w.broken("wrong_place: %s on %s", name, m.name)
 	}
 	zones := map[string]int{}
@@ -276,14 +276,14 @@
 				zones[o.zone]++
 			}
 			if x.job.spec.Team == s.Team {
-				used = used.Add(x.job.spec.Need, 1)
+				used = used.Add(x.job.spec.TaskResources, 1)
 			}
 		}
 	}
-	if s.OneZone && len(zones) > 1 {
+	if s.SingleZone && len(zones) > 1 {
 		w.broken("wrong_place: %s is not with the others", name)
 	}
-	if s.Spread && zones[m.zone] > (s.Tasks+1)/2 {
+	if s.SpreadZones && zones[m.zone] > (s.Tasks+1)/2 {
 		w.broken("wrong_place: %s, too many in zone %s", name, m.zone)
 	}
 	limit := w.Platform.Teams[s.Team].Limit
@@ -291,7 +291,7 @@
 		w.broken("quota: %s with %s", s.Team, name)
 	}
 	w.startsCancelled(t)
-	if t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.Cancel {
+	if t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
 		w.broken("ran_cancelled: %s", name)
 	}
 	w.checkStart("starts", m, t)
@@ -319,7 +319,7 @@
 func (w *World) sendReport(m *machine) {
 	m.inFlight, m.changed = true, false
 	sent := w.now
-	m.next = w.now + w.Platform.ReportEvery
+	m.next = w.now + w.Platform.HeartbeatInterval
 	body := w.report(m)
 	w.keepReport(body)
 	session := m.session
@@ -484,7 +484,7 @@
 			w.launch(m, j, index, try, key)
 		case "stop":
 			if t != nil && t.state != "exited" {
-				t.saved = j.spec.Checkpoints()
+				t.saved = j.spec.CanCheckpoint()
 				w.exit(m, t, "stopped")
 			}
 		case "forget":
@@ -506,14 +506,14 @@
 	var used protocol.Resources
 	for _, x := range m.tasks {
 		if x.state != "exited" {
-			used = used.Add(x.job.spec.Need, 1)
+			used = used.Add(x.job.spec.TaskResources, 1)
 		}
 		if x != t && x.job == j && x.index == index && x.state != "exited" {
 			t.state, t.reason = "exited", "busy"
 			return
 		}
 	}
-	if !w.typeOf(m).Offer.Holds(used) {
+	if !w.typeOf(m).Capacity.Covers(used) {
 		t.state, t.reason = "exited", "full"
 		return
 	}
@@ -534,7 +534,7 @@
 	path, _, _ := strings.Cut(target, "?")
 	switch {
 	case path == "/machine_types":
-		return 200, string(protocol.AppendTypes(nil, w.Types))
+		return 200, string(protocol.AppendMachineTypes(nil, w.Types))
 	case path == "/machines" && method == "GET":
 		var b strings.Builder
 		b.WriteString(`{"hosts":[`)
@@ -577,7 +577,7 @@
 		for range count {
 			m := w.addMachine(fmt.Sprintf("n-%06d", 500000+len(w.machines)+w.removed), fastjson.GetString(body, "flavor"), fastjson.GetString(body, "region"),
 				fastjson.GetBool(body, "reclaimable"))
-			m.phase, m.up = "booting", w.now+micros(float64(w.typeOf(m).Boot)*w.boots)
+			m.phase, m.up = "booting", w.now+micros(float64(w.typeOf(m).BootTime)*w.boots)
 			if w.boots == 0 {
 				m.up = protocol.Forever
 			}
--- a/internal/simulation/oldreports_test.go
+++ b/internal/simulation/oldreports_test.go
@@ -49,7 +49,7 @@
 // Copies of old reports reach every controller just as a new leader begins: before it has
 // read the records, after that, or both. Nothing starts that would not without them, and no
 // rule breaks. Where the leader is back at once the new one may give its lease back for them,
-// at most leadership.MostYields times: a controller that has just begun can't tell copies of
+// at most leadership.MaxTransfers times: a controller that has just begun can't tell copies of
 // a worker's reports, and then its own, from a worker that was sent to the leader and came
 // back.
 func TestOldReportsAtTakeOver(t *testing.T) {
@@ -84,7 +84,7 @@
 						for _, after := range []float64{0, 0.1, 1.5} {
 							for _, order := range []string{"oldest", "newest"} {
 								got := play(on, after, order)
-								if strings.Contains(name, "back") && got.leaders <= usual.leaders+leadership.MostYields {
+								if strings.Contains(name, "back") && got.leaders <= usual.leaders+leadership.MaxTransfers {
 									got.leaders = usual.leaders
 								}
 								if got != usual {
--- a/internal/simulation/recorded.go
+++ b/internal/simulation/recorded.go
@@ -30,13 +30,13 @@
 	for _, change := range then {
 		key := string(change.GetStringBytes("set"))
 		switch {
-		case strings.HasPrefix(key, state.HostPages):
+		case strings.HasPrefix(key, state.HostShardPrefix):
 			p.hosts[key] = make(map[string]bool)
 			hosts, _ := state.DecodeHosts(0, change.Get("data").MarshalTo(nil))
 			for _, h := range hosts {
 				p.hosts[key][h.Name] = true
 			}
-		case strings.HasPrefix(key, state.LaunchPages):
+		case strings.HasPrefix(key, state.LaunchShardPrefix):
 			p.launches[key] = make(map[protocol.AttemptName]string)
 			launches, _ := state.DecodeLaunches(change.Get("data").MarshalTo(nil))
 			for _, l := range launches {
@@ -81,7 +81,7 @@
 		task := protocol.TaskName{Job: ref}
 		task.Index, _ = strconv.Atoi(index)
 		name := protocol.AttemptName{TaskName: task, Number: order.GetUint64("try")}
-		if !w.recorded.namesHost(m.name) && w.store.keys[state.OldHostPrefix+m.name] == nil {
+		if !w.recorded.namesHost(m.name) && w.store.keys[state.LegacyHostPrefix+m.name] == nil {
 			w.broken("not recorded: %s, on which %s is launched", m.name, task)
 		}
 		if !w.recorded.namesLaunch(name, m.name) {
--- a/internal/simulation/service.go
+++ b/internal/simulation/service.go
@@ -22,7 +22,7 @@
 		now: now, platform: p, metered: func() bool { return true }, strict: true, alarm: alarm,
 		keys: make(map[string]*entry), leases: make(map[uint64]*lease),
 	}
-	s.requests = allowance{p.StateRate, now()}
+	s.requests = allowance{p.StateRequestRate, now()}
 	s.writes = allowance{p.StateWriteRate, now()}
 	return &StateService{s}
 }
--- a/internal/simulation/service_test.go
+++ b/internal/simulation/service_test.go
@@ -11,7 +11,7 @@
 // The state service by itself, with its limits, by a clock of the test's own.
 func TestStateServiceKeepsItsLimits(t *testing.T) {
 	now := protocol.Second
-	p := &protocol.Platform{StateRate: 20, StateWriteRate: 4, ValueBytes: 64, TxnOps: 4}
+	p := &protocol.Platform{StateRequestRate: 20, StateWriteRate: 4, MaxValueBytes: 64, MaxTxnChanges: 4}
 	var alarms []string
 	s := NewStateService(p, func() protocol.Micros { return now }, func(format string, args ...any) { alarms = append(alarms, fmt.Sprintf(format, args...)) })
 	ask := func(method, target, body string) (status int, answer string) {
@@ -80,7 +80,7 @@
 // Of the changes the last 10,000 are kept.
 func TestStateServiceForgetsOldChanges(t *testing.T) {
 	now := protocol.Second
-	p := &protocol.Platform{StateRate: 1e6, StateWriteRate: 1e6, ValueBytes: 64, TxnOps: 4}
+	p := &protocol.Platform{StateRequestRate: 1e6, StateWriteRate: 1e6, MaxValueBytes: 64, MaxTxnChanges: 4}
 	s := NewStateService(p, func() protocol.Micros { return now }, t.Errorf)
 	for range 12_000 {
 		s.Serve("POST", "/commit", []byte(`{"then":[{"set":"k","data":1}]}`), func(int, string) {})
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -69,7 +69,7 @@
 		w.broken("damaged record of %s: %v", ref, err)
 		return nil
 	}
-	j := &userJob{spec: k.Spec, run: k.Spec.Estimate, results: make([]bool, k.Spec.Tasks), accepted: true}
+	j := &userJob{spec: k.Spec, run: k.Spec.EstimatedRuntime, results: make([]bool, k.Spec.Tasks), accepted: true}
 	w.described[ref] = j
 	return j
 }
@@ -123,14 +123,14 @@
 		o := options(words[3:])
 		service = words[2]
 		s := &protocol.RolloutSpec{
-			ID: words[1], Service: service, Count: int(number(o, "count", 4)), Floor: int(number(o, "floor", 3)), Surge: int(number(o, "surge", 1)),
-			Faulty: int(number(o, "faulty", 0)), Soak: protocol.FromSeconds(number(o, "soak", 5)), StartWithin: protocol.FromSeconds(number(o, "start", 60)),
-			HealthyWithin: protocol.FromSeconds(number(o, "healthy", 20)),
+			ID: words[1], Service: service, Count: int(number(o, "count", 4)), MinHealthy: int(number(o, "floor", 3)), MaxSurge: int(number(o, "surge", 1)),
+			MaxFaulty: int(number(o, "faulty", 0)), SoakTime: protocol.FromSeconds(number(o, "soak", 5)), StartTimeout: protocol.FromSeconds(number(o, "start", 60)),
+			HealthTimeout: protocol.FromSeconds(number(o, "healthy", 20)),
 			Job: &protocol.JobSpec{
-				Class: "live", Team: "red", Kind: protocol.Service, Rank: protocol.High, Image: o["image"], ImageSize: thousandths(number(o, "size", 2)),
-				Need: protocol.Resources{CPU: 1000, GPU: thousandths(number(o, "gpus", 1)), Mem: 1000},
+				Class: "live", Team: "red", Kind: protocol.Service, Priority: protocol.PriorityHigh, Image: o["image"], ImageSize: thousandths(number(o, "size", 2)),
+				TaskResources: protocol.Resources{CPU: 1000, GPU: thousandths(number(o, "gpus", 1)), Memory: 1000},
 			},
-			Check: protocol.HealthCheck{At: InstanceAt, Path: "/healthz", Every: 2 * protocol.Second, Timeout: protocol.Second / 2, Passes: 2, Fail: 2},
+			Check: protocol.HealthCheck{AddressTemplate: InstanceAt, Path: "/healthz", Interval: 2 * protocol.Second, Timeout: protocol.Second / 2, SuccessThreshold: 2, FailureThreshold: 2},
 		}
 		for _, n := range strings.Split(o["stages"], ",") {
 			if k, err := strconv.Atoi(n); err == nil {
@@ -141,8 +141,8 @@
 			s.Stages = []int{s.Count}
 		}
 		if o["adopt"] != "" {
-			s.Adopt = strings.Split(o["adopt"], ",")
-			for _, ref := range s.Adopt {
+			s.AdoptJobs = strings.Split(o["adopt"], ",")
+			for _, ref := range s.AdoptJobs {
 				if j := w.jobs[ref]; j != nil {
 					j.asked = true // to be cancelled, by the roll-out
 				}
--- a/internal/simulation/singles_test.go
+++ b/internal/simulation/singles_test.go
@@ -118,7 +118,7 @@
 }
 
 // waits lists how long the jobs of a kind took to start, sorted, and how many never did.
-func (s *singles) waits(kind protocol.Kind) (list []micros, never int) {
+func (s *singles) waits(kind protocol.JobKind) (list []micros, never int) {
 	for ref, at := range s.submits {
 		switch start := s.starts[ref]; {
 		case s.jobs[ref].spec.Kind != kind:
@@ -194,7 +194,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d changes", c.changes), func(t *testing.T) {
 			w, err := playTrace(fmt.Sprintf("nodes 3\nteam red\naim wait pick within=12\nlimits changes=%d\ntype big cpus=32 gpus=2 mem=64 zones=a\nno-capacity\nfleet 100 big a\nat 4 expect leader some", c.changes),
-				func(w *World) { w.Operator.IdleReturn = protocol.FromSeconds(3600) })
+				func(w *World) { w.Operator.IdleScaleInDelay = protocol.FromSeconds(3600) })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -27,7 +27,7 @@
 func grownTo(tb testing.TB, w *World, machines int) *World {
 	tb.Helper()
 	w.quiet = true
-	w.Platform.ReportEvery = 5 * protocol.Second
+	w.Platform.HeartbeatInterval = 5 * protocol.Second
 	w.Platform.StateWriteRate = 35
 	var b strings.Builder
 	fmt.Fprintf(&b, "team red\nteam guests\nno-capacity\naim wait pick within=12\n")
@@ -106,7 +106,7 @@
 	for key, e := range w.store.keys {
 		prefix, _, _ := strings.Cut(key, "/")
 		count[prefix]++
-		if len(e.value) > w.Platform.ValueBytes {
+		if len(e.value) > w.Platform.MaxValueBytes {
 			t.Errorf("%s takes %d bytes", key, len(e.value))
 		}
 	}
@@ -145,7 +145,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		w.now += w.Operator.RoundEvery
+		w.now += w.Operator.MaxCycleInterval
 		b.StopTimer()
 		for k := range 20 {
 			n.ctl.Step(w.timeOf(n), reportOf(w, (i*20+k)%fleetSize))
--- a/internal/simulation/smallest_limits_test.go
+++ b/internal/simulation/smallest_limits_test.go
@@ -71,8 +71,8 @@
 	most := 0
 	w, err := playTrace(walk(), func(w *World) {
 		w.quiet = true
-		w.Platform.ValueBytes, w.Platform.TxnOps = protocol.MinValueBytes, protocol.MinTxnOps
-		w.Platform.StateRate, w.Platform.StateWriteRate = 1000, 200
+		w.Platform.MaxValueBytes, w.Platform.MaxTxnChanges = protocol.MinValueBytes, protocol.MinTxnChanges
+		w.Platform.StateRequestRate, w.Platform.StateWriteRate = 1000, 200
 		w.limited, w.store.strict = true, true
 		inner := w.store.applied
 		w.store.applied = func(then []*fastjson.Value) {
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -15,7 +15,7 @@
 	tb.Helper()
 	w := NewWorld(3)
 	w.quiet = true
-	w.Platform.ReportEvery = 5 * protocol.Second
+	w.Platform.HeartbeatInterval = 5 * protocol.Second
 	w.Platform.WorkerLease = 24 * protocol.Second
 	w.Platform.StateWriteRate = 35
 	var b strings.Builder
@@ -66,7 +66,7 @@
 	}
 	if announced {
 		l := w.store.fallen.StateLimits
-		w.Platform.StateNext = &l
+		w.Platform.AnnouncedStateLimits = &l
 	}
 	for _, n := range w.nodes {
 		w.end(n, 3*protocol.Second)
@@ -191,7 +191,7 @@
 		}
 		fmt.Fprintf(&b, "record %s %s\n", key, value)
 	}
-	add(state.KeyEpoch, state.EncodeEpoch(state.Epoch{N: 7}))
+	add(state.KeyEpoch, state.EncodeEpoch(state.EpochRecord{Epoch: 7}))
 	var hosts []*state.Host
 	for i := range 60 {
 		h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "large", "a", false)
@@ -205,10 +205,10 @@
 	for i := range 60 {
 		spec := &protocol.JobSpec{
 			Ref: fmt.Sprintf("req-%06d", i+1), Class: "work", Team: "red", Kind: protocol.Array, Tasks: 100,
-			Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second,
+			TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "img-1", ImageSize: 100, EstimatedRuntime: 5 * protocol.Second,
 		}
 		j := state.NewJob(spec)
-		j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
+		j.SubmittedWall, j.LeaderEpoch = 1_700_000_000*protocol.Second, 7
 		add("j/"+spec.Ref, state.EncodeJob(j))
 		for k := range 98 {
 			j.Complete(k, true)
@@ -256,12 +256,12 @@
 func TestCompletionsInTwoRecords(t *testing.T) {
 	spec := &protocol.JobSpec{
 		Ref: "req-000001", Class: "work", Team: "red", Kind: protocol.Array, Tasks: 8,
-		Need: protocol.Resources{CPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 100, Estimate: 5 * protocol.Second,
+		TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "img-1", ImageSize: 100, EstimatedRuntime: 5 * protocol.Second,
 	}
 	j := state.NewJob(spec)
-	j.SubmittedWall, j.Epoch = 1_700_000_000*protocol.Second, 7
+	j.SubmittedWall, j.LeaderEpoch = 1_700_000_000*protocol.Second, 7
 	text := fmt.Sprintf("nodes 1\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nfleet 2 large a\nrecord epoch %s\nrecord j/req-000001 %s\n",
-		state.EncodeEpoch(state.Epoch{N: 7}), state.EncodeJob(j))
+		state.EncodeEpoch(state.EpochRecord{Epoch: 7}), state.EncodeJob(j))
 	j.Complete(0, true)
 	text += fmt.Sprintf("record dp/2 %s\n", state.EncodeCompletions([]*state.Job{j}))
 	for k := range 6 {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -216,7 +216,7 @@
 		answer(503, `{"error":"outage"}`)
 		return
 	}
-	if s.strict && !s.requests.take(s.now(), s.platform.StateRate, 1, 1) {
+	if s.strict && !s.requests.take(s.now(), s.platform.StateRequestRate, 1, 1) {
 		answer(429, `{"error":"too many requests"}`)
 		return
 	}
@@ -299,7 +299,7 @@
 	}
 	s.written += len(then)
 	s.commits++
-	if len(then) > s.platform.TxnOps || len(v.GetArray("when")) > 4*s.platform.TxnOps {
+	if len(then) > s.platform.MaxTxnChanges || len(v.GetArray("when")) > 4*s.platform.MaxTxnChanges {
 		s.alarm("transaction too large: %d changes", len(then))
 		answer(400, `{}`)
 		return
@@ -401,8 +401,8 @@
 		}
 		if data := c.Get("data"); data == nil {
 			return "data is missing"
-		} else if n := len(data.MarshalTo(nil)); n > s.platform.ValueBytes {
-			return fmt.Sprintf("the value of %s takes %d bytes of %d", key, n, s.platform.ValueBytes)
+		} else if n := len(data.MarshalTo(nil)); n > s.platform.MaxValueBytes {
+			return fmt.Sprintf("the value of %s takes %d bytes of %d", key, n, s.platform.MaxValueBytes)
 		}
 	}
 	return ""
