--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -126,9 +126,9 @@
 		o := options(words[2:])
 		w.Types = append(w.Types, &protocol.MachineType{
 			Name:  words[1],
-			Offer: protocol.Resources{CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Mem: thousandths(number(o, "mem", 64))},
-			Cache: thousandths(number(o, "cache", 100)), FetchRate: number(o, "fetch", 1) / 1000, Price: number(o, "price", 1), SpotPrice: number(o, "price", 1) / 2,
-			Boot: protocol.FromSeconds(number(o, "boot", 10)), Zones: strings.Split(o["zones"], ","),
+			Capacity: protocol.Resources{CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Memory: thousandths(number(o, "mem", 64))},
+			CacheSize: thousandths(number(o, "cache", 100)), FetchRate: number(o, "fetch", 1) / 1000, Price: number(o, "price", 1), SpotPrice: number(o, "price", 1) / 2,
+			BootTime: protocol.FromSeconds(number(o, "boot", 10)), Zones: strings.Split(o["zones"], ","),
 		})
 	case "machine":
 		m := w.addMachine(words[1], words[2], words[3], len(words) > 4 && words[4] == "spot")
@@ -151,11 +151,11 @@
 		w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
 	case "workers": // workers report=2.5 lease=16 cancel=46
 		o := options(words[1:])
-		w.Platform.ReportEvery = protocol.FromSeconds(number(o, "report", w.Platform.ReportEvery.Seconds()))
+		w.Platform.HeartbeatInterval = protocol.FromSeconds(number(o, "report", w.Platform.HeartbeatInterval.Seconds()))
 		w.Platform.WorkerLease = protocol.FromSeconds(number(o, "lease", w.Platform.WorkerLease.Seconds()))
-		w.Platform.Cancel = protocol.FromSeconds(number(o, "cancel", w.Platform.Cancel.Seconds()))
+		w.Platform.CancelTimeout = protocol.FromSeconds(number(o, "cancel", w.Platform.CancelTimeout.Seconds()))
 	case "operator": // operator cut-keep=600: the operators' settings
-		w.Operator.CutKeep = protocol.FromSeconds(number(options(words[1:]), "cut-keep", 0))
+		w.Operator.PartitionRetention = protocol.FromSeconds(number(options(words[1:]), "cut-keep", 0))
 	case "limits": // of the state service are held: limits changes=35
 		w.limited, w.Platform.StateWriteRate = true, number(options(words[1:]), "changes", 35)
 	case "connections": // to other controllers are bounded: connections peers=24
@@ -170,7 +170,7 @@
 		if err != nil {
 			return err
 		}
-		w.Platform.ValueBytes = n
+		w.Platform.MaxValueBytes = n
 	case "next":
 		return w.sceneNext(words[1:])
 	case "txn-changes": // that a transaction of the state service may carry
@@ -178,7 +178,7 @@
 		if err != nil {
 			return err
 		}
-		w.Platform.TxnOps = n
+		w.Platform.MaxTxnChanges = n
 	case "no-capacity":
 		w.noCapacity = true
 	case "changes": // of the configuration are on
@@ -411,10 +411,10 @@
 		if err != nil {
 			return err
 		}
-		w.store.keys[state.KeyEpoch].value = strconv.FormatUint(epoch.N, 10)
+		w.store.keys[state.KeyEpoch].value = strconv.FormatUint(epoch.Epoch, 10)
 		w.versions.active = 0
 		for _, key := range slices.Clone(w.store.order) {
-			if strings.HasPrefix(key, state.LaunchPages) || key == featuregate.KeyLevel {
+			if strings.HasPrefix(key, state.LaunchShardPrefix) || key == featuregate.KeyLevel {
 				w.store.drop(key)
 			}
 		}
@@ -507,8 +507,8 @@
 }
 
 var (
-	kindWords = map[string]protocol.Kind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
-	rankWords = map[string]protocol.Rank{"critical": protocol.Critical, "high": protocol.High, "standard": protocol.Standard, "low": protocol.Low}
+	kindWords = map[string]protocol.JobKind{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
+	rankWords = map[string]protocol.Priority{"critical": protocol.PriorityCritical, "high": protocol.PriorityHigh, "standard": protocol.PriorityStandard, "low": protocol.PriorityLow}
 )
 
 func (w *World) actSubmit(words []string) error {
@@ -530,17 +530,17 @@
 	}
 	run := protocol.FromSeconds(number(o, "run", 10))
 	s := &protocol.JobSpec{
-		Ref: words[1], Class: text("class", "work"), Team: text("team", "red"), Kind: kind, Rank: rank, Tasks: int(number(o, "tasks", 1)),
-		Need:  protocol.Resources{CPU: thousandths(number(o, "cpus", 1)), GPU: thousandths(number(o, "gpus", 1)), Mem: thousandths(number(o, "mem", 1))},
-		Image: text("image", "img-1"), ImageSize: thousandths(number(o, "size", 2)), Zone: o["zone"], OneZone: has("one-zone"), Spread: has("spread"), Spot: has("spot"),
-		Estimate: protocol.FromSeconds(number(o, "estimate", run.Seconds())), CheckpointEvery: protocol.FromSeconds(number(o, "checkpoint", 0)),
+		Ref: words[1], Class: text("class", "work"), Team: text("team", "red"), Kind: kind, Priority: rank, Tasks: int(number(o, "tasks", 1)),
+		TaskResources:  protocol.Resources{CPU: thousandths(number(o, "cpus", 1)), GPU: thousandths(number(o, "gpus", 1)), Memory: thousandths(number(o, "mem", 1))},
+		Image: text("image", "img-1"), ImageSize: thousandths(number(o, "size", 2)), Zone: o["zone"], SingleZone: has("one-zone"), SpreadZones: has("spread"), AllowSpot: has("spot"),
+		EstimatedRuntime: protocol.FromSeconds(number(o, "estimate", run.Seconds())), CheckpointInterval: protocol.FromSeconds(number(o, "checkpoint", 0)),
 		Deadline: protocol.FromSeconds(number(o, "deadline", 0)),
 	}
 	if has("awaits") {
-		s.Awaits = strings.Split(o["awaits"], ",")
+		s.DependsOn = strings.Split(o["awaits"], ",")
 	}
 	if has("types") {
-		s.Types = strings.Split(o["types"], ",")
+		s.MachineTypes = strings.Split(o["types"], ",")
 	}
 	j := &userJob{spec: s, body: protocol.AppendJob(nil, s), run: run, fails: has("fails"), results: make([]bool, s.Tasks)}
 	w.submit(j)
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -255,16 +255,16 @@
 	}
 	sort.Strings(teams)
 	spec := &protocol.JobSpec{
-		Ref: fmt.Sprintf("req-%06d", 800000+i), Class: "work", Team: teams[i%len(teams)], Rank: protocol.Standard, Tasks: 1,
-		Need: protocol.Resources{CPU: 1000, GPU: 1000, Mem: 1000}, Image: "img-1", ImageSize: 1000, Estimate: protocol.Second,
+		Ref: fmt.Sprintf("req-%06d", 800000+i), Class: "work", Team: teams[i%len(teams)], Priority: protocol.PriorityStandard, Tasks: 1,
+		TaskResources: protocol.Resources{CPU: 1000, GPU: 1000, Memory: 1000}, Image: "img-1", ImageSize: 1000, EstimatedRuntime: protocol.Second,
 	}
 	made := func(why string) refusable { return refusable{spec.Ref, string(protocol.AppendJob(nil, spec)), why} }
 	switch i % 6 {
 	case 0:
-		spec.Need.CPU = 4_000_000
+		spec.TaskResources.CPU = 4_000_000
 		return made("larger than any machine")
 	case 1:
-		spec.Types = []string{"unknown"}
+		spec.MachineTypes = []string{"unknown"}
 		return made("no allowed machine type")
 	case 2:
 		spec.Team = "nobody"
@@ -293,13 +293,13 @@
 	team, known := w.Platform.Teams[s.Team]
 	fits := false
 	for _, t := range w.Types {
-		fits = fits || s.AllowsType(t.Name) && t.Offer.Holds(s.Need)
+		fits = fits || s.AllowsType(t.Name) && t.Capacity.Covers(s.TaskResources)
 	}
 	tasks := int64(s.Tasks)
 	if s.Kind == protocol.Array {
 		tasks = 1
 	}
-	all := protocol.Resources{}.Add(s.Need, tasks)
+	all := protocol.Resources{}.Add(s.TaskResources, tasks)
 	if !known || !fits || team.Limit.GPU > 0 && all.GPU > team.Limit.GPU || team.Limit.CPU > 0 && all.CPU > team.Limit.CPU {
 		w.broken("accepted_invalid: %s can never run", s.Ref)
 	}
--- a/internal/simulation/waiting.go
+++ b/internal/simulation/waiting.go
@@ -65,7 +65,7 @@
 	free := make(map[string]int)
 	for _, m := range w.sortedMachines() {
 		typ := w.typeOf(m)
-		room := typ.Offer
+		room := typ.Capacity
 		for _, t := range m.tasks {
 			if t.state == "exited" {
 				continue
@@ -73,15 +73,15 @@
 			if t.job == j {
 				return false
 			}
-			room = room.Add(t.job.spec.Need, -1)
+			room = room.Add(t.job.spec.TaskResources, -1)
 			if t.job.spec.Team == s.Team {
-				used = used.Add(t.job.spec.Need, 1)
+				used = used.Add(t.job.spec.TaskResources, 1)
 			}
 		}
-		if m.phase != "running" || m.hung || m.spoilt || !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.Spot {
+		if m.phase != "running" || m.hung || m.spoilt || !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
 			continue
 		}
-		for ; room.Holds(s.Need); room = room.Add(s.Need, -1) {
+		for ; room.Covers(s.TaskResources); room = room.Add(s.TaskResources, -1) {
 			free[m.zone]++
 		}
 	}
@@ -90,13 +90,13 @@
 		need = s.Tasks
 	}
 	limit := w.Platform.Teams[s.Team].Limit
-	with := used.Add(s.Need, int64(need))
+	with := used.Add(s.TaskResources, int64(need))
 	if limit.GPU > 0 && with.GPU > limit.GPU || limit.CPU > 0 && with.CPU > limit.CPU {
 		return false
 	}
 	places := make([]int, 0, len(free))
 	for _, n := range free {
-		if s.Spread {
+		if s.SpreadZones {
 			n = min(n, (s.Tasks+1)/2)
 		}
 		places = append(places, n)
@@ -104,7 +104,7 @@
 	if len(places) == 0 {
 		return false
 	}
-	if s.OneZone {
+	if s.SingleZone {
 		return need > 0 && slices.Max(places) >= need
 	}
 	sum := 0
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -22,7 +22,7 @@
 // clock or on luck.
 type World struct {
 	Platform protocol.Platform
-	Operator protocol.Operator
+	Operator protocol.OperatorSettings
 	Types    []*protocol.MachineType
 	Log      []string // what happened, for people
 	Broken   []string // rules that were broken
@@ -169,7 +169,7 @@
 // NewWorld makes a deployment of n controllers.
 func NewWorld(n int) *World {
 	w := &World{
-		Operator: protocol.DefaultOperator(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
+		Operator: protocol.DefaultOperatorSettings(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
 		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.Loading,
@@ -177,11 +177,11 @@
 	w.Logger = slog.New(alarm{slog.NewTextHandler(io.Discard, nil), w})
 	w.Platform = protocol.Platform{
 		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
-		ReportEvery: 3 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWait: 40 * protocol.Second, GangPeer: 6 * protocol.Second,
-		Cancel: 50 * protocol.Second, StateRate: 200, StateWriteRate: 50, ValueBytes: 8192, TxnOps: 12, CloudRate: 5,
-		ListLag: 3 * protocol.Second, CPUShare: 1, MemoryBytes: 1 << 28, MaxConnections: 1000,
+		HeartbeatInterval: 3 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWaitTimeout: 40 * protocol.Second, GangPeerTimeout: 6 * protocol.Second,
+		CancelTimeout: 50 * protocol.Second, StateRequestRate: 200, StateWriteRate: 50, MaxValueBytes: 8192, MaxTxnChanges: 12, CloudRate: 5,
+		MachineListLag: 3 * protocol.Second, CPUShare: 1, MemoryBytes: 1 << 28, MaxConnections: 1000,
 	}
-	w.Operator.IdleReturn = 60 * protocol.Second
+	w.Operator.IdleScaleInDelay = 60 * protocol.Second
 	w.store = newStore(w)
 	w.recorded.init()
 	w.nodes = make([]*node, 0, n)
@@ -246,14 +246,14 @@
 	n.life++
 	n.seed += 100
 	p := w.Platform
-	p.Node, p.Zone = n.name, n.zone
-	p.Siblings = nil
+	p.ControllerName, p.Zone = n.name, n.zone
+	p.Peers = nil
 	for _, o := range w.nodes {
 		if o != n {
-			p.Siblings = append(p.Siblings, protocol.Sibling{Name: o.name, Zone: o.zone, Address: o.name})
+			p.Peers = append(p.Peers, protocol.Peer{Name: o.name, Zone: o.zone, Address: o.name})
 		}
 	}
-	n.meter = transport.NewMeter(p.StateRate, p.StateWriteRate, 1, p.TxnOps)
+	n.meter = transport.NewMeter(p.StateRequestRate, p.StateWriteRate, 1, p.MaxTxnChanges)
 	w.share(n, false)
 	n.ctl = controller.New(&p, w.Operator, n.seed, w.Logger.With("node", n.name))
 	w.configure(n)
@@ -293,7 +293,7 @@
 // share sets the parts of the state service's rates that a node keeps to.
 func (w *World) share(n *node, leads bool) {
 	nodes := len(w.nodes)
-	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.TxnOps, leads))
+	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.MaxTxnChanges, leads))
 }
 
 func (w *World) timeOf(n *node) protocol.Now {
@@ -619,10 +619,10 @@
 			back(200, string(body))
 			return
 		}
-		if m := w.machines[fastjson.GetString(msg.Body, "host")]; msg.Kind == protocol.PeerReport && m != nil {
+		if m := w.machines[fastjson.GetString(msg.Body, "host")]; msg.Kind == protocol.PeerHeartbeat && m != nil {
 			w.sends(m, body)
 		}
-		out := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerAnswer, Status: uint16(status), Body: body})
+		out := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerResponse, Status: uint16(status), Body: body})
 		frame, _, _ := protocol.SplitPeer(out)
 		back(200, string(frame))
 	}
@@ -831,7 +831,7 @@
 func (w *World) checkCancelled() {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.Cancel {
+			if t.on && t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
 				t.job.toldCancelled = w.now // once
 				w.broken("ran_cancelled: %s/%d", t.job.spec.Ref, t.index)
 			}
--- a/internal/state/awaits_test.go
+++ b/internal/state/awaits_test.go
@@ -11,16 +11,16 @@
 
 // A job that awaits others waits, also one that is read from its record.
 func TestAwaitingJobRecord(t *testing.T) {
-	j := NewJob(&protocol.JobSpec{Ref: "req-000001", Class: "c", Team: "red", Tasks: 2, Image: "img", Awaits: []string{"req-000002", "req-000003"}})
-	if j.State != JobWaiting {
+	j := NewJob(&protocol.JobSpec{Ref: "req-000001", Class: "c", Team: "red", Tasks: 2, Image: "img", DependsOn: []string{"req-000002", "req-000003"}})
+	if j.State != JobBlocked {
 		t.Fatalf("it is %v", j.State)
 	}
 	got, err := DecodeJob(EncodeJob(j))
-	if err != nil || got.State != JobWaiting || !cmp.Equal(got.Awaiting, j.Spec.Awaits) || !cmp.Equal(got.Spec, j.Spec) {
+	if err != nil || got.State != JobBlocked || !cmp.Equal(got.UnmetDependencies, j.Spec.DependsOn) || !cmp.Equal(got.Spec, j.Spec) {
 		t.Errorf("%+v %v", got, err)
 	}
-	j.To(JobCancelling)
-	j.CancelledWall = 55
+	j.SetState(JobCancelling)
+	j.CancelRequestedWall = 55
 	if got, err = DecodeJob(EncodeJob(j)); err != nil || got.State != JobCancelling {
 		t.Errorf("%+v %v", got, err)
 	}
@@ -31,11 +31,11 @@
 func TestAwaitingJobRecordIsBounded(t *testing.T) {
 	s := &protocol.JobSpec{
 		Ref: "req-000001", Class: "picker-training", Team: "duty-analysts", Kind: protocol.Gang, Tasks: 100, Image: "picker-training-000017",
-		Types: []string{"tisza-small", "duna-large"}, Zone: "szeged-annex", Deadline: 900 * protocol.Second, Estimate: 80 * protocol.Second,
-		Need: protocol.Resources{CPU: 28500, GPU: 4000, Mem: 100500}, ImageSize: 7250, CheckpointEvery: 30 * protocol.Second, Saves: 4 * protocol.Second,
+		MachineTypes: []string{"tisza-small", "duna-large"}, Zone: "szeged-annex", Deadline: 900 * protocol.Second, EstimatedRuntime: 80 * protocol.Second,
+		TaskResources: protocol.Resources{CPU: 28500, GPU: 4000, Memory: 100500}, ImageSize: 7250, CheckpointInterval: 30 * protocol.Second, CheckpointDuration: 4 * protocol.Second,
 	}
-	for i := range protocol.MaxAwaits {
-		s.Awaits = append(s.Awaits, fmt.Sprintf("req-%06d", i+2))
+	for i := range protocol.MaxDependencies {
+		s.DependsOn = append(s.DependsOn, fmt.Sprintf("req-%06d", i+2))
 	}
 	if b := EncodeJob(NewJob(s)); len(b) > 2048 {
 		t.Errorf("%d bytes", len(b))
--- a/internal/state/book_test.go
+++ b/internal/state/book_test.go
@@ -11,23 +11,23 @@
 
 func job(tasks int) *Job {
 	return NewJob(&protocol.JobSpec{
-		Ref: "req-000001", Class: "c", Team: "red", Tasks: tasks, Need: protocol.Resources{CPU: 1000, GPU: 1000},
+		Ref: "req-000001", Class: "c", Team: "red", Tasks: tasks, TaskResources: protocol.Resources{CPU: 1000, GPU: 1000},
 		Image: "img", Deadline: 5 * protocol.Second,
 	})
 }
 
 func TestJobRecord(t *testing.T) {
 	j := job(3)
-	j.SubmittedWall, j.Epoch, j.CancelledWall = 1234567, 7, 2345678
+	j.SubmittedWall, j.LeaderEpoch, j.CancelRequestedWall = 1234567, 7, 2345678
 	for _, cancelled := range []bool{false, true} {
 		if cancelled {
-			j.State = JobCancelled
+			j.State = JobCancelledLegacy
 		}
 		got, err := DecodeJob(EncodeJob(j))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(j.Spec, got.Spec); d != "" || got.Epoch != 7 || got.SubmittedWall != 1234567 || (got.State == JobCancelled) != cancelled || cancelled && got.CancelledWall != 2345678 {
+		if d := cmp.Diff(j.Spec, got.Spec); d != "" || got.LeaderEpoch != 7 || got.SubmittedWall != 1234567 || (got.State == JobCancelledLegacy) != cancelled || cancelled && got.CancelRequestedWall != 2345678 {
 			t.Errorf("%s %+v", d, got)
 		}
 	}
@@ -38,7 +38,7 @@
 func TestHostPage(t *testing.T) {
 	h := NewHost(0, "n-1", "g8", "a", true)
 	h.Addr, h.RecordedWall = "10.0.0.1:9000", 99
-	h.SawImage(5, "img-1", 2000)
+	h.AddImage(5, "img-1", 2000)
 	plain := NewHost(0, "n-2", "g4", "b", false)
 	plain.Addr = "10.0.0.2:9000"
 	for _, images := range []bool{true, false} {
@@ -62,7 +62,7 @@
 			t.Errorf("%s: read as %v", bad, got)
 		}
 	}
-	old, err := DecodeHost(0, "n-1", []byte(`{"type":"g8","zone":"a","addr":"10.0.0.1:9000","at":99,"spot":true,"images":{"img-1":2000}}`))
+	old, err := DecodeLegacyHost(0, "n-1", []byte(`{"type":"g8","zone":"a","addr":"10.0.0.1:9000","at":99,"spot":true,"images":{"img-1":2000}}`))
 	if err != nil || old.TypeName != "g8" || !old.Spot || old.Images["img-1"] == nil {
 		t.Errorf("the form with a key for each host: %+v %v", old, err)
 	}
@@ -83,7 +83,7 @@
 	if err == nil {
 		err = ApplyChunk(again, 0, bits["req-000001"])
 	}
-	if err != nil || again.Done != 2 || again.Tasks[3].State != TaskDone || !again.Tasks[29].Durable {
+	if err != nil || again.CompletedTasks != 2 || again.Tasks[3].State != TaskDone || !again.Tasks[29].Durable {
 		t.Errorf("%v %+v", err, again)
 	}
 	for _, bad := range []string{`{"form":3,"done":{}}`, `{"form":2,"done":{"req-000001":7}}`, `{"form":2,"at":{"req-000001":"x"}}`, `{"form":2}`, `7`} {
@@ -119,20 +119,20 @@
 // An epoch of the form before is read; a controller of that form can't read
 // ours and so can't lead without seeing the hosts that share a record.
 func TestEpochRecord(t *testing.T) {
-	for text, want := range map[string]uint64{"7": 7, string(EncodeEpoch(Epoch{N: 8})): 8, string(EncodeEpoch(Epoch{N: 9, Unlisted: true})): 9} {
-		if got, err := DecodeEpoch([]byte(text)); err != nil || got.N != want || got.Unlisted != (want != 8) {
+	for text, want := range map[string]uint64{"7": 7, string(EncodeEpoch(EpochRecord{Epoch: 8})): 8, string(EncodeEpoch(EpochRecord{Epoch: 9, LaunchesUnrecorded: true})): 9} {
+		if got, err := DecodeEpoch([]byte(text)); err != nil || got.Epoch != want || got.LaunchesUnrecorded != (want != 8) {
 			t.Errorf("%s: %+v %v", text, got, err)
 		}
 	}
-	if _, err := strconv.ParseUint(string(EncodeEpoch(Epoch{N: 8})), 10, 64); err == nil {
+	if _, err := strconv.ParseUint(string(EncodeEpoch(EpochRecord{Epoch: 8})), 10, 64); err == nil {
 		t.Error("the form before would read it")
 	}
-	yields := []protocol.Yield{{Node: "n1", To: "n2", Epoch: 8, At: 77, Heard: map[string]int{"a": 1, "b": 22}}, {Node: "n2", Epoch: 9, At: 78, Heard: map[string]int{}}}
-	text := EncodeEpoch(Epoch{N: 9, Yields: yields})
+	yields := []protocol.LeadershipTransfer{{From: "n1", To: "n2", Epoch: 8, At: 77, ReachableWorkers: map[string]int{"a": 1, "b": 22}}, {From: "n2", Epoch: 9, At: 78, ReachableWorkers: map[string]int{}}}
+	text := EncodeEpoch(EpochRecord{Epoch: 9, Transfers: yields})
 	if want := `{"form":2,"epoch":9,"yields":[{"node":"n1","to":"n2","epoch":8,"at":77,"heard":{"a":1,"b":22}},{"node":"n2","to":"","epoch":9,"at":78,"heard":{}}]}`; string(text) != want {
 		t.Errorf("%s", text)
 	}
-	if got, err := DecodeEpoch(text); err != nil || !cmp.Equal(got.Yields, yields) {
+	if got, err := DecodeEpoch(text); err != nil || !cmp.Equal(got.Transfers, yields) {
 		t.Errorf("%+v %v", got, err)
 	}
 	for _, bad := range []string{`{"form":3,"epoch":9}`, `{"form":2}`, `"7"`, `-1`, ``} {
@@ -165,8 +165,8 @@
 			got = append(got, i)
 		}
 	}
-	if d := cmp.Diff(done, got); d != "" || again.Queued != len(again.Tasks)-len(done) {
-		t.Errorf("%s, %d queued", d, again.Queued)
+	if d := cmp.Diff(done, got); d != "" || again.QueuedTasks != len(again.Tasks)-len(done) {
+		t.Errorf("%s, %d queued", d, again.QueuedTasks)
 	}
 }
 
@@ -176,21 +176,21 @@
 		{AttemptAssigned, AttemptGone},
 		{AttemptAssigned, AttemptLaunched, AttemptGone},
 		{AttemptAssigned, AttemptLaunched, AttemptFetching, AttemptRunning, AttemptExited, AttemptGone},
-		{AttemptAssigned, AttemptLaunched, AttemptWaiting, AttemptRunning, AttemptSaving, AttemptGone},
+		{AttemptAssigned, AttemptLaunched, AttemptWaiting, AttemptRunning, AttemptCheckpointing, AttemptGone},
 		{AttemptRunning, AttemptExited, AttemptGone},
 		{AttemptExited, AttemptGone},
 	} {
-		b, j := NewBook(), job(1)
+		b, j := NewCluster(), job(1)
 		h := NewHost(0, "n-1", "t", "a", false)
 		a := b.Attach(0, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref}, Number: 1})
 		for _, s := range path {
-			b.Move(1, a, s)
-			if s.Occupies() && (b.Used["red"] != j.Spec.Need || h.Used() != j.Spec.Need || j.Queued != 0 || j.Attempts != 1) {
-				t.Errorf("%v at %v: used %v, %d queued, %d attempts", path, s, b.Used["red"], j.Queued, j.Attempts)
+			b.SetAttemptState(1, a, s)
+			if s.HoldsResources() && (b.UsedByTeam["red"] != j.Spec.TaskResources || h.Used() != j.Spec.TaskResources || j.QueuedTasks != 0 || j.AttemptCount != 1) {
+				t.Errorf("%v at %v: used %v, %d queued, %d attempts", path, s, b.UsedByTeam["red"], j.QueuedTasks, j.AttemptCount)
 			}
 		}
-		if b.Used["red"] != (protocol.Resources{}) || j.Queued != 1 || j.Attempts != 0 || j.Running != 0 || j.Tasks[0].Live != 0 || len(h.Attempts()) != 0 || !h.Empty() {
-			t.Errorf("%v: used %v, job %+v", path, b.Used["red"], j)
+		if b.UsedByTeam["red"] != (protocol.Resources{}) || j.QueuedTasks != 1 || j.AttemptCount != 0 || j.RunningTasks != 0 || j.Tasks[0].ActiveAttempts != 0 || len(h.Attempts()) != 0 || !h.Empty() {
+			t.Errorf("%v: used %v, job %+v", path, b.UsedByTeam["red"], j)
 		}
 	}
 }
@@ -198,11 +198,11 @@
 // The cache holds the most recently used images.
 func TestImageCache(t *testing.T) {
 	h := NewHost(0, "n-1", "t", "a", false)
-	h.Type = &protocol.MachineType{Cache: 10000}
-	h.SawImage(1, "a", 5000)
-	h.SawImage(2, "b", 4000)
-	h.SawImage(3, "a", 5000)
-	h.SawImage(4, "c", 3000)
+	h.Type = &protocol.MachineType{CacheSize: 10000}
+	h.AddImage(1, "a", 5000)
+	h.AddImage(2, "b", 4000)
+	h.AddImage(3, "a", 5000)
+	h.AddImage(4, "c", 3000)
 	if h.Images["a"] == nil || h.Images["b"] != nil || h.Images["c"] == nil {
 		t.Errorf("%v", h.Images)
 	}
@@ -211,27 +211,27 @@
 // What leaders have seen, and that a user asked to cancel a job, come back as they were
 // written. A record of a job without the request is the one of before.
 func TestMemoryAndRequestRecords(t *testing.T) {
-	m := protocol.Memory{Epoch: 4, At: 99, Cuts: []protocol.Cut{{Zone: "b", Since: 5, Seen: 6}}, Silent: []protocol.Silence{{Host: "n-000007", Since: 8}}}
-	text := EncodeMemory(m)
+	m := protocol.HandoverState{Epoch: 4, At: 99, Partitions: []protocol.Partition{{Zone: "b", Since: 5, LastSeen: 6}}, SilentHosts: []protocol.SilentHost{{Host: "n-000007", Since: 8}}}
+	text := EncodeHandoverState(m)
 	if want := `{"form":2,"seen":4,"at":99,"cuts":{"b":[5,6]},"silent":{"n-000007":8}}`; string(text) != want {
 		t.Errorf("%s", text)
 	}
-	if got, err := DecodeMemory(text); err != nil || !cmp.Equal(got, m) {
+	if got, err := DecodeHandoverState(text); err != nil || !cmp.Equal(got, m) {
 		t.Errorf("%+v %v", got, err)
 	}
-	if got, err := DecodeMemory([]byte(`{"form":9}`)); err == nil {
+	if got, err := DecodeHandoverState([]byte(`{"form":9}`)); err == nil {
 		t.Errorf("%+v", got)
 	}
 	j := job(1)
 	j.SubmittedWall = 7
 	plain := EncodeJob(j)
-	j.To(JobCancelling)
-	j.CancelledWall = 55
+	j.SetState(JobCancelling)
+	j.CancelRequestedWall = 55
 	asked := EncodeJob(j)
-	j.State = JobCancelled // as an earlier version left it
-	for text, want := range map[string]JobState{string(plain): JobLive, string(asked): JobCancelling, string(EncodeJob(j)): JobCancelled} {
+	j.State = JobCancelledLegacy // as an earlier version left it
+	for text, want := range map[string]JobState{string(plain): JobActive, string(asked): JobCancelling, string(EncodeJob(j)): JobCancelledLegacy} {
 		got, err := DecodeJob([]byte(text))
-		if err != nil || got.State != want || want != JobLive && got.CancelledWall != 55 || got.AskKept != (want == JobCancelling) {
+		if err != nil || got.State != want || want != JobActive && got.CancelRequestedWall != 55 || got.CancelPersisted != (want == JobCancelling) {
 			t.Errorf("%s: %+v %v", text, got, err)
 		}
 	}
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -19,8 +19,8 @@
 	KeyLeader = "lead"
 	KeyEpoch  = "epoch"
 	KeyTypes  = "types"
-	// What leaders have seen that their successors must know; see EncodeMemory.
-	KeyMemory = "seen"
+	// What leaders have seen that their successors must know; see EncodeHandoverState.
+	KeyHandover = "seen"
 	JobPrefix = "j/"
 	// Finished jobs leave the live prefix, so that a new leader reads only
 	// what it needs.
@@ -28,88 +28,88 @@
 	ChunkPrefix = "d/"
 	// Records that are small and many share keys: a change costs the same
 	// however much of the value it writes.
-	HostPages       = "hp/"
-	BookingPages    = "bp/"
-	CompletionPages = "dp/"
-	LaunchPages     = "lp/"
+	HostShardPrefix       = "hp/"
+	BookingShardPrefix    = "bp/"
+	CompletionShardPrefix = "dp/"
+	LaunchShardPrefix     = "lp/"
 	// Prefixes of form 1, which had a key for each host and each booking. They
 	// are read, moved and dropped.
-	OldHostPrefix    = "m/"
-	OldBookingPrefix = "b/"
+	LegacyHostPrefix    = "m/"
+	LegacyBookingPrefix = "b/"
 )
 
-// Form is the form of the records. A controller that knows only an earlier one
+// FormatVersion is the form of the records. A controller that knows only an earlier one
 // can't read the epoch's record, so it never leads without seeing what it
 // can't read.
-const Form = 2
+const FormatVersion = 2
 
-// LevelForm is the form of the epoch's record and of the machine types' from feature level
+// FeatureFormatVersion is the form of the epoch's record and of the machine types' from feature level
 // 1 on. A controller of a version without levels can read neither, so it neither leads nor
 // accepts; all other records stay as they are.
-const LevelForm = 3
+const FeatureFormatVersion = 3
 
-var errForm = errors.New("record of an unknown form")
+var errUnknownFormat = errors.New("record of an unknown form")
 
-// open reads a record of this form. It is good until the parser is put back.
-func open(p *fastjson.Parser, value []byte) (*fastjson.Value, error) {
+// openRecord reads a record of this form. It is good until the parser is put back.
+func openRecord(p *fastjson.Parser, value []byte) (*fastjson.Value, error) {
 	v, err := p.ParseBytes(value)
 	if err != nil {
 		return nil, err
 	}
-	if v.Type() != fastjson.TypeObject || v.GetInt("form") != Form {
-		return nil, errForm
+	if v.Type() != fastjson.TypeObject || v.GetInt("form") != FormatVersion {
+		return nil, errUnknownFormat
 	}
 	return v, nil
 }
 
-func begin(field string) []byte {
-	b := append(strconv.AppendInt([]byte(`{"form":`), Form, 10), `,"`...)
+func beginRecord(field string) []byte {
+	b := append(strconv.AppendInt([]byte(`{"form":`), FormatVersion, 10), `,"`...)
 	return append(append(b, field...), `":`...)
 }
 
-// Epoch is the record of the counter of epochs.
-type Epoch struct {
-	N uint64
+// EpochRecord is the record of the counter of epochs.
+type EpochRecord struct {
+	Epoch uint64
 	// Unlisted: launches of an earlier epoch may be in no record, because a leader
 	// of form 1 came before and not all of its hosts have been heard of since.
-	Unlisted bool
-	// Yields are the newest leases that were given back, the newest last. A
+	LaunchesUnrecorded bool
+	// Transfers are the newest leases that were given back, the newest last. A
 	// controller that doesn't know them drops them when it comes to lead.
-	Yields []protocol.Yield
+	Transfers []protocol.LeadershipTransfer
 	// Level is the active feature level.
 	Level featuregate.Level
 }
 
 // EncodeEpoch writes the counter of epochs.
-func EncodeEpoch(e Epoch) []byte {
-	b := begin("epoch")
+func EncodeEpoch(e EpochRecord) []byte {
+	b := beginRecord("epoch")
 	if e.Level > 0 {
-		b = fmt.Appendf(nil, `{"form":%d,"level":%d,"epoch":`, LevelForm, e.Level)
+		b = fmt.Appendf(nil, `{"form":%d,"level":%d,"epoch":`, FeatureFormatVersion, e.Level)
 	}
-	b = strconv.AppendUint(b, e.N, 10)
-	if e.Unlisted {
+	b = strconv.AppendUint(b, e.Epoch, 10)
+	if e.LaunchesUnrecorded {
 		b = append(b, `,"unlisted":true`...)
 	}
-	for i, y := range e.Yields {
+	for i, y := range e.Transfers {
 		if i == 0 {
 			b = append(b, `,"yields":[`...)
 		} else {
 			b = append(b, ',')
 		}
-		b = protocol.AppendQuoted(append(b, `{"node":`...), y.Node)
+		b = protocol.AppendQuoted(append(b, `{"node":`...), y.From)
 		b = protocol.AppendQuoted(append(b, `,"to":`...), y.To)
 		b = strconv.AppendUint(append(b, `,"epoch":`...), y.Epoch, 10)
 		b = strconv.AppendInt(append(b, `,"at":`...), int64(y.At), 10)
 		b = append(b, `,"heard":{`...)
-		for k, zone := range slices.Sorted(maps.Keys(y.Heard)) {
+		for k, zone := range slices.Sorted(maps.Keys(y.ReachableWorkers)) {
 			if k > 0 {
 				b = append(b, ',')
 			}
-			b = strconv.AppendInt(append(protocol.AppendQuoted(b, zone), ':'), int64(y.Heard[zone]), 10)
+			b = strconv.AppendInt(append(protocol.AppendQuoted(b, zone), ':'), int64(y.ReachableWorkers[zone]), 10)
 		}
 		b = append(b, "}}"...)
 	}
-	if len(e.Yields) > 0 {
+	if len(e.Transfers) > 0 {
 		b = append(b, ']')
 	}
 	return append(b, '}')
@@ -118,35 +118,35 @@
 // DecodeEpoch reads the counter of epochs, also that of form 1. What it can't
 // read of the yields it leaves out: they keep leaders from changing too often,
 // and nothing is unsafe without them.
-func DecodeEpoch(value []byte) (Epoch, error) {
+func DecodeEpoch(value []byte) (EpochRecord, error) {
 	if n, err := strconv.ParseUint(string(value), 10, 64); err == nil {
-		return Epoch{N: n, Unlisted: true}, nil
+		return EpochRecord{Epoch: n, LaunchesUnrecorded: true}, nil
 	}
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(value)
 	if err != nil {
-		return Epoch{}, err
+		return EpochRecord{}, err
 	}
 	form, level := v.GetInt("form"), v.GetUint64("level")
-	if v.Type() != fastjson.TypeObject || form != Form && form != LevelForm || (form == LevelForm) != (level > 0) {
-		return Epoch{}, errForm
+	if v.Type() != fastjson.TypeObject || form != FormatVersion && form != FeatureFormatVersion || (form == FeatureFormatVersion) != (level > 0) {
+		return EpochRecord{}, errUnknownFormat
 	}
 	n, err := protocol.Member(v, "epoch").Uint64()
 	if err != nil {
-		return Epoch{}, errForm
+		return EpochRecord{}, errUnknownFormat
 	}
-	e := Epoch{N: n, Unlisted: v.GetBool("unlisted"), Level: featuregate.Level(level)}
+	e := EpochRecord{Epoch: n, LaunchesUnrecorded: v.GetBool("unlisted"), Level: featuregate.Level(level)}
 	for _, row := range v.GetArray("yields") {
-		y := protocol.Yield{
-			Node: string(row.GetStringBytes("node")), To: string(row.GetStringBytes("to")), Epoch: row.GetUint64("epoch"),
-			At: micros(row.GetInt64("at")), Heard: make(map[string]int),
+		y := protocol.LeadershipTransfer{
+			From: string(row.GetStringBytes("node")), To: string(row.GetStringBytes("to")), Epoch: row.GetUint64("epoch"),
+			At: micros(row.GetInt64("at")), ReachableWorkers: make(map[string]int),
 		}
 		if heard := row.GetObject("heard"); heard != nil {
-			heard.Visit(func(zone []byte, n *fastjson.Value) { y.Heard[string(zone)] = n.GetInt() })
+			heard.Visit(func(zone []byte, n *fastjson.Value) { y.ReachableWorkers[string(zone)] = n.GetInt() })
 		}
-		if y.Node != "" {
-			e.Yields = append(e.Yields, y)
+		if y.From != "" {
+			e.Transfers = append(e.Transfers, y)
 		}
 	}
 	return e, nil
@@ -155,9 +155,9 @@
 // EncodeTypes writes machine types as they are kept at a feature level.
 func EncodeTypes(types []*protocol.MachineType, level featuregate.Level) []byte {
 	if level == 0 {
-		return protocol.AppendTypes(nil, types)
+		return protocol.AppendMachineTypes(nil, types)
 	}
-	return append(protocol.AppendTypes(fmt.Appendf(nil, `{"form":%d,"types":`, LevelForm), types), '}')
+	return append(protocol.AppendMachineTypes(fmt.Appendf(nil, `{"form":%d,"types":`, FeatureFormatVersion), types), '}')
 }
 
 // DecodeTypes reads machine types as they are kept, of either form.
@@ -170,30 +170,30 @@
 	}
 	if later = v.Exists("form"); later {
 		inner := v.Get("types")
-		if v.GetInt("form") != LevelForm || inner == nil {
-			return nil, later, errForm
+		if v.GetInt("form") != FeatureFormatVersion || inner == nil {
+			return nil, later, errUnknownFormat
 		}
 		value = inner.MarshalTo(nil)
 	}
-	types, err = protocol.ParseTypes(value)
+	types, err = protocol.ParseMachineTypes(value)
 	return types, later, err
 }
 
-// EncodeMemory writes what a leader has seen: zones that look cut off, each with
+// EncodeHandoverState writes what a leader has seen: zones that look cut off, each with
 // since when and when it last looked so, and since when machines are silent.
-func EncodeMemory(m protocol.Memory) []byte {
-	b := strconv.AppendUint(begin("seen"), m.Epoch, 10)
+func EncodeHandoverState(m protocol.HandoverState) []byte {
+	b := strconv.AppendUint(beginRecord("seen"), m.Epoch, 10)
 	b = strconv.AppendInt(append(b, `,"at":`...), int64(m.At), 10)
 	b = append(b, `,"cuts":{`...)
-	for i, c := range m.Cuts {
+	for i, c := range m.Partitions {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		b = strconv.AppendInt(append(protocol.AppendQuoted(b, c.Zone), ":["...), int64(c.Since), 10)
-		b = append(strconv.AppendInt(append(b, ','), int64(c.Seen), 10), ']')
+		b = append(strconv.AppendInt(append(b, ','), int64(c.LastSeen), 10), ']')
 	}
 	b = append(b, `},"silent":{`...)
-	for i, s := range m.Silent {
+	for i, s := range m.SilentHosts {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -202,28 +202,28 @@
 	return append(b, "}}"...)
 }
 
-// SilenceBytes is about what a silent machine takes in the record of a memory.
-func SilenceBytes(s protocol.Silence) int { return len(s.Host) + 21 }
+// SilentHostBytes is about what a silent machine takes in the record of a memory.
+func SilentHostBytes(s protocol.SilentHost) int { return len(s.Host) + 21 }
 
-// DecodeMemory reads it.
-func DecodeMemory(value []byte) (protocol.Memory, error) {
+// DecodeHandoverState reads it.
+func DecodeHandoverState(value []byte) (protocol.HandoverState, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
-	v, err := open(p, value)
+	v, err := openRecord(p, value)
 	if err != nil {
-		return protocol.Memory{}, err
+		return protocol.HandoverState{}, err
 	}
-	m := protocol.Memory{Epoch: v.GetUint64("seen"), At: micros(v.GetInt64("at"))}
+	m := protocol.HandoverState{Epoch: v.GetUint64("seen"), At: micros(v.GetInt64("at"))}
 	if o := v.GetObject("cuts"); o != nil {
 		o.Visit(func(zone []byte, v *fastjson.Value) {
 			if f := v.GetArray(); len(f) == 2 {
-				m.Cuts = append(m.Cuts, protocol.Cut{Zone: string(zone), Since: micros(f[0].GetInt64()), Seen: micros(f[1].GetInt64())})
+				m.Partitions = append(m.Partitions, protocol.Partition{Zone: string(zone), Since: micros(f[0].GetInt64()), LastSeen: micros(f[1].GetInt64())})
 			}
 		})
 	}
 	if o := v.GetObject("silent"); o != nil {
 		o.Visit(func(host []byte, v *fastjson.Value) {
-			m.Silent = append(m.Silent, protocol.Silence{Host: string(host), Since: micros(v.GetInt64())})
+			m.SilentHosts = append(m.SilentHosts, protocol.SilentHost{Host: string(host), Since: micros(v.GetInt64())})
 		})
 	}
 	return m, nil
@@ -240,14 +240,14 @@
 func EncodeJob(j *Job) []byte {
 	b := append([]byte(`{"at":`), strconv.FormatInt(int64(j.SubmittedWall), 10)...)
 	b = append(b, `,"epoch":`...)
-	b = strconv.AppendUint(b, j.Epoch, 10)
+	b = strconv.AppendUint(b, j.LeaderEpoch, 10)
 	switch j.State {
 	case JobCancelling:
 		b = append(b, `,"cancelAskedAt":`...)
-		b = strconv.AppendInt(b, int64(j.CancelledWall), 10)
-	case JobCancelled:
+		b = strconv.AppendInt(b, int64(j.CancelRequestedWall), 10)
+	case JobCancelledLegacy:
 		b = append(b, `,"cancelled":true,"cancelledAt":`...)
-		b = strconv.AppendInt(b, int64(j.CancelledWall), 10)
+		b = strconv.AppendInt(b, int64(j.CancelRequestedWall), 10)
 	}
 	b = append(b, `,"job":`...)
 	b = protocol.AppendJob(b, j.Spec)
@@ -266,18 +266,18 @@
 	if job.Type() != fastjson.TypeObject {
 		return nil, errors.New("job: invalid")
 	}
-	spec, err := protocol.JobFrom(job)
+	spec, err := protocol.JobFromJSON(job)
 	if err != nil {
 		return nil, err
 	}
 	j := NewJob(spec)
 	j.SubmittedWall = micros(v.GetInt64("at"))
-	j.Epoch = v.GetUint64("epoch")
+	j.LeaderEpoch = v.GetUint64("epoch")
 	if v.GetBool("cancelled") {
-		j.State = JobCancelled
-		j.CancelledWall = micros(v.GetInt64("cancelledAt"))
+		j.State = JobCancelledLegacy
+		j.CancelRequestedWall = micros(v.GetInt64("cancelledAt"))
 	} else if at := v.GetInt64("cancelAskedAt"); at > 0 {
-		j.State, j.CancelledWall, j.AskKept = JobCancelling, micros(at), true
+		j.State, j.CancelRequestedWall, j.CancelPersisted = JobCancelling, micros(at), true
 	}
 	return j, nil
 }
@@ -296,7 +296,7 @@
 		return "", 0, err
 	}
 	phase := protocol.Phase(v.GetStringBytes("phase"))
-	if phase != protocol.Done && phase != protocol.Cancelled {
+	if phase != protocol.PhaseDone && phase != protocol.PhaseCancelled {
 		return "", 0, errors.New("unknown phase in a record")
 	}
 	return phase, v.GetInt("n"), nil
@@ -306,7 +306,7 @@
 // address, type, zone, whether it is a spot machine, when it was recorded, and
 // the numbers of its images in the list that the record ends with.
 func EncodeHosts(hosts []*Host, images bool) []byte {
-	b := append(begin("hosts"), '[')
+	b := append(beginRecord("hosts"), '[')
 	numbers := make(map[string]int)
 	var list []byte
 	for i, h := range hosts {
@@ -348,30 +348,30 @@
 func DecodeHosts(now micros, value []byte) ([]*Host, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
-	v, err := open(p, value)
+	v, err := openRecord(p, value)
 	if err != nil {
 		return nil, err
 	}
 	rows, err := protocol.Member(v, "hosts").Array()
 	if err != nil {
-		return nil, errForm
+		return nil, errUnknownFormat
 	}
 	images := v.GetArray("images")
 	var hosts []*Host
 	for _, row := range rows {
 		f := row.GetArray()
 		if len(f) < 6 {
-			return nil, errForm
+			return nil, errUnknownFormat
 		}
 		h := NewHost(now, string(f[0].GetStringBytes()), string(f[2].GetStringBytes()), string(f[3].GetStringBytes()), f[4].GetInt() == 1)
 		h.Addr, h.RecordedWall = string(f[1].GetStringBytes()), micros(f[5].GetInt64())
 		if h.Name == "" {
-			return nil, errForm
+			return nil, errUnknownFormat
 		}
 		for _, x := range f[6:] {
 			n, err := x.Int()
 			if err != nil || n < 0 || 2*n+1 >= len(images) {
-				return nil, errForm
+				return nil, errUnknownFormat
 			}
 			h.Images[string(images[2*n].GetStringBytes())] = &Image{Size: images[2*n+1].GetInt64()}
 		}
@@ -381,9 +381,9 @@
 	return hosts, nil
 }
 
-// byRef writes a record that jobs share, with one member for each.
-func byRef(field string, refs []string, value func(b []byte, ref string) []byte) []byte {
-	b := append(begin(field), '{')
+// appendByRef writes a record that jobs share, with one member for each.
+func appendByRef(field string, refs []string, value func(b []byte, ref string) []byte) []byte {
+	b := append(beginRecord(field), '{')
 	for i, ref := range refs {
 		if i > 0 {
 			b = append(b, ',')
@@ -395,13 +395,13 @@
 
 // EncodeBookings writes the starts of bookings, in the time of day.
 func EncodeBookings(refs []string, at func(ref string) micros) []byte {
-	return byRef("at", refs, func(b []byte, ref string) []byte { return strconv.AppendInt(b, int64(at(ref)), 10) })
+	return appendByRef("at", refs, func(b []byte, ref string) []byte { return strconv.AppendInt(b, int64(at(ref)), 10) })
 }
 
 // DecodeBookings reads bookings.
 func DecodeBookings(value []byte) (map[string]micros, error) {
 	out := make(map[string]micros)
-	err := eachRef(value, "at", func(ref string, v *fastjson.Value) error {
+	err := forEachRef(value, "at", func(ref string, v *fastjson.Value) error {
 		at, err := v.Int64()
 		out[ref] = micros(at)
 		return err
@@ -426,7 +426,7 @@
 		}
 		of[l.Name.Job] = append(of[l.Name.Job], l)
 	}
-	return byRef("on", refs, func(b []byte, ref string) []byte {
+	return appendByRef("on", refs, func(b []byte, ref string) []byte {
 		b = append(b, '[')
 		for i, l := range of[ref] {
 			if i > 0 {
@@ -443,17 +443,17 @@
 // DecodeLaunches reads launches.
 func DecodeLaunches(value []byte) ([]Launch, error) {
 	var out []Launch
-	err := eachRef(value, "on", func(ref string, v *fastjson.Value) error {
+	err := forEachRef(value, "on", func(ref string, v *fastjson.Value) error {
 		f, err := v.Array()
 		if err != nil || len(f)%3 != 0 {
-			return errForm
+			return errUnknownFormat
 		}
 		for ; len(f) > 0; f = f[3:] {
 			index, err := f[0].Int()
 			host, err2 := f[1].StringBytes()
 			number, err3 := f[2].Uint64()
 			if err != nil || err2 != nil || err3 != nil || index < 0 || index >= protocol.MaxTasks || len(host) == 0 {
-				return errForm
+				return errUnknownFormat
 			}
 			out = append(out, Launch{protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, string(host)})
 		}
@@ -469,15 +469,15 @@
 	for i, j := range jobs {
 		refs[i], byName[j.Spec.Ref] = j.Spec.Ref, j
 	}
-	return byRef("done", refs, func(b []byte, ref string) []byte { return append(b, EncodeChunk(byName[ref], 0)...) })
+	return appendByRef("done", refs, func(b []byte, ref string) []byte { return append(b, EncodeChunk(byName[ref], 0)...) })
 }
 
 // DecodeCompletions reads completions; ApplyChunk takes what it gives.
 func DecodeCompletions(value []byte) (map[string][]byte, error) {
 	out := make(map[string][]byte)
-	err := eachRef(value, "done", func(ref string, v *fastjson.Value) error {
+	err := forEachRef(value, "done", func(ref string, v *fastjson.Value) error {
 		if v.Type() != fastjson.TypeString {
-			return errForm
+			return errUnknownFormat
 		}
 		out[ref] = v.MarshalTo(nil)
 		return nil
@@ -485,16 +485,16 @@
 	return out, err
 }
 
-func eachRef(value []byte, field string, take func(ref string, v *fastjson.Value) error) error {
+func forEachRef(value []byte, field string, take func(ref string, v *fastjson.Value) error) error {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
-	v, err := open(p, value)
+	v, err := openRecord(p, value)
 	if err != nil {
 		return err
 	}
 	o, err := protocol.Member(v, field).Object()
 	if err != nil {
-		return errForm
+		return errUnknownFormat
 	}
 	o.Visit(func(key []byte, v *fastjson.Value) {
 		if err == nil {
@@ -504,8 +504,8 @@
 	return err
 }
 
-// DecodeHost reads a host's record of form 1.
-func DecodeHost(now micros, name string, value []byte) (*Host, error) {
+// DecodeLegacyHost reads a host's record of form 1.
+func DecodeLegacyHost(now micros, name string, value []byte) (*Host, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(value)
@@ -557,38 +557,38 @@
 	return nil
 }
 
-// Leadership is the record of the leader.
-type Leadership struct {
-	Node     string
+// LeaderRecord is the record of the leader.
+type LeaderRecord struct {
+	Controller     string
 	Epoch    uint64
 	Lease    uint64
-	AnswerOn micros // how long it may answer workers after its lease ended
+	HeartbeatGrace micros // how long it may answer workers after its lease ended
 }
 
 // EncodeLeader writes the leader's record.
-func EncodeLeader(l Leadership) []byte {
+func EncodeLeader(l LeaderRecord) []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("node", a.NewString(l.Node))
+	o.Set("node", a.NewString(l.Controller))
 	o.Set("epoch", a.NewNumberString(strconv.FormatUint(l.Epoch, 10)))
 	o.Set("lease", a.NewNumberString(strconv.FormatUint(l.Lease, 10)))
-	o.Set("answer_on", a.NewNumberString(strconv.FormatInt(int64(l.AnswerOn), 10)))
+	o.Set("answer_on", a.NewNumberString(strconv.FormatInt(int64(l.HeartbeatGrace), 10)))
 	return o.MarshalTo(nil)
 }
 
 // DecodeLeader reads the leader's record.
-func DecodeLeader(value []byte) (Leadership, error) {
+func DecodeLeader(value []byte) (LeaderRecord, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(value)
 	if err != nil {
-		return Leadership{}, err
+		return LeaderRecord{}, err
 	}
-	l := Leadership{
-		Node: string(v.GetStringBytes("node")), Epoch: v.GetUint64("epoch"), Lease: v.GetUint64("lease"),
-		AnswerOn: micros(v.GetInt64("answer_on")),
+	l := LeaderRecord{
+		Controller: string(v.GetStringBytes("node")), Epoch: v.GetUint64("epoch"), Lease: v.GetUint64("lease"),
+		HeartbeatGrace: micros(v.GetInt64("answer_on")),
 	}
-	if l.Node == "" || l.Epoch == 0 {
+	if l.Controller == "" || l.Epoch == 0 {
 		return l, errors.New("malformed record of the leader")
 	}
 	return l, nil
