--- a/cmd/mapleslip/check_test.go
+++ b/cmd/mapleslip/check_test.go
@@ -88,12 +88,12 @@
 	}
 	// Two sockets in all: a single one that is kept would show.
 	d := &driver{dialers: map[controller.Target]*transport.Dialer{controller.ToInstance: {MaxOpen: 2, MaxPer: 2}}}
-	run := func(method, addr string) controller.CallDone {
+	run := func(method, addr string) controller.CallResult {
 		return d.exchange(controller.Call{Target: controller.ToInstance, Method: method, Path: "/healthz", Timeout: 60 * protocol.Millisecond}, addr)
 	}
 	for range 3 {
 		for _, c := range cases {
-			if got := run(c.method, c.addr); got.Status != c.status || got.Refused != c.refused {
+			if got := run(c.method, c.addr); got.Status != c.status || got.ConnectionRefused != c.refused {
 				t.Errorf("%s: %+v", c.name, got)
 			}
 		}
@@ -107,7 +107,7 @@
 		t.Errorf("beside one that hangs: %+v", got)
 	}
 	slow.Wait()
-	if done := (&driver{}).exchange(controller.Call{Target: controller.ToInstance}, good); !done.Unsent || done.Refused {
+	if done := (&driver{}).exchange(controller.Call{Target: controller.ToInstance}, good); !done.NotSent || done.ConnectionRefused {
 		t.Errorf("off: %+v", done)
 	}
 }
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -24,7 +24,7 @@
 	ctl      *controller.Controller
 	server   *transport.Server
 	started  time.Time
-	in       chan any // transport.Inbound or controller.CallDone
+	in       chan any // transport.Inbound or controller.CallResult
 	meters   map[controller.Target]*transport.Meter
 	dialers  map[controller.Target]*transport.Dialer
 	addrs    map[controller.Target]string
@@ -83,7 +83,7 @@
 		controller.ToPeer:   {MaxOpen: plan.peers, MaxPer: plan.perPeer, KeepIdle: 20 * time.Second},
 		controller.ToWorker: {MaxOpen: plan.workers, MaxPer: 2, KeepIdle: 20 * time.Second},
 	}
-	d.ctl.ServeLevels(featuregate.Build, version)
+	d.ctl.SetFeatureRange(featuregate.Build, version)
 	if r != nil {
 		// Connections of checks are not kept: an instance may be gone at any time.
 		d.dialers[controller.ToInstance] = &transport.Dialer{MaxOpen: plan.instances, MaxPer: 4}
@@ -110,7 +110,7 @@
 		}
 		d.shown = shown
 		if shown.Spans() {
-			d.ctl.Observe()
+			d.ctl.EnableTracing()
 		}
 		log.Info("telemetry", "metrics", shown.Addr(), "traces", t.Traces)
 	}
@@ -177,14 +177,14 @@
 
 func (d *driver) handle(m any) {
 	switch e := m.(type) {
-	case controller.CallDone:
+	case controller.CallResult:
 		d.step("answer", e)
 	case transport.Inbound:
 		if e.HTTP != nil {
 			d.route(e)
 			return
 		}
-		to := controller.Address{Conn: uint64(e.Conn), Peer: true}
+		to := controller.ReplyAddress{Conn: uint64(e.Conn), Peer: true}
 		msg, err := protocol.ParsePeer(e.Frame)
 		ev := controller.PeerEvent(to, msg)
 		if err != nil || ev == nil {
@@ -239,37 +239,37 @@
 
 // route finds what an HTTP request asks for.
 func (d *driver) route(e transport.Inbound) {
-	to := controller.Address{Conn: uint64(e.Conn)}
+	to := controller.ReplyAddress{Conn: uint64(e.Conn)}
 	r := e.HTTP
 	var ev controller.Event
 	want, kind := "POST", "user"
 	switch {
 	case r.Path == "/healthz":
 		want, kind = "GET", "health"
-		ev = controller.HealthCall{Reply: to}
+		ev = controller.HealthzRequest{Reply: to}
 	case r.Path == "/hello":
 		kind = "report"
-		ev = controller.WorkerReport{Reply: to, Body: r.Body}
+		ev = controller.WorkerHeartbeat{Reply: to, Body: r.Body}
 	case r.Path == "/api/jobs":
-		ev = controller.UserCall{Reply: to, Op: protocol.OpSubmit, Body: r.Body}
+		ev = controller.UserRequest{Reply: to, Op: protocol.OpSubmit, Body: r.Body}
 	case strings.HasPrefix(r.Path, "/api/jobs/"):
 		ref := strings.TrimPrefix(r.Path, "/api/jobs/")
 		if id, ok := strings.CutSuffix(ref, "/cancel"); ok {
-			ev = controller.UserCall{Reply: to, Op: protocol.OpCancel, Ref: id}
+			ev = controller.UserRequest{Reply: to, Op: protocol.OpCancel, Ref: id}
 		} else {
 			want = "GET"
-			ev = controller.UserCall{Reply: to, Op: protocol.OpQuery, Ref: ref}
+			ev = controller.UserRequest{Reply: to, Op: protocol.OpQuery, Ref: ref}
 		}
 	case configOps[r.Path].op > 0:
 		o := configOps[r.Path]
 		if r.Path == "/api/config" && r.Method == "POST" {
 			o = configOps["/api/config/apply"]
 		}
-		want, ev = o.method, controller.UserCall{Reply: to, Op: o.op, Ref: argument(r.Query, o.arg), Body: r.Body}
+		want, ev = o.method, controller.UserRequest{Reply: to, Op: o.op, Ref: argument(r.Query, o.arg), Body: r.Body}
 	case r.Path == "/api/rollouts":
-		ev = controller.UserCall{Reply: to, Op: protocol.OpRollout, Body: r.Body}
+		ev = controller.UserRequest{Reply: to, Op: protocol.OpRollout, Body: r.Body}
 		if r.Method == "GET" {
-			want, ev = "GET", controller.UserCall{Reply: to, Op: protocol.OpRollouts}
+			want, ev = "GET", controller.UserRequest{Reply: to, Op: protocol.OpRollouts}
 		}
 	case strings.HasPrefix(r.Path, "/api/rollouts/"):
 		service, what, _ := strings.Cut(strings.TrimPrefix(r.Path, "/api/rollouts/"), "/")
@@ -281,7 +281,7 @@
 		if what == "" {
 			want = "GET"
 		}
-		ev = controller.UserCall{Reply: to, Op: op, Ref: service}
+		ev = controller.UserRequest{Reply: to, Op: op, Ref: service}
 	default:
 		d.reply(controller.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
 		return
@@ -300,11 +300,11 @@
 			d.reply(e)
 		case controller.Call:
 			d.call(e)
-		case controller.Share:
+		case controller.RateShare:
 			d.share(e.Leads)
 		case controller.WriteRate:
 			d.meters[controller.ToState].SetWrites(e.PerSecond, e.Lowered)
-		case controller.LogLevel:
+		case controller.SetLogLevel:
 			d.setLevel(e.Level)
 		case controller.Span:
 			d.shown.Span(e, d.started)
@@ -312,7 +312,7 @@
 	}
 }
 
-// setLevel sets the level of the log; "" is the one that the process was started with.
+// updateLogLevel sets the level of the log; "" is the one that the process was started with.
 func (d *driver) setLevel(name string) {
 	level := d.startLevel
 	if name != "" {
@@ -352,7 +352,7 @@
 	m.Add(transport.Metered{
 		Priority: transport.Priority(c.Priority), Changes: changes, Expires: d.now().Steady + c.Timeout, Send: send,
 		Expire: func() {
-			go func() { d.in <- controller.CallDone{ID: c.ID, Unsent: true} }()
+			go func() { d.in <- controller.CallResult{ID: c.ID, NotSent: true} }()
 		},
 	})
 	m.Run(d.now().Steady)
@@ -375,8 +375,8 @@
 // exchange sends a call to an address and waits for the answer. A check of an instance
 // is a connection that is accepted, or the answer to a GET: the time-out covers all of
 // it, an answer that comes a byte at a time too, and the socket is closed with it.
-func (d *driver) exchange(c controller.Call, addr string) controller.CallDone {
-	done := controller.CallDone{ID: c.ID}
+func (d *driver) exchange(c controller.Call, addr string) controller.CallResult {
+	done := controller.CallResult{ID: c.ID}
 	dialer, timeout := d.dialers[c.Target], time.Duration(c.Timeout)*time.Microsecond
 	var err error
 	switch {
@@ -410,8 +410,8 @@
 	}
 	if err != nil {
 		done.Status, done.Body = 0, nil
-		done.Refused = err == transport.ErrRefused
-		done.Unsent = done.Refused || err == transport.ErrSockets
+		done.ConnectionRefused = err == transport.ErrRefused
+		done.NotSent = done.ConnectionRefused || err == transport.ErrSockets
 	}
 	return done
 }
--- a/cmd/mapleslip/sockets.go
+++ b/cmd/mapleslip/sockets.go
@@ -15,7 +15,7 @@
 const (
 	stateCalls = 64
 	cloudCalls = 24                   // of seconds each, at a few a second
-	peerCalls  = controller.PeerCalls // to each other controller: users' calls and reports that are passed on
+	peerCalls  = controller.MaxPeerCalls // to each other controller: users' calls and reports that are passed on
 	checkCalls = 64
 	sparePart  = 20 // one in so many is held back
 )
@@ -25,7 +25,7 @@
 // calls, whatever they needed, a fleet half as large again as himal-members-fleet had
 // 2,110 workers for 1,977 connections.
 func planSockets(most, siblings int, rollouts bool) sockets {
-	s := sockets{state: stateCalls, cloud: cloudCalls, perPeer: peerCalls, workers: controller.MostWorkerCalls * 5 / 4}
+	s := sockets{state: stateCalls, cloud: cloudCalls, perPeer: peerCalls, workers: controller.MaxWorkerCalls * 5 / 4}
 	if rollouts {
 		s.instances = checkCalls
 	}
--- a/cmd/mapleslip/sockets_test.go
+++ b/cmd/mapleslip/sockets_test.go
@@ -33,7 +33,7 @@
 					t.Errorf("%d connections: %+v", c.most, s)
 				}
 			}
-			if c.most > 1000 && s.workers < controller.MostWorkerCalls {
+			if c.most > 1000 && s.workers < controller.MaxWorkerCalls {
 				t.Errorf("%d for calls to workers", s.workers)
 			}
 			if rollouts != (s.instances > 0) {
--- a/internal/configuration/lease.go
+++ b/internal/configuration/lease.go
@@ -134,7 +134,7 @@
 	return o.revision, o.when
 }
 
-// InForce reports whether no other controller goes by a revision older than one that
+// EffectiveEverywhere reports whether no other controller goes by a revision older than one that
 // the leader goes by: each has acknowledged it, or its lease on an earlier one has
 // certainly ended, since that counts from before the last question that named one.
 func (g *Granter) InForce(revision uint64, now micros, others []string) bool {
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -7,118 +7,118 @@
 // really written, which is less than the leader's part while other records wait as well.
 // Whoever was told to come back has its turn then; one that comes back to find that others
 // took it would try for a minute and give up. A turn that nobody uses is not waited for.
-type admission struct {
-	waiting int               // submissions whose records are on their way
-	turn    micros            // the first one that nobody was promised
-	turns   map[string]micros // promised ones, by job
-	swept   micros            // when those that nobody came for were last taken out
+type submitLimiter struct {
+	inFlight int               // submissions whose records are on their way
+	nextSlot    micros            // the first one that nobody was promised
+	reservations   map[string]micros // promised ones, by job
+	sweptAt   micros            // when those that nobody came for were last taken out
 
-	rate    float64 // records a second, lately; 0: not known yet
-	from    micros  // what is counted since
+	measuredRate    float64 // records a second, lately; 0: not known yet
+	measuredSince    micros  // what is counted since
 	written int
-	least   int // that waited at a time
+	minInFlight   int // that waited at a time
 }
 
 const (
-	// submitWait is how long a submission may wait for the state service's rate.
-	submitWait = protocol.Second
-	// spareWait is a wait so short that turns seem not to be used.
-	spareWait = protocol.Second / 4
-	// turnsKept is how long a promised turn is kept for who does not come, mostTurns how
+	// maxSubmitDelay is how long a submission may wait for the state service's rate.
+	maxSubmitDelay = protocol.Second
+	// idleDelay is a wait so short that turns seem not to be used.
+	idleDelay = protocol.Second / 4
+	// reservationLifetime is how long a promised turn is kept for who does not come, maxReservations how
 	// many there are at most.
-	turnsKept = 5 * protocol.Second
-	mostTurns = 10_000
-	// usersPatience is how long users go on trying.
-	usersPatience = 60 * protocol.Second
-	// rateOver is how long the rate is counted for.
-	rateOver = protocol.Second / 2
+	reservationLifetime = 5 * protocol.Second
+	maxReservations = 10_000
+	// userRetryPeriod is how long users go on trying.
+	userRetryPeriod = 60 * protocol.Second
+	// rateMeasurementWindow is how long the rate is counted for.
+	rateMeasurementWindow = protocol.Second / 2
 )
 
-// speed is how many records a second are written, full at most.
-func (a *admission) speed(at micros, full float64) float64 {
-	if span := at - a.from; span >= rateOver {
+// effectiveRate is how many records a second are written, full at most.
+func (a *submitLimiter) effectiveRate(at micros, full float64) float64 {
+	if span := at - a.measuredSince; span >= rateMeasurementWindow {
 		now := full // hardly any wait: more would have what nobody else uses
-		if a.written > 0 && float64(a.least) > spareWait.Seconds()*full/2 {
+		if a.written > 0 && float64(a.minInFlight) > idleDelay.Seconds()*full/2 {
 			now = min(full, float64(a.written)/span.Seconds())
 		}
-		if a.rate == 0 {
-			a.rate = now
+		if a.measuredRate == 0 {
+			a.measuredRate = now
 		}
-		a.rate += (now - a.rate) / 4 // a burst of other records is over in a second or two
-		a.from, a.written, a.least = at, 0, a.waiting
+		a.measuredRate += (now - a.measuredRate) / 4 // a burst of other records is over in a second or two
+		a.measuredSince, a.written, a.minInFlight = at, 0, a.inFlight
 	}
-	if a.rate == 0 {
+	if a.measuredRate == 0 {
 		return full
 	}
-	return max(a.rate, 1)
+	return max(a.measuredRate, 1)
 }
 
-// ask reports whether the record of a job can be written now, or after how long its turn
+// visit reports whether the record of a job can be written now, or after how long its turn
 // comes. full is the rate of which a part may be had.
-func (a *admission) ask(at micros, ref string, full float64) (after micros, ok bool) {
-	each := 1 / a.speed(at, full)
-	wait := protocol.FromSeconds(float64(a.waiting) * each)
-	a.turn = max(a.turn, at+wait)
-	promised, has := a.turns[ref]
+func (a *submitLimiter) admit(at micros, ref string, full float64) (after micros, ok bool) {
+	each := 1 / a.effectiveRate(at, full)
+	wait := protocol.FromSeconds(float64(a.inFlight) * each)
+	a.nextSlot = max(a.nextSlot, at+wait)
+	promised, has := a.reservations[ref]
 	switch {
-	case wait <= spareWait, has && at >= promised && wait <= 3*submitWait/2:
-		delete(a.turns, ref)
+	case wait <= idleDelay, has && at >= promised && wait <= 3*maxSubmitDelay/2:
+		delete(a.reservations, ref)
 		if !has {
-			a.turn += protocol.FromSeconds(each)
+			a.nextSlot += protocol.FromSeconds(each)
 		}
 		return 0, true
 	case has && at < promised:
 		return promised - at, false
-	case !has && a.turn-at <= submitWait:
-		a.turn += protocol.FromSeconds(each)
+	case !has && a.nextSlot-at <= maxSubmitDelay:
+		a.nextSlot += protocol.FromSeconds(each)
 		return 0, true
 	}
-	return a.promise(at, ref, full), false
+	return a.reserve(at, ref, full), false
 }
 
-// promise gives a job the next turn, and says how long that is away.
-func (a *admission) promise(at micros, ref string, full float64) micros {
-	each := 1 / a.speed(at, full)
-	a.turn = max(a.turn, at+protocol.FromSeconds(float64(a.waiting)*each))
-	if a.turn-at > usersPatience {
+// reserve gives a job the next turn, and says how long that is away.
+func (a *submitLimiter) reserve(at micros, ref string, full float64) micros {
+	each := 1 / a.effectiveRate(at, full)
+	a.nextSlot = max(a.nextSlot, at+protocol.FromSeconds(float64(a.inFlight)*each))
+	if a.nextSlot-at > userRetryPeriod {
 		// Its user will have given up by then, unless others do.
-		return usersPatience / 2
+		return userRetryPeriod / 2
 	}
 	a.sweep(at)
-	promised := a.turn
-	if len(a.turns) < mostTurns {
-		if a.turns == nil {
-			a.turns = make(map[string]micros)
+	promised := a.nextSlot
+	if len(a.reservations) < maxReservations {
+		if a.reservations == nil {
+			a.reservations = make(map[string]micros)
 		}
-		a.turns[ref] = promised
-		a.turn += protocol.FromSeconds(each)
+		a.reservations[ref] = promised
+		a.nextSlot += protocol.FromSeconds(each)
 	}
 	return promised - at
 }
 
-// crowded reports whether there are jobs whose turn is still to come.
-func (a *admission) crowded(at micros) bool { return a.turn-at > submitWait }
+// isOverloaded reports whether there are jobs whose turn is still to come.
+func (a *submitLimiter) isOverloaded(at micros) bool { return a.nextSlot-at > maxSubmitDelay }
 
 // began and ended count the records that are on their way.
-func (a *admission) began() { a.waiting++ }
+func (a *submitLimiter) began() { a.inFlight++ }
 
-func (a *admission) ended(written bool) {
-	a.waiting--
+func (a *submitLimiter) ended(written bool) {
+	a.inFlight--
 	if written {
 		a.written++
 	}
-	a.least = min(a.least, a.waiting)
+	a.minInFlight = min(a.minInFlight, a.inFlight)
 }
 
 // sweep takes out the turns that nobody came for.
-func (a *admission) sweep(at micros) {
-	if at-a.swept < protocol.Second {
+func (a *submitLimiter) sweep(at micros) {
+	if at-a.sweptAt < protocol.Second {
 		return
 	}
-	a.swept = at
-	for ref, turn := range a.turns {
-		if at-turn > turnsKept {
-			delete(a.turns, ref)
+	a.sweptAt = at
+	for ref, turn := range a.reservations {
+		if at-turn > reservationLifetime {
+			delete(a.reservations, ref)
 		}
 	}
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -25,14 +25,14 @@
 }
 
 // More users come at once than there is room for, while other records take a part of the
-// rate that differs from second to second. They come back when they are told to, on the
+// measuredRate that differs from second to second. They come back when they are told to, on the
 // whole second. What has been admitted never waits for long, all that the rate has room
 // for is used, nobody is told to come later than it takes to write what came before, and
-// most are told once or twice.
+// largestJob are told once or twice.
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const full = 50.0
-		var a admission
+		var a submitLimiter
 		count := rapid.IntRange(1, 900).Draw(t, "users")
 		parts := rapid.SliceOfN(rapid.Float64Range(0.4, 1), 10, 10).Draw(t, "parts")
 		users := make(map[string]*user)
@@ -55,7 +55,7 @@
 				if u == nil || u.comes > at {
 					continue
 				}
-				after, ok := a.ask(at, ref, full)
+				after, ok := a.admit(at, ref, full)
 				if ok {
 					a.began()
 					line = append(line, at)
@@ -65,7 +65,7 @@
 				if u.told++; u.told > told {
 					told = u.told
 				}
-				if after <= 0 || after > usersPatience {
+				if after <= 0 || after > userRetryPeriod {
 					t.Fatalf("told to come after %d ms", after/protocol.Millisecond)
 				}
 				u.comes = at + protocol.Micros(protocol.WholeSeconds(after))*protocol.Second
@@ -75,7 +75,7 @@
 		if len(users) > 0 {
 			t.Fatalf("%d of %d users were not admitted within a minute", len(users), count)
 		}
-		if longest > 4*submitWait {
+		if longest > 4*maxSubmitDelay {
 			t.Errorf("one that was admitted waited for %d ms", longest/protocol.Millisecond)
 		}
 		if most := protocol.FromSeconds(float64(count)/(full*0.4)) + 8*protocol.Second; over > most {
@@ -89,13 +89,13 @@
 
 // Turns that nobody comes for hold nobody up.
 func TestAdmissionTurnsThatNobodyTakes(t *testing.T) {
-	var a admission
+	var a submitLimiter
 	at := protocol.Second
 	for i := range 900 {
-		a.ask(at, fmt.Sprintf("req-%06d", i), 20)
+		a.admit(at, fmt.Sprintf("req-%06d", i), 20)
 	}
 	at += 5 * protocol.Second
-	if after, ok := a.ask(at, "req-900001", 20); !ok {
+	if after, ok := a.admit(at, "req-900001", 20); !ok {
 		t.Fatalf("nobody waits, and a user is told to come after %d ms", after/protocol.Millisecond)
 	}
 }
--- a/internal/controller/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -19,7 +19,7 @@
 		mend(s)
 	}
 	j := state.NewJob(s)
-	j.SubmittedWall = c.at.Wall
+	j.SubmittedWall = c.now.Wall
 	return j
 }
 
@@ -37,10 +37,10 @@
 					"req-900002", "req-900003"),
 			}
 			for _, i := range order {
-				c.enter(jobs[i])
+				c.addJob(jobs[i])
 			}
 			// A stage takes 20 s, and a fetch of 0.4 GB one more.
-			due := c.at.Steady + 300*protocol.Second
+			due := c.now.Steady + 300*protocol.Second
 			want := []micros{due - 42*protocol.Second, due - 21*protocol.Second, due - 21*protocol.Second, 0}
 			for i, j := range jobs {
 				if j.Priority != protocol.PriorityHigh || j.InheritedDeadline != want[i] {
@@ -55,21 +55,21 @@
 func TestWaitingJobIsInNoPlan(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	first, second := chained(c, "req-900001", nil), chained(c, "req-900002", nil, "req-900001")
-	c.enter(first)
-	c.enter(second)
+	c.addJob(first)
+	c.addJob(second)
 	planned := func(j *state.Job) bool {
-		return slices.ContainsFunc(c.wanted(), func(w *wanted) bool { return w.job == j })
+		return slices.ContainsFunc(c.pendingJobs(), func(w *pendingJob) bool { return w.job == j })
 	}
 	if !planned(first) || planned(second) {
 		t.Errorf("first planned %v, second %v", planned(first), planned(second))
 	}
-	if c.request(&wanted{job: second}) {
+	if c.buildRequest(&pendingJob{job: second}) {
 		t.Error("a request was made for a job that waits")
 	}
-	c.at.Steady += 50 * protocol.Second
-	c.remember("req-900001", final{protocol.PhaseDone, 2})
-	if !planned(second) || second.EligibleAt != c.at.Steady {
-		t.Errorf("planned %v, free since %v at %v", planned(second), second.EligibleAt, c.at.Steady)
+	c.now.Steady += 50 * protocol.Second
+	c.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
+	if !planned(second) || second.EligibleAt != c.now.Steady {
+		t.Errorf("planned %v, free since %v at %v", planned(second), second.EligibleAt, c.now.Steady)
 	}
 }
 
@@ -79,13 +79,13 @@
 	for _, phase := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
 		c := busyLeader(t, 8, 0)
 		second, third := chained(c, "req-900002", nil, "req-900001"), chained(c, "req-900003", nil, "req-900002")
-		c.enter(third)
-		c.enter(second)
-		if !ending(second) || !ending(third) {
-			t.Errorf("said from memory before the final is read: %v %v", !ending(second), !ending(third))
+		c.addJob(third)
+		c.addJob(second)
+		if !isOutcomeUncertain(second) || !isOutcomeUncertain(third) {
+			t.Errorf("said from memory before the final is read: %v %v", !isOutcomeUncertain(second), !isOutcomeUncertain(third))
 		}
-		c.remember("req-900001", final{phase, 2})
-		if ending(second) || ending(third) {
+		c.cacheFinishedJob("req-900001", finishedJob{phase, 2})
+		if isOutcomeUncertain(second) || isOutcomeUncertain(third) {
 			t.Errorf("%s: still to be read", phase)
 		}
 		cancelled := phase == protocol.PhaseCancelled
@@ -101,18 +101,18 @@
 		b.Run(fmt.Sprint(waiting, " wait"), func(b *testing.B) {
 			c := busyLeader(b, 8, 0)
 			for i := range 25_000 {
-				c.finals.keep(fmt.Sprintf("req-%06d", i), final{protocol.PhaseDone, 1})
+				c.finishedJobs.add(fmt.Sprintf("req-%06d", i), finishedJob{protocol.PhaseDone, 1})
 			}
 			for i := range waiting {
-				c.enter(chained(c, fmt.Sprintf("req-%06d", 200_000+i), nil, fmt.Sprintf("req-%06d", 100_000+i)))
+				c.addJob(chained(c, fmt.Sprintf("req-%06d", 200_000+i), nil, fmt.Sprintf("req-%06d", 100_000+i)))
 			}
 			j := chained(c, "req-900002", nil, "req-900001")
-			c.enter(j)
+			c.addJob(j)
 			b.ResetTimer()
 			for b.Loop() {
-				c.remember("req-900001", final{protocol.PhaseDone, 2})
+				c.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
 				j.State, j.UnmetDependencies = state.JobBlocked, append(j.UnmetDependencies, "req-900001")
-				c.term.chains.dependants["req-900001"] = []*state.Job{j}
+				c.term.dependencies.dependents["req-900001"] = []*state.Job{j}
 			}
 		})
 	}
@@ -123,12 +123,12 @@
 func TestResultIsProofOfWhatWasAwaited(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	j := chained(c, "req-900002", nil, "req-900001")
-	c.enter(j)
+	c.addJob(j)
 	report := protocol.TaskStatus{
 		AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
 		State:       protocol.TaskExited, Reason: protocol.ExitDone,
 	}
-	c.observe(c.adopt(c.term.book.Hosts()[0], report), report)
+	c.observeAttempt(c.adoptAttempt(c.term.cluster.Hosts()[0], report), report)
 	if j.State != state.JobActive || j.CompletedTasks != 1 || j.Tasks[1].State != state.TaskDone {
 		t.Errorf("it is %v, %d done", j.State, j.CompletedTasks)
 	}
@@ -145,21 +145,21 @@
 	high := chained(c, "req-900003", urgent(protocol.PriorityHigh, 200*protocol.Second), "req-900002")
 	standard := chained(c, "req-900004", urgent(protocol.PriorityStandard, 400*protocol.Second), "req-900002")
 	for _, j := range []*state.Job{first, second, high, standard} {
-		c.enter(j)
+		c.addJob(j)
 	}
 	check := func(when string, rank protocol.Priority, within micros) {
 		t.Helper()
 		var want micros
 		if within > 0 {
-			want = c.at.Steady + within
+			want = c.now.Steady + within
 		}
 		if first.Priority != rank || first.InheritedDeadline != want {
 			t.Errorf("%s: rank %d, needed by %d; want %d, %d", when, first.Priority, first.InheritedDeadline, rank, want)
 		}
 	}
 	check("both need it", protocol.PriorityHigh, 158*protocol.Second)
-	c.cancel(Address{}, "req-900003")
+	c.cancelJob(ReplyAddress{}, "req-900003")
 	check("the high one is cancelled", protocol.PriorityStandard, 358*protocol.Second)
-	c.cancel(Address{}, "req-900004")
+	c.cancelJob(ReplyAddress{}, "req-900004")
 	check("both are", protocol.PriorityLow, 0)
 }
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -7,19 +7,19 @@
 	"mapleslip/internal/state"
 )
 
-// class is what was learned of a class of jobs.
-type class struct {
-	most     int // tasks of the largest job that was seen
+// classStats is what was learned of a class of jobs.
+type classStats struct {
+	largestJob     int // tasks of the largest job that was seen
 	arrivals []micros
-	last     *protocol.JobSpec
-	logRatio float64 // of run times to estimates
+	lastSpec     *protocol.JobSpec
+	logRuntimeRatio float64 // of run times to estimates
 	weight   float64
 }
 
-func (c *Controller) class(name string) *class {
+func (c *Controller) classStats(name string) *classStats {
 	k := c.term.classes[name]
 	if k == nil {
-		k = &class{}
+		k = &classStats{}
 		c.term.classes[name] = k
 	}
 	return k
@@ -28,8 +28,8 @@
 // arrivalWindow is the span over which arrivals are counted.
 const arrivalWindow = 180 * protocol.Second
 
-func (k *class) arrived(at micros, j *state.Job) {
-	k.last, k.most = j.Spec, max(k.most, j.Spec.Tasks)
+func (k *classStats) onArrival(at micros, j *state.Job) {
+	k.lastSpec, k.largestJob = j.Spec, max(k.largestJob, j.Spec.Tasks)
 	if at-j.EligibleAt < 5*protocol.Second {
 		k.arrivals = append(k.arrivals, at)
 	}
@@ -39,7 +39,7 @@
 }
 
 // during estimates how many jobs of the class arrive in a span.
-func (k *class) during(at, term, span micros) float64 {
+func (k *classStats) expectedArrivals(at, term, span micros) float64 {
 	n := 0
 	for _, t := range k.arrivals {
 		if at-t <= arrivalWindow {
@@ -51,58 +51,58 @@
 }
 
 // ran learns from a completed task.
-func (k *class) ran(j *state.Job, took micros) {
+func (k *classStats) onTaskCompleted(j *state.Job, took micros) {
 	if j.Spec.EstimatedRuntime <= 0 || took <= 0 || j.FirstStart == 0 {
 		return
 	}
 	r := math.Log(float64(took) / float64(j.Spec.EstimatedRuntime))
 	r = max(-2, min(2, r))
 	w := 1 / min(k.weight+1, 20)
-	k.logRatio += (r - k.logRatio) * w
+	k.logRuntimeRatio += (r - k.logRuntimeRatio) * w
 	k.weight++
 }
 
-// length is the corrected estimate of a task's run time.
-func (k *class) length(s *protocol.JobSpec) micros {
+// estimatedRuntime is the corrected estimate of a task's run time.
+func (k *classStats) estimatedRuntime(s *protocol.JobSpec) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
 	// A few observations say little: they pull the factor by their number.
 	pull := k.weight / (k.weight + 3)
-	return max(protocol.Second, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRatio*pull)))
+	return max(protocol.Second, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRuntimeRatio*pull)))
 }
 
 // remaining estimates what is left of an attempt that runs. One that has
 // overrun its estimate is pushed forward.
-func (k *class) remaining(s *protocol.JobSpec, ran micros) micros {
+func (k *classStats) remainingRuntime(s *protocol.JobSpec, ran micros) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
-	length := k.length(s)
+	length := k.estimatedRuntime(s)
 	return max(length-ran, ran/4, 2*protocol.Second)
 }
 
-// learnFetch learns how long fetches take on a type of machine.
-func (c *Controller) learnFetch(a *state.Attempt) {
+// observeFetch learns how long fetches take on a type of machine.
+func (c *Controller) observeFetch(a *state.Attempt) {
 	h, j := a.Host, a.Job
 	if h.Type == nil || a.Adopted || a.ExpectedReady == 0 {
 		return
 	}
 	nominal := h.Type.FetchTime(j.Spec.ImageSize)
-	took := c.at.Steady - a.PlacedAt
+	took := c.now.Steady - a.PlacedAt
 	if nominal < protocol.Second {
 		return
 	}
-	f := c.term.rental.fetchFactor[h.TypeName]
+	f := c.term.autoscaler.fetchFactor[h.TypeName]
 	if f == 0 {
 		f = 1
 	}
 	r := max(0.5, min(3, float64(took)/float64(nominal)))
-	c.term.rental.fetchFactor[h.TypeName] = f + (r-f)*0.1
+	c.term.autoscaler.fetchFactor[h.TypeName] = f + (r-f)*0.1
 }
 
 func (c *Controller) fetchTime(t *protocol.MachineType, size int64) micros {
-	f := c.term.rental.fetchFactor[t.Name]
+	f := c.term.autoscaler.fetchFactor[t.Name]
 	if f == 0 {
 		f = 1
 	}
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -15,7 +15,7 @@
 // take back completions that are durable, and that their workers were told to forget.
 type chunkWriter struct {
 	dirty   map[chunkKey]bool
-	lost    map[chunkKey]bool // a write of it may have been applied or not: its stamp has to be read
+	unknownRevision    map[chunkKey]bool // a write of it may have been applied or not: its stamp has to be read
 	writing bool
 	next    micros
 }
@@ -28,30 +28,30 @@
 // Completions of arrays up to this size share records; larger ones have some
 // for themselves. They are let come together for a while.
 const (
-	sharedTasks = 2048
-	doneEvery   = 700 * protocol.Millisecond
+	maxSharedCompletionTasks = 2048
+	completionBatchDelay   = 700 * protocol.Millisecond
 )
 
-func (c *Controller) markChunk(j *state.Job, index int) {
-	if len(j.Tasks) <= sharedTasks {
+func (c *Controller) recordCompletion(j *state.Job, index int) {
+	if len(j.Tasks) <= maxSharedCompletionTasks {
 		size := len(j.Spec.Ref) + 8 + (len(j.Tasks)+23)/24*4 + 2
-		c.term.donePages.put(j.Spec.Ref, size, c.room(), c.at.Steady+doneEvery, true)
+		c.term.completionShards.put(j.Spec.Ref, size, c.shardCapacity(), c.now.Steady+completionBatchDelay, true)
 		return
 	}
-	w := &c.term.chunks
+	w := &c.term.chunkWriter
 	if w.dirty == nil {
 		w.dirty = make(map[chunkKey]bool)
 	}
-	if len(w.dirty) == 0 && w.next < c.at.Steady {
-		w.next = c.at.Steady + 700*protocol.Millisecond // let some more come together
+	if len(w.dirty) == 0 && w.next < c.now.Steady {
+		w.next = c.now.Steady + 700*protocol.Millisecond // let some more come together
 	}
 	w.dirty[chunkKey{j.Spec.Ref, index / state.ChunkTasks}] = true
 }
 
-func (c *Controller) writeChunks() {
+func (c *Controller) writeCompletionChunks() {
 	t := c.term
-	w := &t.chunks
-	if w.writing || len(w.dirty) == 0 || c.at.Steady < w.next {
+	w := &t.chunkWriter
+	if w.writing || len(w.dirty) == 0 || c.now.Steady < w.next {
 		return
 	}
 	keys := make([]chunkKey, 0, len(w.dirty))
@@ -70,22 +70,22 @@
 	}
 	var batch []covered
 	for _, k := range keys {
-		j := t.book.Job(k.ref)
+		j := t.cluster.Job(k.ref)
 		if j == nil || j.State != state.JobActive {
 			delete(w.dirty, k) // its final record covers it
 			continue
 		}
-		if len(then) == c.limits.target.changes {
+		if len(then) == c.stateLimits.target.maxChanges {
 			break
 		}
-		if w.lost[k] {
-			c.restampChunk(j, k)
+		if w.unknownRevision[k] {
+			c.refreshChunkRevision(j, k)
 			return
 		}
 		cv := covered{j: j, chunk: k.chunk, tasks: j.CompletedNotDurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
 		batch = append(batch, cv)
-		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Revision: j.Revision}, protocol.Condition{Key: k.record(), Revision: j.ChunkRevisions[k.chunk]})
-		then = append(then, protocol.Change{Key: k.record(), Value: state.EncodeChunk(j, k.chunk)})
+		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Revision: j.Revision}, protocol.Condition{Key: k.key(), Revision: j.ChunkRevisions[k.chunk]})
+		then = append(then, protocol.Change{Key: k.key(), Value: state.EncodeChunk(j, k.chunk)})
 	}
 	for _, cv := range batch {
 		delete(w.dirty, chunkKey{cv.j.Spec.Ref, cv.chunk})
@@ -94,11 +94,11 @@
 		return
 	}
 	w.writing = true
-	c.lead(prioUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
+	c.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		w.writing = false
-		w.next = c.at.Steady + 500*protocol.Millisecond
+		w.next = c.now.Steady + 500*protocol.Millisecond
 		for _, cv := range batch {
-			if o == txnApplied {
+			if o == txnCommitted {
 				cv.j.SetChunkRevision(cv.chunk, r.Revision)
 				for _, i := range cv.tasks {
 					cv.j.Tasks[i].Durable = true
@@ -109,30 +109,30 @@
 			if cv.j.State == state.JobActive {
 				w.dirty[k] = true
 			}
-			if o == txnUnknown || o == txnRefused && slices.Contains(r.Conflicts, k.record()) {
-				if w.lost == nil {
-					w.lost = make(map[chunkKey]bool)
+			if o == txnUnknown || o == txnConflict && slices.Contains(r.Conflicts, k.key()) {
+				if w.unknownRevision == nil {
+					w.unknownRevision = make(map[chunkKey]bool)
 				}
-				w.lost[k] = true
+				w.unknownRevision[k] = true
 			}
 		}
 	})
 }
 
-// restampChunk reads the stamp of a record of completions after a write without an answer.
-func (c *Controller) restampChunk(j *state.Job, k chunkKey) {
+// refreshChunkRevision reads the stamp of a record of completions after a write without an answer.
+func (c *Controller) refreshChunkRevision(j *state.Job, k chunkKey) {
 	t := c.term
-	t.chunks.writing = true
-	c.get(prioUrgent, k.record(), func(e protocol.Entry, found, ok bool) {
+	t.chunkWriter.writing = true
+	c.getKey(priorityUrgent, k.key(), func(e protocol.Entry, found, ok bool) {
 		if c.term != t {
 			return
 		}
-		t.chunks.writing = false
+		t.chunkWriter.writing = false
 		if !ok {
-			t.chunks.next = c.at.Steady + 300*protocol.Millisecond
+			t.chunkWriter.next = c.now.Steady + 300*protocol.Millisecond
 			return
 		}
-		delete(t.chunks.lost, k)
+		delete(t.chunkWriter.unknownRevision, k)
 		j.SetChunkRevision(k.chunk, e.Revision) // 0 where there is none
 	})
 }
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -28,46 +28,46 @@
 
 	// The stamp of the head in the state service, as far as known: what is accepted and
 	// launched depends on it.
-	stamp   uint64
+	headRevision   uint64
 	known   bool
 	damaged bool // the head can't be read: the last good revision is gone by
 
-	moves int // times that a head was taken or written
+	headChanges int // times that a head was taken or written
 
-	refreshing, again bool // the head is being read, and has to be once more
+	refreshing, refreshAgain bool // the head is being read, and has to be once more
 
-	level string // of the log, as last told
+	logLevel string // of the log, as last told
 }
 
 // configTerm is what a leader has of the configuration during one epoch.
 type configTerm struct {
 	granter *configuration.Granter
 	writing bool
-	unsure  micros // until then a write without an answer may be applied
-	reread  micros
-	waits   []configWait
-	found   bool // the head was there when the records were read
+	writeUncertainUntil  micros // until then a write without an answer may be applied
+	nextReread  micros
+	waiters   []configWaiter
+	headFound   bool // the head was there when the records were read
 }
 
-// configWait is an operator who waits until a revision is in force everywhere.
-type configWait struct {
-	answer   answerer
+// configWaiter is an operator who waits until a revision is in force everywhere.
+type configWaiter struct {
+	answer   operatorReply
 	revision uint64
 	until    micros
 }
 
 // Spans of that.
 const (
-	grantEvery   = protocol.Second
-	configWaits  = 1500 * protocol.Millisecond // what an operator is kept waiting for
-	configUnsure = 60 * protocol.Second
-	configReread = 3 * protocol.Second
-	configAgain  = 200 * protocol.Millisecond
+	grantInterval   = protocol.Second
+	operatorTimeout  = 1500 * protocol.Millisecond // what an operator is kept waiting for
+	configWriteUncertainty = 60 * protocol.Second
+	configRereadInterval = 3 * protocol.Second
+	configRefreshRetry  = 200 * protocol.Millisecond
 )
 
 // EnableConfiguration lets the configuration change, before Start.
 func (c *Controller) EnableConfiguration(o configuration.Options) {
-	b := configuration.Bounds{Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.limits.target.valueBytes}
+	b := configuration.Bounds{Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.stateLimits.target.maxValueBytes}
 	c.config = &configState{options: o, bounds: b, holder: configuration.Holder{Life: c.rng.Uint64()}, settings: configuration.Of(&b, nil)}
 }
 
@@ -81,82 +81,82 @@
 	return configuration.Team{Team: t}, ok
 }
 
-// drained says whether a machine is drained, and how.
-func (c *Controller) drained(h *state.Host) configuration.Drain {
+// drainOf says whether a machine is drained, and how.
+func (c *Controller) drainOf(h *state.Host) configuration.Drain {
 	if c.config == nil {
 		return configuration.NotDrained
 	}
 	return c.config.settings.Drained(h.Name, h.Zone, h.Addr)
 }
 
-// GoesBy is the revision that this controller decides by at its last step; false: it
+// EffectiveRevision is the revision that this controller decides by at its last step; false: it
 // decides nothing by any.
-func (c *Controller) GoesBy() (revision uint64, ok bool) {
+func (c *Controller) EffectiveRevision() (revision uint64, ok bool) {
 	if c.config == nil {
 		return 0, false
 	}
-	if leads(c.role) {
-		return c.config.revision, c.mayStart()
+	if isLeaderRole(c.role) {
+		return c.config.revision, c.mayActAsLeader()
 	}
-	return c.config.revision, c.config.holder.Holds(c.at.Steady)
+	return c.config.revision, c.config.holder.Holds(c.now.Steady)
 }
 
-// setLevel tells the driver which level the log has to have.
-func (c *Controller) setLevel() {
+// updateLogLevel tells the driver which level the log has to have.
+func (c *Controller) updateLogLevel() {
 	if c.config == nil {
 		return
 	}
 	level := ""
-	if _, ok := c.GoesBy(); ok {
+	if _, ok := c.EffectiveRevision(); ok {
 		level = c.config.settings.Log
 	}
-	if level != c.config.level {
-		c.config.level = level
-		c.emit(LogLevel{level})
+	if level != c.config.logLevel {
+		c.config.logLevel = level
+		c.emit(SetLogLevel{level})
 	}
 }
 
-// LogLevel sets the level of the log, "": as the process was started.
-type LogLevel struct{ Level string }
+// SetLogLevel sets the level of the log, "": as the process was started.
+type SetLogLevel struct{ Level string }
 
-func (LogLevel) effect() {}
+func (SetLogLevel) effect() {}
 
-// underRevision makes a transaction depend on the revision that this controller goes by.
-func (c *Controller) underRevision(when []protocol.Condition) []protocol.Condition {
+// withRevisionCondition makes a transaction depend on the revision that this controller goes by.
+func (c *Controller) withRevisionCondition(when []protocol.Condition) []protocol.Condition {
 	if c.config == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: c.config.stamp})
+	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: c.config.headRevision})
 }
 
 // outdated notices a transaction that was refused because the head is another one: it is
 // read again, and what was refused is decided anew.
-func (c *Controller) outdated(o txnOutcome, r protocol.TxnResult) bool {
-	if c.config == nil || o != txnRefused || !slices.Contains(r.Conflicts, configuration.KeyHead) {
+func (c *Controller) handleRevisionConflict(o txnOutcome, r protocol.TxnResult) bool {
+	if c.config == nil || o != txnConflict || !slices.Contains(r.Conflicts, configuration.KeyHead) {
 		return false
 	}
 	c.stats.ConfigOutdated++
 	c.config.known = false
-	c.refresh()
+	c.refreshHead()
 	return true
 }
 
-// refresh reads the head until it is known.
-func (c *Controller) refresh() {
+// refreshHead reads the head until it is known.
+func (c *Controller) refreshHead() {
 	s := c.config
 	if s.refreshing {
-		s.again = true // the read under way may have been made before
+		s.refreshAgain = true // the read under way may have been made before
 		return
 	}
-	s.refreshing, s.again = true, false
-	c.readHead(prioUrgent, func(ok bool) {
+	s.refreshing, s.refreshAgain = true, false
+	c.readHead(priorityUrgent, func(ok bool) {
 		s.refreshing = false
-		if ok && !s.again {
+		if ok && !s.refreshAgain {
 			return
 		}
-		c.after(configAgain, func() {
-			if !s.known || s.again {
-				c.refresh()
+		c.after(configRefreshRetry, func() {
+			if !s.known || s.refreshAgain {
+				c.refreshHead()
 			}
 		})
 	})
@@ -165,20 +165,20 @@
 // readHead reads the head and goes by it. It always asks: what is decided after it goes
 // by what the state service had after whoever decides wanted to know.
 func (c *Controller) readHead(prio uint8, done func(ok bool)) {
-	began := c.config.moves
-	c.get(prio, configuration.KeyHead, func(e protocol.Entry, found, ok bool) {
-		if ok && (found || began == c.config.moves) { // otherwise it was made meanwhile
-			c.tookHead(e, found)
+	began := c.config.headChanges
+	c.getKey(prio, configuration.KeyHead, func(e protocol.Entry, found, ok bool) {
+		if ok && (found || began == c.config.headChanges) { // otherwise it was made meanwhile
+			c.applyHead(e, found)
 		}
 		done(ok)
 	})
 }
 
-// tookHead goes by what the state service has for the head. One that can't be read, or
+// applyHead goes by what the state service has for the head. One that can't be read, or
 // is not there any more, stops nothing: the last good revision stays.
-func (c *Controller) tookHead(e protocol.Entry, found bool) {
+func (c *Controller) applyHead(e protocol.Entry, found bool) {
 	s := c.config
-	if s.known && e.Revision < s.stamp && found {
+	if s.known && e.Revision < s.headRevision && found {
 		return // it was read before what is known
 	}
 	h, err := (*configuration.Head)(nil), error(nil)
@@ -188,14 +188,14 @@
 	case s.revision > 0:
 		err = fmt.Errorf("it is not there any more")
 	}
-	s.stamp, s.known = e.Revision, true
-	s.moves++
+	s.headRevision, s.known = e.Revision, true
+	s.headChanges++
 	if err != nil || h != nil && h.Revision < s.revision {
 		if err == nil {
 			err = fmt.Errorf("it has revision %d, and %d was known", h.Revision, s.revision)
 		}
 		s.damaged = true
-		c.damaged(protocol.Entry{Key: configuration.KeyHead, Revision: e.Revision}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
+		c.logDamagedRecord(protocol.Entry{Key: configuration.KeyHead, Revision: e.Revision}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
 		return
 	}
 	s.damaged = false
@@ -203,11 +203,11 @@
 		return // there is no revision yet
 	}
 	s.head = h
-	c.goBy(h.Revision, h.Document)
+	c.applyRevision(h.Revision, h.Document)
 }
 
-// goBy takes a revision into force here.
-func (c *Controller) goBy(revision uint64, d configuration.Document) {
+// applyRevision takes a revision into force here.
+func (c *Controller) applyRevision(revision uint64, d configuration.Document) {
 	s := c.config
 	if revision <= s.revision {
 		return
@@ -218,28 +218,28 @@
 	c.operator = s.settings.Operator
 	c.log.Info("configuration", "revision", revision)
 	if t := c.term; t != nil && t.config.granter != nil {
-		t.config.granter.Goes(revision, c.at.Steady)
-		c.reconsider(was)
-		c.askGrants(t)
+		t.config.granter.Goes(revision, c.now.Steady)
+		c.withdrawOutdatedDecisions(was)
+		c.sendGrants(t)
 	}
-	c.setLevel()
+	c.updateLogLevel()
 }
 
-// reconsider takes back what a leader has decided by an earlier revision and not carried
+// withdrawOutdatedDecisions takes back what a leader has decided by an earlier revision and not carried
 // out yet. Rows are touched where the change is about them, and nowhere else.
-func (c *Controller) reconsider(was *configuration.Settings) {
+func (c *Controller) withdrawOutdatedDecisions(was *configuration.Settings) {
 	t := c.term
 	s := c.config.settings
 	back := func(a *state.Attempt) {
 		// A launch that may be on its way is repeated until the worker knows it; with the
 		// stop behind it nothing of it runs.
 		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.LaunchUncertain {
-			c.stop(a, 0)
+			c.requestStop(a, 0)
 		}
 	}
 	if drains := func(s *configuration.Settings) int { return len(s.Zones) + len(s.Machines) + len(s.Nets) }; drains(was)+drains(s) > 0 {
-		for _, h := range t.book.Hosts() {
-			if d := c.drained(h); d != was.Drained(h.Name, h.Zone, h.Addr) {
+		for _, h := range t.cluster.Hosts() {
+			if d := c.drainOf(h); d != was.Drained(h.Name, h.Zone, h.Addr) {
 				h.Stale = true
 				if d != configuration.NotDrained {
 					for _, a := range h.Attempts() {
@@ -254,21 +254,21 @@
 			continue
 		}
 		// A pass under way has its jobs in the order of the guarantees before.
-		t.pass = nil
-		if !withinLimit(team.Limit, t.book.UsedByTeam[name]) {
-			c.eachOf(name, func(a *state.Attempt) bool {
+		t.cycle = nil
+		if !withinLimit(team.Limit, t.cluster.UsedByTeam[name]) {
+			c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 				back(a)
-				return !withinLimit(team.Limit, t.book.UsedByTeam[name])
+				return !withinLimit(team.Limit, t.cluster.UsedByTeam[name])
 			})
 		}
 	}
-	t.dirty = true
+	t.cycleNeeded = true
 }
 
-// eachOf goes through the attempts of a team's jobs, those that come last in line first,
+// forEachTeamAttempt goes through the attempts of a team's jobs, those that come last in line first,
 // as long as more says so.
-func (c *Controller) eachOf(team string, more func(*state.Attempt) bool) {
-	for _, j := range slices.Backward(slices.Clone(c.term.book.Jobs())) {
+func (c *Controller) forEachTeamAttempt(team string, more func(*state.Attempt) bool) {
+	for _, j := range slices.Backward(slices.Clone(c.term.cluster.Jobs())) {
 		if j.Spec.Team != team {
 			continue
 		}
@@ -283,8 +283,8 @@
 // enforce stops what runs against the revision in force, where it says so: on drained
 // machines, and above a team's limit. It is looked at again and again, so that a new
 // leader goes on with it.
-func (c *Controller) enforce() {
-	if c.config == nil || !c.mayStart() {
+func (c *Controller) enforceRevision() {
+	if c.config == nil || !c.mayActAsLeader() {
 		return
 	}
 	t, s := c.term, c.config.settings
@@ -293,11 +293,11 @@
 		if a.Job != nil && a.Job.Spec.CanCheckpoint() {
 			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
-		c.stop(a, grace)
+		c.requestStop(a, grace)
 	}
 	if len(s.Zones)+len(s.Machines)+len(s.Nets) > 0 {
-		for _, h := range t.book.Hosts() {
-			if h.Empty() || c.drained(h) != configuration.DrainStop {
+		for _, h := range t.cluster.Hosts() {
+			if h.Empty() || c.drainOf(h) != configuration.DrainStop {
 				continue
 			}
 			for _, a := range h.Attempts() {
@@ -308,18 +308,18 @@
 		}
 	}
 	for name, team := range s.Teams {
-		used := t.book.UsedByTeam[name]
+		used := t.cluster.UsedByTeam[name]
 		if !team.StopExcess || withinLimit(team.Limit, used) {
 			continue
 		}
 		// What is told to stop counts until it is gone; nothing more is stopped for it.
-		c.eachOf(name, func(a *state.Attempt) bool {
+		c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 			if a.StopRequested && a.State.MayRun() {
 				used = used.Add(a.Job.Spec.TaskResources, -1)
 			}
 			return true
 		})
-		c.eachOf(name, func(a *state.Attempt) bool {
+		c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 			if withinLimit(team.Limit, used) {
 				return false
 			}
@@ -332,73 +332,73 @@
 	}
 }
 
-// mayRent bounds how many machines of a kind may be asked for, by the ceiling of their
+// rentalAllowance bounds how many machines of a kind may be asked for, by the ceiling of their
 // type and zone, spot or not. mine are those that a request which is repeated has asked
 // for already.
-func (c *Controller) mayRent(k kind, mine int) int {
+func (c *Controller) rentalAllowance(k machineKind, mine int) int {
 	if c.config == nil {
-		return maxClaim
+		return maxMachinesPerRequest
 	}
 	if c.config.settings.Zones[k.zone] != configuration.NotDrained {
 		return 0
 	}
-	ceiling, ok := c.config.settings.Ceilings[configuration.Kind{Type: k.typ, Zone: k.zone}]
+	ceiling, ok := c.config.settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
 	if !ok {
-		return maxClaim
+		return maxMachinesPerRequest
 	}
-	if mine == 0 && c.term.epoch > 1 && (!c.term.rental.answering || c.at.Steady-c.term.started < claimTimeout+2*c.platform.MachineListLag) {
+	if mine == 0 && c.term.epoch > 1 && (!c.term.autoscaler.cloudListAnswering || c.now.Steady-c.term.startedAt < rentTimeout+2*c.platform.MachineListLag) {
 		return 0 // what an earlier leader asked for may not be listed yet
 	}
-	there := c.term.rental.open[kind{k.typ, k.zone, false}] + c.term.rental.open[kind{k.typ, k.zone, true}] - mine
-	for _, h := range c.term.book.Hosts() {
-		if h.TypeName == k.typ && h.Zone == k.zone && h.State != state.HostGone {
+	there := c.term.autoscaler.requested[machineKind{k.machineType, k.zone, false}] + c.term.autoscaler.requested[machineKind{k.machineType, k.zone, true}] - mine
+	for _, h := range c.term.cluster.Hosts() {
+		if h.TypeName == k.machineType && h.Zone == k.zone && h.State != state.HostGone {
 			there++
 		}
 	}
-	return max(0, min(maxClaim, ceiling-there))
+	return max(0, min(maxMachinesPerRequest, ceiling-there))
 }
 
-// initConfig gives a new term what it needs, before the records are read.
-func (c *Controller) initConfig(t *term) {
+// initConfigTerm gives a new term what it needs, before the records are read.
+func (c *Controller) initConfigTerm(t *leaderTerm) {
 	if c.config != nil {
 		// Earlier leaders may have granted leases until this one had taken the lead.
-		t.config.granter = configuration.NewGranter(c.config.revision, c.at.Steady)
+		t.config.granter = configuration.NewGranter(c.config.revision, c.now.Steady)
 	}
 }
 
-// loadHead takes the head among the records that a new leader reads.
-func (c *Controller) loadHead(e protocol.Entry) {
+// readHeadRecord takes the head among the records that a new leader reads.
+func (c *Controller) readHeadRecord(e protocol.Entry) {
 	if e.Key == configuration.KeyHead {
-		c.term.config.found = true
+		c.term.config.headFound = true
 		c.config.known = false
-		c.tookHead(e, true)
+		c.applyHead(e, true)
 	}
 }
 
-// loadedConfig begins what a leader does about the configuration.
-func (c *Controller) loadedConfig(t *term) {
+// startConfigTerm begins what a leader does about the configuration.
+func (c *Controller) startConfigTerm(t *leaderTerm) {
 	if c.config == nil {
 		return
 	}
-	if !t.config.found {
+	if !t.config.headFound {
 		c.config.known = false
-		c.tookHead(protocol.Entry{}, false)
+		c.applyHead(protocol.Entry{}, false)
 	}
-	c.setLevel()
+	c.updateLogLevel()
 	var ask func()
 	ask = func() {
 		if c.term == t {
-			c.askGrants(t)
-			c.after(grantEvery, ask)
+			c.sendGrants(t)
+			c.after(grantInterval, ask)
 		}
 	}
 	ask()
 }
 
-// askGrants tells the others which revision the leader goes by, and so renews their
+// sendGrants tells the others which revision the leader goes by, and so renews their
 // leases on it. A leader that is not certain to lead renews none.
-func (c *Controller) askGrants(t *term) {
-	if !c.mayStart() {
+func (c *Controller) sendGrants(t *leaderTerm) {
+	if !c.mayActAsLeader() {
 		return
 	}
 	s := c.config
@@ -412,13 +412,13 @@
 			}
 			m.Body = document
 		}
-		c.callAddr(ToPeer, "", o.Address, "", protocol.AppendPeer(nil, m), grantEvery, func(r CallDone) {
+		c.callAddress(ToPeer, "", o.Address, "", protocol.AppendPeer(nil, m), grantInterval, func(r CallResult) {
 			if c.term != t || r.Status != 200 {
 				return
 			}
 			a, err := protocol.ParsePeer(r.Body)
 			if err != nil {
-				c.malformed("controller", err)
+				c.logMalformed("controller", err)
 				return
 			}
 			if a.Kind != protocol.PeerConfigAck {
@@ -428,30 +428,30 @@
 				// It knows a later one than this leader: the record is gone or can't be read,
 				// or a write of this leader without an answer was applied. To be read again.
 				if d, err := configuration.DecodeDocument(a.Body); err == nil {
-					c.goBy(a.Revision, d)
+					c.applyRevision(a.Revision, d)
 					s.known = false
-					c.refresh()
+					c.refreshHead()
 				}
 			}
-			t.config.granter.Answered(o.Name, a.Incarnation, a.At, a.Revision, c.at.Steady)
-			c.answerWaits(t)
+			t.config.granter.Answered(o.Name, a.Incarnation, a.At, a.Revision, c.now.Steady)
+			c.answerWaiters(t)
 		})
 	}
 }
 
-// GrantQuestion is a leader's question about the revision that this node goes by.
-type GrantQuestion struct {
-	Reply    Address
+// ConfigGrantRequest is a leader's question about the revision that this node goes by.
+type ConfigGrantRequest struct {
+	Reply    ReplyAddress
 	Grant    configuration.Grant
 	Document []byte // nil: this node has it
 }
 
-func (GrantQuestion) event() {}
+func (ConfigGrantRequest) event() {}
 
-// onGrant answers a leader's question about the configuration.
-func (c *Controller) onGrant(e GrantQuestion) {
+// onConfigGrantRequest answers a leader's question about the configuration.
+func (c *Controller) onConfigGrantRequest(e ConfigGrantRequest) {
 	s := c.config
-	if s == nil || leads(c.role) || c.role == Claiming {
+	if s == nil || isLeaderRole(c.role) || c.role == RoleClaiming {
 		c.reply(e.Reply, 0, nil, 0)
 		return
 	}
@@ -459,35 +459,35 @@
 	if len(e.Document) > 0 {
 		var err error
 		if d, err = configuration.DecodeDocument(e.Document); err != nil {
-			c.malformed("controller", err)
+			c.logMalformed("controller", err)
 		}
 	}
-	if s.holder.Take(c.at.Steady, e.Grant, d != nil) == configuration.Adopting {
+	if s.holder.Take(c.now.Steady, e.Grant, d != nil) == configuration.Adopting {
 		s.known = false // its stamp is not
-		c.goBy(e.Grant.Revision, d)
+		c.applyRevision(e.Grant.Revision, d)
 	}
-	c.setLevel()
-	m := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: c.at.Steady}
+	c.updateLogLevel()
+	m := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: c.now.Steady}
 	if e.Grant.Revision < s.revision {
 		m.Body = configuration.EncodeDocument(s.document) // in case the leader can't read the record
 	}
 	c.emit(Reply{To: e.Reply, Status: 200, Frame: true, Body: protocol.AppendPeer(nil, m)})
 }
 
-// pulseConfig does what is due about the configuration while this node leads.
-func (c *Controller) pulseConfig(t *term) {
+// runConfigWork does what is due about the configuration while this node leads.
+func (c *Controller) runConfigWork(t *leaderTerm) {
 	if c.config == nil {
 		return
 	}
-	at := c.at.Steady
-	if at < t.config.unsure && at >= t.config.reread {
-		t.config.reread = at + configReread
-		c.readHead(prioNormal, func(bool) {})
+	at := c.now.Steady
+	if at < t.config.writeUncertainUntil && at >= t.config.nextReread {
+		t.config.nextReread = at + configRereadInterval
+		c.readHead(priorityNormal, func(bool) {})
 	}
-	c.answerWaits(t)
+	c.answerWaiters(t)
 }
 
-func (c *Controller) siblingNames() []string {
+func (c *Controller) peerNames() []string {
 	names := make([]string, len(c.platform.Peers))
 	for i, s := range c.platform.Peers {
 		names[i] = s.Name
@@ -495,27 +495,27 @@
 	return names
 }
 
-// answerWaits answers the operators whose revision is in force everywhere. Only a leader whose lease certainly holds
+// answerWaiters answers the operators whose revision is in force everywhere. Only a leader whose lease certainly holds
 // says so: nobody else decides what it does.
-func (c *Controller) answerWaits(t *term) {
-	waits := t.config.waits
+func (c *Controller) answerWaiters(t *leaderTerm) {
+	waits := t.config.waiters
 	if len(waits) == 0 {
 		return
 	}
-	t.config.waits = nil
+	t.config.waiters = nil
 	for _, w := range waits {
 		switch {
-		case c.mayStart() && w.revision <= c.config.revision && t.config.granter.InForce(w.revision, c.at.Steady, c.siblingNames()):
+		case c.mayActAsLeader() && w.revision <= c.config.revision && t.config.granter.InForce(w.revision, c.now.Steady, c.peerNames()):
 			w.answer(200, fmt.Appendf(nil, `{"revision":%d,"in_force":true}`, w.revision))
-		case c.at.Steady >= w.until: // it has been answered
+		case c.now.Steady >= w.until: // it has been answered
 		default:
-			t.config.waits = append(t.config.waits, w)
+			t.config.waiters = append(t.config.waiters, w)
 		}
 	}
 }
 
-// onConfig handles an operator's call about the configuration, wherever it came in.
-func (c *Controller) onConfig(e UserCall) {
+// onConfigRequest handles an operator's call about the configuration, wherever it came in.
+func (c *Controller) onConfigRequest(e UserRequest) {
 	if c.config == nil {
 		c.reply(e.Reply, 404, protocol.ErrorBody("changes of the configuration are off"), 0)
 		return
@@ -541,45 +541,45 @@
 		c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
 		return
 	}
-	if !c.mayStart() {
+	if !c.mayActAsLeader() {
 		if e.Reply.Peer {
 			c.reply(e.Reply, 0, nil, 0)
 			return
 		}
-		c.leaderOnly(e, configWaits+500*protocol.Millisecond, c.at.Steady)
+		c.forwardLeaderOnly(e, operatorTimeout+500*protocol.Millisecond, c.now.Steady)
 		return
 	}
 	switch e.Op {
 	case protocol.OpConfig:
-		c.showConfig(e.Reply)
+		c.replyConfig(e.Reply)
 	case protocol.OpConfigStatus:
-		c.configStatus(e.Reply)
+		c.replyConfigStatus(e.Reply)
 	case protocol.OpConfigWait:
 		if revision > c.config.revision {
 			c.reply(e.Reply, 409, protocol.ErrorBody(fmt.Sprintf("there is no revision %d, the last one is %d", revision, c.config.revision)), 0)
 			return
 		}
 		t := c.term
-		t.config.waits = append(t.config.waits, configWait{c.once(e.Reply, refusedNotInForce), revision, c.at.Steady + configWaits})
-		c.answerWaits(t)
+		t.config.waiters = append(t.config.waiters, configWaiter{c.replyOnce(e.Reply, refusalRevisionPending), revision, c.now.Steady + operatorTimeout})
+		c.answerWaiters(t)
 	case protocol.OpConfigHistory:
-		c.history(c.once(e.Reply, refusedState), revision)
+		c.replyHistory(c.replyOnce(e.Reply, refusalStateService), revision)
 	default:
-		c.change(c.once(e.Reply, refusedState), r)
+		c.changeConfig(c.replyOnce(e.Reply, refusalStateService), r)
 	}
 }
 
 // answerer answers an operator's call, the first time that it is called.
-type answerer func(status int, body []byte)
+type operatorReply func(status int, body []byte)
 
-// once makes an answerer, which answers 503 by itself when the operator has waited for as
+// replyOnce makes an answerer, which answers 503 by itself when the operator has waited for as
 // long as one is kept; why is the reason.
-func (c *Controller) once(to Address, why string) answerer {
+func (c *Controller) replyOnce(to ReplyAddress, why string) operatorReply {
 	answered := false
-	c.after(configWaits, func() {
+	c.after(operatorTimeout, func() {
 		if !answered {
 			answered = true
-			c.unavailable(to, why)
+			c.replyUnavailable(to, why)
 		}
 	})
 	return func(status int, body []byte) {
@@ -587,7 +587,7 @@
 		case answered:
 			return
 		case status == 503:
-			c.unavailable(to, why)
+			c.replyUnavailable(to, why)
 		default:
 			c.reply(to, status, body, 0)
 		}
@@ -595,8 +595,8 @@
 	}
 }
 
-// showConfig answers with the last revision.
-func (c *Controller) showConfig(to Address) {
+// replyConfig answers with the last revision.
+func (c *Controller) replyConfig(to ReplyAddress) {
 	s := c.config
 	b := fmt.Appendf(nil, `{"revision":%d,"damaged":%t,"document":`, s.revision, s.damaged)
 	b = append(b, configuration.EncodeDocument(s.document)...)
@@ -609,24 +609,24 @@
 	c.reply(to, 200, b, 0)
 }
 
-// configStatus answers where the revisions are in force.
-func (c *Controller) configStatus(to Address) {
+// replyConfigStatus answers where the revisions are in force.
+func (c *Controller) replyConfigStatus(to ReplyAddress) {
 	s, g := c.config, c.term.config.granter
 	b := fmt.Appendf(nil, `{"revision":%d,"in_force":%d,"damaged":%t,"controllers":[{"name":%s,"revision":%d,"leads":true}`, s.revision,
-		g.Newest(c.at.Steady, c.siblingNames()), s.damaged, protocol.AppendQuoted(nil, c.platform.ControllerName), s.revision)
+		g.Newest(c.now.Steady, c.peerNames()), s.damaged, protocol.AppendQuoted(nil, c.platform.ControllerName), s.revision)
 	for _, o := range c.platform.Peers {
 		r, when := g.Acknowledged(o.Name)
 		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), o.Name), `,"leads":false`...)
 		if when > 0 {
-			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, r, (c.at.Steady - when).Seconds())
+			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, r, (c.now.Steady - when).Seconds())
 		}
 		b = append(b, '}')
 	}
 	c.reply(to, 200, append(b, "]}"...), 0)
 }
 
-// mostHistory bounds the entries of an answer, in bytes.
-const mostHistory = 40 << 10
+// maxHistoryBytes bounds the entries of an answer, in bytes.
+const maxHistoryBytes = 40 << 10
 
 // readHistory reads the history that is kept, from a revision on at least: the pages
 // before the head's part where that does not go back so far.
@@ -642,13 +642,13 @@
 		done(h.Log, true)
 		return
 	}
-	c.list(prioNormal, configuration.PagePrefix, func(e protocol.Entry) {
+	c.listPrefix(priorityNormal, configuration.PagePrefix, func(e protocol.Entry) {
 		if e.Key < first || e.Key > last {
 			return // left by what was before the record was mended
 		}
 		page, err := configuration.DecodePage(e.Value)
 		if err != nil {
-			c.damaged(e, err)
+			c.logDamagedRecord(e, err)
 			return
 		}
 		list = append(list, page...)
@@ -656,14 +656,14 @@
 }
 
 // history answers with the entries before a revision (0: the newest), the last one first.
-func (c *Controller) history(answer answerer, before uint64) {
+func (c *Controller) replyHistory(answer operatorReply, before uint64) {
 	send := func(list []configuration.Entry, more bool) {
 		b := []byte(`{"history":[`)
 		for i, e := range slices.Backward(list) {
 			if before > 0 && e.Revision >= before {
 				continue
 			}
-			if len(b) > mostHistory {
+			if len(b) > maxHistoryBytes {
 				more = true
 				break
 			}
@@ -688,8 +688,8 @@
 	})
 }
 
-// change makes a revision. Whatever is wrong with it is said before anything is written.
-func (c *Controller) change(answer answerer, r *configuration.Request) {
+// changeConfig makes a revision. Whatever is wrong with it is said before anything is written.
+func (c *Controller) changeConfig(answer operatorReply, r *configuration.Request) {
 	t, s := c.term, c.config
 	refuse := func(status int, format string, args ...any) {
 		text := protocol.AppendQuoted([]byte(`{"error":`), fmt.Sprintf(format, args...))
@@ -738,7 +738,7 @@
 		revision := s.revision
 		c.readHistory(r.To+1, func(list []configuration.Entry, ok bool) {
 			switch {
-			case c.term != t || !c.mayStart() || !ok:
+			case c.term != t || !c.mayActAsLeader() || !ok:
 				answer(503, nil)
 			case s.revision != revision:
 				refuse(409, "expected: the last revision is %d, not %d", s.revision, r.Expected)
@@ -752,17 +752,17 @@
 					refuse(422, "%v", err)
 					return
 				}
-				c.write(answer, r, configuration.Diff(s.document, d), refuse, made)
+				c.writeRevision(answer, r, configuration.Diff(s.document, d), refuse, made)
 			}
 		})
 		return
 	}
-	c.write(answer, r, r.Changes(s.document), refuse, made)
+	c.writeRevision(answer, r, r.Changes(s.document), refuse, made)
 }
 
-// write makes a revision durable, and then takes it into force: one transaction on the
+// writeRevision makes a revision durable, and then takes it into force: one transaction on the
 // head's stamp, and on the leader's key like each of a leader's.
-func (c *Controller) write(answer answerer, r *configuration.Request, changes []configuration.Change, refuse func(int, string, ...any), made func(uint64, bool)) {
+func (c *Controller) writeRevision(answer operatorReply, r *configuration.Request, changes []configuration.Change, refuse func(int, string, ...any), made func(uint64, bool)) {
 	t, s := c.term, c.config
 	if len(changes) == 0 && !r.Mend {
 		made(s.revision, false)
@@ -772,11 +772,11 @@
 		answer(503, nil)
 		return
 	}
-	e := configuration.Entry{At: c.at.Wall, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}
+	e := configuration.Entry{At: c.now.Wall, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}
 	var w *configuration.Write
 	var err error
 	if r.Mend {
-		w, err = configuration.Mend(&s.bounds, s.document, e, max(s.stamp, s.revision))
+		w, err = configuration.Mend(&s.bounds, s.document, e, max(s.headRevision, s.revision))
 	} else {
 		h := s.head
 		if h == nil {
@@ -798,27 +798,27 @@
 	if w.Drop != "" {
 		then = append(then, protocol.Change{Key: w.Drop})
 	}
-	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.stamp}}
+	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.headRevision}}
 	t.config.writing = true
-	c.lead(prioPressing, when, then, func(o txnOutcome, res protocol.TxnResult) {
+	c.leaderTransaction(priorityLatencyCritical, when, then, func(o txnOutcome, res protocol.TxnResult) {
 		t.config.writing = false
-		if o == txnApplied {
-			s.head, s.stamp, s.known, s.damaged = w.Head, res.Revision, true, false
-			s.moves++
+		if o == txnCommitted {
+			s.head, s.headRevision, s.known, s.damaged = w.Head, res.Revision, true, false
+			s.headChanges++
 			c.stats.ConfigChanges++
-			c.goBy(w.Head.Revision, w.Head.Document)
+			c.applyRevision(w.Head.Revision, w.Head.Document)
 			made(w.Head.Revision, true)
 			return
 		}
-		if o.undone() {
+		if o.notExecuted() {
 			answer(503, nil)
 			return
 		}
 		// Without an answer it may have been applied, or may still be; refused, an earlier
 		// one of ours was. Its request's id says which.
-		t.config.unsure = c.at.Steady + configUnsure
-		t.config.reread = c.at.Steady + configReread
-		c.readHead(prioPressing, func(ok bool) {
+		t.config.writeUncertainUntil = c.now.Steady + configWriteUncertainty
+		t.config.nextReread = c.now.Steady + configRereadInterval
+		c.readHead(priorityLatencyCritical, func(ok bool) {
 			if ok && s.head != nil {
 				if e, here := s.head.Request(r.ID); here {
 					made(e.Revision, true)
@@ -833,9 +833,9 @@
 // ConfigStats is how the configuration stands at a controller.
 type ConfigStats struct {
 	Revision  uint64
-	Holds     bool              // it is gone by here
+	InEffect     bool              // it is gone by here
 	Damaged   bool              // the head can't be read
-	InForce   uint64            // newest revision in force everywhere, as the leader knows; 0 elsewhere
+	EffectiveEverywhere   uint64            // newest revision in force everywhere, as the leader knows; 0 elsewhere
 	Revisions map[string]uint64 // of the other controllers, as they told the leader; nil elsewhere
 }
 
@@ -844,10 +844,10 @@
 		return nil
 	}
 	s := &ConfigStats{Damaged: c.config.damaged}
-	s.Revision, s.Holds = c.GoesBy()
+	s.Revision, s.InEffect = c.EffectiveRevision()
 	if t := c.term; t != nil {
-		names := c.siblingNames()
-		s.InForce, s.Revisions = t.config.granter.Newest(c.at.Steady, names), make(map[string]uint64, len(names))
+		names := c.peerNames()
+		s.EffectiveEverywhere, s.Revisions = t.config.granter.Newest(c.now.Steady, names), make(map[string]uint64, len(names))
 		for _, n := range names {
 			s.Revisions[n], _ = t.config.granter.Acknowledged(n)
 		}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -17,8 +17,8 @@
 func TestWatchOfTheLeaderGoesFirst(t *testing.T) {
 	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	first := c.Start(now{})
-	if read, ok := first[0].(Call); !ok || read.Path != "/store/lead" || read.Priority != prioLeadership {
+	first := c.Start(instant{})
+	if read, ok := first[0].(Call); !ok || read.Path != "/store/lead" || read.Priority != priorityLeadership {
 		t.Fatalf("%v", first)
 	}
 	var watch, poll *Call
@@ -31,18 +31,18 @@
 			}
 		}
 	}
-	note(c.Step(now{Steady: 1000}, CallDone{
+	note(c.Step(instant{Steady: 1000}, CallResult{
 		ID: first[0].(Call).ID, Status: 200,
 		Body: []byte(`{"path":"lead","data":{"node":"gone","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`),
 	}))
-	note(c.Step(now{Steady: 2000}, UserCall{Op: protocol.OpQuery, Ref: "req-000001"}))
+	note(c.Step(instant{Steady: 2000}, UserRequest{Op: protocol.OpQuery, Ref: "req-000001"}))
 	if watch == nil || poll == nil || watch.Priority >= poll.Priority {
 		t.Errorf("watch %+v, poll %+v", watch, poll)
 	}
 	// What the state service's rate has no room for is refused at once.
 	refused := 0
 	for range 100 {
-		for _, e := range c.Step(now{Steady: 3000}, UserCall{Op: protocol.OpQuery, Ref: "req-000002"}) {
+		for _, e := range c.Step(instant{Steady: 3000}, UserRequest{Op: protocol.OpQuery, Ref: "req-000002"}) {
 			if r, ok := e.(Reply); ok && r.Status == 503 && r.RetryAfter > 0 {
 				refused++
 			}
@@ -59,10 +59,10 @@
 	p := &protocol.Platform{ControllerName: "n0", StateRequestRate: 100, StateWriteRate: 20, MaxValueBytes: 8 << 10, HeartbeatInterval: protocol.Second, WorkerLease: 30 * protocol.Second}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.EnableConfiguration(configuration.Options{Pages: 4})
-	c.Start(now{})
-	c.load()
+	c.Start(instant{})
+	c.startRecovery()
 	var lists []Call
-	for _, e := range c.Step(now{Steady: 1000}, Tick{}) {
+	for _, e := range c.Step(instant{Steady: 1000}, Tick{}) {
 		if call, ok := e.(Call); ok && strings.HasPrefix(call.Path, "/store?under=") {
 			lists = append(lists, call)
 		}
@@ -70,7 +70,7 @@
 	if len(lists) < 5 {
 		t.Fatalf("%d lists of records", len(lists))
 	}
-	c.followIn(protocol.Second)
+	c.followAfter(protocol.Second)
 	for _, call := range lists {
 		prefix := strings.TrimSuffix(strings.TrimPrefix(call.Path, "/store?under="), "&page=500")
 		key, value := prefix+"x", `{}`
@@ -78,7 +78,7 @@
 			key, value = prefix, string((&configuration.Head{Revision: 1, Log: []configuration.Entry{{Revision: 1, ID: "a", Who: "b"}}, Started: 1}).Encode())
 		}
 		body := fmt.Sprintf(`{"entries":[{"path":%q,"data":%s,"stamp":9}],"generation":9,"truncated":false}`, key, value)
-		c.Step(now{Steady: 2000}, CallDone{ID: call.ID, Status: 200, Body: []byte(body)})
+		c.Step(instant{Steady: 2000}, CallResult{ID: call.ID, Status: 200, Body: []byte(body)})
 	}
 	if c.term != nil || c.config.revision != 0 {
 		t.Errorf("term %v, revision %d", c.term, c.config.revision)
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -9,130 +9,130 @@
 	"mapleslip/internal/state"
 )
 
-// seat is what a node holds of leadership.
-type seat struct {
-	lease       uint64
+// id is what a node holds of leadership.
+type leaderLease struct {
+	id       uint64
 	epoch       uint64
-	stamp       uint64 // of the leader key: every write of a leader depends on it
-	until       micros // the lease certainly lasts until then
-	renewing    bool   // a renewal was sent and may still be answered soon
-	renewals    uint64 // sent so far
-	nextRenew   micros
-	unanswered  int               // renewals in a row that were made and got no answer
-	predAnswers micros            // until then a predecessor may answer workers
-	level       featuregate.Level // of the epoch's record, when the key was taken
-	unlisted    bool              // launches of earlier epochs may be in no record
-	yields      []protocol.LeadershipTransfer
-	asked       micros // when the lease was asked for
+	keyRevision       uint64 // of the leader key: every write of a leader depends on it
+	validUntil       micros // the lease certainly lasts until then
+	renewalInFlight    bool   // a renewal was sent and may still be answered soon
+	renewalsSent    uint64 // sent so far
+	nextRenewal   micros
+	unansweredRenewals  int               // renewals in a row that were made and got no answer
+	predecessorAnswersUntil micros            // until then a predecessor may answer workers
+	featureLevel       featuregate.Level // of the epoch's record, when the key was taken
+	launchesUnrecorded    bool              // launches of earlier epochs may be in no record
+	transfers      []protocol.LeadershipTransfer
+	requestedAt       micros // when the lease was asked for
 }
 
-// become is the one place where the role changes.
-func (c *Controller) become(r Role) {
+// setRole is the one place where the role changes.
+func (c *Controller) setRole(r Role) {
 	if c.role == r {
 		return
 	}
-	c.log.Info("role", "from", c.role.String(), "to", r.String(), "epoch", c.seat.epoch, "after_ms", int64((c.at.Steady-c.roleSince)/protocol.Millisecond))
+	c.log.Info("role", "from", c.role.String(), "to", r.String(), "epoch", c.lease.epoch, "after_ms", int64((c.now.Steady-c.roleSince)/protocol.Millisecond))
 	was := c.role
-	c.role, c.roleSince = r, c.at.Steady
-	if leads(was) != leads(r) {
-		c.emit(Share{Leads: leads(r)})
+	c.role, c.roleSince = r, c.now.Steady
+	if isLeaderRole(was) != isLeaderRole(r) {
+		c.emit(RateShare{Leads: isLeaderRole(r)})
 	}
-	if !leads(r) && r != Loading {
+	if !isLeaderRole(r) && r != RoleRecovering {
 		c.term = nil
 	}
 }
 
-func leads(r Role) bool { return r == Loading || r == Leading || r == Doubtful }
+func isLeaderRole(r Role) bool { return r == RoleRecovering || r == RoleLeader || r == RoleLeaseUncertain }
 
-// follow reads the leader key and watches it.
-func (c *Controller) follow() {
-	c.become(Following)
-	c.seat = seat{epoch: c.seat.epoch}
-	c.callGen++
-	gen := c.callGen
-	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
-		if gen != c.callGen || c.role != Following {
+// becomeFollower reads the leader key and watches it.
+func (c *Controller) becomeFollower() {
+	c.setRole(RoleFollower)
+	c.lease = leaderLease{epoch: c.lease.epoch}
+	c.roleGeneration++
+	gen := c.roleGeneration
+	c.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+		if gen != c.roleGeneration || c.role != RoleFollower {
 			return
 		}
 		if !ok {
 			c.after(400*protocol.Millisecond, func() {
-				if gen == c.callGen && c.role == Following {
-					c.follow()
+				if gen == c.roleGeneration && c.role == RoleFollower {
+					c.becomeFollower()
 				}
 			})
 			return
 		}
-		first := !c.looked
-		c.looked = true
+		first := !c.leaderKeyRead
+		c.leaderKeyRead = true
 		if !found {
 			c.campaign(gen)
 			return
 		}
-		c.sawLeader(e)
+		c.observeLeaderRecord(e)
 		if first && c.leader.Controller == c.platform.ControllerName {
-			c.endPast()
+			c.revokePreviousLease()
 		}
 		c.watchLeader(gen, e.Revision)
 	})
 }
 
-// endPast ends the lease of the process before this one, which led, as its successor
+// revokePreviousLease ends the lease of the process before this one, which led, as its successor
 // finds at its first look. Nobody else has this process's address, so that one is no
 // more; whatever of it is still on its way depends on the leader key's stamp, or on an
-// epoch that the next leader raises. Without this a leader that was back at once left
+// unreachableEpoch that the next leader raises. Without this a leader that was back at once left
 // the deployment without one until its own lease had ended.
-func (c *Controller) endPast() {
+func (c *Controller) revokePreviousLease() {
 	c.log.Info("ending the lease of the process before this one", "epoch", c.leader.Epoch)
-	c.endLease(c.leader.Lease)
+	c.revokeLease(c.leader.Lease)
 }
 
-// endLease ends a lease. If that does not get through it ends by itself.
-func (c *Controller) endLease(id uint64) {
-	c.call(ToState, prioLeadership, "DELETE", "/leases/"+strconv.FormatUint(id, 10), nil, stateTimeout, 0, func(CallDone) {})
+// revokeLease ends a lease. If that does not get through it ends by itself.
+func (c *Controller) revokeLease(id uint64) {
+	c.call(ToState, priorityLeadership, "DELETE", "/leases/"+strconv.FormatUint(id, 10), nil, stateTimeout, 0, func(CallResult) {})
 }
 
-func (c *Controller) sawLeader(e protocol.Entry) {
+func (c *Controller) observeLeaderRecord(e protocol.Entry) {
 	l, err := state.DecodeLeader(e.Value)
 	if err != nil {
-		c.malformed("state", err)
+		c.logMalformed("state", err)
 		return
 	}
 	if l.Epoch >= c.leader.Epoch {
 		if l.Epoch > c.leader.Epoch {
-			c.suspect = 0
+			c.leaderSuspectUntil = 0
 		}
 		c.leader = l
 	}
 }
 
-// recheck reads the leader's record again when the node that is taken for the
+// recheckLeader reads the leader's record again when the node that is taken for the
 // leader says that it does not lead, or does not answer: the watch that would
 // tell may be slow or lost.
-func (c *Controller) recheck() {
-	if c.role != Following || c.at.Steady-c.rechecked < 500*protocol.Millisecond {
+func (c *Controller) recheckLeader() {
+	if c.role != RoleFollower || c.now.Steady-c.leaderRecheckedAt < 500*protocol.Millisecond {
 		return
 	}
-	c.rechecked = c.at.Steady
-	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
-		if found && c.role == Following {
-			c.sawLeader(e)
+	c.leaderRecheckedAt = c.now.Steady
+	c.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+		if found && c.role == RoleFollower {
+			c.observeLeaderRecord(e)
 		}
 	})
 }
 
 func (c *Controller) watchLeader(gen uint64, rev uint64) {
-	stop := func() bool { return gen != c.callGen || c.role != Following }
-	c.watch(prioLeadership, state.KeyLeader, rev, stop, func(e protocol.Entry) {
+	stop := func() bool { return gen != c.roleGeneration || c.role != RoleFollower }
+	c.watchPrefix(priorityLeadership, state.KeyLeader, rev, stop, func(e protocol.Entry) {
 		switch {
 		case e.Key != state.KeyLeader:
 		case e.Value != nil:
-			c.sawLeader(e)
+			c.observeLeaderRecord(e)
 		default:
 			c.campaign(gen)
 		}
 	}, func() {
 		if !stop() {
-			c.follow()
+			c.becomeFollower()
 		}
 	})
 }
@@ -145,71 +145,71 @@
 		// A node that just lost its lease is more likely in trouble.
 		wait += 300 * protocol.Millisecond
 	}
-	if c.at.Steady < c.shy {
+	if c.now.Steady < c.stepDownBackoffUntil {
 		wait += 2 * protocol.Second
 	}
 	c.after(wait, func() {
-		if gen != c.callGen || c.role != Following {
+		if gen != c.roleGeneration || c.role != RoleFollower {
 			return
 		}
-		c.lease()
+		c.acquireLease()
 	})
 }
 
-func (c *Controller) lease() {
-	if c.levels != nil && !c.levels.listed {
-		c.retryFollow() // nobody leads whose version the roster does not have
+func (c *Controller) acquireLease() {
+	if c.features != nil && !c.features.registered {
+		c.followAfterJitter() // nobody leads whose version the roster does not have
 		return
 	}
-	c.become(Leasing)
-	sent := c.at.Steady
-	c.seat.asked = sent
-	c.call(ToState, prioLeadership, "POST", "/leases", protocol.LeaseBody(c.operator.LeaderLease), stateTimeout, 0, func(r CallDone) {
-		if c.role != Leasing {
+	c.setRole(RoleAcquiringLease)
+	sent := c.now.Steady
+	c.lease.requestedAt = sent
+	c.call(ToState, priorityLeadership, "POST", "/leases", protocol.LeaseBody(c.operator.LeaderLease), stateTimeout, 0, func(r CallResult) {
+		if c.role != RoleAcquiringLease {
 			return
 		}
 		id, err := uint64(0), error(nil)
 		if r.Status == 200 {
 			if id, err = protocol.ParseLease(r.Body); err != nil {
-				c.malformed("state", err)
+				c.logMalformed("state", err)
 			}
 		}
 		if id == 0 {
-			c.retryFollow()
+			c.followAfterJitter()
 			return
 		}
-		c.seat.lease = id
-		c.seat.until = sent + c.operator.LeaderLease - drift(c.operator.LeaderLease)
-		c.seat.nextRenew = sent + c.operator.LeaderLease/4
-		c.claim()
+		c.lease.id = id
+		c.lease.validUntil = sent + c.operator.LeaderLease - maxClockDrift(c.operator.LeaderLease)
+		c.lease.nextRenewal = sent + c.operator.LeaderLease/4
+		c.claimLeadership()
 	})
 }
 
-func (c *Controller) retryFollow() {
-	c.followIn(300*protocol.Millisecond + micros(c.rng.Int64N(int64(200*protocol.Millisecond))))
+func (c *Controller) followAfterJitter() {
+	c.followAfter(300*protocol.Millisecond + micros(c.rng.Int64N(int64(200*protocol.Millisecond))))
 }
 
-// followIn follows again after a while.
-func (c *Controller) followIn(wait micros) {
-	c.become(Following)
-	c.callGen++
-	gen := c.callGen
+// followAfter follows again after a while.
+func (c *Controller) followAfter(wait micros) {
+	c.setRole(RoleFollower)
+	c.roleGeneration++
+	gen := c.roleGeneration
 	c.after(wait, func() {
-		if gen == c.callGen && c.role == Following {
-			c.follow()
+		if gen == c.roleGeneration && c.role == RoleFollower {
+			c.becomeFollower()
 		}
 	})
 }
 
 // claim raises the epoch and takes the leader key in one transaction.
-func (c *Controller) claim() {
-	c.become(Claiming)
-	c.get(prioLeadership, state.KeyEpoch, func(e protocol.Entry, found, ok bool) {
-		if c.role != Claiming {
+func (c *Controller) claimLeadership() {
+	c.setRole(RoleClaiming)
+	c.getKey(priorityLeadership, state.KeyEpoch, func(e protocol.Entry, found, ok bool) {
+		if c.role != RoleClaiming {
 			return
 		}
 		if !ok {
-			c.retryFollow()
+			c.followAfterJitter()
 			return
 		}
 		var last uint64
@@ -217,82 +217,82 @@
 		if found {
 			rec, err := state.DecodeEpoch(e.Value)
 			if err == nil {
-				err = c.servesLevel(rec.Level)
+				err = c.checkLevelSupported(rec.Level)
 			}
 			if err != nil {
 				// Records of a form that this program does not know: it must
 				// not lead without seeing what they say.
-				c.damaged(e, err)
-				c.followIn(unreadableAgain)
+				c.logDamagedRecord(e, err)
+				c.followAfter(damagedRecordRetry)
 				return
 			}
 			last, level = rec.Epoch, rec.Level
-			c.seat.unlisted, c.seat.yields = rec.LaunchesUnrecorded, leadership.RecentTransfers(rec.Transfers, c.at.Wall)
-			if leadership.ShouldDefer(c.platform.ControllerName, last, c.at.Wall, rec.Transfers) && c.waited != last {
+			c.lease.launchesUnrecorded, c.lease.transfers = rec.LaunchesUnrecorded, leadership.RecentTransfers(rec.Transfers, c.now.Wall)
+			if leadership.ShouldDefer(c.platform.ControllerName, last, c.now.Wall, rec.Transfers) && c.deferredEpoch != last {
 				// The lease was given back for another one to lead. It has its turn
 				// first, once.
-				c.waited = last
-				c.followIn(leadership.DeferralTime)
+				c.deferredEpoch = last
+				c.followAfter(leadership.DeferralTime)
 				return
 			}
 		}
 		epoch := last + 1
-		lead := state.LeaderRecord{Controller: c.platform.ControllerName, Epoch: epoch, Lease: c.seat.lease, HeartbeatGrace: c.operator.HeartbeatGrace}
+		lead := state.LeaderRecord{Controller: c.platform.ControllerName, Epoch: epoch, Lease: c.lease.id, HeartbeatGrace: c.operator.HeartbeatGrace}
 		when := []protocol.Condition{{Key: state.KeyLeader}, {Key: state.KeyEpoch, Revision: e.Revision}}
 		then := []protocol.Change{
-			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.EpochRecord{Epoch: epoch, LaunchesUnrecorded: c.seat.unlisted, Transfers: c.seat.yields, Level: level})},
-			{Key: state.KeyLeader, Value: state.EncodeLeader(lead), Lease: c.seat.lease},
+			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.EpochRecord{Epoch: epoch, LaunchesUnrecorded: c.lease.launchesUnrecorded, Transfers: c.lease.transfers, Level: level})},
+			{Key: state.KeyLeader, Value: state.EncodeLeader(lead), Lease: c.lease.id},
 		}
 		pred := c.leader
-		c.txn(prioLeadership, when, then, func(o txnOutcome, r protocol.TxnResult) {
-			if c.role != Claiming {
+		c.compareAndSwap(priorityLeadership, when, then, func(o txnOutcome, r protocol.TxnResult) {
+			if c.role != RoleClaiming {
 				return
 			}
-			if o != txnApplied {
+			if o != txnCommitted {
 				// Where the outcome is unknown, the key goes with the lease,
 				// which nobody extends.
-				c.retryFollow()
+				c.followAfterJitter()
 				return
 			}
-			c.seat.epoch, c.seat.stamp, c.seat.level = epoch, r.Revision, level
+			c.lease.epoch, c.lease.keyRevision, c.lease.featureLevel = epoch, r.Revision, level
 			c.leader = lead
-			c.levelAtLeast(level)
+			c.raiseActiveLevel(level)
 			// The predecessor stops answering workers a recorded time after its
 			// lease, which has ended by now. Without its record, ours is taken.
 			answers := pred.HeartbeatGrace
 			if answers == 0 {
 				answers = c.operator.HeartbeatGrace
 			}
-			c.seat.predAnswers = c.at.Steady + answers + drift(answers)
+			c.lease.predecessorAnswersUntil = c.now.Steady + answers + maxClockDrift(answers)
 			if epoch == 1 {
-				c.seat.predAnswers = c.at.Steady
+				c.lease.predecessorAnswersUntil = c.now.Steady
 			}
-			c.load()
+			c.startRecovery()
 		})
 	})
 }
 
 // holdsLease reports whether a node in this role has a lease to renew. The claim takes two
 // round trips more, and the lease has to outlast them where the state service is slow.
-func holdsLease(r Role) bool { return leads(r) || r == Claiming }
+func holdsLease(r Role) bool { return isLeaderRole(r) || r == RoleClaiming }
 
-// watchLease renews the lease and notices when it could have ended.
-func (c *Controller) watchLease() {
+// checkLease renews the lease and notices when it could have ended.
+func (c *Controller) checkLease() {
 	if !holdsLease(c.role) {
 		return
 	}
-	t := c.at.Steady
-	if !c.seat.renewing && t >= c.seat.nextRenew {
-		c.renew()
+	t := c.now.Steady
+	if !c.lease.renewalInFlight && t >= c.lease.nextRenewal {
+		c.renewLease()
 	}
 	switch {
-	case c.role == Leading && t >= c.seat.until:
-		c.become(Doubtful)
-	case c.role == Loading && t >= c.seat.until:
-		c.follow()
-	case c.role == Doubtful && t >= c.seat.until+c.operator.HeartbeatGrace:
-		c.log.Info("stepping down: the lease could not be renewed", "epoch", c.seat.epoch)
-		c.follow()
+	case c.role == RoleLeader && t >= c.lease.validUntil:
+		c.setRole(RoleLeaseUncertain)
+	case c.role == RoleRecovering && t >= c.lease.validUntil:
+		c.becomeFollower()
+	case c.role == RoleLeaseUncertain && t >= c.lease.validUntil+c.operator.HeartbeatGrace:
+		c.log.Info("stepping down: the lease could not be renewed", "epoch", c.lease.epoch)
+		c.becomeFollower()
 	}
 }
 
@@ -301,112 +301,112 @@
 	// a lease divided by it.
 	resendsPerLease = 3
 	renewalPause    = 150 * protocol.Millisecond
-	// mostUnanswered is how many renewals in a row may get no answer, while reads do,
+	// maxUnansweredRenewals is how many renewals in a row may get no answer, while reads do,
 	// before a leader that is in doubt lets another one lead.
-	mostUnanswered = 5
+	maxUnansweredRenewals = 5
 )
 
 // renew extends the lease. A leader whose lease could have ended asks first who leads: a
 // renewal that is carried out, and of which only the answer is lost, keeps everybody else
 // from leading, for as long as this node goes on with it.
-func (c *Controller) renew() {
-	c.seat.renewing = true
-	if c.role != Doubtful {
-		c.extend()
+func (c *Controller) renewLease() {
+	c.lease.renewalInFlight = true
+	if c.role != RoleLeaseUncertain {
+		c.sendRenewal()
 		return
 	}
-	lease := c.seat.lease
-	c.get(prioLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	lease := c.lease.id
+	c.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		switch {
-		case !holdsLease(c.role) || c.seat.lease != lease:
+		case !holdsLease(c.role) || c.lease.id != lease:
 		case !ok:
-			c.seat.renewing, c.seat.nextRenew = false, c.at.Steady+renewalPause
-		case !found || e.Revision != c.seat.stamp:
-			c.deposed("the leader key is another's")
+			c.lease.renewalInFlight, c.lease.nextRenewal = false, c.now.Steady+renewalPause
+		case !found || e.Revision != c.lease.keyRevision:
+			c.stepDownSuperseded("the leader key is another's")
 		default:
-			c.extend()
+			c.sendRenewal()
 		}
 	})
 }
 
-// extend asks for another lease time. An answer counts for as long as it proves anything,
+// sendRenewal asks for another lease time. An answer counts for as long as it proves anything,
 // which is a whole lease from when the question left; one that is not answered soon is
 // followed by the next meanwhile. When it was given up after a third of the lease, a state
 // service that answered later than that left the deployment without a leader.
-func (c *Controller) extend() {
-	c.seat.renewals++
-	sent, lease, number := c.at.Steady, c.seat.lease, c.seat.renewals
-	current := func() bool { return holdsLease(c.role) && c.seat.lease == lease }
+func (c *Controller) sendRenewal() {
+	c.lease.renewalsSent++
+	sent, lease, number := c.now.Steady, c.lease.id, c.lease.renewalsSent
+	current := func() bool { return holdsLease(c.role) && c.lease.id == lease }
 	c.after(c.operator.LeaderLease/resendsPerLease, func() {
-		if current() && c.seat.renewals == number {
-			c.seat.renewing = false
+		if current() && c.lease.renewalsSent == number {
+			c.lease.renewalInFlight = false
 		}
 	})
-	c.call(ToState, prioLeadership, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, c.operator.LeaderLease, 0, func(r CallDone) {
+	c.call(ToState, priorityLeadership, "POST", "/leases/"+strconv.FormatUint(lease, 10)+"/extend", nil, c.operator.LeaderLease, 0, func(r CallResult) {
 		if !current() {
 			return
 		}
-		if c.seat.renewals == number {
-			c.seat.renewing = false
+		if c.lease.renewalsSent == number {
+			c.lease.renewalInFlight = false
 		}
 		switch r.Status {
 		case 200:
-			c.seat.unanswered = 0
-			c.seat.until = max(c.seat.until, sent+c.operator.LeaderLease-drift(c.operator.LeaderLease))
-			c.seat.nextRenew = max(c.seat.nextRenew, sent+c.operator.LeaderLease/4)
-			if c.role == Doubtful && c.at.Steady < c.seat.until {
+			c.lease.unansweredRenewals = 0
+			c.lease.validUntil = max(c.lease.validUntil, sent+c.operator.LeaderLease-maxClockDrift(c.operator.LeaderLease))
+			c.lease.nextRenewal = max(c.lease.nextRenewal, sent+c.operator.LeaderLease/4)
+			if c.role == RoleLeaseUncertain && c.now.Steady < c.lease.validUntil {
 				// The key hangs on the lease, so nobody else has led meanwhile.
-				c.become(Leading)
-				c.term.dirty = true
+				c.setRole(RoleLeader)
+				c.term.cycleNeeded = true
 			}
 		case 404:
-			c.log.Info("stepping down: the lease has ended", "epoch", c.seat.epoch)
-			c.follow()
+			c.log.Info("stepping down: the lease has ended", "epoch", c.lease.epoch)
+			c.becomeFollower()
 		default:
-			if c.seat.renewals == number {
-				c.seat.nextRenew = c.at.Steady + renewalPause
+			if c.lease.renewalsSent == number {
+				c.lease.nextRenewal = c.now.Steady + renewalPause
 			}
-			c.renewalLost(r)
+			c.onUnansweredRenewal(r)
 		}
 	})
 }
 
-// renewalLost notes a renewal without an answer. When that goes on while reads are
+// onUnansweredRenewal notes a renewal without an answer. When that goes on while reads are
 // answered, another controller should lead.
-func (c *Controller) renewalLost(r CallDone) {
-	if r.Status != 0 || r.unmade() {
+func (c *Controller) onUnansweredRenewal(r CallResult) {
+	if r.Status != 0 || r.notAttempted() {
 		return
 	}
-	c.seat.unanswered++
-	if c.role == Doubtful && c.seat.unanswered >= mostUnanswered {
-		c.log.Info("stepping down: renewals get no answers, and reads do", "epoch", c.seat.epoch)
-		c.shy = c.at.Steady + shyFor
-		c.endLease(c.seat.lease)
-		c.follow()
+	c.lease.unansweredRenewals++
+	if c.role == RoleLeaseUncertain && c.lease.unansweredRenewals >= maxUnansweredRenewals {
+		c.log.Info("stepping down: renewals get no answers, and reads do", "epoch", c.lease.epoch)
+		c.stepDownBackoffUntil = c.now.Steady + stepDownBackoff
+		c.revokeLease(c.lease.id)
+		c.becomeFollower()
 	}
 }
 
-// deposed is called when a newer epoch shows, or a condition on the leader
+// stepDownSuperseded is called when a newer epoch shows, or a condition on the leader
 // key fails.
-func (c *Controller) deposed(why string) {
-	if leads(c.role) {
-		c.log.Info("stepping down", "why", why, "epoch", c.seat.epoch)
-		c.follow()
+func (c *Controller) stepDownSuperseded(why string) {
+	if isLeaderRole(c.role) {
+		c.log.Info("stepping down", "why", why, "epoch", c.lease.epoch)
+		c.becomeFollower()
 	}
 }
 
-// lead is a leader's transaction: it applies only while the key is ours.
-func (c *Controller) lead(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
+// leaderTransaction is a leader's transaction: it applies only while the key is ours.
+func (c *Controller) leaderTransaction(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
 	term := c.term
-	when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: c.seat.stamp}}, when...)
-	c.txn(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
+	when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: c.lease.keyRevision}}, when...)
+	c.compareAndSwap(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if c.term != term {
 			return
 		}
-		if o == txnRefused {
+		if o == txnConflict {
 			for _, k := range r.Conflicts {
 				if k == state.KeyLeader {
-					c.deposed("the leader key is another's")
+					c.stepDownSuperseded("the leader key is another's")
 					return
 				}
 			}
@@ -415,10 +415,10 @@
 	})
 }
 
-// mayStart reports whether the leader key is certainly this node's: the lease certainly
+// mayActAsLeader reports whether the leader key is certainly this node's: the lease certainly
 // holds, and no transaction is on its way that gives the key back. That one may have been
 // carried out long before its answer comes, and then another node leads while the lease,
 // without the key, lasts.
-func (c *Controller) mayStart() bool {
-	return c.role == Leading && c.at.Steady < c.seat.until && !c.term.yielding
+func (c *Controller) mayActAsLeader() bool {
+	return c.role == RoleLeader && c.now.Steady < c.lease.validUntil && !c.term.transferInFlight
 }
--- a/internal/controller/faults.go
+++ b/internal/controller/faults.go
@@ -15,19 +15,19 @@
 // while when jobs fail on it that run elsewhere, or two that are not suspect. So
 // neither a bad job takes machines away from others, nor a bad machine their time.
 
-// ranWell is how long a task has to run to show that its job can.
-const ranWell = 10 * protocol.Second
+// provenRunTime is how long a task has to run to show that its job can.
+const provenRunTime = 10 * protocol.Second
 
-// longestHold is the longest time for which a suspect job is not tried.
-const longestHold = 60 * protocol.Second
+// maxFailureBackoff is the longest time for which a suspect job is not tried.
+const maxFailureBackoff = 60 * protocol.Second
 
-// sound reports whether something shows that a job can run.
-func (c *Controller) sound(j *state.Job) bool {
+// isProven reports whether something shows that a job can run.
+func (c *Controller) isProven(j *state.Job) bool {
 	if j.CompletedTasks > 0 {
 		return true
 	}
 	for _, a := range j.ActiveAttempts() {
-		if a.State == state.AttemptRunning && c.at.Steady-a.StartedAt >= ranWell {
+		if a.State == state.AttemptRunning && c.now.Steady-a.StartedAt >= provenRunTime {
 			return true
 		}
 	}
@@ -35,9 +35,9 @@
 }
 
 // failed handles a task's error.
-func (c *Controller) failed(a *state.Attempt) {
+func (c *Controller) onTaskFailed(a *state.Attempt) {
 	j, h := a.Job, a.Host
-	at := c.at.Steady
+	at := c.now.Steady
 	if j.FailuresByHost == nil {
 		j.FailuresByHost = make(map[string]int)
 	}
@@ -47,37 +47,37 @@
 		c.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.FailuresByHost[h.Name], "hosts", len(j.FailuresByHost), "suspect", j.Suspect)
 	}()
 	switch {
-	case c.sound(j):
-		c.condemn(h)
+	case c.isProven(j):
+		c.quarantineHost(h)
 		return
 	case len(j.FailuresByHost) > 1:
 		j.Suspect = true
-		c.exonerate(j)
+		c.clearBlame(j)
 		if at >= j.BackoffUntil { // tasks that fail together count once
-			j.BackoffUntil = at + min(4*protocol.Second<<min(j.BackoffAttempts, 8), longestHold)
+			j.BackoffUntil = at + min(4*protocol.Second<<min(j.BackoffAttempts, 8), maxFailureBackoff)
 			j.BackoffAttempts++
 		}
 	case !slices.Contains(h.SuspectedBy, j.Spec.Ref):
 		h.SuspectedBy, h.Stale = append(h.SuspectedBy, j.Spec.Ref), true
 		if len(h.SuspectedBy) == 2 && at >= h.QuarantinedUntil {
-			c.condemn(h)
+			c.quarantineHost(h)
 			h.QuarantinedOnSuspicion = true
 		}
 	}
 }
 
 // condemn leaves a machine alone for a while.
-func (c *Controller) condemn(h *state.Host) {
+func (c *Controller) quarantineHost(h *state.Host) {
 	h.FaultCount++
-	h.QuarantinedUntil = c.at.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
+	h.QuarantinedUntil = c.now.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
 	h.QuarantinedOnSuspicion, h.Stale = false, true
 	c.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.FaultCount)
 }
 
-// exonerate takes back what a suspect job's failures said of machines.
-func (c *Controller) exonerate(j *state.Job) {
+// clearBlame takes back what a suspect job's failures said of machines.
+func (c *Controller) clearBlame(j *state.Job) {
 	for name := range j.FailuresByHost {
-		h := c.term.book.Host(name)
+		h := c.term.cluster.Host(name)
 		if h == nil || !slices.Contains(h.SuspectedBy, j.Spec.Ref) {
 			continue
 		}
@@ -90,12 +90,12 @@
 	}
 }
 
-// acquit notes that a job can run. Where it failed before, the machine did.
-func (c *Controller) acquit(j *state.Job) {
+// confirmHealthy notes that a job can run. Where it failed before, the machine did.
+func (c *Controller) confirmHealthy(j *state.Job) {
 	for name := range j.FailuresByHost {
-		if h := c.term.book.Host(name); h != nil && c.at.Steady >= h.QuarantinedUntil {
+		if h := c.term.cluster.Host(name); h != nil && c.now.Steady >= h.QuarantinedUntil {
 			h.SuspectedBy = nil
-			c.condemn(h)
+			c.quarantineHost(h)
 		}
 	}
 	if j.Suspect {
--- a/internal/controller/features.go
+++ b/internal/controller/features.go
@@ -12,120 +12,120 @@
 // the active level that it knows, and what depends on it. What only the leader does is in
 // upgrade.go.
 
-// levelState is what a controller knows of the feature levels.
-type levelState struct {
+// featureState is what a controller knows of the feature levels.
+type featureState struct {
 	serves featuregate.Range
 	build  string
 	active featuregate.Level // at least this one is active: levels never fall
-	stamp  uint64            // of the level's record, 0: there is none
+	revision  uint64            // of the level's record, 0: there is none
 	known  bool              // the stamp was read, and nothing has shown since that it is another
-	listed bool              // the roster has what this process runs
+	registered bool              // the roster has what this process runs
 }
 
-// rosterAgain is how soon a controller tries again to write its entry of the roster, or to
-// read the level.
-const rosterAgain = 400 * protocol.Millisecond
+// registryRetry is how soon a controller tries again to write its entry of the roster, or to
+// finishRead the level.
+const registryRetry = 400 * protocol.Millisecond
 
-// ServeLevels says what this program serves, before Start.
-func (c *Controller) ServeLevels(r featuregate.Range, build string) {
-	c.levels = &levelState{serves: r, build: build}
+// SetFeatureRange says what this program serves, before Start.
+func (c *Controller) SetFeatureRange(r featuregate.Range, build string) {
+	c.features = &featureState{serves: r, build: build}
 }
 
-// KnowNoLevels has the controller behave as one of a version before there were levels, for
+// DisableFeatureLevels has the controller behave as one of a version before there were levels, for
 // tests, before Start: it writes no entry, asks for no level, and reads no record of the
 // later form.
-func (c *Controller) KnowNoLevels() { c.levels = nil }
+func (c *Controller) DisableFeatureLevels() { c.features = nil }
 
-// allows reports whether a feature may be used: the active level, as far as this controller
+// featureEnabled reports whether a feature may be used: the active level, as far as this controller
 // knows it, has the feature. Levels never fall, so what was allowed once stays allowed; a
 // controller that does not know the level yet allows nothing new.
-func (c *Controller) allows(f featuregate.Feature) bool { return c.level() >= f.From }
+func (c *Controller) featureEnabled(f featuregate.Feature) bool { return c.activeLevel() >= f.From }
 
-// level is the active level as far as this controller knows it.
-func (c *Controller) level() featuregate.Level {
-	if c.levels == nil {
+// featureLevel is the active level as far as this controller knows it.
+func (c *Controller) activeLevel() featuregate.Level {
+	if c.features == nil {
 		return 0
 	}
-	return c.levels.active
+	return c.features.active
 }
 
-// levelAtLeast notes that a level is active, as the epoch's record says.
-func (c *Controller) levelAtLeast(l featuregate.Level) {
-	if c.levels != nil {
-		c.levels.active = max(c.levels.active, l)
+// raiseActiveLevel notes that a level is active, as the epoch's record says.
+func (c *Controller) raiseActiveLevel(l featuregate.Level) {
+	if c.features != nil {
+		c.features.active = max(c.features.active, l)
 	}
 }
 
-// startLevels writes this controller's entry of the roster and follows the level. Nothing
+// startFeatureTracking writes this controller's entry of the roster and follows the level. Nothing
 // but leading waits for the entry: what a controller accepts by itself depends on the
 // level's record, so one that is not listed because the state service is down serves as
 // before, and only holds a new level up.
-func (c *Controller) startLevels() {
-	if c.levels == nil {
+func (c *Controller) startFeatureTracking() {
+	if c.features == nil {
 		return
 	}
-	c.enlist()
-	c.followLevel()
+	c.registerVersion()
+	c.watchLevel()
 }
 
-// enlist writes what this process runs into the roster. It writes also where the entry says
+// registerVersion writes what this process runs into the roster. It writes also where the entry says
 // the same, so that the stamp is another one: a write of the process before it, which may
 // have run another version, is refused from then on.
-func (c *Controller) enlist() {
+func (c *Controller) registerVersion() {
 	key := featuregate.RegistryKey(c.platform.ControllerName)
-	again := func() { c.after(rosterAgain, c.enlist) }
-	c.get(prioLeadership, key, func(e protocol.Entry, _, ok bool) {
+	again := func() { c.after(registryRetry, c.registerVersion) }
+	c.getKey(priorityLeadership, key, func(e protocol.Entry, _, ok bool) {
 		if !ok {
 			again()
 			return
 		}
-		value := featuregate.EncodeEntry(featuregate.Entry{Controller: c.platform.ControllerName, Levels: c.levels.serves, Build: c.levels.build})
+		value := featuregate.EncodeEntry(featuregate.Entry{Controller: c.platform.ControllerName, Levels: c.features.serves, Build: c.features.build})
 		when := []protocol.Condition{{Key: key, Revision: e.Revision}}
-		c.txn(prioLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
-			if o != txnApplied {
+		c.compareAndSwap(priorityLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
+			if o != txnCommitted {
 				again() // where the outcome is unknown it is written once more
 				return
 			}
-			c.levels.listed = true
+			c.features.registered = true
 		})
 	})
 }
 
-// followLevel reads the level and follows it until there is none that this program could
+// watchLevel reads the level and follows it until there is none that this program could
 // use beyond it. Leaders follow it too: an activation may be carried out late.
-func (c *Controller) followLevel() {
-	enough := func() bool { return c.levels.active >= c.levels.serves.High }
+func (c *Controller) watchLevel() {
+	enough := func() bool { return c.features.active >= c.features.serves.High }
 	found := false
-	c.list(prioNormal, featuregate.KeyLevel, func(e protocol.Entry) {
+	c.listPrefix(priorityNormal, featuregate.KeyLevel, func(e protocol.Entry) {
 		if e.Key == featuregate.KeyLevel {
 			found = true
-			c.tookLevel(e)
+			c.applyLevelRecord(e)
 		}
 	}, func(revision uint64, ok bool) {
 		if !ok {
-			c.after(rosterAgain, c.followLevel)
+			c.after(registryRetry, c.watchLevel)
 			return
 		}
-		if !found && c.levels.active == 0 {
-			c.levels.known = true
+		if !found && c.features.active == 0 {
+			c.features.known = true
 		}
-		c.watch(prioNormal, featuregate.KeyLevel, revision, enough, func(e protocol.Entry) {
+		c.watchPrefix(priorityNormal, featuregate.KeyLevel, revision, enough, func(e protocol.Entry) {
 			if e.Key == featuregate.KeyLevel && e.Value != nil {
-				c.tookLevel(e)
+				c.applyLevelRecord(e)
 			}
 		}, func() {
 			if !enough() {
-				c.followLevel()
+				c.watchLevel()
 			}
 		})
 	})
 }
 
-// tookLevel goes by the level's record. One that can't be read is told of, and nothing is
+// applyLevelRecord goes by the level's record. One that can't be read is told of, and nothing is
 // accepted or written that depends on it.
-func (c *Controller) tookLevel(e protocol.Entry) {
-	s := c.levels
-	if e.Revision < s.stamp {
+func (c *Controller) applyLevelRecord(e protocol.Entry) {
+	s := c.features
+	if e.Revision < s.revision {
 		return // it was read before what is known
 	}
 	l, err := featuregate.DecodeLevel(e.Value)
@@ -134,57 +134,57 @@
 			err = errLevelFell
 		}
 		s.known = false
-		c.damaged(e, err)
+		c.logDamagedRecord(e, err)
 		return
 	}
 	if l > s.active {
 		c.log.Info("feature level is active", "level", uint64(l), "role", c.role.String())
 	}
-	s.active, s.stamp, s.known = l, e.Revision, true
+	s.active, s.revision, s.known = l, e.Revision, true
 }
 
 // readLevel reads the level's record, where it has to be known.
 func (c *Controller) readLevel(prio uint8, done func(ok bool)) {
-	c.get(prio, featuregate.KeyLevel, func(e protocol.Entry, found, ok bool) {
+	c.getKey(prio, featuregate.KeyLevel, func(e protocol.Entry, found, ok bool) {
 		switch {
 		case ok && found:
-			c.tookLevel(e)
-		case ok && c.levels.stamp == 0:
-			c.levels.known = true
+			c.applyLevelRecord(e)
+		case ok && c.features.revision == 0:
+			c.features.known = true
 		}
 		done(ok)
 	})
 }
 
-// underLevel makes a transaction depend on the level that this controller goes by.
-func (c *Controller) underLevel(when []protocol.Condition) []protocol.Condition {
-	if c.levels == nil {
+// withLevelCondition makes a transaction depend on the level that this controller goes by.
+func (c *Controller) withLevelCondition(when []protocol.Condition) []protocol.Condition {
+	if c.features == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Revision: c.levels.stamp})
+	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Revision: c.features.revision})
 }
 
-// otherLevel notices a transaction that was refused because another level is active: it is
+// handleLevelConflict notices a transaction that was refused because another level is active: it is
 // read again, and what was refused is decided anew.
-func (c *Controller) otherLevel(o txnOutcome, r protocol.TxnResult) bool {
-	if c.levels == nil || o != txnRefused || !slices.Contains(r.Conflicts, featuregate.KeyLevel) {
+func (c *Controller) handleLevelConflict(o txnOutcome, r protocol.TxnResult) bool {
+	if c.features == nil || o != txnConflict || !slices.Contains(r.Conflicts, featuregate.KeyLevel) {
 		return false
 	}
-	c.levels.known = false
-	c.readLevel(prioUrgent, func(bool) {})
+	c.features.known = false
+	c.readLevel(priorityUrgent, func(bool) {})
 	return true
 }
 
-// tookKeptTypes takes machine types from their record. That of the later form is not for
-// controllers that know of no levels: without machine types they accept nothing.
-func (c *Controller) tookKeptTypes(value []byte) {
+// applyMachineTypesRecord takes machine types from their record. That of the later form is not for
+// controllerNames that know of no levels: without machine types they accept nothing.
+func (c *Controller) applyMachineTypesRecord(value []byte) {
 	types, later, err := state.DecodeTypes(value)
-	if err == nil && later && c.levels == nil {
-		err = errLaterForm
+	if err == nil && later && c.features == nil {
+		err = errLaterFormat
 	}
 	if err != nil {
-		c.malformed("machine types", err)
+		c.logMalformed("machine types", err)
 		return
 	}
-	c.goByTypes(types)
+	c.setMachineTypes(types)
 }
--- a/internal/controller/finals.go
+++ b/internal/controller/finals.go
@@ -2,28 +2,28 @@
 
 import "mapleslip/internal/protocol"
 
-// final is the last phase of a job that is over.
-type final struct {
+// finishedJob is the last phase of a job that is over.
+type finishedJob struct {
 	phase protocol.Phase
 	tasks int
 }
 
-// mostFinals is how many jobs that are over are remembered.
-const mostFinals = 50_000
+// maxFinishedJobs is how many jobs that are over are remembered.
+const maxFinishedJobs = 50_000
 
 // finals remembers jobs that are over, the latest at least for as long as half of
-// mostFinals take to end after it: a message that says the job is live may still be on its
+// maxFinishedJobs take to end after it: a message that says the job is live may still be on its
 // way, and would put it into the book once more. The state service has them all.
-type finals struct {
-	recent, older map[string]final
+type finishedJobCache struct {
+	recent, older map[string]finishedJob
 }
 
-func newFinals() finals {
-	return finals{recent: make(map[string]final), older: make(map[string]final)}
+func newFinishedJobCache() finishedJobCache {
+	return finishedJobCache{recent: make(map[string]finishedJob), older: make(map[string]finishedJob)}
 }
 
 // find returns how a job ended, if that is remembered.
-func (f *finals) find(ref string) (final, bool) {
+func (f *finishedJobCache) find(ref string) (finishedJob, bool) {
 	if last, ok := f.recent[ref]; ok {
 		return last, true
 	}
@@ -32,12 +32,12 @@
 }
 
 // keep remembers how a job ended.
-func (f *finals) keep(ref string, last final) {
-	if len(f.recent) >= mostFinals/2 {
-		f.older, f.recent = f.recent, make(map[string]final)
+func (f *finishedJobCache) add(ref string, last finishedJob) {
+	if len(f.recent) >= maxFinishedJobs/2 {
+		f.older, f.recent = f.recent, make(map[string]finishedJob)
 	}
 	f.recent[ref] = last
 }
 
 // full reports whether there is no room for jobs that ended long ago.
-func (f *finals) full() bool { return len(f.recent) >= mostFinals/2-1 }
+func (f *finishedJobCache) full() bool { return len(f.recent) >= maxFinishedJobs/2-1 }
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -12,31 +12,31 @@
 // them but spot ones. Without this, an idle-time job of a thousand tasks kept
 // every machine busy that was ever rented, and had work of higher rank rent more.
 
-// guest reports whether a job's tasks give way to whatever else is placed.
-func guest(j *state.Job) bool { return j.Priority == protocol.PriorityLow }
+// isOpportunistic reports whether a job's tasks give way to whatever else is placed.
+func isOpportunistic(j *state.Job) bool { return j.Priority == protocol.PriorityLow }
 
-// frugalFor is how long a guest's job is content with what is spare. After that
+// opportunisticWithoutRentalFor is how long a guest's job is content with what is spare. After that
 // it is served like others, only behind them: an accepted job must run.
-const frugalFor = 900 * protocol.Second
+const opportunisticWithoutRentalFor = 900 * protocol.Second
 
-// frugal reports whether a job neither keeps a machine at the full price nor has
+// usesSpareCapacityOnly reports whether a job neither keeps a machine at the full price nor has
 // one rented.
-func (c *Controller) frugal(j *state.Job) bool {
-	return guest(j) && j.Spec.AllowSpot && c.at.Steady-j.EligibleAt < frugalFor
+func (c *Controller) usesSpareCapacityOnly(j *state.Job) bool {
+	return isOpportunistic(j) && j.Spec.AllowSpot && c.now.Steady-j.EligibleAt < opportunisticWithoutRentalFor
 }
 
-// held reports whether a machine has work for which it is to be kept.
-func (c *Controller) held(h *state.Host) bool {
+// heldForTeam reports whether a machine has work for which it is to be kept.
+func (c *Controller) hasRetainingWork(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !c.frugal(a.Job)) {
+		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !c.usesSpareCapacityOnly(a.Job)) {
 			return true
 		}
 	}
 	return false
 }
 
-// clearGuests stops the guests on a host that are in the way of a task.
-func (c *Controller) clearGuests(h *state.Host, need protocol.Resources) {
+// evictOpportunistic stops the guests on a host that are in the way of a task.
+func (c *Controller) evictOpportunistic(h *state.Host, need protocol.Resources) {
 	free := h.Type.Capacity
 	var guests []victim
 	for _, a := range h.Attempts() {
@@ -45,10 +45,10 @@
 		}
 		s := a.Job.Spec
 		free = free.Add(s.TaskResources, -1)
-		if guest(a.Job) {
+		if isOpportunistic(a.Job) {
 			lost := micros(0)
 			if a.StartedAt > 0 {
-				lost = c.at.Steady - a.StartedAt
+				lost = c.now.Steady - a.StartedAt
 				if s.CanCheckpoint() {
 					lost = min(lost, s.CheckpointInterval)
 				}
@@ -59,21 +59,21 @@
 	if free.Covers(need) {
 		return
 	}
-	for _, v := range fewest(guests, free, need) {
-		c.log.Debug("guest gives way", "task", v.a.Name.TaskName.String(), "host", h.Name)
-		c.stop(v.a, 0)
+	for _, v := range minimalVictims(guests, free, need) {
+		c.log.Debug("guest gives way", "task", v.attempt.Name.TaskName.String(), "host", h.Name)
+		c.requestStop(v.attempt, 0)
 	}
 }
 
-// sendGuestsOff lets the guests on a machine that goes back save what they did.
-func (c *Controller) sendGuestsOff(h *state.Host) {
+// evictAll lets the guests on a machine that goes back save what they did.
+func (c *Controller) evictAll(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State.HoldsResources() && !a.StopRequested && a.Job != nil {
 			grace := micros(0)
 			if a.Job.Spec.CanCheckpoint() {
 				grace = a.Job.Spec.CheckpointDuration + protocol.Second
 			}
-			c.stop(a, grace)
+			c.requestStop(a, grace)
 		}
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -31,10 +31,10 @@
 		l := newStateLimits(&protocol.Platform{MaxValueBytes: 8192, MaxTxnChanges: 12, StateWriteRate: 35, AnnouncedStateLimits: c.announced})
 		explained := false
 		for _, r := range c.refused {
-			explained = l.tooLarge(r[0], r[1])
+			explained = l.learnFromMalformed(r[0], r[1])
 		}
-		if explained != c.explained || l.target != c.target || l.allowed != c.allows {
-			t.Errorf("%s: explained %v, target %+v, allowed %+v", c.name, explained, l.target, l.allowed)
+		if explained != c.explained || l.target != c.target || l.accepted != c.allows {
+			t.Errorf("%s: explained %v, target %+v, allowed %+v", c.name, explained, l.target, l.accepted)
 		}
 	}
 }
@@ -44,53 +44,53 @@
 func TestRateFromRefusals(t *testing.T) {
 	l := newStateLimits(&protocol.Platform{MaxValueBytes: 8192, MaxTxnChanges: 12, StateWriteRate: 35, AnnouncedStateLimits: &protocol.StateLimits{WriteRate: 24, MaxValueBytes: 2048, MaxTxnChanges: 4}})
 	at := 100 * protocol.Second
-	if l.rate != 35 {
-		t.Fatalf("%g before anything was refused", l.rate)
+	if l.writeRate != 35 {
+		t.Fatalf("%g before anything was refused", l.writeRate)
 	}
-	if !l.crowded(at) || l.rate != 24 {
-		t.Fatalf("%g: the announced rate holds", l.rate)
+	if !l.learnFromRateLimit(at) || l.writeRate != 24 {
+		t.Fatalf("%g: the announced rate holds", l.writeRate)
 	}
-	if l.crowded(at+protocol.Second/2) || l.rate != 24 {
-		t.Fatalf("%g: it was sent before the rate was lowered", l.rate)
+	if l.learnFromRateLimit(at+protocol.Second/2) || l.writeRate != 24 {
+		t.Fatalf("%g: it was sent before the rate was lowered", l.writeRate)
 	}
-	if l.probe(at+protocol.Second/2, 35); l.rate != 24 {
-		t.Fatalf("%g: tried too soon", l.rate)
+	if l.tryHigherRate(at+protocol.Second/2, 35); l.writeRate != 24 {
+		t.Fatalf("%g: tried too soon", l.writeRate)
 	}
-	if !l.probe(at+2*protocol.Second, 35) || l.rate <= 24 || l.rate > 26 {
-		t.Fatalf("%g tried", l.rate)
+	if !l.tryHigherRate(at+2*protocol.Second, 35) || l.writeRate <= 24 || l.writeRate > 26 {
+		t.Fatalf("%g tried", l.writeRate)
 	}
-	was := l.probeEvery
-	if !l.crowded(at+3*protocol.Second) || l.rate != 24 || l.probeEvery <= was {
-		t.Fatalf("%g, tried every %d", l.rate, l.probeEvery)
+	was := l.probeInterval
+	if !l.learnFromRateLimit(at+3*protocol.Second) || l.writeRate != 24 || l.probeInterval <= was {
+		t.Fatalf("%g, tried every %d", l.writeRate, l.probeInterval)
 	}
-	if !l.crowded(at+5*protocol.Second) || l.rate >= 24 {
-		t.Fatalf("%g: less than announced", l.rate)
+	if !l.learnFromRateLimit(at+5*protocol.Second) || l.writeRate >= 24 {
+		t.Fatalf("%g: less than announced", l.writeRate)
 	}
 	for s := micros(6); s < 2000; s++ {
-		l.probe(at+s*protocol.Second, 35)
+		l.tryHigherRate(at+s*protocol.Second, 35)
 	}
-	if l.rate != 35 {
-		t.Fatalf("%g after half an hour", l.rate)
+	if l.writeRate != 35 {
+		t.Fatalf("%g after half an hour", l.writeRate)
 	}
 }
 
 // A transaction that is refused as malformed is never sent again as it is; one beyond the
-// rate is, after a pause, and the rate is lower from then on.
+// measuredRate is, after a pause, and the rate is lower from then on.
 func TestRefusedTransactions(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.seat.until = Leading, c.at.Steady+100*protocol.Second
+	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+100*protocol.Second
 	stateCalls(c)
 	var ended []txnOutcome
 	write := func(value string) []Call {
-		c.txn(prioUrgent, nil, []protocol.Change{{Key: "k", Value: []byte(value)}}, func(o txnOutcome, _ protocol.TxnResult) { ended = append(ended, o) })
+		c.compareAndSwap(priorityUrgent, nil, []protocol.Change{{Key: "k", Value: []byte(value)}}, func(o txnOutcome, _ protocol.TxnResult) { ended = append(ended, o) })
 		return stateCalls(c)
 	}
 	answer := func(call Call, status int, body string) {
-		c.Step(c.at, CallDone{ID: call.ID, Status: status, Body: []byte(body)})
+		c.Step(c.now, CallResult{ID: call.ID, Status: status, Body: []byte(body)})
 		c.effects = nil
 	}
 	later := func(d micros) (made []Call) {
-		c.at.Steady += d
+		c.now.Steady += d
 		c.runTimers()
 		for _, call := range stateCalls(c) {
 			if call.Path == "/commit" {
@@ -106,17 +106,17 @@
 	}
 	sent = write(`"b"`)
 	answer(sent[0], 400, `{"error":"no such lease"}`)
-	if sent = write(`"b"`); len(sent) != 1 || ended[2] != txnRejected {
+	if sent = write(`"b"`); len(sent) != 1 || ended[2] != txnNotExecuted {
 		t.Fatalf("sent %+v, ended %v: the lease may be another one", sent, ended)
 	}
-	rate := c.limits.rate
+	rate := c.stateLimits.writeRate
 	answer(sent[0], 429, `{}`)
-	again := later(crowdedPause)
-	if len(again) != 1 || string(again[0].Body) != string(sent[0].Body) || len(ended) != 3 || c.limits.rate >= rate {
-		t.Fatalf("sent again: %+v, ended %v, rate %g", again, ended, c.limits.rate)
+	again := later(rateLimitedRetry)
+	if len(again) != 1 || string(again[0].Body) != string(sent[0].Body) || len(ended) != 3 || c.stateLimits.writeRate >= rate {
+		t.Fatalf("sent again: %+v, ended %v, rate %g", again, ended, c.stateLimits.writeRate)
 	}
 	answer(again[0], 200, `{"generation":3}`)
-	if len(ended) != 4 || ended[3] != txnApplied {
+	if len(ended) != 4 || ended[3] != txnCommitted {
 		t.Fatalf("ended %v", ended)
 	}
 }
@@ -125,20 +125,20 @@
 // the others mostly write nothing; one that leads no more keeps to its part.
 func TestLeaderTriesForAllOfTheRate(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.seat.until = Leading, c.at.Steady+1000*protocol.Second
+	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+1000*protocol.Second
 	c.platform.Peers = make([]protocol.Peer, 2)
 	part := WriteShare(3, true)
 	for range 60 {
-		c.at.Steady += 2 * protocol.Second
-		c.probeRate()
+		c.now.Steady += 2 * protocol.Second
+		c.probeWriteRate()
 	}
-	if got := c.limits.rate * part; math.Abs(got-c.limits.published) > 1e-6 {
-		t.Errorf("%g a second of %g", got, c.limits.published)
+	if got := c.stateLimits.writeRate * part; math.Abs(got-c.stateLimits.publishedRate) > 1e-6 {
+		t.Errorf("%g a second of %g", got, c.stateLimits.publishedRate)
 	}
 	c.effects = nil
-	c.role = Following
-	c.probeRate()
-	if c.limits.rate != c.limits.published || len(c.effects) != 1 {
-		t.Errorf("%g of %g, then %v", c.limits.rate, c.limits.published, c.effects)
+	c.role = RoleFollower
+	c.probeWriteRate()
+	if c.stateLimits.writeRate != c.stateLimits.publishedRate || len(c.effects) != 1 {
+		t.Errorf("%g of %g, then %v", c.stateLimits.writeRate, c.stateLimits.publishedRate, c.effects)
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -17,36 +17,36 @@
 
 // How a new leader reads the records and what it does with them first.
 
-// loadStep is what a new leader does with the records under a prefix.
-type loadStep struct {
+// recordReader is what a new leader does with the records under a prefix.
+type recordReader struct {
 	prefix string
-	each   func(protocol.Entry)
+	read   func(protocol.Entry)
 }
 
-// load reads the records of jobs, hosts and bookings.
-func (c *Controller) load() {
-	c.become(Loading)
-	c.seat.nextRenew = c.at.Steady
-	t := c.newTerm()
+// startRecovery reads the records of jobs, hosts and bookings.
+func (c *Controller) startRecovery() {
+	c.setRole(RoleRecovering)
+	c.lease.nextRenewal = c.now.Steady
+	t := c.newLeaderTerm()
 	launches := make(map[string]recordedLaunch)
 	c.term = t
 	bookings := make(map[string]micros)
 	done := make(map[string][][]byte)
 	chunks := make(map[string][]protocol.Entry)
 	host := func(h *state.Host) {
-		h.LeaseRenewedAt = c.seat.predAnswers
-		h.LastContact = c.at.Steady
-		if t.book.Host(h.Name) == nil {
-			t.book.AddHost(h)
+		h.LeaseRenewedAt = c.lease.predecessorAnswersUntil
+		h.LastContact = c.now.Steady
+		if t.cluster.Host(h.Name) == nil {
+			t.cluster.AddHost(h)
 		}
 	}
 	// A record that can't be read is named, and never taken for an empty one.
-	damaged := c.damaged
+	damaged := c.logDamagedRecord
 	refused := false
-	steps := []loadStep{
+	steps := []recordReader{
 		{state.KeyTypes, func(e protocol.Entry) {
 			if e.Key == state.KeyTypes {
-				c.tookKeptTypes(e.Value)
+				c.applyMachineTypesRecord(e.Value)
 			}
 		}},
 		{state.KeyHandover, func(e protocol.Entry) {
@@ -58,24 +58,24 @@
 				damaged(e, err) // what it says is found out again
 				return
 			}
-			c.memory = leadership.Newest(c.memory, m)
+			c.handover = leadership.Newest(c.handover, m)
 		}},
 		{state.HostShardPrefix, func(e protocol.Entry) {
-			hosts, err := state.DecodeHosts(c.at.Steady, e.Value)
+			hosts, err := state.DecodeHosts(c.now.Steady, e.Value)
 			if err != nil {
 				// Tasks may be on its hosts, which nobody else names.
 				damaged(e, err)
 				refused = true
 				return
 			}
-			g := t.hostPages.load(e)
+			g := t.hostShards.addStored(e)
 			for _, h := range hosts {
 				host(h)
-				t.hostPages.adopt(g, h.Name, hostBytes(h))
+				t.hostShards.assignStored(g, h.Name, hostRecordSize(h))
 			}
 		}},
 		{state.LegacyHostPrefix, func(e protocol.Entry) {
-			h, err := state.DecodeLegacyHost(c.at.Steady, strings.TrimPrefix(e.Key, state.LegacyHostPrefix), e.Value)
+			h, err := state.DecodeLegacyHost(c.now.Steady, strings.TrimPrefix(e.Key, state.LegacyHostPrefix), e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
@@ -88,17 +88,17 @@
 			at, err := state.DecodeBookings(e.Value)
 			if err != nil {
 				damaged(e, err) // a booking is found again by planning
-				t.bookingPages.skip(e.Key)
+				t.bookingShards.reserveNumber(e.Key)
 				return
 			}
-			g := t.bookingPages.load(e)
+			g := t.bookingShards.addStored(e)
 			for ref, at := range at {
-				t.bookingPages.adopt(g, ref, bookingBytes(ref))
+				t.bookingShards.assignStored(g, ref, bookingRecordSize(ref))
 				bookings[ref] = at
 			}
 		}},
 		{state.LegacyBookingPrefix, func(e protocol.Entry) {
-			t.orphans = append(t.orphans, e.Key)
+			t.orphanedKeys = append(t.orphanedKeys, e.Key)
 			at, err := strconv.ParseInt(string(e.Value), 10, 64)
 			if err != nil {
 				damaged(e, err)
@@ -110,12 +110,12 @@
 			list, err := state.DecodeCompletions(e.Value)
 			if err != nil {
 				damaged(e, err) // its tasks run again
-				t.donePages.skip(e.Key)
+				t.completionShards.reserveNumber(e.Key)
 				return
 			}
-			g := t.donePages.load(e)
+			g := t.completionShards.addStored(e)
 			for ref, bits := range list {
-				t.donePages.adopt(g, ref, len(ref)+len(bits)+8)
+				t.completionShards.assignStored(g, ref, len(ref)+len(bits)+8)
 				done[ref] = append(done[ref], bits) // two records name it while one is divided
 			}
 		}},
@@ -126,12 +126,12 @@
 				refused = true
 				return
 			}
-			g := t.launchPages.load(e)
+			g := t.launchShards.addStored(e)
 			for _, l := range list {
 				// A record that was not written again may still name where a task
 				// was before: the one that was written later is right.
 				name := l.Name.TaskName.String()
-				if old, ok := launches[name]; !ok || old.page.stamp < g.stamp {
+				if old, ok := launches[name]; !ok || old.shard.revision < g.revision {
 					launches[name] = recordedLaunch{l, g}
 				}
 			}
@@ -140,37 +140,37 @@
 			ref, _, _ := strings.Cut(strings.TrimPrefix(e.Key, state.ChunkPrefix), "/")
 			chunks[ref] = append(chunks[ref], e)
 		}},
-		{state.JobPrefix, func(e protocol.Entry) { c.learnJob(e) }},
+		{state.JobPrefix, func(e protocol.Entry) { c.observeJobRecord(e) }},
 	}
-	if c.levels != nil {
-		steps = append(steps, loadStep{featuregate.KeyLevel, c.loadLevel(&refused)})
+	if c.features != nil {
+		steps = append(steps, recordReader{featuregate.KeyLevel, c.levelReader(&refused)})
 	}
 	if t.rollouts.manager != nil {
-		steps = append(steps, loadStep{rollout.Prefix, c.loadRollout})
+		steps = append(steps, recordReader{rollout.Prefix, c.readRolloutRecord})
 	}
 	if c.config != nil {
-		steps = append(steps, loadStep{configuration.KeyHead, c.loadHead})
+		steps = append(steps, recordReader{configuration.KeyHead, c.readHeadRecord})
 	}
 	// All are read at once: one after the other they took as many round trips, three
 	// seconds of a slow state service, and with leaders that ended every few seconds
 	// nobody led for long enough. Only the jobs' revision has to be the first page's.
 	waiting := len(steps)
 	var jobsFrom uint64
-	var read func(s loadStep)
-	read = func(s loadStep) {
-		began := c.at.Steady
+	var read func(s recordReader)
+	read = func(s recordReader) {
+		began := c.now.Steady
 		each := func(e protocol.Entry) {
 			if c.term == t { // an answer may come when the lease has ended meanwhile
-				s.each(e)
+				s.read(e)
 			}
 		}
-		c.list(prioLeadership, s.prefix, each, func(rev uint64, ok bool) {
+		c.listPrefix(priorityLeadership, s.prefix, each, func(rev uint64, ok bool) {
 			if c.term != t {
 				return
 			}
 			if refused {
 				// Placing without knowing where tasks may be would run them twice.
-				c.followIn(unreadableAgain)
+				c.followAfter(damagedRecordRetry)
 				return
 			}
 			if !ok {
@@ -181,7 +181,7 @@
 				})
 				return
 			}
-			t.stages = append(t.stages, SpanStage{"read " + s.prefix, began, c.at.Steady})
+			t.recoveryStages = append(t.recoveryStages, SpanStage{"read " + s.prefix, began, c.now.Steady})
 			if s.prefix == state.JobPrefix {
 				jobsFrom = rev
 			}
@@ -189,30 +189,30 @@
 				return
 			}
 			for ref, at := range bookings {
-				if j := t.book.Job(ref); j != nil {
-					j.BookedStart, j.BookingPersisted = c.steadyOf(at), true
-					t.bookingPages.put(ref, bookingBytes(ref), c.room(), protocol.Forever, false)
+				if j := t.cluster.Job(ref); j != nil {
+					j.BookedStart, j.BookingPersisted = c.steadyTime(at), true
+					t.bookingShards.put(ref, bookingRecordSize(ref), c.shardCapacity(), protocol.Forever, false)
 				} else {
-					t.bookingPages.drop(ref, protocol.Forever)
+					t.bookingShards.drop(ref, protocol.Forever)
 				}
 			}
 			for ref, bits := range done {
-				j := t.book.Job(ref)
+				j := t.cluster.Job(ref)
 				if j == nil {
-					t.donePages.drop(ref, protocol.Forever)
+					t.completionShards.drop(ref, protocol.Forever)
 					continue
 				}
 				for _, b := range bits {
 					if err := state.ApplyChunk(j, 0, b); err != nil {
-						c.log.Error("damaged record", "key", t.donePages.of[ref].key, "job", ref, "err", err)
+						c.log.Error("damaged record", "key", t.completionShards.shardOf[ref].key, "job", ref, "err", err)
 					}
 				}
 			}
 			for ref, list := range chunks {
-				j := t.book.Job(ref)
+				j := t.cluster.Job(ref)
 				for _, e := range list {
 					if j == nil {
-						t.orphans = append(t.orphans, e.Key)
+						t.orphanedKeys = append(t.orphanedKeys, e.Key)
 					}
 					k, err := strconv.Atoi(e.Key[strings.LastIndexByte(e.Key, '/')+1:])
 					if j != nil && err == nil {
@@ -224,7 +224,7 @@
 					}
 				}
 			}
-			c.loaded(jobsFrom, launches)
+			c.finishRecovery(jobsFrom, launches)
 		})
 	}
 	for _, s := range steps {
@@ -232,147 +232,147 @@
 	}
 }
 
-// unreadableAgain is how long a node that found records which it can't read waits
+// damagedRecordRetry is how long a node that found records which it can't read waits
 // before it tries to lead again: nothing but a person will have mended them.
-const unreadableAgain = 5 * protocol.Second
+const damagedRecordRetry = 5 * protocol.Second
 
-// damaged reports a record that can't be read, once as it stands. It is kept.
-func (c *Controller) damaged(e protocol.Entry, err error) {
-	if c.unread == nil {
-		c.unread = make(map[string]uint64)
+// logDamagedRecord reports a record that can't be read, once as it stands. It is kept.
+func (c *Controller) logDamagedRecord(e protocol.Entry, err error) {
+	if c.damagedRecords == nil {
+		c.damagedRecords = make(map[string]uint64)
 	}
-	if was, told := c.unread[e.Key]; told && was == e.Revision {
+	if was, told := c.damagedRecords[e.Key]; told && was == e.Revision {
 		return
 	}
-	c.unread[e.Key] = e.Revision
+	c.damagedRecords[e.Key] = e.Revision
 	c.log.Error("damaged record", "key", e.Key, "err", err)
 }
 
 // recordedLaunch is a launch and the record that names it.
 type recordedLaunch struct {
 	state.Launch
-	page *page
+	shard *recordShard
 }
 
-// pin notes where a launch of an earlier epoch may have put a task. The host's
+// pinLaunch notes where a launch of an earlier epoch may have put a task. The host's
 // first report under this epoch says what came of it; until then the task stays
 // there, and counts.
-func (c *Controller) pin(l recordedLaunch) {
+func (c *Controller) pinLaunch(l recordedLaunch) {
 	t := c.term
-	j, h := t.book.Job(l.Name.Job), t.book.Host(l.Host)
+	j, h := t.cluster.Job(l.Name.Job), t.cluster.Host(l.Host)
 	if j == nil || h == nil || l.Name.Index >= len(j.Tasks) {
 		return // over, or gone with its host
 	}
-	c.began(j)
-	a := t.book.Attach(c.at.Steady, j, h, l.Name)
+	c.onTaskLaunched(j)
+	a := t.cluster.Attach(c.now.Steady, j, h, l.Name)
 	a.Adopted, a.Recorded = true, true
 	j.StartSLOCounted = true // by an earlier leader, which knew whether it began in time
-	t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
+	t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptLaunched)
 	if j.Spec.Kind == protocol.Gang {
 		j.GangAttempt = max(j.GangAttempt, l.Name.Number)
 	}
 	a.StopRequested = j.State != state.JobActive
 	// It stays in the record that names it for as long as it may be there.
 	name := l.Name.TaskName.String()
-	t.launchPages.enter(l.page, name, launchBytes(a))
+	t.launchShards.assign(l.shard, name, launchRecordSize(a))
 	t.launches[name] = a
 }
 
-func (c *Controller) loaded(rev uint64, launches map[string]recordedLaunch) {
+func (c *Controller) finishRecovery(rev uint64, launches map[string]recordedLaunch) {
 	t := c.term
-	c.become(Leading)
-	t.led = c.at.Steady
-	c.inherit()
-	for _, h := range t.book.Hosts() {
-		h.Type = c.typeByName[h.TypeName]
+	c.setRole(RoleLeader)
+	t.recordsLoadedAt = c.now.Steady
+	c.applyHandover()
+	for _, h := range t.cluster.Hosts() {
+		h.Type = c.machineTypeByName[h.TypeName]
 		if h.LegacyRecord {
-			t.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, true)
+			t.hostShards.put(h.Name, hostRecordSize(h), c.hostShardCapacity(), c.now.Steady, true)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(launches)) {
-		c.pin(launches[name])
+		c.pinLaunch(launches[name])
 	}
-	for _, j := range slices.Clone(t.book.Jobs()) {
+	for _, j := range slices.Clone(t.cluster.Jobs()) {
 		if j.CompletedTasks > 0 {
-			c.began(j)
+			c.onTaskLaunched(j)
 		}
-		c.checkFinished(j)
+		c.finishIfComplete(j)
 	}
-	c.log.Info("leading", "epoch", t.epoch, "jobs", len(t.book.Jobs()), "hosts", len(t.book.Hosts()), "load_ms", int64((c.at.Steady-t.started)/protocol.Millisecond))
-	c.loadedConfig(t)
-	c.followJobs(t, rev)
-	c.readFinals(t)
-	for _, h := range t.book.Hosts() {
-		c.probe(t, h)
+	c.log.Info("leading", "epoch", t.epoch, "jobs", len(t.cluster.Jobs()), "hosts", len(t.cluster.Hosts()), "load_ms", int64((c.now.Steady-t.startedAt)/protocol.Millisecond))
+	c.startConfigTerm(t)
+	c.watchJobs(t, rev)
+	c.loadFinishedJobs(t)
+	for _, h := range t.cluster.Hosts() {
+		c.queueProbe(t, h)
 	}
-	c.askOthers(t)
-	sort.Strings(t.orphans)
-	c.pollTypes(t)
-	c.pollMachines(t)
-	t.dirty = true
+	c.pollPeerStatus(t)
+	sort.Strings(t.orphanedKeys)
+	c.pollMachineTypes(t)
+	c.pollMachineList(t)
+	t.cycleNeeded = true
 }
 
-// allListed notes in the epoch's record that every launch that may be on a host
+// confirmLaunchesRecorded notes in the epoch's record that every launch that may be on a host
 // is in a record. Until then a successor must not rely on that: a leader of form 1
 // may have made launches that nobody recorded, on hosts not heard of since.
-func (c *Controller) allListed(t *term) {
-	if !t.unlisted || c.term != t {
+func (c *Controller) confirmLaunchesRecorded(t *leaderTerm) {
+	if !t.launchesUnrecorded || c.term != t {
 		return
 	}
 	for _, a := range t.launches {
 		if !a.Recorded && a.State.MayRun() {
-			c.after(protocol.Second, func() { c.allListed(t) })
+			c.after(protocol.Second, func() { c.confirmLaunchesRecorded(t) })
 			return
 		}
 	}
-	value := state.EncodeEpoch(state.EpochRecord{Epoch: t.epoch, Transfers: t.yields, Level: c.level()})
-	c.lead(prioUrgent, c.underLevel(nil), []protocol.Change{{Key: state.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
-		c.otherLevel(o, r)
-		if o != txnApplied {
-			c.after(protocol.Second, func() { c.allListed(t) })
+	value := state.EncodeEpoch(state.EpochRecord{Epoch: t.epoch, Transfers: t.transfers, Level: c.activeLevel()})
+	c.leaderTransaction(priorityUrgent, c.withLevelCondition(nil), []protocol.Change{{Key: state.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+		c.handleLevelConflict(o, r)
+		if o != txnCommitted {
+			c.after(protocol.Second, func() { c.confirmLaunchesRecorded(t) })
 			return
 		}
-		t.unlisted = false
+		t.launchesUnrecorded = false
 	})
 }
 
-// readFinals reads which jobs are over, so that questions about them need no
+// loadFinishedJobs reads which jobs are over, so that questions about them need no
 // lookup each: many users still ask when a leader is new.
-func (c *Controller) readFinals(t *term) {
-	c.list(prioNormal, state.FinalPrefix, func(e protocol.Entry) {
-		if p, n, err := state.DecodeFinal(e.Value); err == nil && !c.finals.full() {
-			c.remember(strings.TrimPrefix(e.Key, state.FinalPrefix), final{p, n})
+func (c *Controller) loadFinishedJobs(t *leaderTerm) {
+	c.listPrefix(priorityNormal, state.FinalPrefix, func(e protocol.Entry) {
+		if p, n, err := state.DecodeFinal(e.Value); err == nil && !c.finishedJobs.full() {
+			c.cacheFinishedJob(strings.TrimPrefix(e.Key, state.FinalPrefix), finishedJob{p, n})
 		}
 	}, func(_ uint64, ok bool) {
 		if !ok && c.term == t {
 			c.after(5*protocol.Second, func() {
 				if c.term == t {
-					c.readFinals(t)
+					c.loadFinishedJobs(t)
 				}
 			})
 		}
 	})
 }
 
-// dropOrphans removes records that belong to nothing, a transaction at a time.
+// deleteOrphanedRecords removes records that belong to nothing, a transaction at a time.
 // One that is left over only costs its reader a look.
-func (c *Controller) dropOrphans() {
+func (c *Controller) deleteOrphanedRecords() {
 	t := c.term
-	if t.dropping || len(t.orphans) == 0 {
+	if t.droppingOrphans || len(t.orphanedKeys) == 0 {
 		return
 	}
-	n := min(len(t.orphans), c.limits.target.changes)
+	n := min(len(t.orphanedKeys), c.stateLimits.target.maxChanges)
 	var then []protocol.Change
-	for _, key := range t.orphans[:n] {
+	for _, key := range t.orphanedKeys[:n] {
 		then = append(then, protocol.Change{Key: key})
 	}
-	t.dropping = true
-	c.lead(prioNormal, nil, then, func(o txnOutcome, _ protocol.TxnResult) {
-		if o == txnApplied {
-			t.orphans = t.orphans[n:]
-			t.dropping = false
+	t.droppingOrphans = true
+	c.leaderTransaction(priorityNormal, nil, then, func(o txnOutcome, _ protocol.TxnResult) {
+		if o == txnCommitted {
+			t.orphanedKeys = t.orphanedKeys[n:]
+			t.droppingOrphans = false
 			return
 		}
-		c.after(2*protocol.Second, func() { t.dropping = false })
+		c.after(2*protocol.Second, func() { t.droppingOrphans = false })
 	})
 }
--- a/internal/controller/mute.go
+++ b/internal/controller/mute.go
@@ -2,12 +2,12 @@
 
 import "mapleslip/internal/state"
 
-// mute reports whether a machine's worker opens no connection to any controller, while
+// missesHeartbeats reports whether a machine's worker opens no connection to any controller, while
 // direct commands reach it: no report of its has come for as long as its lease under this
 // leader. Each question to it is answered, so it is not silent, and it has room; but direct
 // commands renew no lease, so whatever is put there is gone within one. Tasks were launched
 // on such machines once a lease, for as long as that lasted, beside others that were free.
 // What is on one stays until its lease ends, and stops still go out as direct commands.
-func (c *Controller) mute(h *state.Host) bool {
-	return c.at.Steady-max(h.HeartbeatAt, h.KnownSince, c.term.led) > c.platform.WorkerLease
+func (c *Controller) missesHeartbeats(h *state.Host) bool {
+	return c.now.Steady-max(h.HeartbeatAt, h.KnownSince, c.term.recordsLoadedAt) > c.platform.WorkerLease
 }
--- a/internal/controller/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -15,29 +15,29 @@
 // is placed before one of the two is proven gone.
 func TestOneZoneWithPinsInTwo(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	b := c.term.book
+	b := c.term.cluster
 	j := state.NewJob(&protocol.JobSpec{
 		Ref: "req-900001", Class: "small-train", Team: "team-1", Kind: protocol.Gang, Priority: protocol.PriorityHigh, Tasks: 4,
 		TaskResources: protocol.Resources{CPU: 1000, GPU: 1000, Memory: 1000}, SingleZone: true, Image: "img", EstimatedRuntime: 60 * protocol.Second,
 	})
-	j.SubmittedWall = c.at.Wall
-	c.enter(j)
+	j.SubmittedWall = c.now.Wall
+	c.addJob(j)
 	pin := func(host, zone string, index int, try uint64) *state.Attempt {
-		h := state.NewHost(c.at.Steady, host, "small", zone, false)
+		h := state.NewHost(c.now.Steady, host, "small", zone, false)
 		h.FromRecord = true
 		b.AddHost(h)
 		name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: try}
-		c.pin(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchPages.load(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
+		c.pinLaunch(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchShards.addStored(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
 		return j.Tasks[index].Current
 	}
 	pin("n-900002", "b", 1, 7)
 	stale := pin("n-900001", "a", 3, 4)
-	w := &wanted{job: j}
-	if c.request(w) {
+	w := &pendingJob{job: j}
+	if c.buildRequest(w) {
 		t.Fatalf("tasks %v are placed while some are pinned in two zones: %v", w.tasks, w.request.ZoneUsed)
 	}
-	c.lost(stale) // its machine has reported without it
-	if !c.request(w) || len(w.tasks) != 3 || len(w.request.ZoneUsed) != 1 || w.request.ZoneUsed["b"] != 1 {
+	c.onAttemptLost(stale) // its machine has reported without it
+	if !c.buildRequest(w) || len(w.tasks) != 3 || len(w.request.ZoneUsed) != 1 || w.request.ZoneUsed["b"] != 1 {
 		t.Fatalf("tasks %v, zones %+v", w.tasks, w.request)
 	}
 }
--- a/internal/controller/others.go
+++ b/internal/controller/others.go
@@ -15,106 +15,106 @@
 // while those of the host's zone say that they answer nobody.
 
 // Spans of that. A node takes itself for cut off only after it has heard
-// neither a leader nor the state service for isolatedAfter; what it said to a
-// leader holds for standHolds, which is less.
+// neither a leader nor the state service for quorumIsolationThreshold; what it said to a
+// leader holds for peerStatusLifetime, which is less.
 const (
-	askEvery      = protocol.Second
-	standHolds    = 3 * protocol.Second
-	isolatedAfter = 4 * protocol.Second
+	peerStatusInterval      = protocol.Second
+	peerStatusLifetime    = 3 * protocol.Second
+	quorumIsolationThreshold = 4 * protocol.Second
 )
 
-// stand is what another controller last said of itself.
-type stand struct {
-	asked    micros             // when it was asked; 0: it has not answered in this term
-	answered micros             // when it last answered a worker
-	hearing  leadership.Reachability // workers that come to it because they can't reach this node
+// peerStatus is what another controller last said of itself.
+type peerStatus struct {
+	statusAt    micros             // when it was asked; 0: it has not answered in this term
+	workerAnsweredAt micros             // when it last answered a worker
+	reachability  leadership.Reachability // workers that come to it because they can't reach this node
 }
 
-// askOthers asks the other controllers whether they answer workers, as long as
+// pollPeerStatus asks the other controllers whether they answer workers, as long as
 // the term lasts.
-func (c *Controller) askOthers(t *term) {
+func (c *Controller) pollPeerStatus(t *leaderTerm) {
 	if c.term != t {
 		return
 	}
-	asked := c.at.Steady
-	plain, full := c.question(protocol.HandoverState{}), c.question(c.memory)
+	asked := c.now.Steady
+	plain, full := c.encodeStatusRequest(protocol.HandoverState{}), c.encodeStatusRequest(c.handover)
 	for _, s := range c.platform.Peers {
-		frame, told := plain, c.memory.At
-		if was := t.memory.told[s.Name]; was.made != told || asked-was.at >= tellAgain {
+		frame, told := plain, c.handover.At
+		if was := t.handover.sentToPeers[s.Name]; was.stateAt != told || asked-was.acknowledgedAt >= handoverResendInterval {
 			frame = full
 		}
-		c.callAddr(ToPeer, "", s.Address, "", frame, askEvery, func(r CallDone) {
+		c.callAddress(ToPeer, "", s.Address, "", frame, peerStatusInterval, func(r CallResult) {
 			if c.term != t || r.Status != 200 {
 				return
 			}
 			m, err := protocol.ParsePeer(r.Body)
 			if err != nil {
-				c.malformed("controller", err)
+				c.logMalformed("controller", err)
 				return
 			}
 			if m.Kind != protocol.PeerStatus || m.AnswersWorkers {
 				return
 			}
-			o := t.others[s.Name]
+			o := t.peers[s.Name]
 			// Between two answers that are this close it can't have taken itself for cut
 			// off, also if it was started anew between them.
-			unbroken := o.asked > 0 && c.at.Steady-o.asked < isolatedAfter-drift(isolatedAfter)
-			o.asked, o.hearing = max(o.asked, asked), c.hearingOf(m)
-			t.memory.told[s.Name] = toldMemory{told, c.at.Steady}
+			unbroken := o.statusAt > 0 && c.now.Steady-o.statusAt < quorumIsolationThreshold-maxClockDrift(quorumIsolationThreshold)
+			o.statusAt, o.reachability = max(o.statusAt, asked), c.parseReachability(m)
+			t.handover.sentToPeers[s.Name] = sentHandover{told, c.now.Steady}
 			if m.AnsweredAgo < protocol.Forever && !unbroken {
-				o.answered = max(o.answered, c.at.Steady-m.AnsweredAgo)
+				o.workerAnsweredAt = max(o.workerAnsweredAt, c.now.Steady-m.AnsweredAgo)
 			}
-			t.others[s.Name] = o
-			c.allStand(t)
+			t.peers[s.Name] = o
+			c.checkPeersQuiesced(t)
 		})
 	}
-	c.after(askEvery, func() { c.askOthers(t) })
+	c.after(peerStatusInterval, func() { c.pollPeerStatus(t) })
 }
 
-// allStand notes when each of the others has said that it does not answer
+// checkPeersQuiesced notes when each of the others has said that it does not answer
 // workers under an earlier epoch. From then on leases tell when the tasks of
 // hosts that were recorded before are gone.
-func (c *Controller) allStand(t *term) {
-	if t.stood {
+func (c *Controller) checkPeersQuiesced(t *leaderTerm) {
+	if t.peersQuiesced {
 		return
 	}
 	for _, s := range c.platform.Peers {
-		if c.at.Steady-t.others[s.Name].asked > standHolds || t.others[s.Name].asked == 0 {
+		if c.now.Steady-t.peers[s.Name].statusAt > peerStatusLifetime || t.peers[s.Name].statusAt == 0 {
 			return
 		}
 	}
-	t.stood = true
+	t.peersQuiesced = true
 	c.log.Info("no other controller answers workers", "epoch", t.epoch)
-	for _, h := range t.book.Hosts() {
+	for _, h := range t.cluster.Hosts() {
 		if h.FromRecord && !h.Reconciled {
-			h.LeaseRenewedAt = min(h.LeaseRenewedAt, c.at.Steady)
+			h.LeaseRenewedAt = min(h.LeaseRenewedAt, c.now.Steady)
 		}
 	}
 }
 
-// expired reports whether a host's lease has certainly ended: nobody can have
+// leaseExpired reports whether a host's lease has certainly ended: nobody can have
 // answered it for that long.
-func (c *Controller) expired(h *state.Host) bool {
-	at, lease := c.at.Steady, c.platform.WorkerLease
+func (c *Controller) leaseExpired(h *state.Host) bool {
+	at, lease := c.now.Steady, c.platform.WorkerLease
 	answered := h.LeaseRenewedAt
 	for _, s := range c.platform.Peers {
-		if !c.keepsZone(s.Zone, h.Zone) {
+		if !c.mayAnswerZone(s.Zone, h.Zone) {
 			continue
 		}
-		o := c.term.others[s.Name]
-		if o.asked == 0 || at-o.asked > standHolds {
+		o := c.term.peers[s.Name]
+		if o.statusAt == 0 || at-o.statusAt > peerStatusLifetime {
 			return false
 		}
-		answered = max(answered, o.answered)
+		answered = max(answered, o.workerAnsweredAt)
 	}
-	return at > answered+lease+drift(lease)+100*protocol.Millisecond
+	return at > answered+lease+maxClockDrift(lease)+100*protocol.Millisecond
 }
 
-// keepsZone reports whether a controller of one zone may answer the workers of
+// mayAnswerZone reports whether a controller of one zone may answer the workers of
 // another when it is cut off: of its own, and of a zone without a controller each of
 // them. Otherwise those workers lost all that ran on them in any outage of the state
 // service that the end of the leader fell into, because no other controller was theirs.
-func (c *Controller) keepsZone(of, workers string) bool {
+func (c *Controller) mayAnswerZone(of, workers string) bool {
 	if of == workers {
 		return true
 	}
@@ -124,62 +124,62 @@
 	return !slices.ContainsFunc(c.platform.Peers, func(s protocol.Peer) bool { return s.Zone == workers })
 }
 
-// onAsk tells a leader whether this node answers workers. One that led under an
+// onPeerStatusRequest tells a leader whether this node answers workers. One that led under an
 // earlier epoch stops.
-func (c *Controller) onAsk(e PeerQuestion) {
-	if leads(c.role) && e.Epoch > c.seat.epoch {
-		c.deposed("another controller leads")
+func (c *Controller) onPeerStatusRequest(e PeerStatusRequest) {
+	if isLeaderRole(c.role) && e.Epoch > c.lease.epoch {
+		c.stepDownSuperseded("another controller leads")
 	}
-	c.siblingHeard = c.at.Steady
+	c.peerContactAt = c.now.Steady
 	if e.Epoch > 0 {
-		c.narrow = len(e.Body) == 0
+		c.leaderExpectsOwnZoneOnly = len(e.Body) == 0
 	}
 	m := &protocol.PeerMessage{Kind: protocol.PeerStatus, AnsweredAgo: protocol.Forever}
-	if leads(c.role) || c.role == Claiming {
+	if isLeaderRole(c.role) || c.role == RoleClaiming {
 		m.AnswersWorkers = true
 	} else if e.Epoch > 0 && e.Epoch >= c.leader.Epoch {
-		c.asked = c.at.Steady
+		c.leaderContactAt = c.now.Steady
 		if e.Epoch > c.leader.Epoch {
 			// The state service would say the same; it may refuse this node.
 			c.leader = state.LeaderRecord{Controller: e.From, Epoch: e.Epoch, HeartbeatGrace: c.leader.HeartbeatGrace}
-			c.suspect = 0
+			c.leaderSuspectUntil = 0
 		}
 	}
-	m.RedirectedWorkers, m.Body = c.countCallers()
-	c.hearMemory(e.Body)
+	m.RedirectedWorkers, m.Body = c.summarizeRedirectedWorkers()
+	c.mergeHandover(e.Body)
 	// What the process before this one did, which may have ended a moment before, it
 	// can't say: it counts as having answered until this one was born.
-	m.AnsweredAgo = c.at.Steady - max(c.answered, c.born)
+	m.AnsweredAgo = c.now.Steady - max(c.workerAnsweredAt, c.startedAt)
 	c.emit(Reply{To: e.Reply, Status: 200, Body: protocol.AppendPeer(nil, m), Frame: true})
 }
 
-// isolated reports whether this node is cut off: it has heard neither a leader
+// isIsolatedFromQuorum reports whether this node is cut off: it has heard neither a leader
 // nor the state service for a while.
-func (c *Controller) isolated() bool {
-	at := c.at.Steady
-	return !leads(c.role) && at-max(c.asked, c.born) > isolatedAfter && at-max(c.stateHeard, c.born) > isolatedAfter
+func (c *Controller) isIsolatedFromQuorum() bool {
+	at := c.now.Steady
+	return !isLeaderRole(c.role) && at-max(c.leaderContactAt, c.startedAt) > quorumIsolationThreshold && at-max(c.stateServiceAnsweredAt, c.startedAt) > quorumIsolationThreshold
 }
 
-// feelOthers asks the other controllers whether they are there, where this node has heard
+// checkPeerLiveness asks the other controllers whether they are there, where this node has heard
 // of none of them, nor of the state service, and asks them nothing else: see alone. The
 // question names no epoch, so that nobody takes it for a leader's.
-func (c *Controller) feelOthers() {
-	at := c.at.Steady
-	if leads(c.role) && c.role != Loading || at-c.felt < askEvery || at-max(c.stateHeard, c.siblingHeard) <= askEvery {
+func (c *Controller) checkPeerLiveness() {
+	at := c.now.Steady
+	if isLeaderRole(c.role) && c.role != RoleRecovering || at-c.livenessCheckedAt < peerStatusInterval || at-max(c.stateServiceAnsweredAt, c.peerContactAt) <= peerStatusInterval {
 		return
 	}
-	c.felt = at
+	c.livenessCheckedAt = at
 	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerStatusRequest, From: c.platform.ControllerName, Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})})
 	for _, s := range c.platform.Peers {
-		c.callAddr(ToPeer, "", s.Address, "", frame, askEvery, func(CallDone) {})
+		c.callAddress(ToPeer, "", s.Address, "", frame, peerStatusInterval, func(CallResult) {})
 	}
 }
 
-// feel finds out whether the state service can be reached, where no leader is
+// checkLiveness finds out whether the state service can be reached, where no leader is
 // heard.
-func (c *Controller) feel() {
-	c.feelOthers()
-	if !leads(c.role) && c.at.Steady-max(c.asked, c.stateHeard) > askEvery {
-		c.recheck()
+func (c *Controller) checkLiveness() {
+	c.checkPeerLiveness()
+	if !isLeaderRole(c.role) && c.now.Steady-max(c.leaderContactAt, c.stateServiceAnsweredAt) > peerStatusInterval {
+		c.recheckLeader()
 	}
 }
--- a/internal/controller/pages_test.go
+++ b/internal/controller/pages_test.go
@@ -16,13 +16,13 @@
 // of its kind is written, and the lost one goes with the next.
 func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.seat.until = Leading, c.at.Steady+protocol.Second
-	p := c.newPages(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
-	room := c.room()
-	p.put("req-900001/0", room-100, room, c.at.Steady, true)
-	p.put("req-900002/0", room-100, room, c.at.Steady, true)
-	lost := p.list[0]
-	lost.lost = true
+	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
+	p := c.newRecordShards(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
+	room := c.shardCapacity()
+	p.put("req-900001/0", room-100, room, c.now.Steady, true)
+	p.put("req-900002/0", room-100, room, c.now.Steady, true)
+	lost := p.shards[0]
+	lost.revisionUnknown = true
 	calls := func() (made []Call) {
 		for _, e := range c.flush() {
 			if call, ok := e.(Call); ok && call.Target == ToState {
@@ -32,18 +32,18 @@
 		return made
 	}
 	calls()
-	c.writePages(p)
+	c.writeDueShards(p)
 	asked := calls()
 	if len(asked) != 1 || asked[0].Method != "GET" || asked[0].Path != "/store/"+lost.key {
 		t.Fatalf("asked %+v", asked)
 	}
-	c.writePages(p)
+	c.writeDueShards(p)
 	if more := calls(); len(more) > 0 {
 		t.Fatalf("before the stamp is known: %+v", more)
 	}
-	c.Step(c.at, CallDone{ID: asked[0].ID, Status: 404, Body: []byte(`{"generation":1}`)})
+	c.Step(c.now, CallResult{ID: asked[0].ID, Status: 404, Body: []byte(`{"generation":1}`)})
 	calls()
-	c.writePages(p)
+	c.writeDueShards(p)
 	if made := calls(); len(made) != 1 || made[0].Method != "POST" || made[0].Changes != 2 {
 		t.Fatalf("then %+v", made)
 	}
@@ -66,29 +66,29 @@
 // would not know where tasks are.
 func TestWhatIsTakenOutIsWrittenFirst(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.seat.until = Leading, c.at.Steady+protocol.Second
-	c.limits.target = transactionLimits{valueBytes: 2048, changes: 4}
-	c.limits.allowed = c.limits.target
+	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
+	c.stateLimits.target = transactionLimits{maxValueBytes: 2048, maxChanges: 4}
+	c.stateLimits.accepted = c.stateLimits.target
 	bytes := map[string]int{"a": 100, "b": 100, "c": 100, "d": 1500, "e": 1500, "f": 1500}
-	p := c.newPages("xp/", func(names []string) ([]byte, func()) {
+	p := c.newRecordShards("xp/", func(names []string) ([]byte, func()) {
 		n := 2
 		for _, name := range names {
 			n += bytes[name]
 		}
 		return []byte(`"` + strings.Repeat("x", n-2) + `"`), nil
 	})
-	g := p.load(protocol.Entry{Key: "xp/1", Revision: 5, Value: make([]byte, 4802)})
+	g := p.addStored(protocol.Entry{Key: "xp/1", Revision: 5, Value: make([]byte, 4802)})
 	for name, n := range bytes {
-		p.adopt(g, name, n)
+		p.assignStored(g, name, n)
 	}
-	g.due = c.at.Steady
+	g.due = c.now.Steady
 	stateCalls(c)
 	durable := make(map[string]bool)
-	for step := 0; step < 10 && g.stamp == 5; step++ {
-		c.writePages(p)
+	for step := 0; step < 10 && g.revision == 5; step++ {
+		c.writeDueShards(p)
 		for _, call := range stateCalls(c) {
 			written := string(call.Body)
-			for _, o := range p.list {
+			for _, o := range p.shards {
 				if strings.Contains(written, `"set":"`+o.key+`"`) {
 					for name := range o.entries {
 						durable[name] = true
@@ -98,12 +98,12 @@
 			if strings.Contains(written, `"set":"xp/1"`) && len(durable) < len(bytes) {
 				t.Fatalf("only %v are in what was written", durable)
 			}
-			c.Step(c.at, CallDone{ID: call.ID, Status: 200, Body: []byte(`{"generation":9}`)})
+			c.Step(c.now, CallResult{ID: call.ID, Status: 200, Body: []byte(`{"generation":9}`)})
 			c.effects = nil
 		}
 	}
-	if g.stamp != 9 || len(p.list) != 4 {
-		t.Fatalf("%d records, the first one with stamp %d", len(p.list), g.stamp)
+	if g.revision != 9 || len(p.shards) != 4 {
+		t.Fatalf("%d records, the first one with stamp %d", len(p.shards), g.revision)
 	}
 }
 
@@ -111,23 +111,23 @@
 // and those that are new come into one of them as long as it has.
 func TestNewEntriesComeTogether(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	p := c.newPages("xp/", func([]string) ([]byte, func()) { return nil, nil })
+	p := c.newRecordShards("xp/", func([]string) ([]byte, func()) { return nil, nil })
 	for i := range 10 {
-		g := p.load(protocol.Entry{Key: p.prefix + strconv.Itoa(i+1), Revision: uint64(i + 1)})
-		p.adopt(g, "old-"+strconv.Itoa(i), 1000+100*i)
+		g := p.addStored(protocol.Entry{Key: p.prefix + strconv.Itoa(i+1), Revision: uint64(i + 1)})
+		p.assignStored(g, "old-"+strconv.Itoa(i), 1000+100*i)
 	}
-	at := c.at.Steady
+	at := c.now.Steady
 	for i := range 20 {
 		p.put("new-"+strconv.Itoa(i), 40, 1900, at, true)
 	}
 	due := 0
-	for _, g := range p.list {
+	for _, g := range p.shards {
 		if g.due <= at {
 			due++
 		}
 	}
-	if due != 1 || len(p.list) != 10 {
-		t.Errorf("%d of %d records have to be written", due, len(p.list))
+	if due != 1 || len(p.shards) != 10 {
+		t.Errorf("%d of %d records have to be written", due, len(p.shards))
 	}
 }
 
@@ -138,7 +138,7 @@
 		rate    float64
 		after   micros
 	}{{20, 26, 10 * protocol.Second}, {100, 20, 50 * protocol.Second}, {0, 18, 10 * protocol.Second}} {
-		if got := imagesAfter(c.records, c.rate); got != c.after {
+		if got := imageRecordDelay(c.records, c.rate); got != c.after {
 			t.Errorf("%d records at %g a second: after %d", c.records, c.rate, got)
 		}
 	}
--- a/internal/controller/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -43,21 +43,21 @@
 		p.Teams[fmt.Sprint("team-", i)] = protocol.Team{}
 	}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c.at = now{Steady: 1000 * sec, Wall: 1000 * sec}
-	c.role, c.seat.until, c.seat.epoch = Leading, protocol.Forever, 3
-	c.types = []*protocol.MachineType{small, large}
-	c.typeByName = map[string]*protocol.MachineType{"small": small, "large": large}
-	c.term = c.newTerm()
+	c.now = instant{Steady: 1000 * sec, Wall: 1000 * sec}
+	c.role, c.lease.validUntil, c.lease.epoch = RoleLeader, protocol.Forever, 3
+	c.machineTypes = []*protocol.MachineType{small, large}
+	c.machineTypeByName = map[string]*protocol.MachineType{"small": small, "large": large}
+	c.term = c.newLeaderTerm()
 	t := c.term
-	t.recovered = true
+	t.reconciled = true
 	next := 0
 	job := func(spec protocol.JobSpec, age micros) *state.Job {
 		next++
 		spec.Ref = fmt.Sprintf("req-%06d", next)
 		spec.Team = fmt.Sprint("team-", next%16)
 		j := state.NewJob(&spec)
-		j.SubmittedWall = c.at.Wall - age
-		c.enter(j)
+		j.SubmittedWall = c.now.Wall - age
+		c.addJob(j)
 		return j
 	}
 	// What runs: one job of many tasks for each class, so that its tasks can be
@@ -78,13 +78,13 @@
 	}
 	used := map[string]int{}
 	for i := range machines {
-		typ := c.types[i%2]
-		h := state.NewHost(c.at.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
-		h.Type, h.Reconciled, h.LastContact, h.Recorded = typ, true, c.at.Steady, true
+		typ := c.machineTypes[i%2]
+		h := state.NewHost(c.now.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
+		h.Type, h.Reconciled, h.LastContact, h.Recorded = typ, true, c.now.Steady, true
 		h.SetState(state.HostReady)
-		t.book.AddHost(h)
+		t.cluster.AddHost(h)
 		for range 8 {
-			h.AddImage(c.at.Steady, fmt.Sprint("img-", rng.IntN(30)), 6000)
+			h.AddImage(c.now.Steady, fmt.Sprint("img-", rng.IntN(30)), 6000)
 		}
 		for range typ.Capacity.GPU / 1000 {
 			name := []string{"serve", "rerun", "rerun", "rerun", "small-train"}[rng.IntN(5)]
@@ -92,12 +92,12 @@
 				continue // a GPU that is free
 			}
 			j := running[name]
-			a := t.book.Attach(c.at.Steady, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: used[name]}, Number: 1})
+			a := t.cluster.Attach(c.now.Steady, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: used[name]}, Number: 1})
 			used[name]++
 			a.Recorded = true
-			t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
-			t.book.SetAttemptState(c.at.Steady, a, state.AttemptRunning)
-			a.StartedAt = c.at.Steady - micros(rng.IntN(300_000))*protocol.Millisecond
+			t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptLaunched)
+			t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptRunning)
+			a.StartedAt = c.now.Steady - micros(rng.IntN(300_000))*protocol.Millisecond
 		}
 	}
 	for _, j := range running {
@@ -133,16 +133,16 @@
 // runPass plays rounds until a pass over the whole queue is over, and returns
 // the rows that it looked at and the rounds that it took.
 func runPass(c *Controller) (rows, rounds int) {
-	c.term.dirty = true
+	c.term.cycleNeeded = true
 	for {
 		rounds++
-		c.round()
-		rows += c.term.table.Work
-		if c.term.pass == nil {
+		c.runSchedulingStep()
+		rows += c.term.slotTable.Work
+		if c.term.cycle == nil {
 			c.effects = nil
 			return rows, rounds
 		}
-		c.at.Steady += c.operator.MinCycleInterval
+		c.now.Steady += c.operator.MinCycleInterval
 	}
 }
 
@@ -150,20 +150,20 @@
 // runs, and tasks end when they are expected to.
 func twoSeconds(c *Controller) {
 	t := c.term
-	c.at.Steady += 2 * protocol.Second
-	c.at.Wall += 2 * protocol.Second
-	for _, h := range t.book.Hosts() {
-		h.LastContact = c.at.Steady
+	c.now.Steady += 2 * protocol.Second
+	c.now.Wall += 2 * protocol.Second
+	for _, h := range t.cluster.Hosts() {
+		h.LastContact = c.now.Steady
 		for _, a := range h.Attempts() {
 			switch {
 			case a.StopRequested:
-				t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
+				t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptGone)
 			case a.State == state.AttemptAssigned:
-				t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
-				t.book.SetAttemptState(c.at.Steady, a, state.AttemptRunning)
-			case a.Job != nil && a.Job.Spec.Kind == protocol.Array && c.at.Steady-a.StartedAt >= a.Job.Spec.EstimatedRuntime:
+				t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptLaunched)
+				t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptRunning)
+			case a.Job != nil && a.Job.Spec.Kind == protocol.Array && c.now.Steady-a.StartedAt >= a.Job.Spec.EstimatedRuntime:
 				a.Job.Complete(a.Name.Index, true)
-				t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
+				t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptGone)
 			}
 		}
 	}
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -11,56 +11,56 @@
 	"mapleslip/internal/state"
 )
 
-// mostVictims bounds the hosts of a zone on which a job looks for work to stop.
+// maxVictimHosts bounds the hosts of a zone on which a job looks for work to stop.
 // Those that have its image come first.
-const mostVictims = 12
+const maxVictimHosts = 12
 
-// hopeless is a job for which no room could be made: too little may give way. In
+// unschedulable is a job for which no room could be made: too little may give way. In
 // the same pass it is no better for one that asks for as much, and may take no
 // more from others.
-type hopeless struct {
-	need          protocol.Resources
+type unschedulableShape struct {
+	taskResources          protocol.Resources
 	tasks         int
-	rank          protocol.Priority
+	priority          protocol.Priority
 	zone          string
-	types         []string
-	oneZone, spot bool
+	machineTypes         []string
+	singleZone, allowSpot bool
 }
 
-func (h *hopeless) covers(j *state.Job, tasks int) bool {
+func (h *unschedulableShape) covers(j *state.Job, tasks int) bool {
 	s := j.Spec
-	return s.TaskResources.Covers(h.need) && tasks >= h.tasks && j.Priority >= h.rank && (h.zone == "" || h.zone == s.Zone) &&
-		(!h.oneZone || s.SingleZone || tasks == 1) && (h.spot || !s.AllowSpot) && slices.Equal(h.types, s.MachineTypes)
+	return s.TaskResources.Covers(h.taskResources) && tasks >= h.tasks && j.Priority >= h.priority && (h.zone == "" || h.zone == s.Zone) &&
+		(!h.singleZone || s.SingleZone || tasks == 1) && (h.allowSpot || !s.AllowSpot) && slices.Equal(h.machineTypes, s.MachineTypes)
 }
 
-// giveUp remembers that no room can be made for some tasks of a job.
-func (p *pass) giveUp(j *state.Job, tasks int) {
+// markUnschedulable remembers that no room can be made for some tasks of a job.
+func (p *schedulingCycle) markUnschedulable(j *state.Job, tasks int) {
 	s := j.Spec
-	if len(p.hopeless) < 64 {
-		p.hopeless = append(p.hopeless, hopeless{s.TaskResources, tasks, j.Priority, s.Zone, s.MachineTypes, s.SingleZone && tasks > 1, s.AllowSpot})
+	if len(p.unschedulable) < 64 {
+		p.unschedulable = append(p.unschedulable, unschedulableShape{s.TaskResources, tasks, j.Priority, s.Zone, s.MachineTypes, s.SingleZone && tasks > 1, s.AllowSpot})
 	}
 }
 
-func (p *pass) isHopeless(j *state.Job, tasks int) bool {
-	return slices.ContainsFunc(p.hopeless, func(h hopeless) bool { return h.covers(j, tasks) })
+func (p *schedulingCycle) isUnschedulable(j *state.Job, tasks int) bool {
+	return slices.ContainsFunc(p.unschedulable, func(h unschedulableShape) bool { return h.covers(j, tasks) })
 }
 
 // preempt makes room for a job of higher rank, where no place comes free soon:
-// of the hosts that could give it those where the least work is lost.
-func (c *Controller) preempt(p *pass, w *wanted) {
-	at := c.at.Steady
+// shardOf the hosts that could give it those where the least work is lost.
+func (c *Controller) preempt(p *schedulingCycle, w *pendingJob) {
+	at := c.now.Steady
 	j := w.job
 	s := j.Spec
 	if j.Priority > protocol.PriorityHigh || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.PreemptionRetryAt {
 		return
 	}
-	need := makeRoom{within: c.startWithin(s.Class), taken: make(map[*state.Host]bool)}
-	if need.within == 0 {
-		need.within = protocol.Forever
+	need := preemptionGoal{startObjective: c.startObjective(s.Class), usedHosts: make(map[*state.Host]bool)}
+	if need.startObjective == 0 {
+		need.startObjective = protocol.Forever
 	}
 	// A class that has to start at once can't wait for others to save.
-	need.hurry = need.within < pressingWithin
-	due := protocol.End(j.EligibleAt, need.within)
+	need.immediate = need.startObjective < latencyCriticalWithin
+	due := protocol.End(j.EligibleAt, need.startObjective)
 	// A place that is free but has to fetch the image first may be too late,
 	// where one with the image would not be.
 	var cold []int
@@ -70,73 +70,73 @@
 		}
 	}
 	missing := min(len(w.tasks), w.request.Limit) - len(w.result.Start)
-	if at < j.EligibleAt+min(2*protocol.Second, need.within/16) {
+	if at < j.EligibleAt+min(2*protocol.Second, need.startObjective/16) {
 		missing = 0
 	}
-	need.soonest = at + 10*protocol.Second + c.class(s.Class).length(s)
+	need.readyWithout = at + 10*protocol.Second + c.classStats(s.Class).estimatedRuntime(s)
 	if n := len(w.result.Booked); n > 0 {
-		need.soonest = w.result.Booked[n-1].Ready
+		need.readyWithout = w.result.Booked[n-1].Ready
 	}
 	if s.Kind == protocol.Gang && len(w.tasks) > 1 {
 		switch {
 		case at < j.ReservedUntil || w.request.Limit < len(w.tasks):
 		case missing > 0:
 			c.preemptForGang(p, w, need)
-		case len(cold) > 0 && c.recallable(w):
-			need.soonest = due
+		case len(cold) > 0 && c.canWithdraw(w):
+			need.readyWithout = due
 			if c.preemptForGang(p, w, need) {
 				for i := range w.result.Start {
-					c.lost(j.Tasks[w.tasks[i]].Current)
+					c.onAttemptLost(j.Tasks[w.tasks[i]].Current)
 				}
 			}
 		}
 		return
 	}
-	zones := newZoneCount(w)
+	zones := tasksByZone(w)
 	for _, m := range j.Reservations {
-		need.taken[m.Host] = true
+		need.usedHosts[m.Host] = true
 		zones[m.Host.Zone]++
 	}
 	for ; missing > 0; missing-- {
-		if !c.preemptOne(p, w, &need, zones) {
-			j.PreemptionRetryAt = at + roomAgain
+		if !c.preemptForTask(p, w, &need, zones) {
+			j.PreemptionRetryAt = at + preemptionRetryDelay
 			break
 		}
 	}
-	need.due = due
+	need.deadline = due
 	for _, i := range cold {
 		a := j.Tasks[w.tasks[i]].Current
 		if a == nil || a.State != state.AttemptAssigned {
 			continue
 		}
-		need.soonest = w.result.Start[i].Ready
+		need.readyWithout = w.result.Start[i].Ready
 		zones[a.Host.Zone]--
-		if !c.preemptOne(p, w, &need, zones) {
-			j.PreemptionRetryAt = at + roomAgain
+		if !c.preemptForTask(p, w, &need, zones) {
+			j.PreemptionRetryAt = at + preemptionRetryDelay
 			break
 		}
-		c.lost(a) // no launch has left yet
+		c.onAttemptLost(a) // no launch has left yet
 	}
 }
 
-// makeRoom is what room has to be like.
-type makeRoom struct {
-	within  micros // time that the class has to start
-	soonest micros // what the job has without it
-	due     micros // latest time of use, 0: any
-	hurry   bool
-	taken   map[*state.Host]bool
+// preemptionGoal is what room has to be like.
+type preemptionGoal struct {
+	startObjective  micros // time that the class has to start
+	readyWithout micros // what the job has without it
+	deadline     micros // latest time of use, 0: any
+	immediate   bool
+	usedHosts   map[*state.Host]bool
 }
 
-// roomAgain is how long a job for which no room could be made is left alone.
-const roomAgain = 500 * protocol.Millisecond
+// preemptionRetryDelay is how long a job for which no room could be made is left alone.
+const preemptionRetryDelay = 500 * protocol.Millisecond
 
-// gain is how much sooner room has to be ready: stopping work for a place that
+// minGain is how much sooner room has to be ready: stopping work for a place that
 // is ready hardly sooner than the one the job has anyway only loses work.
-func (m *makeRoom) gain() micros { return min(5*protocol.Second, m.within/4) }
+func (m *preemptionGoal) minGain() micros { return min(5*protocol.Second, m.startObjective/4) }
 
-// newZoneCount counts a job's tasks by zone, with those that this pass placed.
-func newZoneCount(w *wanted) map[string]int {
+// tasksByZone counts a job's tasks by zone, with those that this pass placed.
+func tasksByZone(w *pendingJob) map[string]int {
 	zones := make(map[string]int)
 	for name, n := range w.request.ZoneUsed {
 		zones[name] = n
@@ -147,8 +147,8 @@
 	return zones
 }
 
-// recallable reports whether no launch of what a pass placed has left yet.
-func (c *Controller) recallable(w *wanted) bool {
+// canWithdraw reports whether no launch of what a pass placed has left yet.
+func (c *Controller) canWithdraw(w *pendingJob) bool {
 	for i := range w.result.Start {
 		if a := w.job.Tasks[w.tasks[i]].Current; a == nil || a.State != state.AttemptAssigned {
 			return false
@@ -157,29 +157,29 @@
 	return true
 }
 
-// preemptOne makes room for one task. It reports whether there was some.
-func (c *Controller) preemptOne(p *pass, w *wanted, need *makeRoom, zones map[string]int) bool {
+// preemptForTask makes room for one task. It reports whether there was some.
+func (c *Controller) preemptForTask(p *schedulingCycle, w *pendingJob, need *preemptionGoal, zones map[string]int) bool {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	j := w.job
 	s := j.Spec
 	var best []*state.Attempt
 	var bestLoss float64
-	if p.isHopeless(j, 1) {
+	if p.isUnschedulable(j, 1) {
 		return false
 	}
 	some := false
-	t.table.Making(w.request, 1, mostVictims, func(m *slottable.Machine) bool {
-		h := t.book.Host(m.Name)
-		if h == nil || need.taken[h] || !c.mayTake(h, s) {
-			some = some || h != nil && need.taken[h]
+	t.slotTable.Making(w.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
+		h := t.cluster.Host(m.Name)
+		if h == nil || need.usedHosts[h] || !c.couldHost(h, s) {
+			some = some || h != nil && need.usedHosts[h]
 			return false
 		}
 		if s.SpreadZones && zones[h.Zone] >= w.request.ZoneCap || s.SingleZone && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[h.Zone] == 0 {
 			some = true
 			return false
 		}
-		if !h.Type.Capacity.Add(h.Used(), -1).Add(c.yielding(p, h), 1).Covers(s.TaskResources) {
+		if !h.Type.Capacity.Add(h.Used(), -1).Add(c.preemptibleResources(p, h), 1).Covers(s.TaskResources) {
 			return false
 		}
 		some = true
@@ -187,18 +187,18 @@
 		if _, ok := h.Images[s.Image]; !ok {
 			ready += c.fetchTime(h.Type, s.ImageSize)
 		}
-		if ready+need.gain() > need.soonest || need.due > 0 && ready > need.due {
+		if ready+need.minGain() > need.readyWithout || need.deadline > 0 && ready > need.deadline {
 			return false
 		}
-		t.table.Work += 16
-		victims, loss := c.victims(h, j, 1)
+		t.slotTable.Work += 16
+		victims, loss := c.chooseVictims(h, j, 1)
 		saved := ready
 		for _, a := range victims {
-			if a.Job.Spec.CanCheckpoint() && !need.hurry {
+			if a.Job.Spec.CanCheckpoint() && !need.immediate {
 				saved = max(saved, ready+a.Job.Spec.CheckpointDuration)
 			}
 		}
-		if saved+need.gain() > need.soonest || need.due > 0 && saved > need.due {
+		if saved+need.minGain() > need.readyWithout || need.deadline > 0 && saved > need.deadline {
 			return true
 		}
 		loss += (saved - at).Seconds()
@@ -209,42 +209,42 @@
 	})
 	if best == nil {
 		if !some {
-			p.giveUp(j, 1)
+			p.markUnschedulable(j, 1)
 		}
 		return false
 	}
 	h := best[0].Host
-	delete(p.yields, h)
-	need.taken[h] = true
+	delete(p.preemptible, h)
+	need.usedHosts[h] = true
 	zones[h.Zone]++
-	j.ReservedUntil = at + roomFor
+	j.ReservedUntil = at + reservationTime
 	j.Reservations = append(j.Reservations, state.Reservation{Host: h, Until: j.ReservedUntil})
-	c.stopFor(j, best, need.hurry)
+	c.preemptVictims(j, best, need.immediate)
 	return true
 }
 
-// stopFor stops the work of others for a job.
-func (c *Controller) stopFor(j *state.Job, victims []*state.Attempt, hurry bool) {
+// preemptVictims stops the work of others for a job.
+func (c *Controller) preemptVictims(j *state.Job, victims []*state.Attempt, hurry bool) {
 	for _, a := range victims {
 		grace := micros(0)
 		if a.Job.Spec.CanCheckpoint() && !hurry {
 			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
 		c.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
-		c.stop(a, grace)
+		c.requestStop(a, grace)
 	}
 }
 
-// roomFor is how long room that was made is kept for a job.
-const roomFor = 10 * protocol.Second
+// reservationTime is how long room that was made is kept for a job.
+const reservationTime = 10 * protocol.Second
 
 // preemptForGang makes room for all tasks of a gang, in the zone where the
 // least work is lost. What comes free is booked for it until it has started;
 // otherwise smaller jobs would take it, one machine at a time.
 // It reports whether it could.
-func (c *Controller) preemptForGang(p *pass, w *wanted, need makeRoom) bool {
+func (c *Controller) preemptForGang(p *schedulingCycle, w *pendingJob, need preemptionGoal) bool {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	j := w.job
 	s := j.Spec
 	type room struct {
@@ -256,35 +256,35 @@
 	}
 	zones := make(map[string][]room)
 	have := make(map[string]int)
-	if p.isHopeless(j, len(w.tasks)) {
-		j.PreemptionRetryAt = at + unviableFor
+	if p.isUnschedulable(j, len(w.tasks)) {
+		j.PreemptionRetryAt = at + bookingRetryDelay
 		return false
 	}
 	late := false
-	t.table.Making(w.request, 1, mostVictims+2*len(w.tasks), func(m *slottable.Machine) bool {
-		h := t.book.Host(m.Name)
-		if h == nil || !c.mayTake(h, s) {
+	t.slotTable.Making(w.request, 1, maxVictimHosts+2*len(w.tasks), func(m *slottable.Machine) bool {
+		h := t.cluster.Host(m.Name)
+		if h == nil || !c.couldHost(h, s) {
 			return false
 		}
-		n := h.Type.Capacity.Add(h.Used(), -1).Add(c.yielding(p, h), 1).MaxCopies(s.TaskResources)
+		n := h.Type.Capacity.Add(h.Used(), -1).Add(c.preemptibleResources(p, h), 1).MaxCopies(s.TaskResources)
 		if n < 1 {
 			return false
 		}
-		t.table.Work += 8
+		t.slotTable.Work += 8
 		r := room{h: h, tasks: min(int(n), len(w.tasks)), ready: at + protocol.Second}
 		if _, ok := h.Images[s.Image]; !ok {
 			r.ready += c.fetchTime(h.Type, s.ImageSize)
 		}
 		var loss float64
-		r.victims, loss = c.victims(h, j, r.tasks)
+		r.victims, loss = c.chooseVictims(h, j, r.tasks)
 		saves := micros(0)
 		for _, a := range r.victims {
-			if a.Job.Spec.CanCheckpoint() && !need.hurry {
+			if a.Job.Spec.CanCheckpoint() && !need.immediate {
 				saves = max(saves, a.Job.Spec.CheckpointDuration)
 			}
 		}
 		r.ready += saves
-		if r.ready+need.gain() > need.soonest {
+		if r.ready+need.minGain() > need.readyWithout {
 			late = true
 			return true
 		}
@@ -320,16 +320,16 @@
 	}
 	if best == nil {
 		if !late && len(w.request.ZoneUsed) == 0 {
-			p.giveUp(j, len(w.tasks))
+			p.markUnschedulable(j, len(w.tasks))
 		}
-		j.PreemptionRetryAt = at + unviableFor // nothing to be had, for a while
+		j.PreemptionRetryAt = at + bookingRetryDelay // nothing to be had, for a while
 		return false
 	}
-	j.ReservedUntil = at + roomFor
+	j.ReservedUntil = at + reservationTime
 	j.Bookings = j.Bookings[:0]
 	for _, r := range best {
-		c.stopFor(j, r.victims, need.hurry)
-		delete(p.yields, r.h)
+		c.preemptVictims(j, r.victims, need.immediate)
+		delete(p.preemptible, r.h)
 		for range r.tasks {
 			if len(j.Bookings) < len(w.tasks) {
 				j.Bookings = append(j.Bookings, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
@@ -339,36 +339,36 @@
 	return true
 }
 
-// mayTake reports whether a job's task could be on a host, were it empty.
-func (c *Controller) mayTake(h *state.Host, s *protocol.JobSpec) bool {
-	return c.usable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
+// couldHost reports whether a job's task could be on a host, were it empty.
+func (c *Controller) couldHost(h *state.Host, s *protocol.JobSpec) bool {
+	return c.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
 }
 
-// yielding is what a host's work of lower rank takes, and what is being
+// transferInFlight is what a host's work of lower rank takes, and what is being
 // stopped.
-func (c *Controller) yielding(p *pass, h *state.Host) protocol.Resources {
-	sum, ok := p.yields[h]
+func (c *Controller) preemptibleResources(p *schedulingCycle, h *state.Host) protocol.Resources {
+	sum, ok := p.preemptible[h]
 	if !ok {
 		for _, a := range h.Attempts() {
-			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || c.yields(a.Job)) {
+			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || c.isPreemptible(a.Job)) {
 				sum = sum.Add(a.Job.Spec.TaskResources, 1)
 			}
 		}
-		p.yields[h] = sum
+		p.preemptible[h] = sum
 	}
 	return sum
 }
 
-// yields reports whether a job's tasks may be stopped for one of the two upper
+// transfers reports whether a job's tasks may be stopped for one of the two upper
 // ranks.
-func (c *Controller) yields(j *state.Job) bool {
+func (c *Controller) isPreemptible(j *state.Job) bool {
 	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
 
-// victims finds attempts of lower rank on a host whose end makes room for n
+// chooseVictims finds attempts of lower rank on a host whose end makes room for n
 // tasks of a job, those that lose least first.
-func (c *Controller) victims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
-	at := c.at.Steady
+func (c *Controller) chooseVictims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
+	at := c.now.Steady
 	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(n))
 	free := h.Type.Capacity.Add(h.Used(), -1)
 	var list []victim
@@ -381,7 +381,7 @@
 			continue
 		}
 		s := a.Job.Spec
-		if a.Job.Priority <= j.Priority || !c.yields(a.Job) {
+		if a.Job.Priority <= j.Priority || !c.isPreemptible(a.Job) {
 			continue
 		}
 		ran := micros(0)
@@ -395,33 +395,33 @@
 	}
 	var victims []*state.Attempt
 	var loss float64
-	for _, v := range fewest(list, free, need) {
-		victims = append(victims, v.a)
-		loss += v.loss
+	for _, v := range minimalVictims(list, free, need) {
+		victims = append(victims, v.attempt)
+		loss += v.lostSeconds
 	}
 	return victims, loss
 }
 
 // victim is an attempt that could be stopped, and the seconds that it would lose.
 type victim struct {
-	a    *state.Attempt
-	loss float64
+	attempt    *state.Attempt
+	lostSeconds float64
 }
 
 // fewest chooses attempts whose end makes need free, those that lose least. One
 // that loses little may free nothing that is short: it is left out. There are
 // none if nothing is in the way, or if all together are not enough.
-func fewest(list []victim, free, need protocol.Resources) (chosen []victim) {
-	sort.SliceStable(list, func(a, b int) bool { return list[a].loss < list[b].loss })
+func minimalVictims(list []victim, free, need protocol.Resources) (chosen []victim) {
+	sort.SliceStable(list, func(a, b int) bool { return list[a].lostSeconds < list[b].lostSeconds })
 	most := 0
 	for ; most < len(list) && !free.Covers(need); most++ {
-		free = free.Add(list[most].a.Job.Spec.TaskResources, 1)
+		free = free.Add(list[most].attempt.Job.Spec.TaskResources, 1)
 	}
 	if !free.Covers(need) {
 		return nil
 	}
 	for i := most - 1; i >= 0; i-- {
-		if rest := free.Add(list[i].a.Job.Spec.TaskResources, -1); rest.Covers(need) {
+		if rest := free.Add(list[i].attempt.Job.Spec.TaskResources, -1); rest.Covers(need) {
 			free = rest
 		} else {
 			chosen = append(chosen, list[i])
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -9,34 +9,34 @@
 
 // The records that hosts, launches, bookings and completions share.
 
-// launchBytes is what a launch may take in a record. Tasks of a job come
+// launchRecordSize is what a launch may take in a record. Tasks of a job come
 // together mostly; a record that comes out too long is split.
-func launchBytes(a *state.Attempt) int { return len(a.Host.Name) + 24 }
+func launchRecordSize(a *state.Attempt) int { return len(a.Host.Name) + 24 }
 
 // recordLaunch asks for the record of a launch.
 func (c *Controller) recordLaunch(a *state.Attempt, due micros) {
 	t := c.term
 	name := a.Name.TaskName.String()
 	t.launches[name] = a
-	t.launchPages.put(name, launchBytes(a), c.room(), due, due < protocol.Forever)
+	t.launchShards.put(name, launchRecordSize(a), c.shardCapacity(), due, due < protocol.Forever)
 }
 
-// launchDue is when the record of a launch has to be written: at once, unless final records
+// launchRecordDue is when the record of a launch has to be written: at once, unless final records
 // wait in line. Then one of launches does not follow the last one sooner than that takes, up
 // to a second. Jobs of one task that come several a second had one written for each, a
 // quarter of all changes, while others' launches and their own ends had to wait. A class
 // with an aim on starting does not wait.
-func (c *Controller) launchDue(s *protocol.JobSpec) micros {
-	t, at := c.term, c.at.Steady
-	if c.startWithin(s.Class) > 0 || at-t.finals.at > endingsLately {
+func (c *Controller) launchRecordDue(s *protocol.JobSpec) micros {
+	t, at := c.term, c.now.Steady
+	if c.startObjective(s.Class) > 0 || at-t.finals.lastFinishedAt > finalWriteRecency {
 		return at
 	}
-	return max(at, t.launchesSent+min(t.finals.took, mostLaunchWait))
+	return max(at, t.launchesWrittenAt+min(t.finals.lastLatency, maxLaunchRecordDelay))
 }
 
-// launchRecord makes the record that some launches share. What is over falls
+// encodeLaunches makes the record that some launches share. What is over falls
 // out of it.
-func (c *Controller) launchRecord(names []string) ([]byte, func()) {
+func (c *Controller) encodeLaunches(names []string) ([]byte, func()) {
 	t := c.term
 	var list []state.Launch
 	var attempts []*state.Attempt
@@ -44,7 +44,7 @@
 		a := t.launches[name]
 		if a == nil || !a.State.HoldsResources() {
 			delete(t.launches, name)
-			t.launchPages.drop(name, protocol.Forever)
+			t.launchShards.drop(name, protocol.Forever)
 			continue
 		}
 		list, attempts = append(list, state.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
@@ -53,113 +53,113 @@
 		for _, a := range attempts {
 			if !a.Recorded {
 				a.Recorded = true
-				c.wantCall(a.Host)
+				c.queueCommands(a.Host)
 			}
 		}
 	}
 }
 
 // Bytes that entries may take in the records they share.
-func hostBytes(h *state.Host) int {
+func hostRecordSize(h *state.Host) int {
 	return len(h.Name) + len(h.Addr) + len(h.TypeName) + len(h.Zone) + 40
 }
 
-func bookingBytes(ref string) int { return len(ref) + 24 }
+func bookingRecordSize(ref string) int { return len(ref) + 24 }
 
-// room is how much of a record entries may take; in a host's some is left for
+// hasReservation is how much of a record entries may take; in a host's some is left for
 // images, which are written as far as they fit.
-func (c *Controller) room() int { return c.limits.target.valueBytes - 200 }
+func (c *Controller) shardCapacity() int { return c.stateLimits.target.maxValueBytes - 200 }
 
-func (c *Controller) hostRoom() int { return c.limits.target.valueBytes * 6 / 10 }
+func (c *Controller) hostShardCapacity() int { return c.stateLimits.target.maxValueBytes * 6 / 10 }
 
-// record asks for a host's record. Nothing is launched on a host before: a
+// key asks for a host's record. Nothing is launched on a host before: a
 // successor must know where tasks may be.
-func (c *Controller) record(h *state.Host) {
+func (c *Controller) recordHost(h *state.Host) {
 	if !h.Recorded {
-		c.term.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, true)
+		c.term.hostShards.put(h.Name, hostRecordSize(h), c.hostShardCapacity(), c.now.Steady, true)
 	}
 }
 
-// hostRecord makes the record that some hosts share.
-func (c *Controller) hostRecord(names []string) ([]byte, func()) {
+// encodeHosts makes the record that some hosts share.
+func (c *Controller) encodeHosts(names []string) ([]byte, func()) {
 	t := c.term
 	var hosts []*state.Host
 	for _, name := range names {
-		if h := t.book.Host(name); h != nil {
+		if h := t.cluster.Host(name); h != nil {
 			if h.RecordedWall == 0 {
-				h.RecordedWall = c.at.Wall
+				h.RecordedWall = c.now.Wall
 			}
 			h.ImagesUnrecorded = false
 			hosts = append(hosts, h)
 		}
 	}
 	value := state.EncodeHosts(hosts, true)
-	if len(value) > c.limits.target.valueBytes {
+	if len(value) > c.stateLimits.target.maxValueBytes {
 		value = state.EncodeHosts(hosts, false)
 	}
 	return value, func() {
 		for _, h := range hosts {
 			if !h.Recorded {
 				h.Recorded = true
-				t.dirty = true
-				c.wantCall(h)
+				t.cycleNeeded = true
+				c.queueCommands(h)
 			}
 			if h.LegacyRecord {
 				h.LegacyRecord = false
-				t.orphans = append(t.orphans, state.LegacyHostPrefix+h.Name)
+				t.orphanedKeys = append(t.orphanedKeys, state.LegacyHostPrefix+h.Name)
 			}
 		}
 	}
 }
 
-// imagesEvery is how often the images of hosts are recorded anew where they take few records. Which ones a
+// imageRecordInterval is how often the images of hosts are recorded anew where they take few records. Which ones a
 // host has is worth knowing after a take-over, but nothing depends on it.
-const imagesEvery = 10 * protocol.Second
+const imageRecordInterval = 10 * protocol.Second
 
-// imagesShare is the part of the rate of changes that records of hosts may take for that.
+// imageRecordRateShare is the part of the rate of changes that records of hosts may take for that.
 // Small records are many, and with each machine's images changing all the time they took a
 // fifth of 24 changes a second.
-const imagesShare = 0.1
+const imageRecordRateShare = 0.1
 
-// imagesAfter is how long after one time the images are recorded the next time, so that all
+// imageRecordDelay is how long after one time the images are recorded the next time, so that all
 // records of hosts take no more than their part of a rate.
-func imagesAfter(records int, rate float64) micros {
-	return max(imagesEvery, protocol.FromSeconds(float64(records)/(rate*imagesShare)))
+func imageRecordDelay(records int, rate float64) micros {
+	return max(imageRecordInterval, protocol.FromSeconds(float64(records)/(rate*imageRecordRateShare)))
 }
 
 func (c *Controller) recordImages() {
 	t := c.term
-	if c.at.Steady < t.nextImages {
+	if c.now.Steady < t.nextImageRecord {
 		return
 	}
-	t.nextImages = c.at.Steady + imagesAfter(len(t.hostPages.list), c.writeRate())
-	for _, h := range t.book.Hosts() {
+	t.nextImageRecord = c.now.Steady + imageRecordDelay(len(t.hostShards.shards), c.writeRate())
+	for _, h := range t.cluster.Hosts() {
 		if h.Recorded && h.ImagesUnrecorded && h.State == state.HostReady {
-			t.hostPages.put(h.Name, hostBytes(h), c.hostRoom(), c.at.Steady, false)
+			t.hostShards.put(h.Name, hostRecordSize(h), c.hostShardCapacity(), c.now.Steady, false)
 		}
 	}
 }
 
-// bookingRecord makes the record that some bookings share.
-func (c *Controller) bookingRecord(refs []string) ([]byte, func()) {
+// encodeBookings makes the record that some bookings share.
+func (c *Controller) encodeBookings(refs []string) ([]byte, func()) {
 	t := c.term
 	return state.EncodeBookings(refs, func(ref string) micros {
-		if j := t.book.Job(ref); j != nil {
-			return j.BookedStart - c.at.Steady + c.at.Wall
+		if j := t.cluster.Job(ref); j != nil {
+			return j.BookedStart - c.now.Steady + c.now.Wall
 		}
 		return 0
 	}), nil
 }
 
-// doneRecord makes the record of completions that some arrays share.
-func (c *Controller) doneRecord(refs []string) ([]byte, func()) {
+// encodeCompletions makes the record of completions that some arrays share.
+func (c *Controller) encodeCompletions(refs []string) ([]byte, func()) {
 	t := c.term
 	var jobs []*state.Job
 	var tasks [][]int
 	for _, ref := range refs {
-		j := t.book.Job(ref)
+		j := t.cluster.Job(ref)
 		if j == nil || j.State != state.JobActive {
-			t.donePages.drop(ref, protocol.Forever) // its final record covers it
+			t.completionShards.drop(ref, protocol.Forever) // its final record covers it
 			continue
 		}
 		jobs, tasks = append(jobs, j), append(tasks, j.CompletedNotDurable(0, len(j.Tasks)))
@@ -173,7 +173,7 @@
 	}
 }
 
-// record is the key of the record.
-func (k chunkKey) record() string {
+// key is the key of the record.
+func (k chunkKey) key() string {
 	return state.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -18,8 +18,8 @@
 		WorkerLease: 24 * protocol.Second,
 	}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	first := c.Start(now{})
-	c.Step(now{Steady: 1000}, CallDone{
+	first := c.Start(instant{})
+	c.Step(instant{Steady: 1000}, CallResult{
 		ID: first[0].(Call).ID, Status: 200,
 		Body: []byte(`{"path":"lead","data":{"node":"n1","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`),
 	})
@@ -35,7 +35,7 @@
 // reportAgain is report with a tick that may have come before.
 func reportAgain(c *Controller, at micros, host string, epoch, tick int) (call *Call, answer *Reply) {
 	body := fmt.Sprintf(`{"host":%q,"addr":"w:9","flavor":"f","region":"z","reclaimable":false,"tenure":1,"tick":%d,"epoch":%d,"shards":[]}`, host, tick, epoch)
-	for _, e := range c.Step(now{Steady: at}, WorkerReport{Body: []byte(body)}) {
+	for _, e := range c.Step(instant{Steady: at}, WorkerHeartbeat{Body: []byte(body)}) {
 		switch e := e.(type) {
 		case Call:
 			if e.Target == ToPeer {
@@ -67,7 +67,7 @@
 		t.Fatalf("a worker that lost the leader: %+v %+v", call, answer)
 	}
 	var got *Reply
-	for _, e := range c.Step(now{Steady: sec + 1}, CallDone{
+	for _, e := range c.Step(instant{Steady: sec + 1}, CallResult{
 		ID: call.ID, Status: 200,
 		Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerResponse, Status: 200, Body: []byte(`{"epoch":3,"orders":[]}`)}),
 	}) {
@@ -98,17 +98,17 @@
 	if _, answer := reportAgain(c, sec, "w", 2, 7); answer == nil || answer.Status != 421 {
 		t.Fatalf("%+v", answer)
 	}
-	n, _ := c.countCallers()
+	n, _ := c.summarizeRedirectedWorkers()
 	for tick := 7; tick > 4; tick-- {
 		if call, answer := reportAgain(c, 5*sec, "w", 2, tick); call != nil || answer == nil || answer.Status != 421 {
 			t.Errorf("a copy with tick %d: %+v %+v", tick, call, answer)
 		}
 	}
-	if got, _ := c.countCallers(); n != 1 || got != 1 {
+	if got, _ := c.summarizeRedirectedWorkers(); n != 1 || got != 1 {
 		t.Errorf("%d, then %d callers", n, got)
 	}
-	c.Step(now{Steady: 20 * sec}, Tick{})
-	if got, _ := c.countCallers(); got != 0 {
+	c.Step(instant{Steady: 20 * sec}, Tick{})
+	if got, _ := c.summarizeRedirectedWorkers(); got != 0 {
 		t.Errorf("a copy kept its worker counted: %d", got)
 	}
 	if call, _ := reportAgain(c, 21*sec, "w", 3, 8); call == nil {
@@ -126,7 +126,7 @@
 		t.Fatal("not passed on")
 	}
 	var got *Reply
-	for _, e := range c.Step(now{Steady: protocol.Second + 1}, CallDone{ID: call.ID, Status: 200, Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerResponse})}) {
+	for _, e := range c.Step(instant{Steady: protocol.Second + 1}, CallResult{ID: call.ID, Status: 200, Body: peerFrame(&protocol.PeerMessage{Kind: protocol.PeerResponse})}) {
 		if r, ok := e.(Reply); ok {
 			got = &r
 		}
@@ -146,10 +146,10 @@
 	c := follower(t)
 	sec := protocol.Second
 	ask := func(at micros) {
-		c.Step(now{Steady: at}, PeerQuestion{Epoch: 3, From: "n1", Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})})
+		c.Step(instant{Steady: at}, PeerStatusRequest{Epoch: 3, From: "n1", Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})})
 	}
 	cancel := func(at micros) *Call {
-		for _, e := range c.Step(now{Steady: at}, UserCall{Op: protocol.OpCancel, Ref: "req-000001"}) {
+		for _, e := range c.Step(instant{Steady: at}, UserRequest{Op: protocol.OpCancel, Ref: "req-000001"}) {
 			if call, ok := e.(Call); ok && call.Target == ToPeer {
 				return &call
 			}
@@ -161,16 +161,16 @@
 	}
 	ask(9 * sec)
 	call := cancel(10 * sec)
-	if call == nil || call.Timeout != patientTimeout {
+	if call == nil || call.Timeout != liveLeaderTimeout {
 		t.Fatalf("to a leader that was heard a second ago: %+v", call)
 	}
 	ask(11 * sec)
-	c.Step(now{Steady: 12 * sec}, CallDone{ID: call.ID})
+	c.Step(instant{Steady: 12 * sec}, CallResult{ID: call.ID})
 	call = cancel(12*sec + 1)
 	if call == nil {
 		t.Fatal("a leader that asked meanwhile counts as dead")
 	}
-	c.Step(now{Steady: 15 * sec}, CallDone{ID: call.ID})
+	c.Step(instant{Steady: 15 * sec}, CallResult{ID: call.ID})
 	if cancel(15*sec+1) != nil {
 		t.Error("a leader that said nothing since is still called")
 	}
