--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -12,46 +12,46 @@
 	"mapleslip/internal/state"
 )
 
-// kind is what the cloud may refuse by itself: a type, in a zone, spot or not.
-type kind struct {
-	typ, zone string
+// machineKind is what the cloud may refuse by itself: a type, in a zone, spot or not.
+type machineKind struct {
+	machineType, zone string
 	spot      bool
 }
 
-// claim is one rental request, repeated under its name until it is answered.
-type claim struct {
+// claimLeadership is one rental request, repeated under its name until it is answered.
+type rentRequest struct {
 	name  string
-	kind  kind
+	kind  machineKind
 	count int
 	tries int
 }
 
-// rental is what a leader knows of renting.
-type rental struct {
-	refused     map[kind]micros // no request before
-	backoff     map[kind]micros
-	open        map[kind]int // machines asked for and not answered yet
+// autoscaler is what a leader knows of renting.
+type autoscaler struct {
+	refusedUntil     map[machineKind]micros // no request before
+	backoff     map[machineKind]micros
+	requested        map[machineKind]int // machines asked for and not answered yet
 	bootFactor  map[string]float64
 	fetchFactor map[string]float64
-	needed      map[*slottable.Machine]bool // that the last plan counted on
-	crowded     micros                      // when there were last jobs that nobody has taken yet
-	next        micros
-	nextSpare   map[string]micros // by class: room to spare is not rented before
-	nextLog     micros
-	releasing   bool
-	answering   bool // the cloud answered the last request for its list
+	neededMachines      map[*slottable.Machine]bool // that the last plan counted on
+	overloadedAt     micros                      // when there were last jobs that nobody has taken yet
+	nextPlan        micros
+	nextSpareRental   map[string]micros // by class: room to spare is not rented before
+	nextFleetLog     micros
+	releaseInFlight   bool
+	cloudListAnswering   bool // the cloud answered the last request for its list
 	nextRelease micros
 }
 
-func (r *rental) init() {
-	*r = rental{
-		refused: make(map[kind]micros), backoff: make(map[kind]micros), open: make(map[kind]int),
+func (r *autoscaler) init() {
+	*r = autoscaler{
+		refusedUntil: make(map[machineKind]micros), backoff: make(map[machineKind]micros), requested: make(map[machineKind]int),
 		bootFactor: make(map[string]float64), fetchFactor: make(map[string]float64),
-		needed: make(map[*slottable.Machine]bool), nextSpare: make(map[string]micros),
+		neededMachines: make(map[*slottable.Machine]bool), nextSpareRental: make(map[string]micros),
 	}
 }
 
-func (r *rental) booted(h *state.Host, at micros) {
+func (r *autoscaler) observeBoot(h *state.Host, at micros) {
 	if h.Type == nil || h.Type.BootTime <= 0 {
 		return
 	}
@@ -64,36 +64,36 @@
 }
 
 func (c *Controller) bootTime(t *protocol.MachineType) micros {
-	f := c.term.rental.bootFactor[t.Name]
+	f := c.term.autoscaler.bootFactor[t.Name]
 	if f == 0 {
 		f = 1
 	}
 	return micros(float64(t.BootTime) * f)
 }
 
-// bootedAt is when a booting host is expected to report.
-func (c *Controller) bootedAt(h *state.Host) micros {
+// expectedBootEnd is when a booting host is expected to report.
+func (c *Controller) expectedBootEnd(h *state.Host) micros {
 	due := h.KnownSince + c.bootTime(h.Type)
-	age := c.at.Steady - h.KnownSince
-	return max(due, c.at.Steady+max(age/2, 2*protocol.Second))
+	age := c.now.Steady - h.KnownSince
+	return max(due, c.now.Steady+max(age/2, 2*protocol.Second))
 }
 
-// tookTypes takes machine types as the cloud tells them.
-func (c *Controller) tookTypes(value []byte) {
+// applyCloudMachineTypes takes machine types as the cloud tells them.
+func (c *Controller) applyCloudMachineTypes(value []byte) {
 	types, err := protocol.ParseMachineTypes(value)
 	if err != nil {
-		c.malformed("machine types", err)
+		c.logMalformed("machine types", err)
 		return
 	}
-	c.goByTypes(types)
+	c.setMachineTypes(types)
 }
 
-// goByTypes goes by machine types from now on.
-func (c *Controller) goByTypes(types []*protocol.MachineType) {
+// setMachineTypes goes by machine types from now on.
+func (c *Controller) setMachineTypes(types []*protocol.MachineType) {
 	for i, t := range types {
 		// Mostly prices have moved and nothing else. Then the type stays the one
 		// that hosts and rows know, and no row has to be made anew.
-		if old := c.typeByName[t.Name]; old != nil {
+		if old := c.machineTypeByName[t.Name]; old != nil {
 			same := *old
 			same.Price, same.SpotPrice = t.Price, t.SpotPrice
 			if reflect.DeepEqual(&same, t) {
@@ -101,66 +101,66 @@
 				types[i] = old
 			}
 		}
-		c.typeByName[types[i].Name] = types[i]
+		c.machineTypeByName[types[i].Name] = types[i]
 	}
-	c.types = types
+	c.machineTypes = types
 	if c.term != nil {
-		for _, h := range c.term.book.Hosts() {
+		for _, h := range c.term.cluster.Hosts() {
 			// Types stay what they are; only their prices move.
-			if typ := c.typeByName[h.TypeName]; typ != h.Type {
+			if typ := c.machineTypeByName[h.TypeName]; typ != h.Type {
 				h.Type, h.Stale = typ, true
-				c.term.dropRow(h)
+				c.term.removeMachine(h)
 			}
 		}
 	}
 }
 
-// pollTypes asks for machine types and prices, and keeps the types so that
+// pollMachineTypes asks for machine types and prices, and keeps the types so that
 // jobs can be checked while the cloud is in trouble.
-func (c *Controller) pollTypes(t *term) {
+func (c *Controller) pollMachineTypes(t *leaderTerm) {
 	if c.term != t {
 		return
 	}
-	known := len(c.types)
-	c.call(ToCloud, prioUrgent, "GET", "/machine_types", nil, 4*protocol.Second, 0, func(r CallDone) {
+	known := len(c.machineTypes)
+	c.call(ToCloud, priorityUrgent, "GET", "/machine_types", nil, 4*protocol.Second, 0, func(r CallResult) {
 		if c.term != t {
 			return
 		}
 		wait := 60 * protocol.Second
 		if r.Status == 200 {
-			c.tookTypes(r.Body)
-			if known == 0 && len(c.types) > 0 {
-				c.keepTypes(t)
-				t.dirty = true
+			c.applyCloudMachineTypes(r.Body)
+			if known == 0 && len(c.machineTypes) > 0 {
+				c.persistMachineTypes(t)
+				t.cycleNeeded = true
 			}
 		} else {
 			wait = 2 * protocol.Second
 		}
-		c.after(wait, func() { c.pollTypes(t) })
+		c.after(wait, func() { c.pollMachineTypes(t) })
 	})
 }
 
-// pollMachines reads the cloud's list of machines.
-func (c *Controller) pollMachines(t *term) {
+// pollMachineList reads the cloud's list of machines.
+func (c *Controller) pollMachineList(t *leaderTerm) {
 	if c.term != t {
 		return
 	}
-	listed := make(map[string]protocol.CloudMachine, len(t.book.Hosts()))
+	listed := make(map[string]protocol.CloudMachine, len(t.cluster.Hosts()))
 	var page func(since string)
 	page = func(since string) {
 		path := "/machines?page=500"
 		if since != "" {
 			path = "/machines?since=" + since + "&page=500"
 		}
-		c.call(ToCloud, prioNormal, "GET", path, nil, 4*protocol.Second, 0, func(r CallDone) {
+		c.call(ToCloud, priorityNormal, "GET", path, nil, 4*protocol.Second, 0, func(r CallResult) {
 			if c.term != t {
 				return
 			}
-			t.rental.answering = r.Status == 200
+			t.autoscaler.cloudListAnswering = r.Status == 200
 			if r.Status == 200 {
 				hosts, more, err := protocol.ParseMachines(r.Body)
 				if err != nil {
-					c.malformed("cloud", err)
+					c.logMalformed("cloud", err)
 				} else {
 					for _, h := range hosts {
 						listed[h.Name] = h
@@ -169,89 +169,89 @@
 						page(hosts[len(hosts)-1].Name)
 						return
 					}
-					c.tookList(listed)
+					c.reconcileMachineList(listed)
 				}
 			}
-			c.after(2*protocol.Second, func() { c.pollMachines(t) })
+			c.after(2*protocol.Second, func() { c.pollMachineList(t) })
 		})
 	}
 	page("")
 }
 
-// tookList compares the machine list with the book. The list lags and can go
+// reconcileMachineList compares the machine list with the book. The list lags and can go
 // back, so it only ever leads to a release, which is safe to repeat.
-func (c *Controller) tookList(listed map[string]protocol.CloudMachine) {
+func (c *Controller) reconcileMachineList(listed map[string]protocol.CloudMachine) {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	for name, l := range listed {
-		if _, gone := t.gone[name]; gone {
+		if _, gone := t.releasedHosts[name]; gone {
 			continue
 		}
-		h := t.book.Host(name)
+		h := t.cluster.Host(name)
 		if h == nil {
 			h = state.NewHost(at, name, l.Type, l.Zone, l.Spot)
 			h.KnownSince = at - l.Age
-			h.Type = c.typeByName[l.Type]
+			h.Type = c.machineTypeByName[l.Type]
 			h.Addr = l.Addr
-			t.book.AddHost(h)
-			t.dirty = true
+			t.cluster.AddHost(h)
+			t.cycleNeeded = true
 		}
 		h.Listed, h.CloudState, h.UnlistedSince = true, l.State, 0
 		if h.Addr == "" {
 			h.Addr = l.Addr
 		}
 	}
-	for _, h := range t.book.Hosts() {
+	for _, h := range t.cluster.Hosts() {
 		if h.Type == nil {
-			h.Type, h.Stale = c.typeByName[h.TypeName], true
+			h.Type, h.Stale = c.machineTypeByName[h.TypeName], true
 		}
 		_, here := listed[h.Name]
 		if !here && h.UnlistedSince == 0 {
 			h.UnlistedSince = at
 		}
-		silent := at-h.LastContact > c.silence()+protocol.Second && !c.lagging(c.silence())
+		silent := at-h.LastContact > c.silenceThreshold()+protocol.Second && !c.isLagging(c.silenceThreshold())
 		// A list is at most twice the lag old, so a machine that had reported
 		// before that and is not in it is gone.
-		known := h.RecordedWall > 0 && c.at.Wall-h.RecordedWall > 2*c.platform.MachineListLag+2*protocol.Second
+		known := h.RecordedWall > 0 && c.now.Wall-h.RecordedWall > 2*c.platform.MachineListLag+2*protocol.Second
 		switch {
 		case h.State == state.HostReleasing || h.State == state.HostGone:
 		case here && h.CloudState == protocol.CloudFailed:
-			c.release(h, "failed")
+			c.releaseHost(h, "failed")
 		case !here && silent && known:
-			c.release(h, "not listed any more")
+			c.releaseHost(h, "not listed any more")
 		case !here && h.Listed && silent && at-h.UnlistedSince > 2*c.platform.MachineListLag+protocol.Second:
-			c.release(h, "not listed any more")
+			c.releaseHost(h, "not listed any more")
 		case h.State == state.HostBooting && !h.FromRecord && h.Type != nil && at-h.KnownSince > 3*h.Type.BootTime+10*protocol.Second:
-			c.release(h, "does not come up")
+			c.releaseHost(h, "does not come up")
 		}
 	}
 }
 
-// release gives a machine back. Nothing is put on it from now on; its tasks
+// releaseHost gives a machine back. Nothing is put on it from now on; its tasks
 // count until the cloud has answered.
-func (c *Controller) release(h *state.Host, why string) {
+func (c *Controller) releaseHost(h *state.Host, why string) {
 	if h.State == state.HostReleasing || h.State == state.HostGone {
 		return
 	}
 	c.log.Info("releasing machine", "host", h.Name, "type", h.TypeName, "why", why, "state", h.State.String())
 	for _, a := range h.Attempts() {
 		if a.State == state.AttemptAssigned {
-			c.lost(a)
+			c.onAttemptLost(a)
 		}
 	}
 	h.SetState(state.HostReleasing)
 	h.ReleaseReason = why
-	c.term.dirty = true
+	c.term.cycleNeeded = true
 }
 
-// manageRental sends what rental has to send.
-func (c *Controller) manageRental() {
+// sendReleases sends what rental has to send.
+func (c *Controller) sendReleases() {
 	t := c.term
-	if c.at.Steady < t.rental.nextRelease || t.rental.releasing || !c.mayStart() {
+	if c.now.Steady < t.autoscaler.nextRelease || t.autoscaler.releaseInFlight || !c.mayActAsLeader() {
 		return
 	}
 	var names []string
-	for _, h := range t.book.Hosts() {
+	for _, h := range t.cluster.Hosts() {
 		if h.State == state.HostReleasing && len(names) < 100 {
 			names = append(names, h.Name)
 		}
@@ -259,77 +259,77 @@
 	if len(names) == 0 {
 		return
 	}
-	t.rental.releasing = true
-	c.call(ToCloud, prioUrgent, "POST", "/machines/release", protocol.AppendMachineNames(nil, names), 5*protocol.Second, 0, func(r CallDone) {
+	t.autoscaler.releaseInFlight = true
+	c.call(ToCloud, priorityUrgent, "POST", "/machines/release", protocol.AppendMachineNames(nil, names), 5*protocol.Second, 0, func(r CallResult) {
 		if c.term != t {
 			return
 		}
-		t.rental.releasing = false
+		t.autoscaler.releaseInFlight = false
 		if r.Status != 200 {
-			t.rental.nextRelease = c.at.Steady + protocol.Second
+			t.autoscaler.nextRelease = c.now.Steady + protocol.Second
 			return
 		}
 		for _, name := range names {
-			h := t.book.Host(name)
+			h := t.cluster.Host(name)
 			if h == nil {
 				continue
 			}
-			c.loseAll(h, "released: "+h.ReleaseReason)
+			c.loseAllAttempts(h, "released: "+h.ReleaseReason)
 			h.SetState(state.HostGone)
 			h.Reconciled = true
-			t.gone[name] = c.at.Steady
-			t.book.RemoveHost(h)
-			t.dropRow(h)
+			t.releasedHosts[name] = c.now.Steady
+			t.cluster.RemoveHost(h)
+			t.removeMachine(h)
 			// A record left over would only make a successor release the name
 			// once more, and wait for that.
-			t.hostPages.drop(name, c.at.Steady+protocol.Second)
+			t.hostShards.drop(name, c.now.Steady+protocol.Second)
 			if h.LegacyRecord {
-				t.orphans = append(t.orphans, state.LegacyHostPrefix+name)
+				t.orphanedKeys = append(t.orphanedKeys, state.LegacyHostPrefix+name)
 			}
 		}
-		t.dirty = true
+		t.cycleNeeded = true
 	})
 }
 
-// rentalSlack is how much sooner work has to be ready for a machine to be rented.
-const rentalSlack = 3 * protocol.Second
+// minRentalGain is how much sooner work has to be ready for a machine to be rented.
+const minRentalGain = 3 * protocol.Second
 
-// rentalRounds bounds what a plan for rental looks at, in rounds' worth. It comes
+// rentalPlanSteps bounds what a plan for rental looks at, in rounds' worth. It comes
 // once a second and can't be carried on later: what is not looked at is rented a
 // second later. A bound of one round had arrays wait for their machines when a
 // deployment starts with none (himal-members-fleet restart 0.83/0.73).
-const rentalRounds = 4
+const rentalPlanSteps = 4
 
-// planRental finds what to rent so that waiting work starts sooner, with room
+// planScaling finds what to rent so that waiting work starts sooner, with room
 // to spare for what arrives, and returns what is idle.
-func (c *Controller) planRental(list []*wanted) {
+func (c *Controller) planScaling(list []*pendingJob) {
 	t := c.term
-	at := c.at.Steady
-	r := &t.rental
-	if at < r.next {
+	at := c.now.Steady
+	r := &t.autoscaler
+	if at < r.nextPlan {
 		return
 	}
-	r.next = at + protocol.Second
+	r.nextPlan = at + protocol.Second
 	var requests []*slottable.Request
 	booting := 0
-	for _, h := range t.book.Hosts() {
+	for _, h := range t.cluster.Hosts() {
 		if h.State == state.HostBooting && !h.FromRecord {
 			booting++
 		}
 	}
-	for _, n := range r.open {
+	for _, n := range r.requested {
 		booting += n
 	}
 	var offers []*slottable.Offer
-	var kinds []kind
-	for _, typ := range c.types {
+	var kinds []machineKind
+	for _, typ := range c.machineTypes {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
-				k := kind{typ.Name, zone, spot}
-				if at < r.refused[k] || r.open[k] > 0 {
+				k := machineKind{typ.Name, zone, spot}
+				if at < r.refusedUntil[k] || r.requested[k] > 0 {
 					continue
 				}
-				most := c.mayRent(k, 0)
+				most := c.rentalAllowance(k, 0)
 				if most == 0 {
 					continue
 				}
@@ -365,7 +365,7 @@
 		soonest := protocol.Forever
 		for _, o := range offers {
 			if o.Suits(&left) {
-				soonest = min(soonest, at+o.Boot+o.Fetch(left.ImageSize)+rentalSlack)
+				soonest = min(soonest, at+o.Boot+o.Fetch(left.ImageSize)+minRentalGain)
 			}
 		}
 		for _, b := range w.result.Booked {
@@ -373,76 +373,76 @@
 				left.Tasks++
 			}
 		}
-		left.Limit = min(left.Tasks, c.allowance(t.pass, w.job, protocol.Resources{}))
+		left.Limit = min(left.Tasks, c.quotaAllowance(t.cycle, w.job, protocol.Resources{}))
 		if left.Tasks > 0 && left.Limit > 0 {
 			requests = append(requests, &left)
 		}
 	}
 	// As many as the cloud's calls of one second can ask for.
-	most := int(max(1, c.platform.CloudRate)) * maxClaim
-	clear(r.needed)
+	most := int(max(1, c.platform.CloudRate)) * maxMachinesPerRequest
+	clear(r.neededMachines)
 	note := func(list []*slottable.Machine) {
 		for _, m := range list {
-			r.needed[m] = true
+			r.neededMachines[m] = true
 		}
 	}
 	// A machine that a booking counts on is not idle, however long it waits for the
-	// others of its gang: given back, the booking is gone with it.
+	// peers of its gang: given back, the booking is gone with it.
 	for _, w := range list {
 		for _, b := range w.result.Booked {
-			r.needed[b.Machine] = true
+			r.neededMachines[b.Machine] = true
 		}
 	}
-	rent, needed := t.table.Rent(requests, offers, rentalSlack, most, rentalRounds*c.roundWork())
+	rent, needed := t.slotTable.Rent(requests, offers, minRentalGain, most, rentalPlanSteps*c.maxStepWork())
 	note(needed)
 	// Classes seldom burst together: each looks for its spare room by itself,
 	// so the same room may serve several.
 	spares := make(map[int]int)
 	for _, name := range c.classNames() {
-		s := c.spare(name)
+		s := c.spareRequest(name)
 		if s == nil {
 			continue
 		}
-		more, needed := t.table.Rent([]*slottable.Request{s}, offers, rentalSlack, most, c.roundWork()/4)
+		more, needed := t.slotTable.Rent([]*slottable.Request{s}, offers, minRentalGain, most, c.maxStepWork()/4)
 		note(needed)
 		// What was rented to spare is of no use before it is up. Until then each
 		// plan would find the same room missing, and rent it once more: it is paced.
-		if at < r.nextSpare[name] {
+		if at < r.nextSpareRental[name] {
 			continue
 		}
 		for i, n := range more {
 			spares[i] = max(spares[i], n)
-			r.nextSpare[name] = max(r.nextSpare[name], at+offers[i].Boot/sparePaces)
+			r.nextSpareRental[name] = max(r.nextSpareRental[name], at+offers[i].Boot/sparePacing)
 		}
 	}
 	for i := range offers {
 		if n := rent[i] + spares[i]; n > 0 {
-			c.rent(kinds[i], n)
+			c.scaleOut(kinds[i], n)
 		}
 	}
-	c.returnIdle()
-	if at >= r.nextLog {
-		r.nextLog = at + 20*protocol.Second
+	c.scaleIn()
+	if at >= r.nextFleetLog {
+		r.nextFleetLog = at + 20*protocol.Second
 		c.logFleet(booting, len(list))
 	}
 }
 
-// sparePaces is how many times in a boot time room to spare may be rented: more
+// sparePacing is how many times in a boot time room to spare may be rented: more
 // than once, since the queue takes some of what was rented before it is up.
-const sparePaces = 8
+const sparePacing = 8
 
-// claimTimeout is how long the cloud has to answer a request for machines.
-const claimTimeout = 5 * protocol.Second
+// rentTimeout is how long the cloud has to answer a request for machines.
+const rentTimeout = 5 * protocol.Second
 
-// maxClaim is how many machines one request to the cloud may ask for.
-const maxClaim = 50
+// maxMachinesPerRequest is how many machines one request to the cloud may ask for.
+const maxMachinesPerRequest = 50
 
 // logFleet tells how the machines are used.
 func (c *Controller) logFleet(booting, waiting int) {
 	type sum struct{ hosts, empty, needed, gpus, used, yielding int64 }
 	byType := make(map[string]*sum)
 	var names []string
-	for _, h := range c.term.book.Hosts() {
+	for _, h := range c.term.cluster.Hosts() {
 		if h.Type == nil || h.State != state.HostReady {
 			continue
 		}
@@ -458,7 +458,7 @@
 		}
 		anchored := false
 		for _, a := range h.Attempts() {
-			anchored = anchored || a.State.HoldsResources() && a.Job != nil && !c.yields(a.Job)
+			anchored = anchored || a.State.HoldsResources() && a.Job != nil && !c.isPreemptible(a.Job)
 		}
 		if !anchored && !h.Empty() {
 			k.yielding++
@@ -468,7 +468,7 @@
 		k.used += h.Used().GPU / 1000
 		if h.Empty() {
 			k.empty++
-			if c.term.rental.needed[c.term.rows[h]] {
+			if c.term.autoscaler.neededMachines[c.term.machines[h]] {
 				k.needed++
 			}
 		}
@@ -479,23 +479,23 @@
 	}
 }
 
-// spare is a request for room that is kept for what arrives of a class, or nil.
-func (c *Controller) spare(name string) *slottable.Request {
+// spareRequest is a request for room that is kept for what arrives of a class, or nil.
+func (c *Controller) spareRequest(name string) *slottable.Request {
 	t := c.term
 	k := t.classes[name]
-	if k.last == nil || c.startWithin(name) == 0 {
+	if k.lastSpec == nil || c.startObjective(name) == 0 {
 		return nil
 	}
-	s := k.last
+	s := k.lastSpec
 	var boot micros
-	for _, typ := range c.types {
+	for _, typ := range c.machineTypes {
 		if typ.Capacity.Covers(s.TaskResources) && s.AllowsType(typ.Name) {
 			if b := c.bootTime(typ) + c.fetchTime(typ, s.ImageSize); boot == 0 || b < boot {
 				boot = b
 			}
 		}
 	}
-	n := int(math.Ceil(k.during(c.at.Steady, t.started, boot) * c.operator.WarmSpare))
+	n := int(math.Ceil(k.expectedArrivals(c.now.Steady, t.startedAt, boot) * c.operator.WarmSpare))
 	if n == 0 {
 		return nil
 	}
@@ -504,7 +504,7 @@
 		Types: s.MachineTypes, Spot: s.AllowSpot, Length: 30 * protocol.Second, Spare: true,
 		// Room is missing only if a job that came now would start too late:
 		// a machine that is soon free does as well as an empty one.
-		Patient: c.at.Steady + c.startWithin(name)*7/10,
+		Patient: c.now.Steady + c.startObjective(name)*7/10,
 	}
 }
 
@@ -517,10 +517,10 @@
 	return names
 }
 
-// patience is until when a job may become ready without an aim being missed,
+// startDeadline is until when a job may become ready without an aim being missed,
 // where the only aim of its class is on finishing. Half of the time is left to
 // errors of the estimates.
-func (c *Controller) patience(j *state.Job) micros {
+func (c *Controller) startDeadline(j *state.Job) micros {
 	var within micros
 	for _, o := range c.platform.Objectives {
 		if o.Class != j.Spec.Class {
@@ -536,11 +536,11 @@
 	if within == 0 || j.Spec.Kind == protocol.Service {
 		return 0
 	}
-	return j.EligibleAt + within*7/10 - c.class(j.Spec.Class).length(j.Spec)
+	return j.EligibleAt + within*7/10 - c.classStats(j.Spec.Class).estimatedRuntime(j.Spec)
 }
 
-// startWithin is the shortest time that an aim gives a class to start, or 0.
-func (c *Controller) startWithin(class string) micros {
+// startObjective is the shortest time that an aim gives a class to start, or 0.
+func (c *Controller) startObjective(class string) micros {
 	var within micros
 	for _, o := range c.platform.Objectives {
 		if o.Kind == "wait" && o.Class == class && (within == 0 || o.Within < within) {
@@ -550,110 +550,110 @@
 	return within
 }
 
-// rent asks the cloud for machines. The name of a request is never used again.
-func (c *Controller) rent(k kind, count int) {
+// scaleOut asks the cloud for machines. The name of a request is never used again.
+func (c *Controller) scaleOut(k machineKind, count int) {
 	t := c.term
-	if count = min(count, c.mayRent(k, 0)); count == 0 {
+	if count = min(count, c.rentalAllowance(k, 0)); count == 0 {
 		return // the offers of a type, spot and not, share a ceiling
 	}
-	t.claims++
-	cl := &claim{name: fmt.Sprintf("r-%d-%d", t.epoch, t.claims), kind: k, count: min(count, maxClaim)}
-	t.rental.open[k] += cl.count
-	c.sendClaim(t, cl)
+	t.rentRequestSeq++
+	cl := &rentRequest{name: fmt.Sprintf("r-%d-%d", t.epoch, t.rentRequestSeq), kind: k, count: min(count, maxMachinesPerRequest)}
+	t.autoscaler.requested[k] += cl.count
+	c.sendRentRequest(t, cl)
 }
 
-func (c *Controller) sendClaim(t *term, cl *claim) {
+func (c *Controller) sendRentRequest(t *leaderTerm, cl *rentRequest) {
 	cl.tries++
 	k := cl.kind
-	r := &t.rental
-	body := protocol.AppendRentRequest(nil, cl.name, k.typ, k.zone, k.spot, cl.count)
-	asked := c.at.Steady
-	c.call(ToCloud, prioUrgent, "POST", "/machines", body, claimTimeout, 0, func(res CallDone) {
+	r := &t.autoscaler
+	body := protocol.AppendRentRequest(nil, cl.name, k.machineType, k.zone, k.spot, cl.count)
+	asked := c.now.Steady
+	c.call(ToCloud, priorityUrgent, "POST", "/machines", body, rentTimeout, 0, func(res CallResult) {
 		if c.term != t {
 			return
 		}
-		at := c.at.Steady
+		at := c.now.Steady
 		switch res.Status {
 		case 200:
 			names, err := protocol.ParseMachineNames(res.Body)
 			if err != nil {
-				c.malformed("cloud", err)
+				c.logMalformed("cloud", err)
 				break
 			}
-			r.open[k] -= cl.count
+			r.requested[k] -= cl.count
 			r.backoff[k] = 0
-			c.log.Info("rented", "claim", cl.name, "type", k.typ, "zone", k.zone, "spot", k.spot, "asked", cl.count, "got", len(names))
+			c.log.Info("rented", "claim", cl.name, "type", k.machineType, "zone", k.zone, "spot", k.spot, "asked", cl.count, "got", len(names))
 			if len(names) < cl.count {
-				r.refused[k] = at + 10*protocol.Second
+				r.refusedUntil[k] = at + 10*protocol.Second
 			}
 			for _, name := range names {
-				if _, gone := t.gone[name]; t.book.Host(name) == nil && !gone {
-					h := state.NewHost(asked, name, k.typ, k.zone, k.spot)
-					h.Type, h.Rented = c.typeByName[k.typ], true
+				if _, gone := t.releasedHosts[name]; t.cluster.Host(name) == nil && !gone {
+					h := state.NewHost(asked, name, k.machineType, k.zone, k.spot)
+					h.Type, h.Rented = c.machineTypeByName[k.machineType], true
 					h.LastContact = at
-					t.book.AddHost(h)
+					t.cluster.AddHost(h)
 				}
 			}
-			t.dirty = true
+			t.cycleNeeded = true
 			return
 		case 503:
-			r.open[k] -= cl.count
+			r.requested[k] -= cl.count
 			r.backoff[k] = min(max(2*r.backoff[k], 8*protocol.Second), 40*protocol.Second)
-			r.refused[k] = at + r.backoff[k]
-			r.next = at // another kind may have some
-			t.dirty = true
-			c.log.Debug("rental refused", "claim", cl.name, "type", k.typ, "zone", k.zone, "spot", k.spot)
+			r.refusedUntil[k] = at + r.backoff[k]
+			r.nextPlan = at // another kind may have some
+			t.cycleNeeded = true
+			c.log.Debug("rental refused", "claim", cl.name, "type", k.machineType, "zone", k.zone, "spot", k.spot)
 			return
 		case 400:
-			r.open[k] -= cl.count
-			r.refused[k] = at + 60*protocol.Second
+			r.requested[k] -= cl.count
+			r.refusedUntil[k] = at + 60*protocol.Second
 			c.log.Error("rental refused as malformed", "claim", cl.name, "body", string(body))
 			return
 		}
 		// Not answered: repeated under the same name, it rents nothing twice.
 		if cl.tries >= 10 {
-			r.open[k] -= cl.count
-			r.refused[k] = at + 20*protocol.Second
+			r.requested[k] -= cl.count
+			r.refusedUntil[k] = at + 20*protocol.Second
 			return
 		}
 		c.after(protocol.Second, func() {
 			switch {
 			case c.term != t:
-			case c.mayRent(k, cl.count) < cl.count: // its ceiling was lowered
-				r.open[k] -= cl.count
-				r.refused[k] = c.at.Steady + 20*protocol.Second
+			case c.rentalAllowance(k, cl.count) < cl.count: // its ceiling was lowered
+				r.requested[k] -= cl.count
+				r.refusedUntil[k] = c.now.Steady + 20*protocol.Second
 			default:
-				c.sendClaim(t, cl)
+				c.sendRentRequest(t, cl)
 			}
 		})
 	})
 }
 
-// returnIdle gives back machines that nothing is on and no plan counts on. While users are
+// scaleIn gives back machines that nothing is on and no plan counts on. While users are
 // told to come back with their jobs, what those need is in no plan: 1,700 of 4,200 machines
 // went back in a deployment's first seconds, and others were rented when the jobs were in.
-func (c *Controller) returnIdle() {
+func (c *Controller) scaleIn() {
 	t := c.term
-	at := c.at.Steady
-	if !t.rental.answering {
+	at := c.now.Steady
+	if !t.autoscaler.cloudListAnswering {
 		// A release that is asked for and not answered leaves a machine that
 		// can neither be used nor counted as gone.
 		return
 	}
-	if t.admitted.crowded(at) || t.pressing.crowded(at) {
-		t.rental.crowded = at
+	if t.submitLimiter.isOverloaded(at) || t.urgentSubmitLimiter.isOverloaded(at) {
+		t.autoscaler.overloadedAt = at
 	}
-	for _, h := range t.book.Hosts() {
-		if h.State != state.HostReady || !h.Reconciled || c.held(h) || t.rental.needed[t.rows[h]] {
+	for _, h := range t.cluster.Hosts() {
+		if h.State != state.HostReady || !h.Reconciled || c.hasRetainingWork(h) || t.autoscaler.neededMachines[t.machines[h]] {
 			continue
 		}
-		if at-max(h.IdleSince, t.rental.crowded) <= c.operator.IdleScaleInDelay {
+		if at-max(h.IdleSince, t.autoscaler.overloadedAt) <= c.operator.IdleScaleInDelay {
 			continue
 		}
 		if !h.Empty() {
-			c.sendGuestsOff(h)
+			c.evictAll(h)
 		} else {
-			c.release(h, "idle for "+strconv.FormatInt(int64((at-h.IdleSince)/protocol.Second), 10)+" s")
+			c.releaseHost(h, "idle for "+strconv.FormatInt(int64((at-h.IdleSince)/protocol.Second), 10)+" s")
 		}
 	}
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -13,56 +13,56 @@
 )
 
 // Roll-outs are driven by the leader: internal/rollout decides, this file joins it
-// to the book, the state service and the other controllers. What a roll-out does to
+// redirectedEpoch the book, the state service and the other controllers. What a roll-out does to
 // jobs goes the same way as users' calls, so that limits, placing and the rules hold
 // for it as for them.
 
 // rolloutTerm is what a leader has of roll-outs during one epoch.
 type rolloutTerm struct {
 	manager *rollout.Manager // nil: they are off
-	stamps  map[string]uint64
-	turn    int               // which controller makes the next check
-	shy     map[string]micros // controllers whose checks others disputed: not asked before
+	revisions  map[string]uint64
+	nextChecker    int               // which controller makes the next check
+	checkBackoffUntil     map[string]micros // controllers whose checks others disputed: not asked before
 	damaged map[string]bool   // services whose record can't be read
 	tooLong map[string]bool   // services whose record is longer than the state service takes
-	later   []rollout.Event   // what came while the lease could have ended
+	deferredEvents   []rollout.Event   // what came while the lease could have ended
 }
 
-// shyChecks is how long a controller makes no checks after one was disputed.
-const shyChecks = 20 * protocol.Second
+// checkBackoff is how long a controller makes no checks after one was disputed.
+const checkBackoff = 20 * protocol.Second
 
-// tooLongAgain is how often a record that is too long is looked at again.
-const tooLongAgain = 30 * protocol.Second
+// tooLongRetry is how often a record that is too long is looked at again.
+const tooLongRetry = 30 * protocol.Second
 
-// rolloutWait is how long an operator waits for the state service.
-const rolloutWait = 1500 * protocol.Millisecond
+// rolloutReplyTimeout is how long an operator waits for the state service.
+const rolloutReplyTimeout = 1500 * protocol.Millisecond
 
 // EnableRollouts switches roll-outs on, before Start.
 func (c *Controller) EnableRollouts(s rollout.Settings) {
-	s.ValueBytes = c.limits.target.valueBytes
+	s.ValueBytes = c.stateLimits.target.maxValueBytes
 	s.Others = len(c.platform.Peers)
-	c.rollouts = &s
-	c.ownCalls = make(map[uint64]func(int, []byte))
-	c.asking = make(map[uint64]Address)
+	c.rolloutSettings = &s
+	c.internalCalls = make(map[uint64]func(int, []byte))
+	c.operatorCalls = make(map[uint64]ReplyAddress)
 	c.stats.Checks = make(map[string]uint64)
 }
 
-func (c *Controller) initRollouts(t *term) {
-	if c.rollouts == nil {
+func (c *Controller) initRolloutTerm(t *leaderTerm) {
+	if c.rolloutSettings == nil {
 		return
 	}
 	t.rollouts = rolloutTerm{
-		manager: rollout.NewManager(*c.rollouts, fleet{t}, c.rng.Uint64()), stamps: make(map[string]uint64),
-		shy: make(map[string]micros), damaged: make(map[string]bool), tooLong: make(map[string]bool),
+		manager: rollout.NewManager(*c.rolloutSettings, jobSource{t}, c.rng.Uint64()), revisions: make(map[string]uint64),
+		checkBackoffUntil: make(map[string]micros), damaged: make(map[string]bool), tooLong: make(map[string]bool),
 	}
 }
 
 // fleet shows a leader's jobs to roll-outs.
-type fleet struct{ t *term }
+type jobSource struct{ t *leaderTerm }
 
 // Job says how a job stands. Only what certainly runs counts as running.
-func (f fleet) Job(ref string, each func(rollout.Instance)) rollout.Job {
-	j := f.t.book.Job(ref)
+func (f jobSource) Job(ref string, each func(rollout.Instance)) rollout.Job {
+	j := f.t.cluster.Job(ref)
 	if j == nil {
 		return rollout.Job{}
 	}
@@ -86,17 +86,17 @@
 	return out
 }
 
-// loadRollout takes a record. One that can't be read bars roll-outs of its service,
+// readRolloutRecord takes a record. One that can't be read bars roll-outs of its service,
 // and nothing else.
-func (c *Controller) loadRollout(e protocol.Entry) {
+func (c *Controller) readRolloutRecord(e protocol.Entry) {
 	t := c.term
 	service := e.Key[len(rollout.Prefix):]
-	if err := t.rollouts.manager.Load(c.at.Steady, e.Value); err != nil {
+	if err := t.rollouts.manager.Load(c.now.Steady, e.Value); err != nil {
 		c.log.Error("damaged record", "key", e.Key, "err", err)
 		t.rollouts.damaged[service] = true
 		return
 	}
-	t.rollouts.stamps[service] = e.Revision
+	t.rollouts.revisions[service] = e.Revision
 }
 
 // stepRollouts hands an event to the roll-outs and does what follows.
@@ -105,24 +105,24 @@
 	if t == nil || t.rollouts.manager == nil {
 		return
 	}
-	if !c.mayStart() {
+	if !c.mayActAsLeader() {
 		// Nothing is begun now, and nothing is forgotten: a check whose end got lost
 		// would be taken for one on its way for ever.
-		t.rollouts.later = append(t.rollouts.later, ev)
+		t.rollouts.deferredEvents = append(t.rollouts.deferredEvents, ev)
 		return
 	}
-	if later := t.rollouts.later; len(later) > 0 {
-		t.rollouts.later = nil
+	if later := t.rollouts.deferredEvents; len(later) > 0 {
+		t.rollouts.deferredEvents = nil
 		for _, ev := range later {
 			c.stepRollouts(ev)
 		}
 	}
-	for _, e := range t.rollouts.manager.Step(c.at.Steady, ev) {
+	for _, e := range t.rollouts.manager.Step(c.now.Steady, ev) {
 		switch e := e.(type) {
 		case rollout.Save:
 			c.saveRollout(t, e)
 		case rollout.Submit:
-			c.ownCall(func(to Address) { c.submitOwn(to, e.Job) }, func(status int, body []byte) {
+			c.callInternally(func(to ReplyAddress) { c.submitRolloutJob(to, e.Job) }, func(status int, body []byte) {
 				s := rollout.Submitted{Ref: e.Job.Ref, Status: status, Phase: protocol.Phase(fastjson.GetString(body, "phase"))}
 				if status == 400 || status == 422 {
 					s.Why = fastjson.GetString(body, "error")
@@ -130,14 +130,14 @@
 				c.stepRollouts(s)
 			})
 		case rollout.Cancel:
-			c.ownCall(func(to Address) { c.cancel(to, e.Ref) }, func(status int, _ []byte) {
+			c.callInternally(func(to ReplyAddress) { c.cancelJob(to, e.Ref) }, func(status int, _ []byte) {
 				c.stepRollouts(rollout.CancelDone{Ref: e.Ref, Status: status})
 			})
 		case rollout.Check:
 			c.checkInstance(t, e)
 		case rollout.Answer:
-			if to, ok := c.asking[e.To]; ok {
-				delete(c.asking, e.To)
+			if to, ok := c.operatorCalls[e.To]; ok {
+				delete(c.operatorCalls, e.To)
 				c.reply(to, e.Status, e.Body, 0)
 			}
 		case rollout.Moved:
@@ -147,41 +147,41 @@
 			}
 		case rollout.Disputed:
 			c.log.Info("check disputed", "by", e.By, "against", e.Against)
-			c.stats.Disputed++
-			t.rollouts.shy[e.Against] = c.at.Steady + shyChecks
+			c.stats.DisputedChecks++
+			t.rollouts.checkBackoffUntil[e.Against] = c.now.Steady + checkBackoff
 		}
 	}
 }
 
-// ownCall makes a call as a user would, to this node.
-func (c *Controller) ownCall(make func(to Address), done func(status int, body []byte)) {
-	c.ownSeq++
-	c.ownCalls[c.ownSeq] = done
-	make(Address{own: c.ownSeq})
+// callInternally makes a call as a user would, to this node.
+func (c *Controller) callInternally(make func(to ReplyAddress), done func(status int, body []byte)) {
+	c.internalCallSeq++
+	c.internalCalls[c.internalCallSeq] = done
+	make(ReplyAddress{internal: c.internalCallSeq})
 }
 
-func (c *Controller) ownAnswer(to Address, status int, body []byte) {
-	done := c.ownCalls[to.own]
-	delete(c.ownCalls, to.own)
+func (c *Controller) onInternalReply(to ReplyAddress, status int, body []byte) {
+	done := c.internalCalls[to.internal]
+	delete(c.internalCalls, to.internal)
 	if done != nil {
 		done(status, body)
 	}
 }
 
-// submitOwn submits a roll-out's job. One that is over is known by its last phase.
-func (c *Controller) submitOwn(to Address, spec *protocol.JobSpec) {
-	if f, over := c.finals.find(spec.Ref); over {
-		c.replyFinal(to, spec.Ref, f)
+// submitRolloutJob submits a roll-out's job. One that is over is known by its last phase.
+func (c *Controller) submitRolloutJob(to ReplyAddress, spec *protocol.JobSpec) {
+	if f, over := c.finishedJobs.find(spec.Ref); over {
+		c.replyFinishedJob(to, spec.Ref, f)
 		return
 	}
-	c.submit(to, spec)
+	c.submitJob(to, spec)
 }
 
 // saveRollout makes a record durable: again and again, until it is or this node does
 // not lead any more.
-func (c *Controller) saveRollout(t *term, e rollout.Save) {
+func (c *Controller) saveRollout(t *leaderTerm, e rollout.Save) {
 	key := rollout.Prefix + e.Service
-	when := []protocol.Condition{{Key: key, Revision: t.rollouts.stamps[e.Service]}}
+	when := []protocol.Condition{{Key: key, Revision: t.rollouts.revisions[e.Service]}}
 	again := func(d micros) {
 		c.after(d, func() {
 			if c.term == t {
@@ -189,31 +189,31 @@
 			}
 		})
 	}
-	if size := len(e.Value); size > c.limits.allowed.valueBytes {
+	if size := len(e.Value); size > c.stateLimits.accepted.maxValueBytes {
 		// It was begun under larger limits. Nothing of it goes on; its jobs do.
 		if !t.rollouts.tooLong[e.Service] {
 			t.rollouts.tooLong[e.Service] = true
-			c.log.Error("the record of a roll-out is too long for the state service", "service", e.Service, "bytes", size, "most", c.limits.allowed.valueBytes)
+			c.log.Error("the record of a roll-out is too long for the state service", "service", e.Service, "bytes", size, "most", c.stateLimits.accepted.maxValueBytes)
 		}
-		again(tooLongAgain)
+		again(tooLongRetry)
 		return
 	}
-	c.lead(prioUser, when, []protocol.Change{{Key: key, Value: e.Value}}, func(o txnOutcome, r protocol.TxnResult) {
+	c.leaderTransaction(priorityUser, when, []protocol.Change{{Key: key, Value: e.Value}}, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
-		case txnApplied:
-			t.rollouts.stamps[e.Service] = r.Revision
+		case txnCommitted:
+			t.rollouts.revisions[e.Service] = r.Revision
 			c.stepRollouts(rollout.Saved{Service: e.Service})
-		case txnRefused:
+		case txnConflict:
 			// An earlier try may have been applied late. Nobody else writes it.
-			c.get(prioUser, key, func(now protocol.Entry, found, ok bool) {
+			c.getKey(priorityUser, key, func(now protocol.Entry, found, ok bool) {
 				switch {
 				case c.term != t:
 				case ok && found && sameJSON(now.Value, e.Value):
-					t.rollouts.stamps[e.Service] = now.Revision
+					t.rollouts.revisions[e.Service] = now.Revision
 					c.stepRollouts(rollout.Saved{Service: e.Service})
 				default:
 					if ok {
-						t.rollouts.stamps[e.Service] = now.Revision // 0: it is not there
+						t.rollouts.revisions[e.Service] = now.Revision // 0: it is not there
 					}
 					again(500 * protocol.Millisecond)
 				}
@@ -240,7 +240,7 @@
 
 // checkInstance has an instance checked. The leader is asked last: its turns are for
 // what nobody else can do, and a check by another node costs it a frame.
-func (c *Controller) checkInstance(t *term, e rollout.Check) {
+func (c *Controller) checkInstance(t *leaderTerm, e rollout.Check) {
 	end := func(made, ok bool, by, why string) {
 		outcome := "unmade"
 		switch {
@@ -260,13 +260,13 @@
 			end(false, false, by, "") // it could not be made: nothing was learnt
 		case status >= 200 && status < 300:
 			end(true, true, by, "")
-		case status == noAnswer:
+		case status == statusNoAnswer:
 			end(true, false, by, string(body[:min(len(body), 80)]))
 		default:
 			end(true, false, by, "status "+strconv.Itoa(status))
 		}
 	}
-	at := c.at.Steady
+	at := c.now.Steady
 	not := make(map[string]bool, len(e.Not))
 	for _, n := range e.Not {
 		not[n] = true
@@ -277,14 +277,14 @@
 			break
 		}
 		for i := range siblings {
-			s := siblings[(t.rollouts.turn+i)%len(siblings)]
-			if o := t.others[s.Name]; not[s.Name] || o.asked == 0 || at-o.asked > standHolds || !bold && at < t.rollouts.shy[s.Name] {
+			s := siblings[(t.rollouts.nextChecker+i)%len(siblings)]
+			if o := t.peers[s.Name]; not[s.Name] || o.statusAt == 0 || at-o.statusAt > peerStatusLifetime || !bold && at < t.rollouts.checkBackoffUntil[s.Name] {
 				continue
 			}
-			t.rollouts.turn += i + 1
+			t.rollouts.nextChecker += i + 1
 			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
-			c.callAddr(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallDone) {
-				if m := c.peerAnswer(d); m != nil {
+			c.callAddress(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallResult) {
+				if m := c.parsePeerResponse(d); m != nil {
 					judge(s.Name, int(m.Status), m.Body)
 					return
 				}
@@ -297,36 +297,36 @@
 		c.after(0, func() { end(false, false, "", "") })
 		return
 	}
-	c.makeCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(c.platform.ControllerName, status, body) })
+	c.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(c.platform.ControllerName, status, body) })
 }
 
-// noAnswer is the status of an instance that gives none; the body says why. 0 is that
+// statusNoAnswer is the status of an instance that gives none; the body says why. 0 is that
 // of a check that this node could not make.
-const noAnswer = 599
+const statusNoAnswer = 599
 
-// makeCheck makes a check from this node.
-func (c *Controller) makeCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
+// sendCheck makes a check from this node.
+func (c *Controller) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
 	method := "GET"
 	if kind == protocol.CheckTCP {
 		method = "" // a connection, and nothing more
 	}
-	c.callAddr(ToInstance, method, addr, path, nil, timeout, func(d CallDone) {
+	c.callAddress(ToInstance, method, addr, path, nil, timeout, func(d CallResult) {
 		switch {
-		case d.Refused:
-			done(noAnswer, []byte("no connection"))
-		case d.Unsent:
+		case d.ConnectionRefused:
+			done(statusNoAnswer, []byte("no connection"))
+		case d.NotSent:
 			done(0, nil)
 		case d.Status == 0:
-			done(noAnswer, []byte("time-out, or no sound answer"))
+			done(statusNoAnswer, []byte("time-out, or no sound answer"))
 		default:
 			done(d.Status, nil)
 		}
 	})
 }
 
-// onCheckCall makes a check for the leader.
-func (c *Controller) onCheckCall(e CheckCall) {
-	c.makeCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
+// onHealthCheckRequest makes a check for the leader.
+func (c *Controller) onHealthCheckRequest(e HealthCheckRequest) {
+	c.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
 		c.reply(e.Reply, status, body, 0)
 	})
 }
@@ -336,9 +336,9 @@
 	protocol.OpRolloutPause: rollout.Pause, protocol.OpRolloutResume: rollout.Resume, protocol.OpRolloutRevert: rollout.Revert,
 }
 
-// onRollout handles an operator's call about roll-outs, wherever it came in.
-func (c *Controller) onRollout(e UserCall) {
-	if c.rollouts == nil {
+// onRolloutRequest handles an operator's call about roll-outs, wherever it came in.
+func (c *Controller) onRolloutRequest(e UserRequest) {
+	if c.rolloutSettings == nil {
 		c.reply(e.Reply, 404, protocol.ErrorBody("roll-outs are off"), 0)
 		return
 	}
@@ -354,12 +354,12 @@
 		c.reply(e.Reply, 404, protocol.ErrorBody("no such service"), 0)
 		return
 	}
-	if !c.mayStart() {
+	if !c.mayActAsLeader() {
 		if e.Reply.Peer {
 			c.reply(e.Reply, 0, nil, 0)
 			return
 		}
-		c.leaderOnly(e, rolloutWait+500*protocol.Millisecond, c.at.Steady)
+		c.forwardLeaderOnly(e, rolloutReplyTimeout+500*protocol.Millisecond, c.now.Steady)
 		return
 	}
 	t := c.term
@@ -368,26 +368,26 @@
 		return
 	}
 	if r.Spec != nil {
-		if len(c.types) == 0 {
-			c.unavailable(e.Reply, refusedTypes)
+		if len(c.machineTypes) == 0 {
+			c.replyUnavailable(e.Reply, refusalMachineTypes)
 			return
 		}
 		// All instances and the surge at once have to be within what the team may use.
 		job := *r.Spec.Job
 		job.Kind, job.Tasks = protocol.Service, r.Spec.Count+r.Spec.MaxSurge
-		if why := c.impossible(&job); why != "" {
+		if why := c.validateRunnable(&job); why != "" {
 			c.reply(e.Reply, 422, protocol.ErrorBody("job, with count and surge: "+why), 0)
 			return
 		}
 	}
-	c.askSeq++
-	r.To = c.askSeq
-	c.asking[r.To] = e.Reply
+	c.operatorCallSeq++
+	r.To = c.operatorCallSeq
+	c.operatorCalls[r.To] = e.Reply
 	// Nobody is kept waiting for the state service longer than this.
-	c.after(rolloutWait, func() {
-		if to, ok := c.asking[r.To]; ok {
-			delete(c.asking, r.To)
-			c.unavailable(to, refusedState)
+	c.after(rolloutReplyTimeout, func() {
+		if to, ok := c.operatorCalls[r.To]; ok {
+			delete(c.operatorCalls, r.To)
+			c.replyUnavailable(to, refusalStateService)
 		}
 	})
 	c.stepRollouts(r)
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -10,267 +10,267 @@
 	"mapleslip/internal/state"
 )
 
-// wanted is a job that still needs places, with its request.
-type wanted struct {
+// pendingJob is a job that still needs places, with its request.
+type pendingJob struct {
 	job     *state.Job
 	request *slottable.Request
 	tasks   []int
-	within  bool // its team's jobs up to this one fit into the guarantee
-	missed  bool // too late for its deadline and every aim on finishing
-	room    bool // room was made for it
-	turn    micros
+	withinGuarantee  bool // its team's jobs up to this one fit into the guarantee
+	deadlineMissed  bool // too late for its deadline and every aim on finishing
+	hasReservation    bool // room was made for it
+	queueOrder    micros
 	result  slottable.Result
 }
 
-// stage is how far a pass has come.
-type stage uint8
+// cycleStage is how far a pass has come.
+type cycleStage uint8
 
-// Stages of a pass.
+// CycleStages of a pass.
 const (
-	planning   stage = iota // jobs get places and bookings, in their order
-	filling                 // arrays that had the choice of machines with their image get what is left
-	preempting              // room is made for those of high rank
-	renting                 // what to rent is found
+	stagePlanning   cycleStage = iota // jobs get places and bookings, in their order
+	stageBackfilling                 // arrays that had the choice of machines with their image get what is left
+	stagePreempting              // room is made for those of high rank
+	stageScaling                 // what to rent is found
 )
 
-func (s stage) String() string { return [...]string{"planning", "filling", "preempting", "renting"}[s] }
+func (s cycleStage) String() string { return [...]string{"planning", "filling", "preempting", "renting"}[s] }
 
-// pass is one pass over the queue. It may take several rounds: a round has a
+// cycle is one pass over the queue. It may take several rounds: a round has a
 // bound on its work, so that renewal, workers and users never wait behind it,
 // and the next one carries on where it stopped, in the same order. What was
 // booked before the cut stays marked in the table, so backfilling after it
 // moves no booking.
-type pass struct {
-	stage    stage
-	list     []*wanted
+type schedulingCycle struct {
+	stage    cycleStage
+	pending     []*pendingJob
 	next     int
-	held     map[string]protocol.Resources // by team, for jobs that come first
-	unproven protocol.Resources            // that tasks on hosts not heard of yet may use
-	unknown  bool                          // some of those hosts are of a type not known
-	yields   map[*state.Host]protocol.Resources
-	hopeless []hopeless
-	again    []*wanted // for the second stage
-	rounds   int
+	heldForTeam     map[string]protocol.Resources // by team, for jobs that come first
+	unreconciled protocol.Resources            // that tasks on hosts not heard of yet may use
+	unknownTypes  bool                          // some of those hosts are of a type not known
+	preemptible   map[*state.Host]protocol.Resources
+	unschedulable []unschedulableShape
+	localityFirst    []*pendingJob // for the second stage
+	steps   int
 	work     int
-	began    micros
+	startedAt    micros
 }
 
-// to is the one place where a pass changes its stage.
-func (p *pass) to(s stage) { p.stage, p.next = s, 0 }
+// redirectedEpoch is the one place where a pass changes its stage.
+func (p *schedulingCycle) setStage(s cycleStage) { p.stage, p.next = s, 0 }
 
-// roundWork bounds what one round looks at, in rows of the table. It is a few
+// maxStepWork bounds what one round looks at, in rows of the table. It is a few
 // milliseconds of a whole processor, more where the share is larger.
-func (c *Controller) roundWork() int {
+func (c *Controller) maxStepWork() int {
 	return int(240_000 * max(0.1, min(1, c.platform.CPUShare)))
 }
 
 // round plans: it assigns what can start now, keeps bookings, makes room by
 // preemption, and finds what to rent.
-func (c *Controller) round() {
+func (c *Controller) runSchedulingStep() {
 	t := c.term
-	t.lastRound = c.at.Steady
-	if !c.mayStart() || len(c.types) == 0 {
-		t.pass, t.dirty = nil, false
+	t.lastCycle = c.now.Steady
+	if !c.mayActAsLeader() || len(c.machineTypes) == 0 {
+		t.cycle, t.cycleNeeded = nil, false
 		return
 	}
-	c.updateTable()
-	t.table.Work = 0
-	if t.pass == nil {
-		t.dirty = false
-		t.pass = c.newPass()
-		t.table.Begin()
+	c.refreshSlotTable()
+	t.slotTable.Work = 0
+	if t.cycle == nil {
+		t.cycleNeeded = false
+		t.cycle = c.newSchedulingCycle()
+		t.slotTable.Begin()
 	} else {
-		t.table.Resume()
+		t.slotTable.Resume()
 	}
-	p := t.pass
-	p.rounds++
-	c.stats.Rounds++
-	most := c.roundWork()
+	p := t.cycle
+	p.steps++
+	c.stats.SchedulingSteps++
+	most := c.maxStepWork()
 	done := 0 // of the round's work, by the stages before
-	count := func(s stage) {
-		c.stats.Rows[s] += uint64(t.table.Work - done)
-		done = t.table.Work
-	}
-	if p.stage == planning {
-		for ; p.next < len(p.list) && t.table.Work < most; p.next++ {
-			if w := p.list[p.next]; c.mayChoose(w) {
-				c.placeHot(p, w)
-				p.again = append(p.again, w)
+	count := func(s cycleStage) {
+		c.stats.RowsByStage[s] += uint64(t.slotTable.Work - done)
+		done = t.slotTable.Work
+	}
+	if p.stage == stagePlanning {
+		for ; p.next < len(p.pending) && t.slotTable.Work < most; p.next++ {
+			if w := p.pending[p.next]; c.prefersLocality(w) {
+				c.placeImageLocal(p, w)
+				p.localityFirst = append(p.localityFirst, w)
 			} else {
-				c.place(p, w)
+				c.placeJob(p, w)
 			}
 		}
-		count(planning)
-		if p.next == len(p.list) {
-			p.to(filling)
+		count(stagePlanning)
+		if p.next == len(p.pending) {
+			p.setStage(stageBackfilling)
 		}
 	}
-	if p.stage == filling {
-		for ; p.next < len(p.again) && t.table.Work < most; p.next++ {
-			w := p.again[p.next]
+	if p.stage == stageBackfilling {
+		for ; p.next < len(p.localityFirst) && t.slotTable.Work < most; p.next++ {
+			w := p.localityFirst[p.next]
 			w.tasks, w.request, w.result = nil, nil, slottable.Result{}
-			c.place(p, w)
+			c.placeJob(p, w)
 		}
-		count(filling)
-		if p.next == len(p.again) {
-			p.to(preempting)
+		count(stageBackfilling)
+		if p.next == len(p.localityFirst) {
+			p.setStage(stagePreempting)
 		}
 	}
-	if p.stage == preempting {
-		for ; p.next < len(p.list) && t.table.Work < most; p.next++ {
-			c.preempt(p, p.list[p.next])
+	if p.stage == stagePreempting {
+		for ; p.next < len(p.pending) && t.slotTable.Work < most; p.next++ {
+			c.preempt(p, p.pending[p.next])
 		}
-		count(preempting)
-		if p.next == len(p.list) {
-			p.to(renting)
+		count(stagePreempting)
+		if p.next == len(p.pending) {
+			p.setStage(stageScaling)
 		}
 	}
-	p.work += t.table.Work
-	if p.stage == renting && (t.table.Work < most/2 || p.rounds > 1) {
-		c.planRental(p.list)
-		count(renting)
-		c.stats.Passes++
-		c.passOver(p)
-		t.pass = nil
+	p.work += t.slotTable.Work
+	if p.stage == stageScaling && (t.slotTable.Work < most/2 || p.steps > 1) {
+		c.planScaling(p.pending)
+		count(stageScaling)
+		c.stats.SchedulingCycles++
+		c.emitCycleSpan(p)
+		t.cycle = nil
 		return
 	}
-	c.stats.Cuts[p.stage]++
-	if at := c.at.Steady; at-t.cutLog > 5*protocol.Second {
-		t.cutLog = at
-		c.log.Info("plan cut short", "stage", p.stage.String(), "next", p.next, "of", len(p.list), "work", p.work)
+	c.stats.CutStepsByStage[p.stage]++
+	if at := c.now.Steady; at-t.lastCutLog > 5*protocol.Second {
+		t.lastCutLog = at
+		c.log.Info("plan cut short", "stage", p.stage.String(), "next", p.next, "of", len(p.pending), "work", p.work)
 	}
 }
 
-// passOver tells of a pass that is over.
-func (c *Controller) passOver(p *pass) {
-	if !c.observed {
+// emitCycleSpan tells of a pass that is over.
+func (c *Controller) emitCycleSpan(p *schedulingCycle) {
+	if !c.tracing {
 		return
 	}
-	c.emit(Span{Name: "pass", From: p.began, To: c.at.Steady, Counts: []SpanCount{
-		{"jobs", int64(len(p.list))},
-		{"rounds", int64(p.rounds)},
+	c.emit(Span{Name: "pass", From: p.startedAt, To: c.now.Steady, Counts: []SpanCount{
+		{"jobs", int64(len(p.pending))},
+		{"rounds", int64(p.steps)},
 		{"rows", int64(p.work)},
 	}})
 }
 
-// newPass orders the queue.
-func (c *Controller) newPass() *pass {
+// newSchedulingCycle orders the queue.
+func (c *Controller) newSchedulingCycle() *schedulingCycle {
 	t := c.term
-	p := &pass{held: make(map[string]protocol.Resources), yields: make(map[*state.Host]protocol.Resources), began: c.at.Steady}
-	if !t.recovered && t.unlisted {
-		for _, h := range t.book.Hosts() {
+	p := &schedulingCycle{heldForTeam: make(map[string]protocol.Resources), preemptible: make(map[*state.Host]protocol.Resources), startedAt: c.now.Steady}
+	if !t.reconciled && t.launchesUnrecorded {
+		for _, h := range t.cluster.Hosts() {
 			if h.FromRecord && !h.Reconciled {
 				if h.Type == nil {
-					p.unknown = true
+					p.unknownTypes = true
 				} else {
-					p.unproven = p.unproven.Add(h.Type.Capacity, 1)
+					p.unreconciled = p.unreconciled.Add(h.Type.Capacity, 1)
 				}
 			}
 		}
 	}
-	p.list = c.wanted()
+	p.pending = c.pendingJobs()
 	return p
 }
 
-// chooseFetches is for how many times the fetch of its image an array takes machines
+// localityWaitFetches is for how many times the fetch of its image an array takes machines
 // without the image only after the jobs that find theirs there. Four instead of one:
 // hsos-foldrenges-fleet 0.80/0.78 on six paired seeds.
-const chooseFetches = 1
+const localityWaitFetches = 1
 
-// mayChoose reports whether an array takes only machines that have its image, as
+// prefersLocality reports whether an array takes only machines that have its image, as
 // long as another job can use the others at once. In an overload the jobs that wait
 // need different images: a machine that comes free went to the first in line, which
 // had to fetch, while a few places on was one that could have run at once. What is
 // left after all had that choice is given to the same jobs in the same round, so no
 // machine stays free for it. A job that has waited for as long as a fetch, or that has
 // a booking, is served in its turn.
-func (c *Controller) mayChoose(w *wanted) bool {
+func (c *Controller) prefersLocality(w *pendingJob) bool {
 	j := w.job
 	s := j.Spec
-	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || guest(j) || j.Suspect || len(j.Bookings) > 0 || s.ImageSize == 0 {
+	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || isOpportunistic(j) || j.Suspect || len(j.Bookings) > 0 || s.ImageSize == 0 {
 		return false
 	}
 	var fetch micros
-	for _, typ := range c.types {
+	for _, typ := range c.machineTypes {
 		if s.AllowsType(typ.Name) {
 			fetch = max(fetch, c.fetchTime(typ, s.ImageSize))
 		}
 	}
-	return c.at.Steady-j.EligibleAt < chooseFetches*fetch
+	return c.now.Steady-j.EligibleAt < localityWaitFetches*fetch
 }
 
-// placeHot starts what an array can at once on machines that have its image.
-func (c *Controller) placeHot(p *pass, w *wanted) {
-	if !c.request(w) {
+// placeImageLocal starts what an array can at once on machines that have its image.
+func (c *Controller) placeImageLocal(p *schedulingCycle, w *pendingJob) {
+	if !c.buildRequest(w) {
 		return
 	}
 	r := w.request
-	r.Limit = c.allowance(p, w.job, p.held[w.job.Spec.Team])
+	r.Limit = c.quotaAllowance(p, w.job, p.heldForTeam[w.job.Spec.Team])
 	r.HotOnly = true
 	if r.Limit <= 0 {
 		return
 	}
-	w.result = c.term.table.Try(r, false)
+	w.result = c.term.slotTable.Try(r, false)
 	for i, pl := range w.result.Start {
-		c.assign(w, w.tasks[i], pl)
+		c.assignTask(w, w.tasks[i], pl)
 	}
 }
 
-// place gives a job what places it can have, in its turn.
-func (c *Controller) place(p *pass, w *wanted) {
+// placeJob gives a job what places it can have, in its turn.
+func (c *Controller) placeJob(p *schedulingCycle, w *pendingJob) {
 	j := w.job
-	if !c.request(w) {
+	if !c.buildRequest(w) {
 		return
 	}
 	r := w.request
-	r.Limit = c.allowance(p, j, p.held[j.Spec.Team])
+	r.Limit = c.quotaAllowance(p, j, p.heldForTeam[j.Spec.Team])
 	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Suspect {
 		// Its team's limit leaves no room for all of its tasks at once.
 		// Without this, smaller jobs of the team would take what comes free,
 		// one task at a time, for as long as they last.
-		p.held[j.Spec.Team] = p.held[j.Spec.Team].Add(j.Spec.TaskResources, int64(r.Tasks))
+		p.heldForTeam[j.Spec.Team] = p.heldForTeam[j.Spec.Team].Add(j.Spec.TaskResources, int64(r.Tasks))
 	}
-	res := c.term.table.Next(r)
+	res := c.term.slotTable.Next(r)
 	w.result = res
 	j.Bookings = j.Bookings[:0]
 	for _, b := range res.Booked {
 		j.Bookings = append(j.Bookings, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
 	}
 	if res.Late {
-		j.BookingRetryAt = c.at.Steady + unviableFor
+		j.BookingRetryAt = c.now.Steady + bookingRetryDelay
 	}
 	for i, pl := range res.Start {
-		c.assign(w, w.tasks[i], pl)
+		c.assignTask(w, w.tasks[i], pl)
 	}
-	if len(res.Start) == mostTasks {
-		c.term.dirty = true // the rest of a long array comes with the next round
+	if len(res.Start) == maxTasksPerCycle {
+		c.term.cycleNeeded = true // the rest of a long array comes with the next round
 	}
 	if len(res.Booked) > 0 {
 		j.BookedZone = res.Booked[0].Machine.Zone
-		c.book(w, res)
+		c.persistBooking(w, res)
 	}
 }
 
-// unviableFor is how long it is not tried again to book a deadline job whose
+// bookingRetryDelay is how long it is not tried again to book a deadline job whose
 // booking would have come too late.
-const unviableFor = 2 * protocol.Second
+const bookingRetryDelay = 2 * protocol.Second
 
-// updateTable brings the rows up to date whose machine changed, or whose
+// refreshSlotTable brings the rows up to date whose machine changed, or whose
 // estimates ran out.
-func (c *Controller) updateTable() {
+func (c *Controller) refreshSlotTable() {
 	t := c.term
-	at := c.at.Steady
-	t.table.Now = at
-	for _, h := range t.book.Hosts() {
+	at := c.now.Steady
+	t.slotTable.Now = at
+	for _, h := range t.cluster.Hosts() {
 		if h.Type == nil || h.State == state.HostGone || h.State == state.HostReleasing {
-			if t.rows[h] != nil {
-				c.dropStale(h)
-				t.dropRow(h)
+			if t.machines[h] != nil {
+				c.withdrawAssignments(h)
+				t.removeMachine(h)
 			}
 			continue
 		}
-		m := t.rows[h]
-		usable := c.usable(h)
+		m := t.machines[h]
+		usable := c.isSchedulable(h)
 		booting := h.State == state.HostBooting && !h.FromRecord
 		if m == nil {
 			typ := h.Type
@@ -278,54 +278,54 @@
 				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Capacity,
 				Fetch: func(size int64) micros { return c.fetchTime(typ, size) },
 			}
-			t.rows[h] = m
-			t.table.Add(m)
+			t.machines[h] = m
+			t.slotTable.Add(m)
 			h.Stale = true
 		}
 		if !usable && !m.Blocked {
-			c.dropStale(h)
+			c.withdrawAssignments(h)
 		}
 		if h.Stale || booting || m.Blocked == usable || m.NextEnd() <= at {
-			c.fill(h, m, usable, booting)
+			c.refreshMachine(h, m, usable, booting)
 		}
 	}
 }
 
-// dropRow takes a host's row out of the table.
-func (t *term) dropRow(h *state.Host) {
-	if m := t.rows[h]; m != nil {
-		t.table.Remove(m)
-		delete(t.rows, h)
+// removeMachine takes a host's row out of the table.
+func (t *leaderTerm) removeMachine(h *state.Host) {
+	if m := t.machines[h]; m != nil {
+		t.slotTable.Remove(m)
+		delete(t.machines, h)
 	}
 }
 
-// dropStale takes back assignments whose host can't be reached or is leaving.
-func (c *Controller) dropStale(h *state.Host) {
+// withdrawAssignments takes back assignments whose host can't be reached or is leaving.
+func (c *Controller) withdrawAssignments(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State == state.AttemptAssigned {
-			c.lost(a)
+			c.onAttemptLost(a)
 		}
 	}
 }
 
-// usable reports whether tasks may be put on a host.
-func (c *Controller) usable(h *state.Host) bool {
-	at := c.at.Steady
-	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !deaf(h) && !c.mute(h) && c.drained(h) == configuration.NotDrained &&
+// isSchedulable reports whether tasks may be put on a host.
+func (c *Controller) isSchedulable(h *state.Host) bool {
+	at := c.now.Steady
+	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !ignoresCommands(h) && !c.missesHeartbeats(h) && c.drainOf(h) == configuration.NotDrained &&
 		at >= h.QuarantinedUntil && at >= h.FullUntil && at-h.LastContact < 2*c.platform.HeartbeatInterval+protocol.Second
 }
 
-// fill makes a host's row from what is known of it.
-func (c *Controller) fill(h *state.Host, m *slottable.Machine, usable, booting bool) {
-	at := c.at.Steady
-	table := &c.term.table
+// refreshMachine makes a host's row from what is known of it.
+func (c *Controller) refreshMachine(h *state.Host, m *slottable.Machine, usable, booting bool) {
+	at := c.now.Steady
+	table := &c.term.slotTable
 	h.Stale = false
 	m.Reset()
 	m.From = at
 	switch {
 	case usable:
-	case booting && c.drained(h) == configuration.NotDrained:
-		m.From = c.bootedAt(h)
+	case booting && c.drainOf(h) == configuration.NotDrained:
+		m.From = c.expectedBootEnd(h)
 	default:
 		m.Blocked = true
 	}
@@ -335,7 +335,7 @@
 	if len(h.SuspectedBy) > 0 {
 		m.Penalty += 10 * protocol.Second
 	}
-	m.Unheld = !h.Spot && !c.held(h)
+	m.Unheld = !h.Spot && !c.hasRetainingWork(h)
 	for name := range h.Images {
 		table.AddImage(m, name, 0)
 	}
@@ -345,20 +345,20 @@
 			continue
 		}
 		s := a.Job.Spec
-		k := c.class(s.Class)
+		k := c.classStats(s.Class)
 		till := protocol.Forever
 		switch {
 		case a.StopRequested:
 			till = at + a.StopGrace/2 + protocol.Second
 		case a.State == state.AttemptRunning:
-			if r := k.remaining(s, at-a.StartedAt); r < protocol.Forever {
+			if r := k.remainingRuntime(s, at-a.StartedAt); r < protocol.Forever {
 				till = at + r
 			}
 		case s.Kind != protocol.Service:
-			till = max(at, a.ExpectedReady) + k.length(s)
+			till = max(at, a.ExpectedReady) + k.estimatedRuntime(s)
 		}
-		m.Occupy(slottable.Span{From: at, To: till, Need: s.TaskResources, Guest: guest(a.Job)})
-		if a.StopRequested || c.yields(a.Job) {
+		m.Occupy(slottable.Span{From: at, To: till, Need: s.TaskResources, Guest: isOpportunistic(a.Job)})
+		if a.StopRequested || c.isPreemptible(a.Job) {
 			gives = gives.Add(s.TaskResources, 1)
 		}
 		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching {
@@ -373,15 +373,15 @@
 	table.Update(m)
 }
 
-// wanted lists the jobs that need places, in the order in which they are
+// pendingJob lists the jobs that need places, in the order in which they are
 // tried: by rank, then those that can still be in time, then those within their
 // team's guarantee, then by their turn.
-func (c *Controller) wanted() []*wanted {
+func (c *Controller) pendingJobs() []*pendingJob {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	sums := make(map[string]protocol.Resources)
-	var list []*wanted
-	for _, j := range t.book.Jobs() {
+	var list []*pendingJob
+	for _, j := range t.cluster.Jobs() {
 		if j.State != state.JobActive {
 			continue
 		}
@@ -390,16 +390,16 @@
 		if j.QueuedTasks == 0 || at < j.BackoffUntil {
 			continue
 		}
-		if !t.recovered && t.unlisted && j.LeaderEpoch != t.epoch {
+		if !t.reconciled && t.launchesUnrecorded && j.LeaderEpoch != t.epoch {
 			continue // its tasks may be on hosts that have not reported yet
 		}
-		w := &wanted{job: j, within: holdsGuarantee(c.guarantee(s.Team), sums[s.Team])}
-		w.missed, w.room = c.missed(j), at < j.ReservedUntil
-		w.turn = j.EligibleAt
+		w := &pendingJob{job: j, withinGuarantee: fitsGuarantee(c.guarantee(s.Team), sums[s.Team])}
+		w.deadlineMissed, w.hasReservation = c.isDeadlineMissed(j), at < j.ReservedUntil
+		w.queueOrder = j.EligibleAt
 		if s.Kind == protocol.Array {
 			// Jobs count alike, so a large one lets small ones pass that come a
 			// little later: by its work, spread over some machines.
-			w.turn += c.class(s.Class).length(s) * micros(s.Tasks-j.CompletedTasks) / 8
+			w.queueOrder += c.classStats(s.Class).estimatedRuntime(s) * micros(s.Tasks-j.CompletedTasks) / 8
 		}
 		list = append(list, w)
 	}
@@ -411,40 +411,40 @@
 		if x.job.Priority != y.job.Priority {
 			return x.job.Priority < y.job.Priority
 		}
-		if x.room != y.room {
-			return x.room
+		if x.hasReservation != y.hasReservation {
+			return x.hasReservation
 		}
-		if x.missed != y.missed {
-			return y.missed
+		if x.deadlineMissed != y.deadlineMissed {
+			return y.deadlineMissed
 		}
-		if x.within != y.within {
-			return x.within
+		if x.withinGuarantee != y.withinGuarantee {
+			return x.withinGuarantee
 		}
-		return x.turn < y.turn
+		return x.queueOrder < y.queueOrder
 	})
 	return list
 }
 
-// mostTasks is how many tasks of a job one pass looks for places for.
-const mostTasks = 256
+// maxTasksPerCycle is how many tasks of a job one pass looks for places for.
+const maxTasksPerCycle = 256
 
-// request makes a job's request, in its turn. It reports whether there is
+// buildRequest makes a job's request, in its turn. It reports whether there is
 // something to place.
-func (c *Controller) request(w *wanted) bool {
+func (c *Controller) buildRequest(w *pendingJob) bool {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	j := w.job
 	s := j.Spec
 	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.BackoffUntil {
 		return false
 	}
-	if j.Suspect && c.sound(j) {
-		c.acquit(j)
+	if j.Suspect && c.isProven(j) {
+		c.confirmHealthy(j)
 	}
 	if j.Suspect && j.AttemptCount > 0 {
 		return false // what is being tried says whether it can run
 	}
-	if s.Kind == protocol.Gang && (j.GangStarted || c.stopping(j)) {
+	if s.Kind == protocol.Gang && (j.GangStarted || c.hasStoppingAttempt(j)) {
 		return false // what is left of the attempt has to end first
 	}
 	var used map[string]int
@@ -463,8 +463,8 @@
 		return false
 	}
 	first := -1
-	w.tasks = make([]int, 0, min(j.QueuedTasks, mostTasks))
-	for i := j.FirstQueuedTask; i < len(j.Tasks) && len(w.tasks) < mostTasks; i++ {
+	w.tasks = make([]int, 0, min(j.QueuedTasks, maxTasksPerCycle))
+	for i := j.FirstQueuedTask; i < len(j.Tasks) && len(w.tasks) < maxTasksPerCycle; i++ {
 		task := &j.Tasks[i]
 		if task.State != state.TaskQueued {
 			continue
@@ -484,8 +484,8 @@
 	}
 	r := &slottable.Request{
 		Tasks: len(w.tasks), Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: c.class(s.Class).length(s),
-		Guest: guest(j), Frugal: c.frugal(j),
+		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: c.classStats(s.Class).estimatedRuntime(s),
+		Guest: isOpportunistic(j), Frugal: c.usesSpareCapacityOnly(j),
 	}
 	w.request = r
 	if r.Gang && s.SingleZone {
@@ -494,7 +494,7 @@
 	if s.SpreadZones {
 		r.ZoneCap = (s.Tasks + 1) / 2
 	}
-	if due := deadlineOf(j); due > 0 {
+	if due := effectiveDeadline(j); due > 0 {
 		r.Deadline = due - c.operator.DeadlineMargin
 		r.NoBooking = at < j.BookingRetryAt
 	}
@@ -506,12 +506,12 @@
 		failures := j.FailuresByHost
 		r.Avoid = func(name string) bool { return failures[name] > 0 }
 	}
-	if len(j.Reservations) > 0 && !c.takeRooms(w) {
+	if len(j.Reservations) > 0 && !c.applyReservations(w) {
 		return false
 	}
 	for _, b := range j.Bookings {
-		h := t.book.Host(b.Machine)
-		if h == nil || t.rows[h] == nil {
+		h := t.cluster.Host(b.Machine)
+		if h == nil || t.machines[h] == nil {
 			r.Kept = nil
 			break
 		}
@@ -521,24 +521,24 @@
 			r.Hold = true
 			begin = max(begin, at+2*protocol.Second)
 		}
-		r.Kept = append(r.Kept, slottable.Place{Machine: t.rows[h], Begin: begin, Ready: max(b.Ready, begin)})
+		r.Kept = append(r.Kept, slottable.Place{Machine: t.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
 	}
-	r.Patient = c.patience(j)
+	r.Patient = c.startDeadline(j)
 	return true
 }
 
-// takeRooms lets tasks wait for the room that was made for them, rather than
+// applyReservations lets tasks wait for the room that was made for them, rather than
 // fetch elsewhere, and prefer it once it is free. It reports whether there are
 // others, or room.
-func (c *Controller) takeRooms(w *wanted) bool {
+func (c *Controller) applyReservations(w *pendingJob) bool {
 	t := c.term
 	j, r := w.job, w.request
 	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool {
-		return c.at.Steady >= m.Until || t.rows[m.Host] == nil || !c.usable(m.Host)
+		return c.now.Steady >= m.Until || t.machines[m.Host] == nil || !c.isSchedulable(m.Host)
 	})
 	waiting := 0
 	for _, m := range j.Reservations {
-		row := t.rows[m.Host]
+		row := t.machines[m.Host]
 		r.Preferred = append(r.Preferred, row)
 		if !row.Free().Covers(r.Need) {
 			waiting++
@@ -549,27 +549,27 @@
 	return r.Tasks > 0
 }
 
-// overdueFor is how long a job that is too late lets others pass.
-const overdueFor = 600 * protocol.Second
+// maxOvertakenLateness is how long a job that is too late lets others pass.
+const maxOvertakenLateness = 600 * protocol.Second
 
-// missed reports whether a job is too late for whatever was asked of its end.
+// deadlineMissed reports whether a job is too late for whatever was asked of its end.
 // Such a job lets those pass that are not: served in order of submission, in an
 // overload each late job would make the next one late too.
-func (c *Controller) missed(j *state.Job) bool {
-	due := c.dueOf(j)
+func (c *Controller) isDeadlineMissed(j *state.Job) bool {
+	due := c.objectiveDeadline(j)
 	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
 		due = j.InheritedDeadline
 	}
 	if due == 0 {
 		return false
 	}
-	late := c.at.Steady + c.class(j.Spec.Class).length(j.Spec) - due
-	return late > 0 && late < overdueFor
+	late := c.now.Steady + c.classStats(j.Spec.Class).estimatedRuntime(j.Spec) - due
+	return late > 0 && late < maxOvertakenLateness
 }
 
-// dueOf is when a job should have ended, by its deadline and the latest aim on the end
+// objectiveDeadline is when a job should have ended, by its deadline and the latest aim on the end
 // of its class; 0: nothing is asked of its end.
-func (c *Controller) dueOf(j *state.Job) micros {
+func (c *Controller) objectiveDeadline(j *state.Job) micros {
 	s := j.Spec
 	var due micros
 	if s.Kind == protocol.Service {
@@ -586,8 +586,8 @@
 	return due
 }
 
-// stopping reports whether an attempt of a job is being stopped.
-func (c *Controller) stopping(j *state.Job) bool {
+// hasStoppingAttempt reports whether an attempt of a job is being stopped.
+func (c *Controller) hasStoppingAttempt(j *state.Job) bool {
 	for _, a := range j.ActiveAttempts() {
 		if task := a.Task(); a.StopRequested && task != nil && task.Current == a {
 			return true
@@ -601,22 +601,22 @@
 	return team.Guarantee
 }
 
-func holdsGuarantee(g, sum protocol.Resources) bool {
+func fitsGuarantee(g, sum protocol.Resources) bool {
 	return (g.CPU == 0 || sum.CPU <= g.CPU) && (g.GPU == 0 || sum.GPU <= g.GPU) && (g.CPU > 0 || g.GPU > 0)
 }
 
-// allowance is how many more tasks of a job its team's limit allows, with all
+// quotaAllowance is how many more tasks of a job its team's limit allows, with all
 // that may still be on hosts counted, and what is held for others of the team.
-func (c *Controller) allowance(p *pass, j *state.Job, held protocol.Resources) int {
+func (c *Controller) quotaAllowance(p *schedulingCycle, j *state.Job, held protocol.Resources) int {
 	t := c.term
 	team, _ := c.team(j.Spec.Team)
 	limit := team.Limit
-	used := t.book.UsedByTeam[j.Spec.Team].Add(held, 1)
-	if !t.recovered && t.unlisted && limit != (protocol.Resources{}) {
-		if p.unknown {
+	used := t.cluster.UsedByTeam[j.Spec.Team].Add(held, 1)
+	if !t.reconciled && t.launchesUnrecorded && limit != (protocol.Resources{}) {
+		if p.unknownTypes {
 			return 0
 		}
-		used = used.Add(p.unproven, 1)
+		used = used.Add(p.unreconciled, 1)
 	}
 	n := int64(protocol.MaxTasks)
 	if limit.CPU > 0 && j.Spec.TaskResources.CPU > 0 {
@@ -628,55 +628,55 @@
 	return int(max(n, 0))
 }
 
-// assign gives a task a place. The launch leaves with the answer to the
+// assignTask gives a task a place. The launch leaves with the answer to the
 // host's next report.
-func (c *Controller) assign(w *wanted, index int, p slottable.Place) {
+func (c *Controller) assignTask(w *pendingJob, index int, p slottable.Place) {
 	t := c.term
 	j := w.job
-	h := t.book.Host(p.Machine.Name)
-	if h == nil || !c.usable(h) {
+	h := t.cluster.Host(p.Machine.Name)
+	if h == nil || !c.isSchedulable(h) {
 		return
 	}
 	var number uint64
 	if j.Spec.Kind == protocol.Gang {
 		if j.GangAttempt == 0 {
-			j.GangAttempt = t.nextAttempt()
+			j.GangAttempt = t.nextAttemptNumber()
 		}
 		number = j.GangAttempt
 	} else {
-		number = t.nextAttempt()
+		number = t.nextAttemptNumber()
 	}
 	name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: number}
 	if h.Find(name) != nil {
 		return // the host still knows this attempt: it would ignore the launch
 	}
-	if !guest(j) {
-		c.clearGuests(h, j.Spec.TaskResources)
+	if !isOpportunistic(j) {
+		c.evictOpportunistic(h, j.Spec.TaskResources)
 	}
-	a := t.book.Attach(c.at.Steady, j, h, name)
+	a := t.cluster.Attach(c.now.Steady, j, h, name)
 	a.ExpectedReady = p.Ready
 	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool { return m.Host == h })
-	t.book.SetAttemptState(c.at.Steady, a, state.AttemptAssigned)
-	c.touchIdle(h)
-	c.recordLaunch(a, c.launchDue(j.Spec))
-	c.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-c.at.Steady)/protocol.Millisecond))
+	t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptAssigned)
+	c.updateIdleSince(h)
+	c.recordLaunch(a, c.launchRecordDue(j.Spec))
+	c.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-c.now.Steady)/protocol.Millisecond))
 }
 
-// nextAttempt makes a number that no epoch has used.
-func (t *term) nextAttempt() uint64 {
-	t.attempts++
-	return t.epoch<<24 | t.attempts
+// nextAttemptNumber makes a number that no epoch has used.
+func (t *leaderTerm) nextAttemptNumber() uint64 {
+	t.attemptSeq++
+	return t.epoch<<24 | t.attemptSeq
 }
 
-// bookingsEvery is how long new bookings are let come together in a record.
-const bookingsEvery = protocol.Second
+// bookingBatchDelay is how long new bookings are let come together in a record.
+const bookingBatchDelay = protocol.Second
 
-// book keeps a deadline job's booking.
-func (c *Controller) book(w *wanted, res slottable.Result) {
+// cluster keeps a deadline job's booking.
+func (c *Controller) persistBooking(w *pendingJob, res slottable.Result) {
 	j := w.job
 	j.BookedStart = res.Booked[0].Begin
 	if j.Spec.Deadline > 0 && res.Viable && !j.BookingPersisted {
 		j.BookingPersisted = true
-		c.term.bookingPages.put(j.Spec.Ref, bookingBytes(j.Spec.Ref), c.room(), c.at.Steady+bookingsEvery, false)
+		c.term.bookingShards.put(j.Spec.Ref, bookingRecordSize(j.Spec.Ref), c.shardCapacity(), c.now.Steady+bookingBatchDelay, false)
 	}
 }
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -4,7 +4,7 @@
 
 // writeRate is how many changes a second the leader may make.
 func (c *Controller) writeRate() float64 {
-	return max(1, c.limits.rate*WriteShare(len(c.platform.Peers)+1, true))
+	return max(1, c.stateLimits.writeRate*WriteShare(len(c.platform.Peers)+1, true))
 }
 
 // WriteShare is the part of the rate of changes, and of the cloud's, that a node
--- a/internal/controller/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -9,7 +9,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// told makes a controller that follows, and what it logs.
+// sentToPeers makes a controller that follows, and what it logs.
 func told() (*Controller, *bytes.Buffer) {
 	var log bytes.Buffer
 	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
@@ -22,30 +22,30 @@
 // is an answer, and was taken for an outage at first.
 func TestUnreachableIsToldOnce(t *testing.T) {
 	c, log := told()
-	end := func(r *reach, after micros, d CallDone) {
-		c.at.Steady += after
-		c.heard(r, d)
+	end := func(r *serviceHealth, after micros, d CallResult) {
+		c.now.Steady += after
+		c.observeServiceCall(r, d)
 	}
 	for range 5 {
-		end(&c.stateReach, protocol.Second, CallDone{})
-		end(&c.stateReach, protocol.Second, CallDone{Status: 200})
-		end(&c.cloudReach, protocol.Second, CallDone{Status: 503, Body: []byte(`{"error":"no capacity"}`)})
-		end(&c.stateReach, 0, CallDone{Unsent: true}) // of its rate: says nothing
+		end(&c.stateServiceHealth, protocol.Second, CallResult{})
+		end(&c.stateServiceHealth, protocol.Second, CallResult{Status: 200})
+		end(&c.cloudHealth, protocol.Second, CallResult{Status: 503, Body: []byte(`{"error":"no capacity"}`)})
+		end(&c.stateServiceHealth, 0, CallResult{NotSent: true}) // of its rate: says nothing
 	}
 	// Many failures at one moment are one lost connection, not an outage.
 	for range 10 {
-		end(&c.stateReach, 0, CallDone{})
+		end(&c.stateServiceHealth, 0, CallResult{})
 	}
 	if log.Len() > 0 {
 		t.Errorf("told of nothing: %s", log)
 	}
-	end(&c.stateReach, 0, CallDone{Status: 404})
+	end(&c.stateServiceHealth, 0, CallResult{Status: 404})
 	for range 100 {
-		end(&c.stateReach, protocol.Second/2, CallDone{Status: 503})
-		end(&c.cloudReach, protocol.Second/2, CallDone{Refused: true, Unsent: true})
+		end(&c.stateServiceHealth, protocol.Second/2, CallResult{Status: 503})
+		end(&c.cloudHealth, protocol.Second/2, CallResult{ConnectionRefused: true, NotSent: true})
 	}
-	end(&c.stateReach, 0, CallDone{Status: 200})
-	end(&c.cloudReach, 0, CallDone{Status: 200})
+	end(&c.stateServiceHealth, 0, CallResult{Status: 200})
+	end(&c.cloudHealth, 0, CallResult{Status: 200})
 	text := log.String()
 	for _, line := range []string{
 		`level=WARN msg="the state service can't be reached" why=503`, `level=WARN msg="the cloud can't be reached" why=refused`,
@@ -64,7 +64,7 @@
 // seconds while there is any.
 func TestRefusalsAreCounted(t *testing.T) {
 	c, log := told()
-	c.Start(now{})
+	c.Start(instant{})
 	body := []byte(`{"ref":"req-000001","jobclass":"x","owner":"t","shape":"array","rank":"high","shards":1,"cores":1,"gpus":0,"memoryGb":1,"bundle":"i","sizeGb":1,` +
 		`"flavors":null,"region":null,"samePlace":false,"apart":false,"reclaimable":false,"expectS":5,"snapshotEveryS":0,"snapshotS":0,"dueS":null}`)
 	answered := 0
@@ -78,21 +78,21 @@
 				}
 			case Call:
 				if strings.HasPrefix(e.Path, "/store/types") {
-					note(c.Step(c.at, CallDone{ID: e.ID, Status: 404, Body: []byte(`{"generation":1}`)}))
+					note(c.Step(c.now, CallResult{ID: e.ID, Status: 404, Body: []byte(`{"generation":1}`)}))
 				}
 			}
 		}
 	}
 	for i := range 3 {
-		note(c.Step(now{Steady: protocol.Second + micros(i)}, UserCall{Op: protocol.OpSubmit, Body: body}))
-		note(c.Step(now{Steady: protocol.Second + micros(i)}, UserCall{Op: protocol.OpCancel, Ref: "req-000002"}))
+		note(c.Step(instant{Steady: protocol.Second + micros(i)}, UserRequest{Op: protocol.OpSubmit, Body: body}))
+		note(c.Step(instant{Steady: protocol.Second + micros(i)}, UserRequest{Op: protocol.OpCancel, Ref: "req-000002"}))
 	}
 	s := c.Snapshot()
-	if answered != 6 || s.Refused[refusedTypes] != 3 || s.Refused[refusedNoLeader] != 3 || s.Hosts != nil {
+	if answered != 6 || s.Refused[refusalMachineTypes] != 3 || s.Refused[refusalNoLeader] != 3 || s.Hosts != nil {
 		t.Errorf("%d answered, %v", answered, s.Refused)
 	}
-	c.Step(now{Steady: 2 * protocol.Second}, Tick{})
-	c.Step(now{Steady: 30 * protocol.Second}, Tick{})
+	c.Step(instant{Steady: 2 * protocol.Second}, Tick{})
+	c.Step(instant{Steady: 30 * protocol.Second}, Tick{})
 	if n := strings.Count(log.String(), "refused for now"); n != 2 {
 		t.Errorf("told %d times:\n%s", n, log)
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -11,100 +11,100 @@
 	"mapleslip/internal/state"
 )
 
-// term is what a leader knows and does during one epoch.
-type term struct {
-	book      *state.Cluster
+// leaderTerm is what a leader knows and does during one epoch.
+type leaderTerm struct {
+	cluster      *state.Cluster
 	epoch     uint64
-	started   micros
-	led       micros      // when the records were read
-	stages    []SpanStage // of the take-over, for tracing
-	recovered bool        // every recorded host has reported or is proven empty
-	dirty     bool        // something changed that a round should look at
-	lastRound micros
+	startedAt   micros
+	recordsLoadedAt       micros      // when the records were read
+	recoveryStages    []SpanStage // of the take-over, for tracing
+	reconciled bool        // every recorded host has reported or is proven empty
+	cycleNeeded     bool        // something changed that a round should look at
+	lastCycle micros
 	lastSweep micros
-	attempts  uint64 // counter for attempt numbers
-	claims    uint64 // counter for claim names
-
-	submits            map[string][]Address // submissions whose record is on its way
-	admitted, pressing admission            // lines of submissions: of most jobs, and of those that have to start at once
-	cancels            map[string][]Address
-	gone               map[string]micros // machines that are certainly gone, and since when
-	rental             rental
-	others             map[string]stand  // what the other controllers said of themselves
-	stood              bool              // each has said that it answers nobody under an earlier epoch
-	cutSeen            map[string]micros // when a zone last looked cut off
-	classes            map[string]*class
-
-	table slottable.Table
-	rows  map[*state.Host]*slottable.Machine
-	pass  *pass // over the queue, cut short or not
-
-	hostPages    *pages // records of hosts, bookings and completions
-	bookingPages *pages
-	donePages    *pages
-	launchPages  *pages
+	attemptSeq  uint64 // counter for attempt numbers
+	rentRequestSeq    uint64 // counter for claim names
+
+	pendingSubmits            map[string][]ReplyAddress // submissions whose record is on its way
+	submitLimiter, urgentSubmitLimiter submitLimiter            // lines of submissions: of most jobs, and of those that have to start at once
+	pendingCancels            map[string][]ReplyAddress
+	releasedHosts               map[string]micros // machines that are certainly gone, and since when
+	autoscaler             autoscaler
+	peers             map[string]peerStatus  // what the other controllers said of themselves
+	peersQuiesced              bool              // each has said that it answers nobody under an earlier epoch
+	partitionSeenAt            map[string]micros // when a zone last looked cut off
+	classes            map[string]*classStats
+
+	slotTable slottable.Table
+	machines  map[*state.Host]*slottable.Machine
+	cycle  *schedulingCycle // over the queue, cut short or not
+
+	hostShards    *recordShards // records of hosts, bookings and completions
+	bookingShards *recordShards
+	completionShards    *recordShards
+	launchShards  *recordShards
 	launches     map[string]*state.Attempt // by task, those that a record names or will
-	launchesSent micros                    // when a record of launches was last sent
+	launchesWrittenAt micros                    // when a record of launches was last sent
 	finals       finalWriter
-	memory       remembering
-	yields       []protocol.LeadershipTransfer   // leases that were given back lately
-	yielding     bool               // this one is being given back
-	served       slo.Window         // which part of each class and team is served
-	longest      map[string]micros  // for which a largest job has waited to begin, by class
-	verdict      leadership.Decision // last found
-	unlisted     bool               // earlier launches may be in no record, see EncodeEpoch
-	chunks       chunkWriter
+	handover       handoverWriter
+	transfers       []protocol.LeadershipTransfer   // leases that were given back lately
+	transferInFlight     bool               // this one is being given back
+	sloWindow       slo.Window         // which part of each class and team is served
+	longestStartWait      map[string]micros  // for which a largest job has waited to begin, by class
+	transferDecision      leadership.Decision // last found
+	launchesUnrecorded     bool               // earlier launches may be in no record, see EncodeEpoch
+	chunkWriter       chunkWriter
 
-	toCall  []*state.Host // hosts that commands wait for
-	calling int           // direct commands on their way
-	probes  prober
+	commandQueue  []*state.Host // hosts that commands wait for
+	commandsInFlight int           // direct commands on their way
+	prober  prober
 
-	chains chains // jobs that await others
+	dependencies dependencyGraph // jobs that await others
 
-	orphans  []string // keys to be dropped
-	dropping bool
+	orphanedKeys  []string // keys to be dropped
+	droppingOrphans bool
 
-	nextImages micros
+	nextImageRecord micros
 
 	rollouts rolloutTerm
 	config   configTerm
-	levels   levelTerm
+	features   featureTerm
 
-	cutLog, budgetLog micros // when what they are about was last logged
+	lastCutLog, lastBudgetLog micros // when what they are about was last logged
 }
 
-// newTerm is what a leader of the seat's epoch knows before it has read anything.
-func (c *Controller) newTerm() *term {
-	t := &term{
-		book: state.NewCluster(), epoch: c.seat.epoch, started: c.at.Steady,
-		submits: make(map[string][]Address), cancels: make(map[string][]Address), gone: make(map[string]micros),
-		classes: make(map[string]*class), others: make(map[string]stand), cutSeen: make(map[string]micros), rows: make(map[*state.Host]*slottable.Machine),
+// newLeaderTerm is what a leader of the seat's epoch knows before it has read anything.
+func (c *Controller) newLeaderTerm() *leaderTerm {
+	t := &leaderTerm{
+		cluster: state.NewCluster(), epoch: c.lease.epoch, startedAt: c.now.Steady,
+		pendingSubmits: make(map[string][]ReplyAddress), pendingCancels: make(map[string][]ReplyAddress), releasedHosts: make(map[string]micros),
+		classes: make(map[string]*classStats), peers: make(map[string]peerStatus), partitionSeenAt: make(map[string]micros), machines: make(map[*state.Host]*slottable.Machine),
 	}
-	t.rental.init()
-	t.chains = newChains()
-	t.probes.init()
-	t.hostPages = c.newPages(state.HostShardPrefix, c.hostRecord)
-	t.bookingPages = c.newPages(state.BookingShardPrefix, c.bookingRecord)
-	t.donePages = c.newPages(state.CompletionShardPrefix, c.doneRecord)
-	t.launchPages = c.newPages(state.LaunchShardPrefix, c.launchRecord)
-	t.longest = make(map[string]micros)
+	t.autoscaler.init()
+	t.dependencies = newDependencyGraph()
+	t.prober.init()
+	t.hostShards = c.newRecordShards(state.HostShardPrefix, c.encodeHosts)
+	t.bookingShards = c.newRecordShards(state.BookingShardPrefix, c.encodeBookings)
+	t.completionShards = c.newRecordShards(state.CompletionShardPrefix, c.encodeCompletions)
+	t.launchShards = c.newRecordShards(state.LaunchShardPrefix, c.encodeLaunches)
+	t.longestStartWait = make(map[string]micros)
 	t.launches = make(map[string]*state.Attempt)
-	t.unlisted, t.yields = c.seat.unlisted, c.seat.yields
-	c.initRollouts(t)
-	c.initConfig(t)
+	t.launchesUnrecorded, t.transfers = c.lease.launchesUnrecorded, c.lease.transfers
+	c.initRolloutTerm(t)
+	c.initConfigTerm(t)
 	return t
 }
 
-// steadyOf turns a time of day into the steady clock's.
-func (c *Controller) steadyOf(wall micros) micros { return c.at.Steady + wall - c.at.Wall }
+// steadyTime turns a time of day into the steady clock's.
+func (c *Controller) steadyTime(wall micros) micros { return c.now.Steady + wall - c.now.Wall }
 
-// followJobs notices the jobs that other nodes took while this one could not
+// watchJobs notices the jobs that other nodes took while this one could not
 // be reached. After changes were missed it reads them all again.
-func (c *Controller) followJobs(t *term, rev uint64) {
+func (c *Controller) watchJobs(t *leaderTerm, rev uint64) {
 	gone := func() bool { return c.term != t }
 	take := func(e protocol.Entry) {
 		if e.Value != nil && !gone() {
-			c.learnJob(e)
+			c.observeJobRecord(e)
 		}
 	}
 	var reread func()
@@ -112,104 +112,104 @@
 		if gone() {
 			return
 		}
-		c.list(prioUrgent, state.JobPrefix, take, func(rev uint64, ok bool) {
+		c.listPrefix(priorityUrgent, state.JobPrefix, take, func(rev uint64, ok bool) {
 			switch {
 			case gone():
 			case ok:
-				c.followJobs(t, rev)
+				c.watchJobs(t, rev)
 			default:
 				c.after(protocol.Second, reread)
 			}
 		})
 	}
-	c.watch(prioUrgent, state.JobPrefix, rev, gone, take, reread)
+	c.watchPrefix(priorityUrgent, state.JobPrefix, rev, gone, take, reread)
 }
 
-// learnJob takes a job's record into the book, unless it is there.
-func (c *Controller) learnJob(e protocol.Entry) *state.Job {
+// observeJobRecord takes a job's record into the book, unless it is there.
+func (c *Controller) observeJobRecord(e protocol.Entry) *state.Job {
 	t := c.term
 	ref := strings.TrimPrefix(e.Key, state.JobPrefix)
-	if j := t.book.Job(ref); j != nil {
+	if j := t.cluster.Job(ref); j != nil {
 		return j
 	}
-	if _, over := c.finals.find(ref); over {
+	if _, over := c.finishedJobs.find(ref); over {
 		return nil
 	}
 	j, err := state.DecodeJob(e.Value)
 	if err != nil || j.Spec.Ref != ref {
-		c.damaged(e, err)
+		c.logDamagedRecord(e, err)
 		return nil
 	}
 	j.Revision = e.Revision
-	c.enter(j)
+	c.addJob(j)
 	return j
 }
 
-// enter puts a job into the book.
-func (c *Controller) enter(j *state.Job) {
+// addJob puts a job into the book.
+func (c *Controller) addJob(j *state.Job) {
 	t := c.term
-	j.Submitted = min(c.at.Steady, c.steadyOf(j.SubmittedWall))
-	t.book.AddJob(j)
-	c.link(j)
+	j.Submitted = min(c.now.Steady, c.steadyTime(j.SubmittedWall))
+	t.cluster.AddJob(j)
+	c.linkDependencies(j)
 	// An attempt of a job that was not known yet may have been reported.
-	for _, a := range t.book.BindAttempts(c.at.Steady, j) {
-		c.began(j)
-		c.recordLaunch(a, c.at.Steady)
+	for _, a := range t.cluster.BindAttempts(c.now.Steady, j) {
+		c.onTaskLaunched(j)
+		c.recordLaunch(a, c.now.Steady)
 	}
 	if len(j.Spec.DependsOn) == 0 {
-		c.class(j.Spec.Class).arrived(c.at.Steady, j)
+		c.classStats(j.Spec.Class).onArrival(c.now.Steady, j)
 	}
 	c.log.Debug("job", "ref", j.Spec.Ref, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", j.Spec.Tasks, "rank", int(j.Spec.Priority),
 		"cpus", float64(j.Spec.TaskResources.CPU)/1000, "gpus", float64(j.Spec.TaskResources.GPU)/1000, "mem_gb", float64(j.Spec.TaskResources.Memory)/1000, "saves", j.Spec.CanCheckpoint(), "estimate_ms", int64(j.Spec.EstimatedRuntime/protocol.Millisecond))
-	t.dirty = true
+	t.cycleNeeded = true
 }
 
 // sweepEvery is how often everything is looked at that only time changes.
 const sweepEvery = 200 * protocol.Millisecond
 
-// pulse does what is due while this node leads. It comes with ticks only, so
+// runPeriodicWork does what is due while this node leads. It comes with ticks only, so
 // that an event costs what it is about and nothing else.
-func (c *Controller) pulse() {
+func (c *Controller) runPeriodicWork() {
 	t := c.term
-	if c.role != Leading && c.role != Doubtful {
+	if c.role != RoleLeader && c.role != RoleLeaseUncertain {
 		return
 	}
-	sweep := c.at.Steady-t.lastSweep >= sweepEvery
+	sweep := c.now.Steady-t.lastSweep >= sweepEvery
 	if sweep {
-		t.lastSweep = c.at.Steady
-		c.watchHosts()
+		t.lastSweep = c.now.Steady
+		c.checkHosts()
 		if c.term != t {
 			return // it resigned
 		}
 	}
 	c.runProbes()
-	if c.role != Leading {
-		c.callHosts()
+	if c.role != RoleLeader {
+		c.sendQueuedCommands()
 		return
 	}
-	c.pulseConfig(t)
-	c.pulseLevel(t)
-	c.stepChains()
+	c.runConfigWork(t)
+	c.checkRegistry(t)
+	c.advanceDependencies()
 	if sweep {
-		c.enforce()
+		c.enforceRevision()
 		c.recordImages()
-		c.closeJobs()
-		c.dropOrphans()
-		c.divideLarge()
+		c.reviewJobs()
+		c.deleteOrphanedRecords()
+		c.splitLargeShards()
 	}
-	c.writePages(t.hostPages)
-	c.writePages(t.launchPages)
-	c.writePages(t.donePages)
-	c.writeChunks()
-	c.writeFinals() // of jobs that ended while the lease was in doubt
-	c.writePages(t.bookingPages)
-	since := c.at.Steady - t.lastRound
-	if t.pass != nil || since >= c.operator.MaxCycleInterval || (t.dirty && since >= c.operator.MinCycleInterval) {
-		c.round()
+	c.writeDueShards(t.hostShards)
+	c.writeDueShards(t.launchShards)
+	c.writeDueShards(t.completionShards)
+	c.writeCompletionChunks()
+	c.writeQueuedFinals() // of jobs that ended while the lease was in doubt
+	c.writeDueShards(t.bookingShards)
+	since := c.now.Steady - t.lastCycle
+	if t.cycle != nil || since >= c.operator.MaxCycleInterval || (t.cycleNeeded && since >= c.operator.MinCycleInterval) {
+		c.runSchedulingStep()
 	}
-	if c.term == t && c.mayStart() {
-		c.callHosts()
-		c.manageRental()
+	if c.term == t && c.mayActAsLeader() {
+		c.sendQueuedCommands()
+		c.sendReleases()
 		c.stepRollouts(rollout.Tick{})
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,7 +19,7 @@
 		Teams: map[string]protocol.Team{"red": {Name: "red"}},
 	}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	return c, c.Start(now{})
+	return c, c.Start(instant{})
 }
 
 // calls are the calls among effects whose path or body has a text.
@@ -42,28 +42,28 @@
 	at := micros(1000)
 	step := func(ev Event) []Effect {
 		at += 500 * protocol.Millisecond
-		return c.Step(now{Steady: at}, ev)
+		return c.Step(instant{Steady: at}, ev)
 	}
 	// It finds no leader, again and again.
 	play := func(effects []Effect) []Effect {
 		for range 10 {
 			effects = append(effects, step(Tick{})...)
 			for _, read := range calls(effects, "/store/lead") {
-				effects = append(effects, step(CallDone{ID: read.ID, Status: 404, Body: []byte(`{"generation":1}`)})...)
+				effects = append(effects, step(CallResult{ID: read.ID, Status: 404, Body: []byte(`{"generation":1}`)})...)
 			}
 		}
 		return effects
 	}
-	effects = play(step(CallDone{ID: lead[0].ID, Status: 404, Body: []byte(`{"generation":1}`)}))
+	effects = play(step(CallResult{ID: lead[0].ID, Status: 404, Body: []byte(`{"generation":1}`)}))
 	if asked := calls(effects, "/leases"); len(asked) > 0 {
 		t.Fatalf("asks for a lease before it is listed: %v", asked)
 	}
-	effects = step(CallDone{ID: entry[0].ID, Status: 404, Body: []byte(`{"generation":1}`)})
+	effects = step(CallResult{ID: entry[0].ID, Status: 404, Body: []byte(`{"generation":1}`)})
 	written := calls(effects, "/commit")
 	if len(written) != 1 || !strings.Contains(string(written[0].Body), `{"when":[{"path":"roster/n0","stamp":0}],"then":[{"set":"roster/n0","data":{"form":1,"node":"n0","low":0,"high":1,`) {
 		t.Fatalf("%v", written)
 	}
-	effects = append(effects, step(CallDone{ID: written[0].ID, Status: 200, Body: []byte(`{"generation":2}`)})...)
+	effects = append(effects, step(CallResult{ID: written[0].ID, Status: 200, Body: []byte(`{"generation":2}`)})...)
 	if asked := calls(play(effects), "/leases"); len(asked) == 0 {
 		t.Error("listed, it does not ask for a lease")
 	}
@@ -73,7 +73,7 @@
 
 // atLevel has a controller know the level by a record with stamp 7.
 func atLevel(c *Controller, l featuregate.Level) {
-	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Revision: 7})
+	c.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Revision: 7})
 }
 
 // What a leader writes that has a form by the level depends on the level's record: a
@@ -81,14 +81,14 @@
 func TestWritesUnderTheLevel(t *testing.T) {
 	c, _ := levelled(t)
 	atLevel(c, 1)
-	c.load()
+	c.startRecovery()
 	term := c.term
-	c.role = Leading
-	c.seat.until = protocol.Forever
-	term.unlisted = true
-	c.yield("n1", map[string]int{"a": 1})
-	c.allListed(term)
-	c.keepTypes(term)
+	c.role = RoleLeader
+	c.lease.validUntil = protocol.Forever
+	term.launchesUnrecorded = true
+	c.transferLeadership("n1", map[string]int{"a": 1})
+	c.confirmLaunchesRecorded(term)
+	c.persistMachineTypes(term)
 	effects := c.flush()
 	for _, key := range []string{state.KeyEpoch, state.KeyTypes} {
 		written := calls(effects, `"set":"`+key+`"`)
@@ -108,23 +108,23 @@
 func TestDirectAcceptanceUnderTheLevel(t *testing.T) {
 	c, _ := levelled(t)
 	atLevel(c, 1)
-	c.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, Zones: []string{"a"}}}
+	c.machineTypes = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, Zones: []string{"a"}}}
 	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Tasks: 1, TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "i"}
 	over := 0
-	c.directSubmit(Address{Conn: 1}, spec, func() { over++ })
+	c.submitWithoutLeader(ReplyAddress{Conn: 1}, spec, func() { over++ })
 	written := calls(c.flush(), `"set":"j/req-000001"`)
 	if len(written) != 1 || !strings.Contains(string(written[0].Body), underLevel) {
 		t.Fatalf("%v", written)
 	}
-	effects := c.Step(now{Steady: 1000}, CallDone{ID: written[0].ID, Status: 409, Body: []byte(`{"failed":["level"],"generation":9}`)})
+	effects := c.Step(instant{Steady: 1000}, CallResult{ID: written[0].ID, Status: 409, Body: []byte(`{"failed":["level"],"generation":9}`)})
 	refused := false
 	for _, e := range effects {
 		if r, ok := e.(Reply); ok {
 			refused = r.Status == 503
 		}
 	}
-	if !refused || over != 1 || c.levels.known || len(calls(effects, "/store/level")) != 1 {
-		t.Errorf("refused %v, over %d, known %v, %v", refused, over, c.levels.known, effects)
+	if !refused || over != 1 || c.features.known || len(calls(effects, "/store/level")) != 1 {
+		t.Errorf("refused %v, over %d, known %v, %v", refused, over, c.features.known, effects)
 	}
 }
 
@@ -132,19 +132,19 @@
 // a controller that knew only some of them would refuse what fits the others.
 func TestTypesThatDoNotFit(t *testing.T) {
 	c, _ := levelled(t)
-	c.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
-	value, fits := c.typesRecord(1)
+	c.machineTypes = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
+	value, fits := c.encodeMachineTypes(1)
 	if types, later, err := state.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
-	c.limits.target.valueBytes = 100
-	value, fits = c.typesRecord(1)
+	c.stateLimits.target.maxValueBytes = 100
+	value, fits = c.encodeMachineTypes(1)
 	if _, later, err := state.DecodeTypes(value); err == nil || !later || fits || len(value) > 100 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
-	c.load()
+	c.startRecovery()
 	c.flush()
-	c.keepTypes(c.term)
+	c.persistMachineTypes(c.term)
 	if written := calls(c.flush(), `"set":"types"`); len(written) > 0 {
 		t.Errorf("those that are kept are overwritten: %s", written[0].Body)
 	}
@@ -153,19 +153,19 @@
 // The level that is known never falls, and features are asked by it.
 func TestAllows(t *testing.T) {
 	c, _ := levelled(t)
-	if c.allows(featuregate.ChainedJobs) {
+	if c.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("allowed before anything is known")
 	}
 	atLevel(c, 1)
-	if !c.allows(featuregate.ChainedJobs) {
+	if !c.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("not allowed at its level")
 	}
-	c.tookLevel(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Revision: 9})
-	if !c.allows(featuregate.ChainedJobs) || c.levels.known {
-		t.Errorf("after a record that can't be read: %+v", c.levels)
+	c.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Revision: 9})
+	if !c.featureEnabled(featuregate.ChainedJobs) || c.features.known {
+		t.Errorf("after a record that can't be read: %+v", c.features)
 	}
-	c.KnowNoLevels()
-	if c.allows(featuregate.ChainedJobs) {
+	c.DisableFeatureLevels()
+	if c.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("allowed by a version without levels")
 	}
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -8,59 +8,59 @@
 	"mapleslip/internal/state"
 )
 
-// onReport handles a worker's report. Only the leader answers with 200: a
+// onHeartbeat handles a worker's report. Only the leader answers with 200: a
 // worker that gets a 200 it has to drop stays while its lease runs out.
-func (c *Controller) onReport(e WorkerReport) {
+func (c *Controller) onHeartbeat(e WorkerHeartbeat) {
 	r, err := protocol.ParseHeartbeat(e.Body)
 	if err != nil {
-		c.malformed("worker", err)
+		c.logMalformed("worker", err)
 		c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
 		return
 	}
 	switch c.role {
-	case Loading:
+	case RoleRecovering:
 		// The epoch is ours already. The records are not read yet, so there
 		// are no commands; the worker's lease is renewed and its next report
 		// comes under the new epoch.
-		if r.Token <= c.seat.epoch && c.at.Steady < c.seat.until {
-			c.reply(e.Reply, 200, protocol.AppendCommands(nil, c.seat.epoch, 0, nil), 0)
+		if r.Token <= c.lease.epoch && c.now.Steady < c.lease.validUntil {
+			c.reply(e.Reply, 200, protocol.AppendCommands(nil, c.lease.epoch, 0, nil), 0)
 			return
 		}
-		c.unavailable(e.Reply, refusedNotReady)
+		c.replyUnavailable(e.Reply, refusalRecovering)
 		return
-	case Leading, Doubtful:
+	case RoleLeader, RoleLeaseUncertain:
 	default:
 		if e.Reply.Peer {
 			c.reply(e.Reply, 0, nil, 0) // this node does not lead
 			return
 		}
-		if c.isolated() && (r.Zone == c.platform.Zone || !c.narrow && c.keepsZone(c.platform.Zone, r.Zone)) && r.Token > 0 {
+		if c.isIsolatedFromQuorum() && (r.Zone == c.platform.Zone || !c.leaderExpectsOwnZoneOnly && c.mayAnswerZone(c.platform.Zone, r.Zone)) && r.Token > 0 {
 			// Cut off together with the worker: under the token that it knows its
 			// tasks go on. It gets no commands.
-			c.answered = c.at.Steady
+			c.workerAnsweredAt = c.now.Steady
 			c.reply(e.Reply, 200, protocol.AppendCommands(nil, r.Token, 0, nil), 0)
 			return
 		}
-		c.sendOn(e, r)
+		c.redirectOrForward(e, r)
 		return
 	}
 	t := c.term
 	if r.Token > t.epoch {
-		c.deposed("a worker has seen a newer epoch")
+		c.stepDownSuperseded("a worker has seen a newer epoch")
 		c.reply(e.Reply, 421, protocol.LeaderBody(""), 0)
 		return
 	}
-	if _, gone := t.gone[r.Host]; gone {
-		c.unavailable(e.Reply, refusedGone)
+	if _, gone := t.releasedHosts[r.Host]; gone {
+		c.replyUnavailable(e.Reply, refusalHostReleased)
 		return
 	}
-	h := t.book.Host(r.Host)
+	h := t.cluster.Host(r.Host)
 	if h == nil {
-		h = state.NewHost(c.at.Steady, r.Host, r.Type, r.Zone, r.Spot)
-		h.Type = c.typeByName[r.Type]
+		h = state.NewHost(c.now.Steady, r.Host, r.Type, r.Zone, r.Spot)
+		h.Type = c.machineTypeByName[r.Type]
 		h.Unverified, h.Addr = r.Token != t.epoch, r.Addr
-		t.book.AddHost(h)
-		c.probe(t, h)
+		t.cluster.AddHost(h)
+		c.queueProbe(t, h)
 		c.log.Debug("machine reports that was not rented in this term", "host", r.Host)
 	}
 	if h.IsStale(r) {
@@ -78,30 +78,30 @@
 	if !e.Reply.Peer {
 		h.LeaderUnreachableAt, h.ForwardedAt = 0, 0
 	} else {
-		h.ForwardedAt = c.at.Steady
-		if e.Returned {
-			h.LeaderUnreachableAt = c.at.Steady
+		h.ForwardedAt = c.now.Steady
+		if e.ReturnedFromLeader {
+			h.LeaderUnreachableAt = c.now.Steady
 		}
 	}
-	c.takeReport(h, r, false)
-	cmds := c.commands(h)
-	h.LeaseRenewedAt = max(h.LeaseRenewedAt, c.at.Steady)
-	h.RepliedAt = c.at.Steady
+	c.applyHeartbeat(h, r, false)
+	cmds := c.heartbeatCommands(h)
+	h.LeaseRenewedAt = max(h.LeaseRenewedAt, c.now.Steady)
+	h.RepliedAt = c.now.Steady
 	c.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, cmds), 0)
 }
 
-// takeReport brings the book to what a newer report says. direct tells that
+// applyHeartbeat brings the book to what a newer report says. direct tells that
 // it answers a direct command.
-func (c *Controller) takeReport(h *state.Host, r *protocol.Heartbeat, direct bool) {
+func (c *Controller) applyHeartbeat(h *state.Host, r *protocol.Heartbeat, direct bool) {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	current := r.Token == t.epoch
 	if h.AgentEpoch > 0 && r.AgentEpoch > h.AgentEpoch {
 		// The worker's lease expired: it has killed and forgotten everything.
-		c.loseBefore(h, r.AgentEpoch)
+		c.loseAttemptsBefore(h, r.AgentEpoch)
 	}
 	if r.AgentEpoch > h.AgentEpoch && h.RepliedAt > 0 && at <= h.RepliedAt+c.platform.WorkerLease {
-		h.IneffectiveMessages = deafAfter // an answer since would have kept its lease
+		h.IneffectiveMessages = ineffectiveMessagesLimit // an answer since would have kept its lease
 	}
 	if direct {
 		h.IneffectiveMessages = 0
@@ -118,27 +118,27 @@
 	if current {
 		// It drops what an earlier leader may go on answering. Counted until that one has
 		// certainly stopped, a host that fell silent after a change of leader held the room
-		// of what was on it for three minutes while the cloud could not release it.
+		// shardOf what was on it for three minutes while the cloud could not release it.
 		h.LeaseRenewedAt = min(h.LeaseRenewedAt, at)
 	}
 	h.AgentEpoch, h.Sequence, h.LastContact, h.ProbeFailed = r.AgentEpoch, r.Sequence, at, false
 	h.Addr = r.Addr
 	if h.Type == nil {
-		h.Type, h.Stale = c.typeByName[r.Type], true
+		h.Type, h.Stale = c.machineTypeByName[r.Type], true
 	}
 	if h.State == state.HostBooting || h.State == state.HostSilent {
 		if h.State == state.HostBooting && h.Rented {
 			// One that was there already says nothing of that: a fleet that is there from
 			// the start taught that machines boot in no time.
-			t.rental.booted(h, at)
+			t.autoscaler.observeBoot(h, at)
 		}
 		h.SetState(state.HostReady)
-		c.record(h)
-		t.dirty = true
+		c.recordHost(h)
+		t.cycleNeeded = true
 	}
 	if r.Interrupted != h.Interrupted || r.Interrupted {
 		if !h.Interrupted {
-			t.dirty = true
+			t.cycleNeeded = true
 			c.log.Info("machine will be taken", "host", h.Name, "in_ms", int64(r.InterruptedIn/protocol.Millisecond))
 		}
 		h.Interrupted, h.InterruptedAt = r.Interrupted, at+r.InterruptedIn
@@ -150,7 +150,7 @@
 		// machines rented in its place. One that is in no record and no list may be a
 		// late copy's, of a machine that is gone: it is asked first.
 		h.Reconciled = true
-		t.dirty = true
+		t.cycleNeeded = true
 	}
 	h.HeartbeatCount++
 	missed := false
@@ -158,7 +158,7 @@
 		task := &r.Tasks[i]
 		a := h.Find(task.AttemptName)
 		if a == nil {
-			if !current && !t.unlisted && !(task.State == protocol.TaskExited && task.Reason == protocol.ExitDone) {
+			if !current && !t.launchesUnrecorded && !(task.State == protocol.TaskExited && task.Reason == protocol.ExitDone) {
 				// Whatever may be on a host is in a record. This isn't: what says so is
 				// older than the end of the attempt, a late copy of a report mostly. Taken
 				// for true it held the task, or an old attempt of the whole gang, on a
@@ -166,7 +166,7 @@
 				// next report says so again. A result stays true.
 				continue
 			}
-			a = c.adopt(h, *task)
+			a = c.adoptAttempt(h, *task)
 		}
 		a.LastHeartbeat = h.HeartbeatCount
 		if a.LaunchAgentEpoch == 0 {
@@ -175,14 +175,14 @@
 		if a.State == state.AttemptLaunched {
 			h.IneffectiveMessages = 0 // it came
 		}
-		c.observe(a, *task)
+		c.observeAttempt(a, *task)
 	}
 	for _, a := range h.Attempts() {
 		if a.LastHeartbeat == h.HeartbeatCount || a.State == state.AttemptAssigned {
 			continue
 		}
 		if a.State == state.AttemptExited {
-			t.book.SetAttemptState(at, a, state.AttemptGone)
+			t.cluster.SetAttemptState(at, a, state.AttemptGone)
 			continue
 		}
 		if !a.State.MayRun() {
@@ -214,28 +214,28 @@
 		}
 		// The launch did not arrive, or the task is gone.
 		c.log.Debug("attempt is not on its host", "task", a.Name.TaskName.String(), "host", h.Name, "state", a.State.String())
-		c.lost(a)
+		c.onAttemptLost(a)
 	}
-	c.touchIdle(h)
+	c.updateIdleSince(h)
 }
 
-func (c *Controller) touchIdle(h *state.Host) {
-	if c.held(h) {
-		h.IdleSince = c.at.Steady
+func (c *Controller) updateIdleSince(h *state.Host) {
+	if c.hasRetainingWork(h) {
+		h.IdleSince = c.now.Steady
 	}
 }
 
-// adopt takes an attempt that an earlier leader started into the book.
-func (c *Controller) adopt(h *state.Host, task protocol.TaskStatus) *state.Attempt {
+// adoptAttempt takes an attempt that an earlier leader started into the book.
+func (c *Controller) adoptAttempt(h *state.Host, task protocol.TaskStatus) *state.Attempt {
 	t := c.term
-	j := t.book.Job(task.Job)
+	j := t.cluster.Job(task.Job)
 	if j != nil && task.Index >= len(j.Tasks) {
 		j = nil
 	}
 	if j != nil {
-		c.began(j)
+		c.onTaskLaunched(j)
 	}
-	a := t.book.Attach(c.at.Steady, j, h, task.AttemptName)
+	a := t.cluster.Attach(c.now.Steady, j, h, task.AttemptName)
 	a.Adopted = true
 	if j != nil && j.Spec.Kind == protocol.Gang && task.State != protocol.TaskExited {
 		j.GangAttempt = max(j.GangAttempt, task.Number)
@@ -249,25 +249,25 @@
 	}
 	if j == nil || j.State != state.JobActive || a.Task().Current != a {
 		a.StopRequested = true
-		c.wantCall(h)
+		c.queueCommands(h)
 	}
 	if j != nil && task.State != protocol.TaskExited && a.Task().Current == a {
-		c.recordLaunch(a, c.at.Steady) // a leader of form 1 did not
+		c.recordLaunch(a, c.now.Steady) // a leader of form 1 did not
 	}
 	return a
 }
 
-var stateOf = map[protocol.TaskState]state.AttemptState{
+var attemptStates = map[protocol.TaskState]state.AttemptState{
 	protocol.TaskFetching: state.AttemptFetching, protocol.TaskWaiting: state.AttemptWaiting,
 	protocol.TaskRunning: state.AttemptRunning, protocol.TaskCheckpointing: state.AttemptCheckpointing,
 	protocol.TaskExited: state.AttemptExited,
 }
 
-// observe takes what a report says of one attempt.
-func (c *Controller) observe(a *state.Attempt, task protocol.TaskStatus) {
+// observeAttempt takes what a report says of one attempt.
+func (c *Controller) observeAttempt(a *state.Attempt, task protocol.TaskStatus) {
 	t := c.term
-	at := c.at.Steady
-	to := stateOf[task.State]
+	at := c.now.Steady
+	to := attemptStates[task.State]
 	if a.State == state.AttemptExited || a.State == to {
 		return
 	}
@@ -276,34 +276,34 @@
 	if j != nil && (to == state.AttemptRunning || to == state.AttemptWaiting || to == state.AttemptCheckpointing) {
 		a.Host.AddImage(at, j.Spec.Image, j.Spec.ImageSize)
 		if from == state.AttemptFetching {
-			c.learnFetch(a)
+			c.observeFetch(a)
 		}
 		if to == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.GangAttempt {
 			j.GangStarted = true
 		}
 	}
 	if to == state.AttemptExited {
-		c.exited(a, task)
+		c.onAttemptExited(a, task)
 		return
 	}
-	t.book.SetAttemptState(at, a, to)
+	t.cluster.SetAttemptState(at, a, to)
 	c.log.Debug("task", "task", a.Name.TaskName.String(), "host", a.Host.Name, "state", to.String())
 }
 
 // exited handles the end of an attempt.
-func (c *Controller) exited(a *state.Attempt, task protocol.TaskStatus) {
+func (c *Controller) onAttemptExited(a *state.Attempt, task protocol.TaskStatus) {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	a.ExitReason = task.Reason
 	j, h := a.Job, a.Host
-	t.dirty = true
+	t.cycleNeeded = true
 	c.log.Debug("exited", "task", a.Name.TaskName.String(), "host", h.Name, "why", string(task.Reason), "saved", task.Checkpointed)
 	if j != nil && j.State == state.JobActive && j.CompletedTasks < len(j.Tasks) {
 		switch task.Reason {
 		case protocol.ExitDone:
-			c.completed(a)
+			c.onTaskCompleted(a)
 		case protocol.ExitError:
-			c.failed(a)
+			c.onTaskFailed(a)
 		case protocol.ExitFull:
 			h.FullUntil = at + 2*protocol.Second
 			c.log.Info("start refused: no room", "task", a.Name.TaskName.String(), "host", h.Name)
@@ -313,37 +313,37 @@
 			a.Task().NotBefore = at + 3*protocol.Second
 		}
 	}
-	t.book.SetAttemptState(at, a, state.AttemptExited)
+	t.cluster.SetAttemptState(at, a, state.AttemptExited)
 	if j != nil {
-		c.settle(j)
-		c.checkFinished(j)
+		c.resetSettledGang(j)
+		c.finishIfComplete(j)
 	}
-	c.touchIdle(h)
+	c.updateIdleSince(h)
 }
 
 // settle lets a gang of which nothing is left start anew.
-func (c *Controller) settle(j *state.Job) {
+func (c *Controller) resetSettledGang(j *state.Job) {
 	if j.NoActiveAttempts() {
 		j.GangAttempt, j.GangStarted = 0, false
-		c.endCancelled(j)
+		c.completeCancellation(j)
 	}
 }
 
 // completed handles a task's result.
-func (c *Controller) completed(a *state.Attempt) {
+func (c *Controller) onTaskCompleted(a *state.Attempt) {
 	j := a.Job
 	if j.Spec.Kind == protocol.Service {
 		return // a replica has no end of its own: it is started again
 	}
-	if took := c.at.Steady - a.StartedAt; a.StartedAt > 0 && !a.Adopted {
-		k := c.class(j.Spec.Class)
+	if took := c.now.Steady - a.StartedAt; a.StartedAt > 0 && !a.Adopted {
+		k := c.classStats(j.Spec.Class)
 		// Machines differ by a tenth, estimates by half: only a machine that is
 		// far off for several tasks in a row shows.
-		r := max(0.3, min(5, float64(took)/float64(k.length(j.Spec))))
+		r := max(0.3, min(5, float64(took)/float64(k.estimatedRuntime(j.Spec))))
 		a.Host.RuntimeRatio += (r - a.Host.RuntimeRatio) * 0.25
-		k.ran(j, took)
+		k.onTaskCompleted(j, took)
 	}
-	c.acquit(j)
+	c.confirmHealthy(j)
 	if j.Spec.Kind == protocol.Gang {
 		// The tasks of a gang complete together: if one is done, all are.
 		for i := range j.Tasks {
@@ -353,45 +353,45 @@
 	}
 	j.Complete(a.Name.Index, false)
 	if j.CompletedTasks < len(j.Tasks) {
-		c.markChunk(j, a.Name.Index)
+		c.recordCompletion(j, a.Name.Index)
 	}
 }
 
-// lost notes that an attempt is certainly on no host any more.
-func (c *Controller) lost(a *state.Attempt) {
+// unknownRevision notes that an attempt is certainly on no host any more.
+func (c *Controller) onAttemptLost(a *state.Attempt) {
 	t := c.term
 	j, h := a.Job, a.Host
-	t.book.SetAttemptState(c.at.Steady, a, state.AttemptGone)
+	t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptGone)
 	if j != nil {
-		c.settle(j)
-		c.checkFinished(j)
+		c.resetSettledGang(j)
+		c.finishIfComplete(j)
 	}
-	c.touchIdle(h)
-	t.dirty = true
+	c.updateIdleSince(h)
+	t.cycleNeeded = true
 }
 
-// loseBefore notes that nothing is on a host any more that was launched before a session.
+// loseAttemptsBefore notes that nothing is on a host any more that was launched before a session.
 // Where it is not known in which session an earlier leader's launch left, a higher one
 // proves nothing: what was heard before may be a late copy of a report from an even earlier
 // session, and the launch, a direct command held up on the way, still match this one.
-func (c *Controller) loseBefore(h *state.Host, session uint64) {
-	c.lose(h, "its session ended", func(a *state.Attempt) bool {
+func (c *Controller) loseAttemptsBefore(h *state.Host, session uint64) {
+	c.loseAttempts(h, "its session ended", func(a *state.Attempt) bool {
 		return !a.State.MayRun() || a.LaunchAgentEpoch > 0 && a.LaunchAgentEpoch < session
 	})
 }
 
-// outlived notes that a host's lease has certainly ended, and its session with it.
-func (c *Controller) outlived(h *state.Host) {
+// onAgentLeaseExpired notes that a host's lease has certainly ended, and its session with it.
+func (c *Controller) onAgentLeaseExpired(h *state.Host) {
 	h.EndedAgentEpoch = h.AgentEpoch
-	c.loseAll(h, "silent for longer than its lease")
+	c.loseAllAttempts(h, "silent for longer than its lease")
 }
 
-// loseAll notes that nothing is on a host any more.
-func (c *Controller) loseAll(h *state.Host, why string) {
-	c.lose(h, why, func(*state.Attempt) bool { return true })
+// loseAllAttempts notes that nothing is on a host any more.
+func (c *Controller) loseAllAttempts(h *state.Host, why string) {
+	c.loseAttempts(h, why, func(*state.Attempt) bool { return true })
 }
 
-func (c *Controller) lose(h *state.Host, why string, gone func(*state.Attempt) bool) {
+func (c *Controller) loseAttempts(h *state.Host, why string, gone func(*state.Attempt) bool) {
 	n := 0
 	for _, a := range h.Attempts() {
 		if !gone(a) {
@@ -400,47 +400,47 @@
 		if a.State.MayRun() {
 			n++
 		}
-		c.lost(a)
+		c.onAttemptLost(a)
 	}
-	c.stats.Lost += uint64(n)
+	c.stats.LostTasks += uint64(n)
 	if n > 0 {
 		c.log.Info("tasks lost", "host", h.Name, "tasks", n, "why", why)
 	}
 }
 
-// stop asks for the end of an attempt.
-func (c *Controller) stop(a *state.Attempt, grace micros) {
+// requestStop asks for the end of an attempt.
+func (c *Controller) requestStop(a *state.Attempt, grace micros) {
 	switch {
 	case a.State == state.AttemptAssigned:
-		c.lost(a) // no launch has left
+		c.onAttemptLost(a) // no launch has left
 	case a.State.MayRun():
 		if a.StopRequested {
 			grace = min(grace, a.StopGrace)
 		}
 		a.StopRequested, a.StopGrace = true, grace
 		a.Host.Stale = true
-		c.wantCall(a.Host)
+		c.queueCommands(a.Host)
 	}
 }
 
-// commands is what a report is answered with.
-func (c *Controller) commands(h *state.Host) []protocol.Command {
+// heartbeatCommands is what a report is answered with.
+func (c *Controller) heartbeatCommands(h *state.Host) []protocol.Command {
 	t := c.term
 	if h.Reconciled && h.State == state.HostReleasing {
 		// It was silent, and the cloud has not answered its release: it may report again
 		// for as long as the cloud is down. Without a stop the tasks of cancelled jobs went
 		// on, held their team's limit and had their users wait until the cloud was back.
-		return c.endings(h)
+		return c.cancellationStops(h)
 	}
 	if !h.Reconciled || h.State != state.HostReady {
 		return nil
 	}
-	if !c.mayStart() {
+	if !c.mayActAsLeader() {
 		// While the lease could have ended, workers only get their own
 		// lease renewed, for a time that the leader's record names.
-		return c.endings(h)
+		return c.cancellationStops(h)
 	}
-	at := c.at.Steady
+	at := c.now.Steady
 	var cmds []protocol.Command
 	for _, a := range h.Attempts() {
 		if len(cmds) >= protocol.MaxCommands {
@@ -471,51 +471,51 @@
 				a.StopRequested, a.StopGrace = true, 0
 			}
 			if a.StopRequested && !(a.State == state.AttemptCheckpointing && a.StopGrace > 0) {
-				cmds = append(cmds, c.stopNow(a, a.StopGrace))
+				cmds = append(cmds, c.stopCommand(a, a.StopGrace))
 			}
 		}
 	}
 	// Launches come after the stops that make room for them.
-	for _, a := range c.launchable(h, protocol.MaxCommands-len(cmds)) {
+	for _, a := range c.launchableAttempts(h, protocol.MaxCommands-len(cmds)) {
 		a.LaunchAgentEpoch, a.LaunchSequence, a.LaunchedByHeartbeat = h.AgentEpoch, h.Sequence, true
-		t.book.SetAttemptState(at, a, state.AttemptLaunched)
+		t.cluster.SetAttemptState(at, a, state.AttemptLaunched)
 		cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 	}
 	return cmds
 }
 
-// unwanted reports whether nobody has any use for an attempt: its user asked to cancel
+// isCancelled reports whether nobody has any use for an attempt: its user asked to cancel
 // the job. To stop it needs no lease: the worker heeds a stop only as long as it has seen
 // no newer epoch, and then the user has not been told that the job goes on either. So the
 // tasks of a cancelled job end also while the state service is down for everybody, for
 // longer than a cancellation has, and the user is told as soon as it is back.
-func unwanted(a *state.Attempt) bool {
+func isCancelled(a *state.Attempt) bool {
 	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelledLegacy)
 }
 
-// endings is what a leader may say whose lease could have ended, and all that is said to a
+// cancellationStops is what a leader may say whose lease could have ended, and all that is said to a
 // host that is being released.
-func (c *Controller) endings(h *state.Host) []protocol.Command {
+func (c *Controller) cancellationStops(h *state.Host) []protocol.Command {
 	var cmds []protocol.Command
 	for _, a := range h.Attempts() {
-		if a.State.MayRun() && a.StopRequested && unwanted(a) && len(cmds) < protocol.MaxCommands {
-			cmds = append(cmds, c.stopNow(a, 0))
+		if a.State.MayRun() && a.StopRequested && isCancelled(a) && len(cmds) < protocol.MaxCommands {
+			cmds = append(cmds, c.stopCommand(a, 0))
 		}
 	}
 	return cmds
 }
 
-// stopNow makes the command that stops an attempt.
-func (c *Controller) stopNow(a *state.Attempt, grace micros) protocol.Command {
+// stopCommand makes the command that stops an attempt.
+func (c *Controller) stopCommand(a *state.Attempt, grace micros) protocol.Command {
 	if a.StopSentAt == 0 {
-		a.StopSentAt = c.at.Steady
+		a.StopSentAt = c.now.Steady
 	}
 	return protocol.Command{Verb: protocol.VerbStop, Name: a.Name, Grace: grace}
 }
 
-// launchable lists the attempts whose launch may leave for a host: recorded, and
+// launchableAttempts lists the attempts whose launch may leave for a host: recorded, and
 // with room beside all that is there and not told to end at once.
-func (c *Controller) launchable(h *state.Host, most int) []*state.Attempt {
+func (c *Controller) launchableAttempts(h *state.Host, most int) []*state.Attempt {
 	var list []*state.Attempt
 	var used protocol.Resources
 	for _, a := range h.Attempts() {
@@ -538,94 +538,94 @@
 	return list
 }
 
-// deafAfter is how many answers and calls in a row show no effect when a machine counts
+// ineffectiveMessagesLimit is how many answers and calls in a row show no effect when a machine counts
 // as deaf: its reports arrive, and nothing that is said to it does. Silence does not show
 // that, and a launch that is lost leaves its room free: the same task was launched there
 // again and again, a gang's others waiting for it.
-const deafAfter = 2
+const ineffectiveMessagesLimit = 2
 
-func deaf(h *state.Host) bool { return h.IneffectiveMessages >= deafAfter }
+func ignoresCommands(h *state.Host) bool { return h.IneffectiveMessages >= ineffectiveMessagesLimit }
 
-// callTimeout is how long a worker has to answer a direct command.
-const callTimeout = 2 * protocol.Second
+// commandTimeout is how long a worker has to answer a direct command.
+const commandTimeout = 2 * protocol.Second
 
-// maxCalling bounds the direct commands on their way: each takes a socket, and
+// maxCommandsInFlight bounds the direct commands on their way: each takes a socket, and
 // what does not get its turn goes with the answer to a report.
-const maxCalling = 64
+const maxCommandsInFlight = 64
 
-// wantCall notes that commands wait for a host.
-func (c *Controller) wantCall(h *state.Host) {
+// queueCommands notes that commands wait for a host.
+func (c *Controller) queueCommands(h *state.Host) {
 	if !h.CommandQueued {
 		h.CommandQueued = true
-		c.term.toCall = append(c.term.toCall, h)
+		c.term.commandQueue = append(c.term.commandQueue, h)
 	}
 }
 
-// callHosts sends commands that should not wait for the next report.
-func (c *Controller) callHosts() {
+// sendQueuedCommands sends commands that should not wait for the next report.
+func (c *Controller) sendQueuedCommands() {
 	t := c.term
-	at := c.at.Steady
-	waiting := t.toCall[:0]
-	for i, h := range t.toCall {
-		if t.calling >= maxCalling {
-			waiting = append(waiting, t.toCall[i:]...)
+	at := c.now.Steady
+	waiting := t.commandQueue[:0]
+	for i, h := range t.commandQueue {
+		if t.commandsInFlight >= maxCommandsInFlight {
+			waiting = append(waiting, t.commandQueue[i:]...)
 			break
 		}
 		if h.CommandInFlight {
 			waiting = append(waiting, h)
 			continue
 		}
-		if c.role == Doubtful && !slices.ContainsFunc(h.Attempts(), unwanted) {
+		if c.role == RoleLeaseUncertain && !slices.ContainsFunc(h.Attempts(), isCancelled) {
 			waiting = append(waiting, h) // until the lease certainly holds
 			continue
 		}
 		h.CommandQueued = false
-		if at < h.CommandRetryAt || h.Addr == "" || !c.usable(h) && !h.Interrupted && !c.mute(h) || h.State != state.HostReady || !h.Reconciled {
+		if at < h.CommandRetryAt || h.Addr == "" || !c.isSchedulable(h) && !h.Interrupted && !c.missesHeartbeats(h) || h.State != state.HostReady || !h.Reconciled {
 			continue // they go with the answer to its next report
 		}
 		var cmds []protocol.Command
 		for _, a := range h.Attempts() {
-			if a.State.MayRun() && a.StopRequested && a.StopSentAt == 0 && a.State != state.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == Leading || unwanted(a)) {
-				cmds = append(cmds, c.stopNow(a, a.StopGrace))
+			if a.State.MayRun() && a.StopRequested && a.StopSentAt == 0 && a.State != state.AttemptLaunched && len(cmds) < protocol.MaxCommands && (c.role == RoleLeader || isCancelled(a)) {
+				cmds = append(cmds, c.stopCommand(a, a.StopGrace))
 			}
 		}
 		var launched []*state.Attempt
-		if c.mayStart() {
-			launched = c.launchable(h, protocol.MaxCommands-len(cmds))
+		if c.mayActAsLeader() {
+			launched = c.launchableAttempts(h, protocol.MaxCommands-len(cmds))
 		}
 		for _, a := range launched {
 			cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 		}
 		if len(cmds) > 0 {
-			c.callHost(h, cmds, launched)
+			c.sendCommands(h, cmds, launched)
 		}
 	}
-	t.toCall = waiting
+	t.commandQueue = waiting
 }
 
-// callHost sends a direct command. Until it is answered its launches are in
+// sendCommands sends a direct command. Until it is answered its launches are in
 // doubt: the worker may execute them at any time in the same session, also
 // long after this node has given up.
-func (c *Controller) callHost(h *state.Host, cmds []protocol.Command, launched []*state.Attempt) {
+func (c *Controller) sendCommands(h *state.Host, cmds []protocol.Command, launched []*state.Attempt) {
 	t := c.term
 	h.CommandInFlight = true
-	t.calling++
+	t.commandsInFlight++
 	for _, a := range launched {
 		a.LaunchUncertain, a.LaunchedByHeartbeat = true, false
 		a.LaunchAgentEpoch, a.LaunchSequence = h.AgentEpoch, h.Sequence
-		t.book.SetAttemptState(c.at.Steady, a, state.AttemptLaunched)
+		t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptLaunched)
 	}
 	body := protocol.AppendCommands(nil, t.epoch, h.AgentEpoch, cmds)
-	c.callAddr(ToWorker, "POST", h.Addr, "/commands", body, callTimeout, func(r CallDone) {
+	c.callAddress(ToWorker, "POST", h.Addr, "/commands", body, commandTimeout, func(r CallResult) {
 		if c.term != t {
 			return
 		}
 		h.CommandInFlight = false
-		t.calling--
-		report := c.answerOf(h, r)
+		t.commandsInFlight--
+		report := c.parseCommandResponse(h, r)
 		if report == nil {
-			h.CommandRetryAt = c.at.Steady + 8*protocol.Second
-			if !r.Unsent {
+			h.CommandRetryAt = c.now.Steady + 8*protocol.Second
+			if !r.NotSent {
 				h.IneffectiveMessages++
 				return
 			}
@@ -640,37 +640,37 @@
 		if report == nil {
 			for _, a := range launched {
 				if a.State == state.AttemptLaunched {
-					c.lost(a) // never left
+					c.onAttemptLost(a) // never left
 				}
 			}
 			return
 		}
-		c.takeAnswer(h, report)
+		c.applyCommandResponse(h, report)
 	})
 }
 
-// answerOf reads the report with which a worker answers a call, or nil.
-func (c *Controller) answerOf(h *state.Host, r CallDone) *protocol.Heartbeat {
+// parseCommandResponse reads the report with which a worker answers a call, or nil.
+func (c *Controller) parseCommandResponse(h *state.Host, r CallResult) *protocol.Heartbeat {
 	if r.Status != 200 && r.Status != 409 {
 		return nil
 	}
 	report, err := protocol.ParseHeartbeat(r.Body)
 	if err != nil || report.Host != h.Name {
-		c.malformed("worker", err)
+		c.logMalformed("worker", err)
 		return nil
 	}
 	return report
 }
 
-// takeAnswer takes the report that answered a call, unless a newer one came
+// applyCommandResponse takes the report that answered a call, unless a newer one came
 // first. It tells whether this node still leads.
-func (c *Controller) takeAnswer(h *state.Host, report *protocol.Heartbeat) bool {
+func (c *Controller) applyCommandResponse(h *state.Host, report *protocol.Heartbeat) bool {
 	if report.Token > c.term.epoch {
-		c.deposed("a worker has seen a newer epoch")
+		c.stepDownSuperseded("a worker has seen a newer epoch")
 		return false
 	}
-	if c.term.book.Host(h.Name) == h && !h.IsStale(report) {
-		c.takeReport(h, report, true)
+	if c.term.cluster.Host(h.Name) == h && !h.IsStale(report) {
+		c.applyHeartbeat(h, report, true)
 	}
 	return true
 }
@@ -680,48 +680,48 @@
 // the others waiting.
 type prober struct {
 	queue   []*state.Host
-	busy    int
-	zones   map[string]int // calls on their way, by zone
-	through int            // which of the other nodes was last asked to ask
+	inFlight    int
+	inFlightByZone   map[string]int // calls on their way, by zone
+	nextPeer int            // which of the other nodes was last asked to ask
 }
 
-func (p *prober) init() { p.zones = make(map[string]int) }
+func (p *prober) init() { p.inFlightByZone = make(map[string]int) }
 
 // Most probes on their way, in all and to one zone.
 const (
-	maxProbes     = 48
-	maxZoneProbes = 20
+	maxProbesInFlight     = 48
+	maxProbesPerZone = 20
 )
 
-// MostWorkerCalls is how many calls to workers are on their way at a time: commands,
+// MaxWorkerCalls is how many calls to workers are on their way at a time: commands,
 // questions, and those made for another controller, which leads while this one does not.
-const MostWorkerCalls = maxCalling + maxProbes
+const MaxWorkerCalls = maxCommandsInFlight + maxProbesInFlight
 
-// probe asks a host what is on it, rather than waiting until its worker finds
+// queueProbe asks a host what is on it, rather than waiting until its worker finds
 // this leader.
-func (c *Controller) probe(t *term, h *state.Host) {
+func (c *Controller) queueProbe(t *leaderTerm, h *state.Host) {
 	if h.Addr != "" && !h.Probing {
 		h.Probing = true
-		t.probes.queue = append(t.probes.queue, h)
+		t.prober.queue = append(t.prober.queue, h)
 	}
 }
 
 // runProbes sends the probes that have their turn.
 func (c *Controller) runProbes() {
 	t := c.term
-	p := &t.probes
-	at := c.at.Steady
+	p := &t.prober
+	at := c.now.Steady
 	rest := p.queue[:0]
 	for i, h := range p.queue {
-		if p.busy >= maxProbes {
+		if p.inFlight >= maxProbesInFlight {
 			rest = append(rest, p.queue[i:]...)
 			break
 		}
-		if p.zones[h.Zone] >= maxZoneProbes {
+		if p.inFlightByZone[h.Zone] >= maxProbesPerZone {
 			rest = append(rest, h)
 			continue
 		}
-		if t.book.Host(h.Name) != h || h.Reconciled && at-h.LastContact < c.platform.HeartbeatInterval && !deaf(h) {
+		if t.cluster.Host(h.Name) != h || h.Reconciled && at-h.LastContact < c.platform.HeartbeatInterval && !ignoresCommands(h) {
 			h.Probing = false // it has reported meanwhile
 			continue
 		}
@@ -734,28 +734,28 @@
 // also shows the new epoch: from there on commands of earlier epochs have no
 // effect, and the report in the answer is proof. Otherwise the answer says
 // which session it is.
-func (c *Controller) sendProbe(t *term, h *state.Host, session uint64, tries int) {
-	p := &t.probes
-	p.busy++
-	p.zones[h.Zone]++
+func (c *Controller) sendProbe(t *leaderTerm, h *state.Host, session uint64, tries int) {
+	p := &t.prober
+	p.inFlight++
+	p.inFlightByZone[h.Zone]++
 	body := protocol.AppendCommands(nil, t.epoch, session, nil)
-	asked := c.at.Steady
+	asked := c.now.Steady
 	waiting, failed := 1, false
-	over := func(r CallDone) {
+	over := func(r CallResult) {
 		if c.term != t {
 			return
 		}
 		if waiting--; waiting == 0 {
 			h.Probing = false
 		}
-		if t.book.Host(h.Name) != h {
+		if t.cluster.Host(h.Name) != h {
 			return
 		}
-		if waiting == 0 && failed && h.LastContact < asked && !c.lagging(c.at.Steady-asked+protocol.Second) {
+		if waiting == 0 && failed && h.LastContact < asked && !c.isLagging(c.now.Steady-asked+protocol.Second) {
 			h.ProbeFailed = true
 		}
-		report := c.answerOf(h, r)
-		if report == nil || !c.takeAnswer(h, report) {
+		report := c.parseCommandResponse(h, r)
+		if report == nil || !c.applyCommandResponse(h, report) {
 			return
 		}
 		if tries > 1 && !h.Reconciled && report.AgentEpoch != session {
@@ -763,65 +763,65 @@
 			c.sendProbe(t, h, report.AgentEpoch, tries-1)
 		}
 	}
-	c.callAddr(ToWorker, "POST", h.Addr, "/commands", body, callTimeout, func(r CallDone) {
+	c.callAddress(ToWorker, "POST", h.Addr, "/commands", body, commandTimeout, func(r CallResult) {
 		if c.term == t {
-			p.busy--
-			p.zones[h.Zone]--
+			p.inFlight--
+			p.inFlightByZone[h.Zone]--
 		}
 		// Only a call that was made and got no answer says something, and only
 		// if this node was awake to hear it.
-		failed = r.Status == 0 && !r.unmade()
+		failed = r.Status == 0 && !r.notAttempted()
 		over(r)
 	})
-	if h.Reconciled && c.probeThrough(h, body, over) {
+	if h.Reconciled && c.probeViaPeer(h, body, over) {
 		waiting++
 	}
 }
 
-// silence is after how long without a report a host counts as silent: its
+// silenceThreshold is after how long without a report a host counts as silent: its
 // report is overdue by half of the time between two.
-func (c *Controller) silence() micros { return c.platform.HeartbeatInterval * 3 / 2 }
+func (c *Controller) silenceThreshold() micros { return c.platform.HeartbeatInterval * 3 / 2 }
 
-// cutShare is the part of a zone's hosts that are silent when it counts as cut
+// partitionThreshold is the part of a zone's hosts that are silent when it counts as cut
 // off. The first of them would be released a fixed time after it fell silent, and
 // by then the others have only begun to: with longer times between reports, fewer.
 // In a small zone a few machines that die at once are as many, so it takes half.
-func (c *Controller) cutShare(release micros, hosts int) float64 {
+func (c *Controller) partitionThreshold(release micros, hosts int) float64 {
 	if hosts < 30 {
 		return 0.5
 	}
-	begun := float64(release-c.silence()) / float64(c.platform.HeartbeatInterval)
+	begun := float64(release-c.silenceThreshold()) / float64(c.platform.HeartbeatInterval)
 	return max(0.2, min(0.5, 0.6*begun))
 }
 
-// cutPatience is how many leases the machines of a zone that is cut off are kept, unless
+// partitionRetentionLeases is how many leases the machines of a zone that is cut off are kept, unless
 // the operators say for how long. Four were fewer than a cut of two minutes takes:
 // hsos-foldrenges-fleet released 280 machines just before it ended, and had to boot and
 // fill as many.
-const cutPatience = 8
+const partitionRetentionLeases = 8
 
-// cutKeep is how long the machines of a zone that is cut off are kept.
-func (c *Controller) cutKeep() micros {
+// partitionRetention is how long the machines of a zone that is cut off are kept.
+func (c *Controller) partitionRetention() micros {
 	if c.operator.PartitionRetention > 0 {
 		return c.operator.PartitionRetention
 	}
-	return cutPatience * c.platform.WorkerLease
+	return partitionRetentionLeases * c.platform.WorkerLease
 }
 
-// watchHosts notices silence, proves tasks gone, and sees when every recorded
+// checkHosts notices silence, proves tasks gone, and sees when every recorded
 // host is accounted for.
-func (c *Controller) watchHosts() {
+func (c *Controller) checkHosts() {
 	t := c.term
-	at := c.at.Steady
+	at := c.now.Steady
 	silent, reporting := 0, 0
 	zones := make(map[string]leadership.ZoneWorkers, len(c.platform.Zones))
-	release := max(c.operator.SilentReleaseDelay, c.silence()+callTimeout)
-	for _, h := range t.book.Hosts() {
+	release := max(c.operator.SilentReleaseDelay, c.silenceThreshold()+commandTimeout)
+	for _, h := range t.cluster.Hosts() {
 		if h.State == state.HostReady && (h.Reconciled || !h.Unverified) || h.FromRecord && !h.Reconciled {
 			z := zones[h.Zone]
 			reporting++
 			z.All++
-			if at-h.LastContact > c.silence() {
+			if at-h.LastContact > c.silenceThreshold() {
 				z.Silent++
 			} else if h.LeaderUnreachableAt > 0 && at-h.LeaderUnreachableAt < c.platform.WorkerLease {
 				z.Relayed++
@@ -832,7 +832,7 @@
 			}
 		}
 	}
-	if c.considerYield(zones) {
+	if c.considerTransfer(zones) {
 		return
 	}
 	limit := release
@@ -841,38 +841,38 @@
 		limit = 2 * limit
 	}
 	for name, z := range zones {
-		if z.Silent >= 3 && float64(z.Silent) >= c.cutShare(release, z.All)*float64(z.All) {
-			t.cutSeen[name] = at
+		if z.Silent >= 3 && float64(z.Silent) >= c.partitionThreshold(release, z.All)*float64(z.All) {
+			t.partitionSeenAt[name] = at
 		}
 	}
-	c.keepMemory(release)
+	c.updateHandover(release)
 	unproven := 0
 	lease := c.platform.WorkerLease
-	mayRelease := c.mayStart() && !c.lagging(release)
-	for _, h := range t.book.Hosts() {
+	mayRelease := c.mayActAsLeader() && !c.isLagging(release)
+	for _, h := range t.cluster.Hosts() {
 		if h.FromRecord && !h.Reconciled {
 			unproven++
-		} else if h.State == state.HostReady && at-h.LastContact <= c.silence() {
+		} else if h.State == state.HostReady && at-h.LastContact <= c.silenceThreshold() {
 			if h.Interrupted {
-				c.drainNoticed(h)
+				c.drainInterrupted(h)
 			}
-			if deaf(h) && mayRelease && c.holdsCancelled(h) {
-				c.release(h, "deaf, and a cancelled task may be on it")
-			} else if deaf(h) && at >= h.NextProbe && c.mayStart() {
-				h.NextProbe = at + callTimeout
-				c.probe(t, h)
+			if ignoresCommands(h) && mayRelease && c.mayRunCancelledTask(h) {
+				c.releaseHost(h, "deaf, and a cancelled task may be on it")
+			} else if ignoresCommands(h) && at >= h.NextProbe && c.mayActAsLeader() {
+				h.NextProbe = at + commandTimeout
+				c.queueProbe(t, h)
 			}
 			continue
 		}
 		limit := limit
-		if seen, ok := t.cutSeen[h.Zone]; ok && at-seen < c.cutHolds() {
+		if seen, ok := t.partitionSeenAt[h.Zone]; ok && at-seen < c.partitionHoldTime() {
 			// The zone is cut off: its tasks go on within their leases, and a
 			// release would end them all. After that the machines are worth
 			// keeping for a while, with their images. When the cut ends, its
 			// hosts do not all come back at the same instant.
-			limit = max(limit, c.cutKeep())
+			limit = max(limit, c.partitionRetention())
 		}
-		if deaf(h) {
+		if ignoresCommands(h) {
 			// Its worker goes from node to node, each time after it has waited for an
 			// answer, and comes round to this one only then. When it hears again what is
 			// on it goes on, if that is before its lease ends.
@@ -881,68 +881,68 @@
 		if h.ForwardedAt > 0 && at-h.ForwardedAt < lease {
 			// It is asked to try this node now and then, and comes round to the one
 			// that passes its reports on only after that.
-			limit = max(limit, returnsIn)
+			limit = max(limit, redirectReturnWindow)
 		}
-		expired := c.expired(h)
+		expired := c.leaseExpired(h)
 		switch h.State {
 		case state.HostReady, state.HostBooting:
 			if h.State == state.HostBooting && !h.FromRecord {
 				break // has never reported: holds nothing
 			}
 			if expired {
-				c.outlived(h)
+				c.onAgentLeaseExpired(h)
 				h.SetState(state.HostSilent)
 				h.Reconciled = true
-			} else if at-h.LastContact > c.silence() && (h.ProbeFailed || at-t.led > c.silence()) && mayRelease && c.holdsCancelled(h) {
-				c.release(h, "silent, and a cancelled task may be on it")
-			} else if at-h.LastContact > limit && (h.ProbeFailed || h.Addr == "" || at-max(h.LastContact, t.led) > limit+limit/2) && mayRelease {
+			} else if at-h.LastContact > c.silenceThreshold() && (h.ProbeFailed || at-t.recordsLoadedAt > c.silenceThreshold()) && mayRelease && c.mayRunCancelledTask(h) {
+				c.releaseHost(h, "silent, and a cancelled task may be on it")
+			} else if at-h.LastContact > limit && (h.ProbeFailed || h.Addr == "" || at-max(h.LastContact, t.recordsLoadedAt) > limit+limit/2) && mayRelease {
 				// It neither reports nor answers.
-				c.release(h, "silent")
-			} else if at-h.LastContact > c.silence() && at >= h.NextProbe && c.mayStart() {
-				h.NextProbe = at + callTimeout
-				c.probe(t, h)
+				c.releaseHost(h, "silent")
+			} else if at-h.LastContact > c.silenceThreshold() && at >= h.NextProbe && c.mayActAsLeader() {
+				h.NextProbe = at + commandTimeout
+				c.queueProbe(t, h)
 			}
 		case state.HostSilent:
 			if at-h.LastContact > limit+lease && mayRelease {
-				c.release(h, "silent")
+				c.releaseHost(h, "silent")
 			}
 		case state.HostReleasing:
 			if expired && !h.Reconciled {
 				h.Reconciled = true
 			}
 			if expired {
-				c.outlived(h)
+				c.onAgentLeaseExpired(h)
 			}
 		}
 		if h.Interrupted && h.State == state.HostReady {
-			c.drainNoticed(h)
+			c.drainInterrupted(h)
 		}
 	}
-	if unproven == 0 && !t.recovered {
-		t.recovered = true
-		t.dirty = true
-		c.allListed(t)
-		c.tookOver()
-		c.log.Info("all hosts accounted for", "epoch", t.epoch, "took_ms", int64((at-t.started)/protocol.Millisecond), "hosts", len(t.book.Hosts()))
+	if unproven == 0 && !t.reconciled {
+		t.reconciled = true
+		t.cycleNeeded = true
+		c.confirmLaunchesRecorded(t)
+		c.emitFailoverSpan()
+		c.log.Info("all hosts accounted for", "epoch", t.epoch, "took_ms", int64((at-t.startedAt)/protocol.Millisecond), "hosts", len(t.cluster.Hosts()))
 	}
 }
 
-// holdsCancelled reports whether a task may be on a host whose job was cancelled
+// mayRunCancelledTask reports whether a task may be on a host whose job was cancelled
 // so long ago that it has to be gone soon. Half of the time allowed is left to
 // the cloud, which may be in trouble itself.
-func (c *Controller) holdsCancelled(h *state.Host) bool {
+func (c *Controller) mayRunCancelledTask(h *state.Host) bool {
 	for _, a := range h.Attempts() {
 		if j := a.Job; j != nil && a.State.MayRun() && (j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) &&
-			c.at.Wall-j.CancelRequestedWall > c.platform.CancelTimeout/2 {
+			c.now.Wall-j.CancelRequestedWall > c.platform.CancelTimeout/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// drainNoticed saves what it can from a machine that is about to be taken.
-func (c *Controller) drainNoticed(h *state.Host) {
-	left := h.InterruptedAt - c.at.Steady
+// drainInterrupted saves what it can from a machine that is about to be taken.
+func (c *Controller) drainInterrupted(h *state.Host) {
+	left := h.InterruptedAt - c.now.Steady
 	for _, a := range h.Attempts() {
 		j := a.Job
 		if j == nil || a.StopRequested || !a.State.HoldsResources() {
@@ -950,11 +950,11 @@
 		}
 		switch {
 		case a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching:
-			c.stop(a, 0)
+			c.requestStop(a, 0)
 		case j.Spec.Kind == protocol.Service:
-			c.stop(a, 0)
+			c.requestStop(a, 0)
 		case j.Spec.CanCheckpoint() && left < j.Spec.CheckpointDuration+2*c.platform.HeartbeatInterval:
-			c.stop(a, j.Spec.CheckpointDuration+protocol.Second)
+			c.requestStop(a, j.Spec.CheckpointDuration+protocol.Second)
 		}
 	}
 }
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -224,7 +224,7 @@
 	if g == nil {
 		return
 	}
-	if r, ok := n.ctl.GoesBy(); ok && r < g.reported && !g.spoilt {
+	if r, ok := n.ctl.EffectiveRevision(); ok && r < g.reported && !g.spoilt {
 		w.broken("old revision: %s goes by %d, and %d was told to be in force", n.name, r, g.reported)
 	}
 }
@@ -258,7 +258,7 @@
 		w.nextConn++
 		w.answers[w.nextConn] = take
 		w.after(5*protocol.Second, func() { take(0, nil) })
-		w.step(n, controller.UserCall{Reply: controller.Address{Conn: w.nextConn}, Op: op, Ref: ref, Body: body})
+		w.step(n, controller.UserRequest{Reply: controller.ReplyAddress{Conn: w.nextConn}, Op: op, Ref: ref, Body: body})
 	}
 	try(50)
 }
@@ -369,7 +369,7 @@
 		got = strconv.Itoa(g.writes)
 	case "goes-by": // goes-by NODE REVISION, or nothing
 		got = "nothing"
-		if r, ok := w.nodeNamed(words[1]).ctl.GoesBy(); ok {
+		if r, ok := w.nodeNamed(words[1]).ctl.EffectiveRevision(); ok {
 			got = strconv.FormatUint(r, 10)
 		}
 		words = words[1:]
@@ -391,7 +391,7 @@
 		words = words[1:]
 	case "settled": // each controller goes by the last revision, and an operator was told so
 		for _, n := range w.nodes {
-			if r, ok := n.ctl.GoesBy(); !ok || r != g.last || g.reported != g.last {
+			if r, ok := n.ctl.EffectiveRevision(); !ok || r != g.last || g.reported != g.last {
 				return fmt.Errorf("%s goes by %d (%t), the last one is %d, in force %d", n.name, r, ok, g.last, g.reported)
 			}
 		}
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -36,11 +36,11 @@
 		fmt.Fprintf(d.sum, "reply %d %t %d %d %t %q\n", e.To.Conn, e.To.Peer, e.Status, e.RetryAfter, e.Frame, e.Body)
 	case controller.Call:
 		fmt.Fprintf(d.sum, "call %d %q %q %q %d %d %d %q\n", e.Target, e.Addr, e.Method, e.Path, e.Timeout, e.Priority, e.Changes, e.Body)
-	case controller.Share:
+	case controller.RateShare:
 		fmt.Fprintf(d.sum, "share %t\n", e.Leads)
 	case controller.WriteRate:
 		fmt.Fprintf(d.sum, "write rate %v %t\n", e.PerSecond, e.Lowered)
-	case controller.LogLevel:
+	case controller.SetLogLevel:
 		fmt.Fprintf(d.sum, "log level %q\n", e.Level)
 	}
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestDigestShowsEachField(t *testing.T) {
-	reply := controller.Reply{To: controller.Address{Conn: 7}, Status: 200, Body: []byte(`{"phase":"queued"}`)}
+	reply := controller.Reply{To: controller.ReplyAddress{Conn: 7}, Status: 200, Body: []byte(`{"phase":"queued"}`)}
 	call := controller.Call{Target: controller.ToState, Method: "GET", Path: "/store/epoch", Timeout: 5, Priority: 1}
 	withReply := func(change func(*controller.Reply)) controller.Effect {
 		changed := reply
@@ -103,11 +103,11 @@
 		"call timeout":      {1, "node-0", withCall(func(c *controller.Call) { c.Timeout = 6 })},
 		"call priority":     {1, "node-0", withCall(func(c *controller.Call) { c.Priority = 2 })},
 		"call changes":      {1, "node-0", withCall(func(c *controller.Call) { c.Changes = 1 })},
-		"share":             {1, "node-0", controller.Share{Leads: true}},
-		"share lost":        {1, "node-0", controller.Share{}},
+		"share":             {1, "node-0", controller.RateShare{Leads: true}},
+		"share lost":        {1, "node-0", controller.RateShare{}},
 		"write rate":        {1, "node-0", controller.WriteRate{PerSecond: 35}},
 		"write rate raised": {1, "node-0", controller.WriteRate{PerSecond: 40}},
-		"log level":         {1, "node-0", controller.LogLevel{Level: "debug"}},
+		"log level":         {1, "node-0", controller.SetLogLevel{Level: "debug"}},
 	}
 	seen := make(map[string]string)
 	for name, test := range tests {
--- a/internal/simulation/handover_test.go
+++ b/internal/simulation/handover_test.go
@@ -119,7 +119,7 @@
 	return 0
 }
 
-// outOfReach has all machines out of reach from a moment before the hand-over to well after
+// cannotReachLeader has all machines out of reach from a moment before the hand-over to well after
 // it, while they fetch the image of a job that has just been launched; that one is cancelled
 // before the next leader can have heard of its tasks.
 func outOfReach() string {
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -359,7 +359,7 @@
 			return
 		}
 		w.request(node, "hello", body, func(status int, resp []byte) {
-			if node.ctl.Role() == controller.Leading { // passed on, it is looked at where it is made
+			if node.ctl.Role() == controller.RoleLeader { // passed on, it is looked at where it is made
 				w.sends(m, resp)
 			}
 			if m.slow || m.hung || m.deaf {
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -117,16 +117,16 @@
 }
 
 // reportOf is what a machine reports next.
-func reportOf(w *World, i int) controller.WorkerReport {
+func reportOf(w *World, i int) controller.WorkerHeartbeat {
 	w.nextConn++
-	return controller.WorkerReport{Reply: controller.Address{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
+	return controller.WorkerHeartbeat{Reply: controller.ReplyAddress{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
 }
 
 // BenchmarkReport is a worker's report that says nothing new.
 func BenchmarkReport(b *testing.B) {
 	w := grown(b, 1)
 	n := w.leader()
-	events := make([]controller.WorkerReport, b.N)
+	events := make([]controller.WorkerHeartbeat, b.N)
 	for i := range events {
 		events[i] = reportOf(w, i%fleetSize)
 	}
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -373,7 +373,7 @@
 		if err != nil {
 			return err
 		}
-		w.endsRole, w.endsBack = controller.Loading, 0
+		w.endsRole, w.endsBack = controller.RoleRecovering, 0
 		w.endsLoading, w.endsAfter = count, protocol.FromSeconds(number(options([]string{"x=" + words[2]}), "x", 0))
 	case "ends-in": // ends-in ROLE COUNT [after=0] [back=0.05]: so many nodes that come into a role end that long after, and are back
 		count, err := strconv.Atoi(words[2])
@@ -381,7 +381,7 @@
 			return err
 		}
 		known := false
-		for r := controller.Following; r <= controller.Doubtful; r++ {
+		for r := controller.RoleFollower; r <= controller.RoleLeaseUncertain; r++ {
 			if r.String() == words[1] {
 				w.endsRole, known = r, true
 			}
@@ -645,7 +645,7 @@
 		return w.expectRollout(words[1:])
 	case "due": // due class|team|largest NAME SERVED MISSED, as the leader counts
 		kind := map[string]slo.Kind{"class": slo.Class, "team": slo.Team, "largest": slo.Largest}[words[1]]
-		got := w.leader().ctl.Snapshot().Due[kind][words[2]]
+		got := w.leader().ctl.Snapshot().Objectives[kind][words[2]]
 		return differs(fmt.Sprintf("%d %d", got.Served, got.Missed), words[3]+" "+words[4])
 	case "over": // over REF: its user was told that it is done or cancelled
 		if j := w.jobs[words[1]]; j.accepted && !j.toldDone && j.toldCancelled == 0 {
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -162,8 +162,8 @@
 func (w *World) roleChanged(role controller.Role) {
 	var rest []keptReport
 	for _, r := range w.keptReports {
-		now := role == controller.Loading && r.on != "leading" || role == controller.Leading && r.on != "loading"
-		if !now || role == controller.Loading && r.on == "both" {
+		now := role == controller.RoleRecovering && r.on != "leading" || role == controller.RoleLeader && r.on != "loading"
+		if !now || role == controller.RoleRecovering && r.on == "both" {
 			rest = append(rest, r)
 		}
 		if !now {
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -47,10 +47,10 @@
 // configure prepares a controller's process for its version.
 func (w *World) configure(n *node) {
 	if n.runs = n.next; n.runs.production {
-		n.ctl.KnowNoLevels()
+		n.ctl.DisableFeatureLevels()
 		return
 	}
-	n.ctl.ServeLevels(featuregate.Range{High: n.runs.serves()}, "rehearsal")
+	n.ctl.SetFeatureRange(featuregate.Range{High: n.runs.serves()}, "rehearsal")
 }
 
 // sceneProduction has the first so many controllers run the version in production.
@@ -137,7 +137,7 @@
 		return
 	}
 	switch n.ctl.Role() {
-	case controller.Loading, controller.Leading, controller.Doubtful:
+	case controller.RoleRecovering, controller.RoleLeader, controller.RoleLeaseUncertain:
 		w.broken("%s serves up to %d and leads at feature level %d", n.name, n.runs.serves(), w.versions.active)
 	}
 }
@@ -161,7 +161,7 @@
 	switch {
 	case words[0] == "level-waits":
 		var names []string
-		waits := w.leader().ctl.Snapshot().Levels.Waits
+		waits := w.leader().ctl.Snapshot().Features.Blockers
 		for _, n := range w.nodes {
 			if waits[n.name] != "" {
 				names = append(names, n.name)
@@ -172,7 +172,7 @@
 		}
 	case len(words) == 3:
 		got = "none"
-		if s := w.nodeNamed(words[1]).ctl.Snapshot().Levels; s != nil {
+		if s := w.nodeNamed(words[1]).ctl.Snapshot().Features; s != nil {
 			got = strconv.FormatUint(s.Active, 10)
 		}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -172,7 +172,7 @@
 		Operator: protocol.DefaultOperatorSettings(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
-		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.Loading,
+		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.RoleRecovering,
 	}
 	w.Logger = slog.New(alarm{slog.NewTextHandler(io.Discard, nil), w})
 	w.Platform = protocol.Platform{
@@ -317,7 +317,7 @@
 			}
 		}
 		w.checkVersion(n)
-		if was == controller.Loading && n.alive && n.ctl.Role() == controller.Leading {
+		if was == controller.RoleRecovering && n.alive && n.ctl.Role() == controller.RoleLeader {
 			w.leaders++
 			w.note("%s leads", n.name)
 		}
@@ -366,17 +366,17 @@
 			} else if fn != nil {
 				fn(e.Status, e.Body)
 			}
-		case controller.Share:
+		case controller.RateShare:
 			w.share(n, e.Leads)
 		case controller.WriteRate:
 			n.meter.SetWrites(e.PerSecond, e.Lowered)
-		case controller.LogLevel:
+		case controller.SetLogLevel:
 			w.changes.level[n.name] = e.Level
 		case controller.Call:
 			if w.limited && e.Target == controller.ToState {
 				n.meter.Add(transport.Metered{
 					Priority: transport.Priority(e.Priority), Changes: e.Changes, Expires: w.now + e.Timeout,
-					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, controller.CallDone{ID: e.ID, Unsent: true}) },
+					Send: func() { w.call(n, e) }, Expire: func() { w.step(n, controller.CallResult{ID: e.ID, NotSent: true}) },
 				})
 				n.meter.Run(w.now)
 				continue
@@ -403,22 +403,22 @@
 			}
 		})
 	}
-	to := controller.Address{Conn: conn}
+	to := controller.ReplyAddress{Conn: conn}
 	switch what {
 	case "hello":
-		w.step(n, controller.WorkerReport{Reply: to, Body: []byte(body)})
+		w.step(n, controller.WorkerHeartbeat{Reply: to, Body: []byte(body)})
 	case "submit":
-		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpSubmit, Body: []byte(body)})
+		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpSubmit, Body: []byte(body)})
 	case "query":
-		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpQuery, Ref: body})
+		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpQuery, Ref: body})
 	case "health":
-		w.step(n, controller.HealthCall{Reply: to})
+		w.step(n, controller.HealthzRequest{Reply: to})
 	case "cancel":
-		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpCancel, Ref: body})
+		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpCancel, Ref: body})
 	case "rollout":
-		w.step(n, controller.UserCall{Reply: to, Op: protocol.OpRollout, Body: []byte(body)})
+		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpRollout, Body: []byte(body)})
 	default: // about the roll-out of a service
-		w.step(n, controller.UserCall{Reply: to, Op: rolloutOps[what], Ref: body})
+		w.step(n, controller.UserRequest{Reply: to, Op: rolloutOps[what], Ref: body})
 	}
 }
 
@@ -457,7 +457,7 @@
 	}
 	w.said(n, c)
 	life, answered := n.life, false
-	finish := func(d controller.CallDone) {
+	finish := func(d controller.CallResult) {
 		if !answered && n.alive && n.life == life {
 			answered = true
 			d.ID = c.ID
@@ -469,7 +469,7 @@
 			w.after(w.delay(), func() {
 				w.cross(zone, n.zone, func() {
 					if !n.cut {
-						finish(controller.CallDone{Status: status, Body: []byte(body)})
+						finish(controller.CallResult{Status: status, Body: []byte(body)})
 					}
 				})
 			})
@@ -477,19 +477,19 @@
 	}
 	if c.Target == controller.ToPeer && w.peerCalls > 0 {
 		if n.calls >= w.peerCalls {
-			w.after(0, func() { finish(controller.CallDone{Unsent: true}) })
+			w.after(0, func() { finish(controller.CallResult{NotSent: true}) })
 			return
 		}
 		n.calls++
 		inner := finish
-		finish = func(d controller.CallDone) {
+		finish = func(d controller.CallResult) {
 			if !answered && n.life == life {
 				n.calls--
 			}
 			inner(d)
 		}
 	}
-	w.after(c.Timeout, func() { finish(controller.CallDone{}) })
+	w.after(c.Timeout, func() { finish(controller.CallResult{}) })
 	if n.cut {
 		return
 	}
@@ -585,7 +585,7 @@
 	case controller.ToPeer:
 		for _, o := range w.nodes {
 			if o.name == c.Addr && o.alive {
-				w.carryPeer(o, c, nobody, func(controller.CallDone) {})
+				w.carryPeer(o, c, nobody, func(controller.CallResult) {})
 			}
 		}
 	case controller.ToWorker:
@@ -595,9 +595,9 @@
 	}
 }
 
-func (w *World) carryPeer(o *node, c controller.Call, back func(int, string), finish func(controller.CallDone)) {
+func (w *World) carryPeer(o *node, c controller.Call, back func(int, string), finish func(controller.CallResult)) {
 	if !o.alive {
-		finish(controller.CallDone{Unsent: true, Refused: true})
+		finish(controller.CallResult{NotSent: true, ConnectionRefused: true})
 		return
 	}
 	if o.cut {
@@ -626,7 +626,7 @@
 		frame, _, _ := protocol.SplitPeer(out)
 		back(200, string(frame))
 	}
-	to := controller.Address{Conn: w.nextConn, Peer: true}
+	to := controller.ReplyAddress{Conn: w.nextConn, Peer: true}
 	w.step(o, controller.PeerEvent(to, msg))
 }
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -126,42 +126,42 @@
 	gauge(descRole, 1, st.Role.String())
 	gauge(descEpoch, float64(st.Epoch))
 	gauge(descTaken, float64(s.taken.Load())/1e6)
-	count(descRounds, st.Rounds)
-	count(descPasses, st.Passes)
-	for i, stage := range controller.Stages() {
-		count(descRows, st.Rows[i], stage)
-		count(descCuts, st.Cuts[i], stage)
+	count(descRounds, st.SchedulingSteps)
+	count(descPasses, st.SchedulingCycles)
+	for i, stage := range controller.CycleStages() {
+		count(descRows, st.RowsByStage[i], stage)
+		count(descCuts, st.CutStepsByStage[i], stage)
 	}
 	for why, n := range st.Refused {
 		count(descRefused, n, why)
 	}
 	count(descMal, st.Malformed)
-	count(descTakeOver, st.TakeOvers)
-	count(descLost, st.Lost)
+	count(descTakeOver, st.Failovers)
+	count(descLost, st.LostTasks)
 	for outcome, n := range st.Checks {
 		count(descChecks, n, outcome)
 	}
 	if st.Checks != nil {
-		count(descDisputed, st.Disputed)
+		count(descDisputed, st.DisputedChecks)
 	}
 	if c := st.Config; c != nil {
 		flag := map[bool]float64{true: 1}
 		gauge(descConfig, float64(c.Revision))
-		gauge(descHolds, flag[c.Holds])
+		gauge(descHolds, flag[c.InEffect])
 		gauge(descDamaged, flag[c.Damaged])
 		count(descMade, st.ConfigChanges)
 		count(descOutdated, st.ConfigOutdated)
 		if c.Revisions != nil {
-			gauge(descInForce, float64(c.InForce))
+			gauge(descInForce, float64(c.EffectiveEverywhere))
 		}
 		for name, r := range c.Revisions {
 			gauge(descLag, float64(c.Revision-min(r, c.Revision)), name)
 		}
 	}
-	if l := st.Levels; l != nil {
+	if l := st.Features; l != nil {
 		gauge(descLevel, float64(l.Active))
 		gauge(descServes, float64(l.Highest))
-		for name, why := range l.Waits {
+		for name, why := range l.Blockers {
 			gauge(descLevelFor, 1, name, why)
 		}
 	}
@@ -174,9 +174,9 @@
 	for state, n := range st.Rollouts {
 		gauge(descRollouts, float64(n), state)
 	}
-	gauge(descUnproven, float64(st.Unproven))
-	gauge(descAwaiting, float64(st.Awaiting))
-	for kind, counts := range st.Due {
+	gauge(descUnproven, float64(st.UnreconciledHosts))
+	gauge(descAwaiting, float64(st.BlockedJobs))
+	for kind, counts := range st.Objectives {
 		inTime, late := make(map[string]int, len(counts)), make(map[string]int, len(counts))
 		for name, n := range counts {
 			inTime[name], late[name] = n.Served, n.Missed
@@ -187,17 +187,17 @@
 			}
 		}
 	}
-	longest := make(map[string]int, len(st.Longest))
-	for class, wait := range st.Longest {
+	longest := make(map[string]int, len(st.LongestStartWait))
+	for class, wait := range st.LongestStartWait {
 		longest[class] = int(wait / protocol.Second)
 	}
 	for class, wait := range s.longest(longest) {
 		gauge(descLongest, float64(wait), class)
 	}
-	for class, n := range s.bounded(st.Waiting) {
+	for class, n := range s.bounded(st.WaitingJobs) {
 		gauge(descWaiting, float64(n), class)
 	}
-	for class, n := range s.bounded(st.Running) {
+	for class, n := range s.bounded(st.RunningTasks) {
 		gauge(descRunning, float64(n), class)
 	}
 }
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -136,7 +136,7 @@
 }
 
 // Call notes the end of an outbound call that began at a time.
-func (r *Recorder) Call(service, method, path string, d controller.CallDone, began time.Time) {
+func (r *Recorder) Call(service, method, path string, d controller.CallResult, began time.Time) {
 	if r == nil {
 		return
 	}
@@ -202,11 +202,11 @@
 	return "other"
 }
 
-func outcomeOf(d controller.CallDone) string {
+func outcomeOf(d controller.CallResult) string {
 	switch {
-	case d.Refused:
+	case d.ConnectionRefused:
 		return "refused"
-	case d.Unsent:
+	case d.NotSent:
 		return "unsent"
 	case d.Status == 0:
 		return "none"
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -95,30 +95,30 @@
 	s.Listen, s.Classes = "127.0.0.1:0", 3
 	r := start(t, s)
 	st := controller.Stats{
-		Role: controller.Leading, Epoch: 7, Rounds: 5, Rows: [4]uint64{100, 5, 20, 3}, Cuts: [4]uint64{2, 0, 0, 1},
+		Role: controller.RoleLeader, Epoch: 7, SchedulingSteps: 5, RowsByStage: [4]uint64{100, 5, 20, 3}, CutStepsByStage: [4]uint64{2, 0, 0, 1},
 		Refused: map[string]uint64{"no leader can be reached": 4},
-		Levels:  &controller.LevelStats{Active: 1, Highest: 2, Waits: map[string]string{"n1": "no entry in the roster"}},
-		Hosts:   map[string]int{"ready": 9, "booting": 2}, Waiting: map[string]int{}, Running: map[string]int{"a": 1},
+		Features:  &controller.FeatureStats{Active: 1, Highest: 2, Blockers: map[string]string{"n1": "no entry in the roster"}},
+		Hosts:   map[string]int{"ready": 9, "booting": 2}, WaitingJobs: map[string]int{}, RunningTasks: map[string]int{"a": 1},
 	}
 	teams := make(map[string]slo.Count)
 	for i := range 50 {
-		st.Waiting[fmt.Sprintf("class-%02d", i)] = i + 1
+		st.WaitingJobs[fmt.Sprintf("class-%02d", i)] = i + 1
 		teams[fmt.Sprintf("team-%02d", i)] = slo.Count{Served: i + 1, Missed: 1}
 	}
-	st.Due = map[slo.Kind]map[string]slo.Count{
+	st.Objectives = map[slo.Kind]map[string]slo.Count{
 		slo.Class: {"a": {Served: 2, Missed: 3}}, slo.Team: teams,
 		slo.Largest: {"a": {Served: 1, Missed: 4}},
 	}
-	st.Longest = make(map[string]protocol.Micros)
+	st.LongestStartWait = make(map[string]protocol.Micros)
 	for i := range 5 {
-		st.Longest[fmt.Sprintf("class-%02d", i)] = protocol.Micros(i+1) * 60 * protocol.Second
+		st.LongestStartWait[fmt.Sprintf("class-%02d", i)] = protocol.Micros(i+1) * 60 * protocol.Second
 	}
 	r.Snapshot(0, func() controller.Stats { return st })
 	for i := range 200 {
 		path := fmt.Sprintf("/store/j/req-%06d", i)
-		r.Call("state", "GET", path, controller.CallDone{Status: 200}, time.Now())
-		r.Call("worker", "POST", "/commands", controller.CallDone{Refused: true, Unsent: true}, time.Now())
-		r.Call("cloud", "POST", "/machines", controller.CallDone{Status: 100000 + i}, time.Now())
+		r.Call("state", "GET", path, controller.CallResult{Status: 200}, time.Now())
+		r.Call("worker", "POST", "/commands", controller.CallResult{ConnectionRefused: true, NotSent: true}, time.Now())
+		r.Call("cloud", "POST", "/machines", controller.CallResult{Status: 100000 + i}, time.Now())
 	}
 	r.Step("tick", time.Millisecond)
 	r.Waiting(3, map[string]int{"state": 2})
@@ -149,7 +149,7 @@
 	}
 	// A node that no longer leads shows nothing of what it once knew.
 	r.Snapshot(protocol.Second, func() controller.Stats { t.Error("too soon"); return st })
-	r.Snapshot(10*protocol.Second, func() controller.Stats { return controller.Stats{Role: controller.Following, Epoch: 8} })
+	r.Snapshot(10*protocol.Second, func() controller.Stats { return controller.Stats{Role: controller.RoleFollower, Epoch: 8} })
 	if text = scrape(t, r); strings.Contains(text, "mapleslip_jobs_waiting") || !strings.Contains(text, `mapleslip_role{role="following"} 1`) {
 		t.Error("a follower shows jobs")
 	}
@@ -185,7 +185,7 @@
 	r := start(t, s)
 	clock := time.Unix(1000, 0)
 	r.Span(controller.Span{Name: "pass", From: 0, To: 1}, clock)
-	r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, clock)
+	r.Call("state", "POST", "/commit", controller.CallResult{Status: 200}, clock)
 	r.Span(controller.Span{
 		Name: "take-over", From: protocol.Second, To: 4 * protocol.Second,
 		Stages: []controller.SpanStage{{Name: "claim", From: protocol.Second, To: 2 * protocol.Second}, {Name: "account for hosts", From: 2 * protocol.Second, To: 4 * protocol.Second}},
@@ -215,7 +215,7 @@
 	s.Listen, s.Traces, s.Ratio, s.Queue = "127.0.0.1:0", collector(t, nil, hold), 1, 4
 	r := start(t, s)
 	for range 1000 {
-		r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, time.Now())
+		r.Call("state", "POST", "/commit", controller.CallResult{Status: 200}, time.Now())
 	}
 	// Four wait, and at most one batch is in hand, of what had come by then.
 	text := scrape(t, r)
@@ -232,7 +232,7 @@
 func TestOff(t *testing.T) {
 	var r *Recorder
 	r.Step("tick", 0)
-	r.Call("state", "GET", "/store", controller.CallDone{}, time.Now())
+	r.Call("state", "GET", "/store", controller.CallResult{}, time.Now())
 	r.Span(controller.Span{}, time.Now())
 	r.Snapshot(0, func() controller.Stats { t.Error("counted in vain"); return controller.Stats{} })
 	r.Waiting(1, nil)
@@ -260,6 +260,6 @@
 	r := start(b, s)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Call("state", "POST", "/commit", controller.CallDone{Status: 200}, time.Now())
+		r.Call("state", "POST", "/commit", controller.CallResult{Status: 200}, time.Now())
 	}
 }
