--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -89,9 +89,9 @@
 	return c.config.settings.Drained(h.Name, h.Zone, h.Addr)
 }
 
-// EffectiveRevision is the revision that this controller decides by at its last step; false: it
+// effectiveRevision is the revision that this controller decides by at its last step; false: it
 // decides nothing by any.
-func (c *Controller) EffectiveRevision() (revision uint64, ok bool) {
+func (c *Controller) effectiveRevision() (revision uint64, ok bool) {
 	if c.config == nil {
 		return 0, false
 	}
@@ -101,13 +101,17 @@
 	return c.config.revision, c.config.holder.Holds(c.now.Steady)
 }
 
+// EffectiveRevision is the revision that this controller decides by at its last step; false: it
+// decides nothing by any.
+func (c *Controller) EffectiveRevision() (revision uint64, ok bool) { return c.effectiveRevision() }
+
 // updateLogLevel tells the driver which level the log has to have.
 func (c *Controller) updateLogLevel() {
 	if c.config == nil {
 		return
 	}
 	level := ""
-	if _, ok := c.EffectiveRevision(); ok {
+	if _, ok := c.effectiveRevision(); ok {
 		level = c.config.settings.Log
 	}
 	if level != c.config.logLevel {
@@ -844,7 +848,7 @@
 		return nil
 	}
 	s := &ConfigStats{Damaged: c.config.damaged}
-	s.Revision, s.InEffect = c.EffectiveRevision()
+	s.Revision, s.InEffect = c.effectiveRevision()
 	if t := c.term; t != nil {
 		names := c.peerNames()
 		s.EffectiveEverywhere, s.Revisions = t.config.granter.Newest(c.now.Steady, names), make(map[string]uint64, len(names))
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -109,7 +109,7 @@
 			// Types stay what they are; only their prices move.
 			if typ := c.machineTypeByName[h.TypeName]; typ != h.Type {
 				h.Type, h.Stale = typ, true
-				c.term.removeMachine(h)
+				c.removeMachine(h)
 			}
 		}
 	}
@@ -279,7 +279,7 @@
 			h.Reconciled = true
 			t.releasedHosts[name] = c.now.Steady
 			t.cluster.RemoveHost(h)
-			t.removeMachine(h)
+			c.removeMachine(h)
 			// A record left over would only make a successor release the name
 			// once more, and wait for that.
 			t.hostShards.drop(name, c.now.Steady+protocol.Second)
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -265,7 +265,7 @@
 		if h.Type == nil || h.State == state.HostGone || h.State == state.HostReleasing {
 			if t.machines[h] != nil {
 				c.withdrawAssignments(h)
-				t.removeMachine(h)
+				c.removeMachine(h)
 			}
 			continue
 		}
@@ -292,7 +292,8 @@
 }
 
 // removeMachine takes a host's row out of the table.
-func (t *leaderTerm) removeMachine(h *state.Host) {
+func (c *Controller) removeMachine(h *state.Host) {
+	t := c.term
 	if m := t.machines[h]; m != nil {
 		t.slotTable.Remove(m)
 		delete(t.machines, h)
@@ -640,11 +641,11 @@
 	var number uint64
 	if j.Spec.Kind == protocol.Gang {
 		if j.GangAttempt == 0 {
-			j.GangAttempt = t.nextAttemptNumber()
+			j.GangAttempt = c.nextAttemptNumber()
 		}
 		number = j.GangAttempt
 	} else {
-		number = t.nextAttemptNumber()
+		number = c.nextAttemptNumber()
 	}
 	name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: number}
 	if h.Find(name) != nil {
@@ -663,7 +664,8 @@
 }
 
 // nextAttemptNumber makes a number that no epoch has used.
-func (t *leaderTerm) nextAttemptNumber() uint64 {
+func (c *Controller) nextAttemptNumber() uint64 {
+	t := c.term
 	t.attemptSeq++
 	return t.epoch<<24 | t.attemptSeq
 }
