--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -8,14 +8,14 @@
 // Whoever was told to come back has its turn then; one that comes back to find that others
 // took it would try for a minute and give up. A turn that nobody uses is not waited for.
 type submitLimiter struct {
-	inFlight int               // submissions whose records are on their way
-	nextSlot    micros            // the first one that nobody was promised
-	reservations   map[string]micros // promised ones, by job
-	sweptAt   micros            // when those that nobody came for were last taken out
+	inFlight     int               // submissions whose records are on their way
+	nextSlot     micros            // the first one that nobody was promised
+	reservations map[string]micros // promised ones, by job
+	sweptAt      micros            // when those that nobody came for were last taken out
 
-	measuredRate    float64 // records a second, lately; 0: not known yet
-	measuredSince    micros  // what is counted since
-	written int
+	measuredRate  float64 // records a second, lately; 0: not known yet
+	measuredSince micros  // what is counted since
+	written       int
 	minInFlight   int // that waited at a time
 }
 
@@ -27,7 +27,7 @@
 	// reservationLifetime is how long a promised turn is kept for who does not come, maxReservations how
 	// many there are at most.
 	reservationLifetime = 5 * protocol.Second
-	maxReservations = 10_000
+	maxReservations     = 10_000
 	// userRetryPeriod is how long users go on trying.
 	userRetryPeriod = 60 * protocol.Second
 	// rateMeasurementWindow is how long the rate is counted for.
--- a/internal/controller/awaits.go
+++ b/internal/controller/awaits.go
@@ -14,25 +14,25 @@
 
 // transferDecision is what the records say of the jobs that a job awaits.
 type dependencyVerdict struct {
-	cancelled bool   // one of them, or one that they await, is durably cancelled
-	undecided bool   // something could not be read, or there is too much of it
-	directUnread    bool   // one that the job names itself could not be read
-	missing   string // one that was never accepted, or a service
+	cancelled    bool   // one of them, or one that they await, is durably cancelled
+	undecided    bool   // something could not be read, or there is too much of it
+	directUnread bool   // one that the job names itself could not be read
+	missing      string // one that was never accepted, or a service
 }
 
 // dependencyWalk is a walk along a chain, from a job to all that it awaits.
 type dependencyWalk struct {
-	c       *Controller
-	prio    uint8
-	verdict dependencyVerdict
-	visited    map[string]bool
+	jobs          *jobDirectory
+	prio          uint8
+	verdict       dependencyVerdict
+	visited       map[string]bool
 	readsInFlight int
-	done    func(dependencyVerdict)
+	done          func(dependencyVerdict)
 }
 
 // checkDependencies finds out how the jobs stand that a job awaits.
-func (c *Controller) checkDependencies(prio uint8, awaits []string, done func(dependencyVerdict)) {
-	w := &dependencyWalk{c: c, prio: prio, visited: make(map[string]bool), done: done}
+func (d *jobDirectory) checkDependencies(prio uint8, awaits []string, done func(dependencyVerdict)) {
+	w := &dependencyWalk{jobs: d, prio: prio, visited: make(map[string]bool), done: done}
 	w.readsInFlight++ // until all are asked for
 	w.visit(awaits, true)
 	w.finishRead()
@@ -45,7 +45,7 @@
 			continue
 		}
 		w.visited[ref] = true
-		if f, over := w.c.finishedJobs.find(ref); over {
+		if f, over := w.jobs.finishedJobs.find(ref); over {
 			w.verdict.cancelled = w.verdict.cancelled || f.phase == protocol.PhaseCancelled
 			continue
 		}
@@ -54,7 +54,7 @@
 			return
 		}
 		w.readsInFlight++
-		w.c.findJob(w.prio, ref, func(j *state.Job, f finishedJob, found, ok bool) {
+		w.jobs.findJob(w.prio, ref, func(j *state.Job, f finishedJob, found, ok bool) {
 			w.observe(ref, named, j, f, found, ok)
 			w.finishRead()
 		})
@@ -90,33 +90,33 @@
 }
 
 // replyActiveJob answers for a job that is not over by its own records.
-func (c *Controller) replyActiveJob(to ReplyAddress, j *state.Job) {
-	if mine := c.isTrackedByLeader(j); mine && !j.DependencyUncertain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
-		c.reply(to, 200, c.activeJobStatus(j), 0)
+func (d *jobDirectory) replyActiveJob(to ReplyAddress, j *state.Job) {
+	if mine := d.isTrackedByLeader(j); mine && !j.DependencyUncertain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
+		d.reply(to, 200, d.activeJobStatus(j), 0)
 		return
 	}
-	c.checkDependencies(priorityUrgent, j.Spec.DependsOn, func(v dependencyVerdict) {
+	d.checkDependencies(priorityUrgent, j.Spec.DependsOn, func(v dependencyVerdict) {
 		switch {
 		case v.cancelled:
-			c.reply(to, 200, protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0), 0)
+			d.reply(to, 200, protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0), 0)
 		case v.undecided:
-			c.replyUnavailable(to, refusalStateService)
+			d.replyUnavailable(to, refusalStateService)
 		default:
-			c.reply(to, 200, c.activeJobStatus(j), 0)
+			d.reply(to, 200, d.activeJobStatus(j), 0)
 		}
 	})
 }
 
 // isTrackedByLeader reports whether this node leads and the job is the one of its book.
-func (c *Controller) isTrackedByLeader(j *state.Job) bool {
-	return c.mayActAsLeader() && c.term.cluster.Job(j.Spec.Ref) == j
+func (d *jobDirectory) isTrackedByLeader(j *state.Job) bool {
+	return d.election.mayActAsLeader() && d.term.cluster.Job(j.Spec.Ref) == j
 }
 
 // activeJobStatus says how a job stands, as its leader or its record has it.
-func (c *Controller) activeJobStatus(j *state.Job) []byte {
+func (d *jobDirectory) activeJobStatus(j *state.Job) []byte {
 	switch {
-	case c.isTrackedByLeader(j):
-		return c.jobStatusBody(j)
+	case d.isTrackedByLeader(j):
+		return d.jobStatusBody(j)
 	case j.State == state.JobCancelledLegacy:
 		return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0)
 	}
@@ -125,12 +125,12 @@
 
 // knowsDependencies reports whether this leader knows all jobs that a job awaits, and that none
 // of them is a service.
-func (c *Controller) knowsDependencies(s *protocol.JobSpec) bool {
+func (sb *submissions) knowsDependencies(s *protocol.JobSpec) bool {
 	for _, ref := range s.DependsOn {
-		if _, over := c.finishedJobs.find(ref); over {
+		if _, over := sb.directory.finishedJobs.find(ref); over {
 			continue
 		}
-		if j := c.term.cluster.Job(ref); j == nil || j.Spec.Kind == protocol.Service {
+		if j := sb.term.cluster.Job(ref); j == nil || j.Spec.Kind == protocol.Service {
 			return false
 		}
 	}
@@ -140,25 +140,25 @@
 // admitWithDependencies goes on with a submission if all jobs that it names were accepted. It is
 // known before whether the job itself was: what became of those that it awaits is then of
 // no matter.
-func (c *Controller) admitWithDependencies(to ReplyAddress, spec *protocol.JobSpec, over func(), admitted func(cancelled bool)) {
-	c.findJob(priorityUser, spec.Ref, func(j *state.Job, f finishedJob, found, ok bool) {
+func (sb *submissions) admitWithDependencies(to ReplyAddress, spec *protocol.JobSpec, over func(), admitted func(cancelled bool)) {
+	sb.directory.findJob(priorityUser, spec.Ref, func(j *state.Job, f finishedJob, found, ok bool) {
 		if !ok || found {
 			over()
 		}
 		switch {
 		case !ok:
-			c.replyUnavailable(to, refusalStateService)
+			sb.replyUnavailable(to, refusalStateService)
 		case found:
-			c.replyKnownJob(to, spec.Ref, j, f)
+			sb.directory.replyKnownJob(to, spec.Ref, j, f)
 		default:
-			c.checkDependencies(priorityUser, spec.DependsOn, func(v dependencyVerdict) {
+			sb.directory.checkDependencies(priorityUser, spec.DependsOn, func(v dependencyVerdict) {
 				switch {
 				case v.missing != "":
 					over()
-					c.rejectUnlessAccepted(to, spec, 422, "awaits: "+v.missing+" is no job that can be awaited")
+					sb.rejectUnlessAccepted(to, spec, 422, "awaits: "+v.missing+" is no job that can be awaited")
 				case v.directUnread || v.undecided && !v.cancelled:
 					over()
-					c.replyUnavailable(to, refusalStateService)
+					sb.replyUnavailable(to, refusalStateService)
 				default:
 					admitted(v.cancelled)
 				}
--- a/internal/controller/chains.go
+++ b/internal/controller/chains.go
@@ -14,132 +14,107 @@
 // follows when there is room for it. Nothing else has to be written, or to be written in
 // time, for the promise to hold.
 
-// dependencies is what a leader knows of the jobs that await others.
-type dependencyGraph struct {
-	dependents map[string][]*state.Job // jobs that wait, by each of the jobs that they await
-	pendingLookups    []string                // awaited jobs that this leader has to look up
-	lookupRequested      map[string]bool         // those, and the ones that are being looked up
-	lookupsInFlight    int
-	cancelledByDependency     []*state.Job        // whose final records are not on their way yet
-	finalWritesInFlight    map[*state.Job]bool // doomed jobs whose final records are
-}
-
 // maxDependencyLookups bounds the awaited jobs that are looked up at once, maxDependentFinalWrites the final
 // records of doomed jobs on their way: others wait for the state service as well.
 const (
-	maxDependencyLookups      = 16
+	maxDependencyLookups    = 16
 	maxDependentFinalWrites = 8
 )
 
-func newDependencyGraph() dependencyGraph {
-	return dependencyGraph{
-		dependents: make(map[string][]*state.Job), lookupRequested: make(map[string]bool),
-		finalWritesInFlight: make(map[*state.Job]bool),
-	}
-}
-
 // linkDependencies takes a job that entered the book into the graph.
-func (c *Controller) linkDependencies(j *state.Job) {
-	g := &c.term.dependencies
+func (g *dependencyGraph) linkDependencies(j *state.Job) {
 	j.EligibleAt = j.Submitted
 	if len(j.UnmetDependencies) > 0 {
-		c.resolveDependencies(j)
+		g.resolveDependencies(j)
 	}
 	// Jobs that await it may have entered before.
 	for _, d := range g.dependents[j.Spec.Ref] {
-		c.inheritPriority(d, j)
+		g.inheritPriority(d, j)
 		if j.DependencyCancelled || j.State == state.JobCancelledLegacy {
-			c.cancelDependents(d)
+			g.cancelDependents(d)
 		} else {
-			c.updateDependencyUncertainty(d)
+			g.updateDependencyUncertainty(d)
 		}
 	}
 }
 
 // resolveDependencies finds out how the jobs stand that a job awaits.
-func (c *Controller) resolveDependencies(j *state.Job) {
-	g := &c.term.dependencies
+func (g *dependencyGraph) resolveDependencies(j *state.Job) {
 	doomed := false
 	j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(ref string) bool {
-		f, over := c.finishedJobs.find(ref)
+		f, over := g.directory.finishedJobs.find(ref)
 		doomed = doomed || over && f.phase == protocol.PhaseCancelled
 		return over && f.phase == protocol.PhaseDone
 	})
 	for _, ref := range j.UnmetDependencies {
 		g.dependents[ref] = append(g.dependents[ref], j)
-		o := c.term.cluster.Job(ref)
+		o := g.cluster.Job(ref)
 		switch {
 		case o == nil:
-			c.requestDependencyLookup(ref)
+			g.requestDependencyLookup(ref)
 		case o.DependencyCancelled || o.State == state.JobCancelledLegacy:
 			doomed = true
 		default:
-			c.inheritPriority(j, o)
+			g.inheritPriority(j, o)
 		}
 	}
 	switch {
 	case doomed:
-		c.cancelDependents(j)
+		g.cancelDependents(j)
 	case len(j.UnmetDependencies) == 0:
-		c.makeEligible(j)
+		g.makeEligible(j)
 	default:
-		c.updateDependencyUncertainty(j)
+		g.updateDependencyUncertainty(j)
 	}
 }
 
 // makeEligible lets a job start whose awaited jobs are all durably done.
-func (c *Controller) makeEligible(j *state.Job) {
+func (g *dependencyGraph) makeEligible(j *state.Job) {
 	if j.State != state.JobBlocked {
 		return // its user asked to cancel it
 	}
-	t := c.term
 	j.SetState(state.JobActive)
-	j.EligibleAt = c.now.Steady
-	if t.recordsLoadedAt > 0 {
-		c.classStats(j.Spec.Class).onArrival(c.now.Steady, j)
+	j.EligibleAt = g.now.Steady
+	if g.recordsLoadedAt > 0 {
+		g.workload.classStats(j.Spec.Class).onArrival(g.now.Steady, j)
 	}
-	t.cycleNeeded = true
-	c.log.Debug("job is free to start", "ref", j.Spec.Ref)
+	g.cycleNeeded = true
+	g.log.Debug("job is free to start", "ref", j.Spec.Ref)
 }
 
 // onTaskLaunched notes that a task of a job was launched, by an earlier leader if the job is still
 // waiting here. No leader launches before it knows that all awaited jobs are durably done,
 // and that never changes.
-func (c *Controller) onTaskLaunched(j *state.Job) {
+func (g *dependencyGraph) onTaskLaunched(j *state.Job) {
 	if j.State != state.JobBlocked {
 		return
 	}
 	j.SetState(state.JobActive)
 	j.UnmetDependencies, j.DependencyUncertain = nil, false
-	for _, d := range c.term.dependencies.dependents[j.Spec.Ref] {
-		c.updateDependencyUncertainty(d)
+	for _, d := range g.dependents[j.Spec.Ref] {
+		g.updateDependencyUncertainty(d)
 	}
 }
 
 // onDependencyFinished takes the durable end of a job to those that await it.
-func (c *Controller) onDependencyFinished(ref string, p protocol.Phase) {
-	if c.term == nil {
-		return
-	}
-	g := &c.term.dependencies
+func (g *dependencyGraph) onDependencyFinished(ref string, p protocol.Phase) {
 	list := g.dependents[ref]
 	delete(g.dependents, ref)
 	for _, j := range list {
 		if p == protocol.PhaseCancelled {
-			c.cancelDependents(j)
+			g.cancelDependents(j)
 			continue
 		}
 		j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(r string) bool { return r == ref })
 		if len(j.UnmetDependencies) == 0 {
-			c.makeEligible(j)
+			g.makeEligible(j)
 		}
-		c.updateDependencyUncertainty(j)
+		g.updateDependencyUncertainty(j)
 	}
 }
 
 // doom cancels a job of which an awaited one is durably cancelled, and all that await it.
-func (c *Controller) cancelDependents(first *state.Job) {
-	g := &c.term.dependencies
+func (g *dependencyGraph) cancelDependents(first *state.Job) {
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
@@ -148,18 +123,18 @@
 		}
 		if j.State == state.JobBlocked {
 			j.SetState(state.JobCancelling)
-			j.CancelRequestedWall = c.now.Wall
+			j.CancelRequestedWall = g.now.Wall
 		}
 		j.DependencyCancelled, j.DependencyUncertain = true, false
-		c.revokeInheritedPriority(j)
+		g.revokeInheritedPriority(j)
 		if !j.FinalWriteInFlight {
 			g.cancelledByDependency = append(g.cancelledByDependency, j)
 		}
 		ref := j.Spec.Ref
-		for _, to := range c.term.pendingCancels[ref] {
-			c.reply(to, 200, c.jobStatusBody(j), 0)
+		for _, to := range g.jobs.pendingCancels[ref] {
+			g.reply(to, 200, g.directory.jobStatusBody(j), 0)
 		}
-		delete(c.term.pendingCancels, ref)
+		delete(g.jobs.pendingCancels, ref)
 		work = append(work, g.dependents[ref]...)
 		delete(g.dependents, ref)
 	}
@@ -168,12 +143,11 @@
 // updateDependencyUncertainty finds out whether a waiting job may be durably cancelled without this leader
 // knowing it, and the same for those that await it. It is so while the final record of a
 // job before it is on its way, or is still to be read.
-func (c *Controller) updateDependencyUncertainty(first *state.Job) {
-	g := &c.term.dependencies
+func (g *dependencyGraph) updateDependencyUncertainty(first *state.Job) {
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		unsure := !j.DependencyCancelled && slices.ContainsFunc(j.UnmetDependencies, c.mayBeCancelled)
+		unsure := !j.DependencyCancelled && slices.ContainsFunc(j.UnmetDependencies, g.mayBeCancelled)
 		if unsure != j.DependencyUncertain {
 			j.DependencyUncertain = unsure
 			work = append(work, g.dependents[j.Spec.Ref]...)
@@ -183,23 +157,22 @@
 
 // mayBeCancelled reports whether an awaited job may be durably cancelled without this
 // leader knowing it.
-func (c *Controller) mayBeCancelled(ref string) bool {
-	o := c.term.cluster.Job(ref)
+func (g *dependencyGraph) mayBeCancelled(ref string) bool {
+	o := g.cluster.Job(ref)
 	return o == nil || o.FinalWriteInFlight || o.DependencyUncertain
 }
 
 // onFinalWriteStarted notes that the final record of a cancelled job is on its way.
-func (c *Controller) onFinalWriteStarted(j *state.Job) {
+func (g *dependencyGraph) onFinalWriteStarted(j *state.Job) {
 	j.FinalWriteInFlight = true
-	c.revokeInheritedPriority(j)
-	for _, d := range c.term.dependencies.dependents[j.Spec.Ref] {
-		c.updateDependencyUncertainty(d)
+	g.revokeInheritedPriority(j)
+	for _, d := range g.dependents[j.Spec.Ref] {
+		g.updateDependencyUncertainty(d)
 	}
 }
 
 // requestDependencyLookup has an awaited job looked up that is not in the book.
-func (c *Controller) requestDependencyLookup(ref string) {
-	g := &c.term.dependencies
+func (g *dependencyGraph) requestDependencyLookup(ref string) {
 	if !g.lookupRequested[ref] {
 		g.lookupRequested[ref] = true
 		g.pendingLookups = append(g.pendingLookups, ref)
@@ -210,20 +183,19 @@
 const dependencyLookupRetry = 500 * protocol.Millisecond
 
 // advanceDependencies goes on with lookups and with the final records of doomed jobs.
-func (c *Controller) advanceDependencies() {
-	g := &c.term.dependencies
+func (g *dependencyGraph) advanceDependencies() {
 	for g.lookupsInFlight < maxDependencyLookups && len(g.pendingLookups) > 0 {
 		ref := g.pendingLookups[0]
 		g.pendingLookups = g.pendingLookups[1:]
-		c.lookUpDependency(ref)
+		g.lookUpDependency(ref)
 	}
 	for len(g.finalWritesInFlight) < maxDependentFinalWrites && len(g.cancelledByDependency) > 0 {
 		j := g.cancelledByDependency[0]
 		g.cancelledByDependency = g.cancelledByDependency[1:]
-		if !j.FinalWriteInFlight && !j.CancelWriteInFlight && c.noAttemptMayRun(j) {
+		if !j.FinalWriteInFlight && !j.CancelWriteInFlight && g.jobs.noAttemptMayRun(j) {
 			g.finalWritesInFlight[j] = true
 			j.FinalWriteInFlight = true
-			c.queueFinalRecord(j)
+			g.jobs.queueFinalRecord(j)
 		} else if !j.FinalWriteInFlight {
 			g.cancelledByDependency = append(g.cancelledByDependency, j)
 			return
@@ -232,16 +204,14 @@
 }
 
 // lookUpDependency reads how an awaited job stands that is not in the book.
-func (c *Controller) lookUpDependency(ref string) {
-	t := c.term
-	g := &t.dependencies
-	if len(g.dependents[ref]) == 0 || t.cluster.Job(ref) != nil {
+func (g *dependencyGraph) lookUpDependency(ref string) {
+	if len(g.dependents[ref]) == 0 || g.cluster.Job(ref) != nil {
 		delete(g.lookupRequested, ref)
 		return // it is known meanwhile
 	}
 	g.lookupsInFlight++
-	c.findJob(priorityUrgent, ref, func(_ *state.Job, _ finishedJob, found, ok bool) {
-		if c.term != t {
+	g.directory.findJob(priorityUrgent, ref, func(_ *state.Job, _ finishedJob, found, ok bool) {
+		if g.ended() {
 			return
 		}
 		g.lookupsInFlight--
@@ -250,10 +220,10 @@
 			return
 		}
 		if ok {
-			c.log.Error("an awaited job has no record", "ref", ref)
+			g.log.Error("an awaited job has no record", "ref", ref)
 		}
-		c.after(dependencyLookupRetry, func() {
-			if c.term == t {
+		g.after(dependencyLookupRetry, func() {
+			if !g.ended() {
 				g.pendingLookups = append(g.pendingLookups, ref)
 			}
 		})
@@ -263,8 +233,8 @@
 // inheritPriority has a job be served as one that needs it: with its rank, if that is higher, and so
 // that it is done by when the other has to start to meet its deadline. So it goes back
 // nextPeer the chain, to whatever can start now.
-func (c *Controller) inheritPriority(from, to *state.Job) {
-	neededBy := c.latestStart(from)
+func (g *dependencyGraph) inheritPriority(from, to *state.Job) {
+	neededBy := g.latestStart(from)
 	rises := from.Priority < to.Priority
 	hastens := neededBy > 0 && (to.InheritedDeadline == 0 || neededBy < to.InheritedDeadline)
 	if !rises && !hastens {
@@ -274,58 +244,58 @@
 	if hastens {
 		to.InheritedDeadline = neededBy
 	}
-	c.requeueJob(to)
+	g.requeueJob(to)
 	for _, ref := range to.UnmetDependencies {
-		if o := c.term.cluster.Job(ref); o != nil {
-			c.inheritPriority(to, o)
+		if o := g.cluster.Job(ref); o != nil {
+			g.inheritPriority(to, o)
 		}
 	}
 }
 
 // requeueJob has the next round plan with a job's new rank, and around what runs of it.
-func (c *Controller) requeueJob(j *state.Job) {
+func (g *dependencyGraph) requeueJob(j *state.Job) {
 	for _, a := range j.ActiveAttempts() {
 		a.Host.Stale = true
 	}
-	c.term.cycleNeeded = true
+	g.cycleNeeded = true
 }
 
 // revokeInheritedPriority ends what a job lends that is being cancelled: those that it awaits are served by
 // the others that need them.
-func (c *Controller) revokeInheritedPriority(j *state.Job) {
+func (g *dependencyGraph) revokeInheritedPriority(j *state.Job) {
 	for _, ref := range j.UnmetDependencies {
-		o := c.term.cluster.Job(ref)
+		o := g.cluster.Job(ref)
 		if o == nil {
 			continue
 		}
 		rank, neededBy := o.Priority, o.InheritedDeadline
 		o.Priority, o.InheritedDeadline = o.Spec.Priority, 0
-		for _, d := range c.term.dependencies.dependents[ref] {
+		for _, d := range g.dependents[ref] {
 			if d.State == state.JobBlocked {
-				c.inheritPriority(d, o)
+				g.inheritPriority(d, o)
 			}
 		}
 		if o.Priority != rank || o.InheritedDeadline != neededBy {
-			c.requeueJob(o)
-			c.revokeInheritedPriority(o)
+			g.requeueJob(o)
+			g.revokeInheritedPriority(o)
 		}
 	}
 }
 
 // latestStart is when a job has to be free to start for it, and those that need it, to meet
 // their deadlines: by its estimate, and a fetch of its image. 0: nobody has a deadline.
-func (c *Controller) latestStart(j *state.Job) micros {
+func (g *dependencyGraph) latestStart(j *state.Job) micros {
 	due := effectiveDeadline(j)
 	if due == 0 || j.Spec.Kind == protocol.Service {
 		return 0
 	}
 	var fetch micros
-	for _, t := range c.machineTypes {
+	for _, t := range g.catalog.types {
 		if j.Spec.AllowsType(t.Name) {
-			fetch = max(fetch, c.fetchTime(t, j.Spec.ImageSize))
+			fetch = max(fetch, g.estimates.fetchTime(t, j.Spec.ImageSize))
 		}
 	}
-	return max(1, due-c.classStats(j.Spec.Class).estimatedRuntime(j.Spec)-fetch)
+	return max(1, due-g.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec)-fetch)
 }
 
 // effectiveDeadline is when a job has to be done by its own deadline and those of the jobs that
--- a/internal/controller/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -37,7 +37,7 @@
 					"req-900002", "req-900003"),
 			}
 			for _, i := range order {
-				c.addJob(jobs[i])
+				c.term.jobs.addJob(jobs[i])
 			}
 			// A stage takes 20 s, and a fetch of 0.4 GB one more.
 			due := c.now.Steady + 300*protocol.Second
@@ -55,19 +55,19 @@
 func TestWaitingJobIsInNoPlan(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	first, second := chained(c, "req-900001", nil), chained(c, "req-900002", nil, "req-900001")
-	c.addJob(first)
-	c.addJob(second)
+	c.term.jobs.addJob(first)
+	c.term.jobs.addJob(second)
 	planned := func(j *state.Job) bool {
-		return slices.ContainsFunc(c.pendingJobs(), func(w *pendingJob) bool { return w.job == j })
+		return slices.ContainsFunc(c.term.scheduler.pendingJobs(), func(w *pendingJob) bool { return w.job == j })
 	}
 	if !planned(first) || planned(second) {
 		t.Errorf("first planned %v, second %v", planned(first), planned(second))
 	}
-	if c.buildRequest(&pendingJob{job: second}) {
+	if c.term.scheduler.buildRequest(&pendingJob{job: second}) {
 		t.Error("a request was made for a job that waits")
 	}
 	c.now.Steady += 50 * protocol.Second
-	c.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
+	c.directory.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
 	if !planned(second) || second.EligibleAt != c.now.Steady {
 		t.Errorf("planned %v, free since %v at %v", planned(second), second.EligibleAt, c.now.Steady)
 	}
@@ -79,12 +79,12 @@
 	for _, phase := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
 		c := busyLeader(t, 8, 0)
 		second, third := chained(c, "req-900002", nil, "req-900001"), chained(c, "req-900003", nil, "req-900002")
-		c.addJob(third)
-		c.addJob(second)
+		c.term.jobs.addJob(third)
+		c.term.jobs.addJob(second)
 		if !isOutcomeUncertain(second) || !isOutcomeUncertain(third) {
 			t.Errorf("said from memory before the final is read: %v %v", !isOutcomeUncertain(second), !isOutcomeUncertain(third))
 		}
-		c.cacheFinishedJob("req-900001", finishedJob{phase, 2})
+		c.directory.cacheFinishedJob("req-900001", finishedJob{phase, 2})
 		if isOutcomeUncertain(second) || isOutcomeUncertain(third) {
 			t.Errorf("%s: still to be read", phase)
 		}
@@ -101,16 +101,16 @@
 		b.Run(fmt.Sprint(waiting, " wait"), func(b *testing.B) {
 			c := busyLeader(b, 8, 0)
 			for i := range 25_000 {
-				c.finishedJobs.add(fmt.Sprintf("req-%06d", i), finishedJob{protocol.PhaseDone, 1})
+				c.directory.finishedJobs.add(fmt.Sprintf("req-%06d", i), finishedJob{protocol.PhaseDone, 1})
 			}
 			for i := range waiting {
-				c.addJob(chained(c, fmt.Sprintf("req-%06d", 200_000+i), nil, fmt.Sprintf("req-%06d", 100_000+i)))
+				c.term.jobs.addJob(chained(c, fmt.Sprintf("req-%06d", 200_000+i), nil, fmt.Sprintf("req-%06d", 100_000+i)))
 			}
 			j := chained(c, "req-900002", nil, "req-900001")
-			c.addJob(j)
+			c.term.jobs.addJob(j)
 			b.ResetTimer()
 			for b.Loop() {
-				c.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
+				c.directory.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
 				j.State, j.UnmetDependencies = state.JobBlocked, append(j.UnmetDependencies, "req-900001")
 				c.term.dependencies.dependents["req-900001"] = []*state.Job{j}
 			}
@@ -123,12 +123,12 @@
 func TestResultIsProofOfWhatWasAwaited(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	j := chained(c, "req-900002", nil, "req-900001")
-	c.addJob(j)
+	c.term.jobs.addJob(j)
 	report := protocol.TaskStatus{
 		AttemptName: protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: 1}, Number: 7},
 		State:       protocol.TaskExited, Reason: protocol.ExitDone,
 	}
-	c.observeAttempt(c.adoptAttempt(c.term.cluster.Hosts()[0], report), report)
+	c.term.agents.observeAttempt(c.term.agents.adoptAttempt(c.term.cluster.Hosts()[0], report), report)
 	if j.State != state.JobActive || j.CompletedTasks != 1 || j.Tasks[1].State != state.TaskDone {
 		t.Errorf("it is %v, %d done", j.State, j.CompletedTasks)
 	}
@@ -145,7 +145,7 @@
 	high := chained(c, "req-900003", urgent(protocol.PriorityHigh, 200*protocol.Second), "req-900002")
 	standard := chained(c, "req-900004", urgent(protocol.PriorityStandard, 400*protocol.Second), "req-900002")
 	for _, j := range []*state.Job{first, second, high, standard} {
-		c.addJob(j)
+		c.term.jobs.addJob(j)
 	}
 	check := func(when string, rank protocol.Priority, within micros) {
 		t.Helper()
@@ -158,8 +158,8 @@
 		}
 	}
 	check("both need it", protocol.PriorityHigh, 158*protocol.Second)
-	c.cancelJob(ReplyAddress{}, "req-900003")
+	c.term.jobs.cancelJob(ReplyAddress{}, "req-900003")
 	check("the high one is cancelled", protocol.PriorityStandard, 358*protocol.Second)
-	c.cancelJob(ReplyAddress{}, "req-900004")
+	c.term.jobs.cancelJob(ReplyAddress{}, "req-900004")
 	check("both are", protocol.PriorityLow, 0)
 }
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -9,18 +9,18 @@
 
 // classStats is what was learned of a class of jobs.
 type classStats struct {
-	largestJob     int // tasks of the largest job that was seen
-	arrivals []micros
-	lastSpec     *protocol.JobSpec
+	largestJob      int // tasks of the largest job that was seen
+	arrivals        []micros
+	lastSpec        *protocol.JobSpec
 	logRuntimeRatio float64 // of run times to estimates
-	weight   float64
+	weight          float64
 }
 
-func (c *Controller) classStats(name string) *classStats {
-	k := c.term.classes[name]
+func (wl *workload) classStats(name string) *classStats {
+	k := wl.classes[name]
 	if k == nil {
 		k = &classStats{}
-		c.term.classes[name] = k
+		wl.classes[name] = k
 	}
 	return k
 }
@@ -83,26 +83,26 @@
 }
 
 // observeFetch learns how long fetches take on a type of machine.
-func (c *Controller) observeFetch(a *state.Attempt) {
+func (me *machineEstimates) observeFetch(a *state.Attempt) {
 	h, j := a.Host, a.Job
 	if h.Type == nil || a.Adopted || a.ExpectedReady == 0 {
 		return
 	}
 	nominal := h.Type.FetchTime(j.Spec.ImageSize)
-	took := c.now.Steady - a.PlacedAt
+	took := me.now.Steady - a.PlacedAt
 	if nominal < protocol.Second {
 		return
 	}
-	f := c.term.autoscaler.fetchFactor[h.TypeName]
+	f := me.fetchFactor[h.TypeName]
 	if f == 0 {
 		f = 1
 	}
 	r := max(0.5, min(3, float64(took)/float64(nominal)))
-	c.term.autoscaler.fetchFactor[h.TypeName] = f + (r-f)*0.1
+	me.fetchFactor[h.TypeName] = f + (r-f)*0.1
 }
 
-func (c *Controller) fetchTime(t *protocol.MachineType, size int64) micros {
-	f := c.term.autoscaler.fetchFactor[t.Name]
+func (me *machineEstimates) fetchTime(t *protocol.MachineType, size int64) micros {
+	f := me.fetchFactor[t.Name]
 	if f == 0 {
 		f = 1
 	}
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -14,10 +14,10 @@
 // record's own stamp: one that got no answer and is carried out after the next one would
 // take back completions that are durable, and that their workers were told to forget.
 type chunkWriter struct {
-	dirty   map[chunkKey]bool
-	unknownRevision    map[chunkKey]bool // a write of it may have been applied or not: its stamp has to be read
-	writing bool
-	next    micros
+	dirty           map[chunkKey]bool
+	unknownRevision map[chunkKey]bool // a write of it may have been applied or not: its stamp has to be read
+	writing         bool
+	next            micros
 }
 
 type chunkKey struct {
@@ -29,29 +29,28 @@
 // for themselves. They are let come together for a while.
 const (
 	maxSharedCompletionTasks = 2048
-	completionBatchDelay   = 700 * protocol.Millisecond
+	completionBatchDelay     = 700 * protocol.Millisecond
 )
 
-func (c *Controller) recordCompletion(j *state.Job, index int) {
+func (rs *recordStore) recordCompletion(j *state.Job, index int) {
 	if len(j.Tasks) <= maxSharedCompletionTasks {
 		size := len(j.Spec.Ref) + 8 + (len(j.Tasks)+23)/24*4 + 2
-		c.term.completionShards.put(j.Spec.Ref, size, c.shardCapacity(), c.now.Steady+completionBatchDelay, true)
+		rs.completionShards.put(j.Spec.Ref, size, rs.shardCapacity(), rs.now.Steady+completionBatchDelay, true)
 		return
 	}
-	w := &c.term.chunkWriter
+	w := &rs.chunkWriter
 	if w.dirty == nil {
 		w.dirty = make(map[chunkKey]bool)
 	}
-	if len(w.dirty) == 0 && w.next < c.now.Steady {
-		w.next = c.now.Steady + 700*protocol.Millisecond // let some more come together
+	if len(w.dirty) == 0 && w.next < rs.now.Steady {
+		w.next = rs.now.Steady + 700*protocol.Millisecond // let some more come together
 	}
 	w.dirty[chunkKey{j.Spec.Ref, index / state.ChunkTasks}] = true
 }
 
-func (c *Controller) writeCompletionChunks() {
-	t := c.term
-	w := &t.chunkWriter
-	if w.writing || len(w.dirty) == 0 || c.now.Steady < w.next {
+func (rs *recordStore) writeCompletionChunks() {
+	w := &rs.chunkWriter
+	if w.writing || len(w.dirty) == 0 || rs.now.Steady < w.next {
 		return
 	}
 	keys := make([]chunkKey, 0, len(w.dirty))
@@ -70,16 +69,16 @@
 	}
 	var batch []covered
 	for _, k := range keys {
-		j := t.cluster.Job(k.ref)
+		j := rs.cluster.Job(k.ref)
 		if j == nil || j.State != state.JobActive {
 			delete(w.dirty, k) // its final record covers it
 			continue
 		}
-		if len(then) == c.stateLimits.target.maxChanges {
+		if len(then) == rs.store.limits.target.maxChanges {
 			break
 		}
 		if w.unknownRevision[k] {
-			c.refreshChunkRevision(j, k)
+			rs.refreshChunkRevision(j, k)
 			return
 		}
 		cv := covered{j: j, chunk: k.chunk, tasks: j.CompletedNotDurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
@@ -94,9 +93,9 @@
 		return
 	}
 	w.writing = true
-	c.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
+	rs.election.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		w.writing = false
-		w.next = c.now.Steady + 500*protocol.Millisecond
+		w.next = rs.now.Steady + 500*protocol.Millisecond
 		for _, cv := range batch {
 			if o == txnCommitted {
 				cv.j.SetChunkRevision(cv.chunk, r.Revision)
@@ -120,19 +119,18 @@
 }
 
 // refreshChunkRevision reads the stamp of a record of completions after a write without an answer.
-func (c *Controller) refreshChunkRevision(j *state.Job, k chunkKey) {
-	t := c.term
-	t.chunkWriter.writing = true
-	c.getKey(priorityUrgent, k.key(), func(e protocol.Entry, found, ok bool) {
-		if c.term != t {
+func (rs *recordStore) refreshChunkRevision(j *state.Job, k chunkKey) {
+	rs.chunkWriter.writing = true
+	rs.store.getKey(priorityUrgent, k.key(), func(e protocol.Entry, found, ok bool) {
+		if rs.ended() {
 			return
 		}
-		t.chunkWriter.writing = false
+		rs.chunkWriter.writing = false
 		if !ok {
-			t.chunkWriter.next = c.now.Steady + 300*protocol.Millisecond
+			rs.chunkWriter.next = rs.now.Steady + 300*protocol.Millisecond
 			return
 		}
-		delete(t.chunkWriter.unknownRevision, k)
+		delete(rs.chunkWriter.unknownRevision, k)
 		j.SetChunkRevision(k.chunk, e.Revision) // 0 where there is none
 	})
 }
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -28,9 +28,9 @@
 
 	// The stamp of the head in the state service, as far as known: what is accepted and
 	// launched depends on it.
-	headRevision   uint64
-	known   bool
-	damaged bool // the head can't be read: the last good revision is gone by
+	headRevision uint64
+	known        bool
+	damaged      bool // the head can't be read: the last good revision is gone by
 
 	headChanges int // times that a head was taken or written
 
@@ -41,12 +41,12 @@
 
 // configTerm is what a leader has of the configuration during one epoch.
 type configTerm struct {
-	granter *configuration.Granter
-	writing bool
-	writeUncertainUntil  micros // until then a write without an answer may be applied
-	nextReread  micros
-	waiters   []configWaiter
-	headFound   bool // the head was there when the records were read
+	granter             *configuration.Granter
+	writing             bool
+	writeUncertainUntil micros // until then a write without an answer may be applied
+	nextReread          micros
+	waiters             []configWaiter
+	headFound           bool // the head was there when the records were read
 }
 
 // configWaiter is an operator who waits until a revision is in force everywhere.
@@ -58,65 +58,67 @@
 
 // Spans of that.
 const (
-	grantInterval   = protocol.Second
-	operatorTimeout  = 1500 * protocol.Millisecond // what an operator is kept waiting for
+	grantInterval          = protocol.Second
+	operatorTimeout        = 1500 * protocol.Millisecond // what an operator is kept waiting for
 	configWriteUncertainty = 60 * protocol.Second
-	configRereadInterval = 3 * protocol.Second
-	configRefreshRetry  = 200 * protocol.Millisecond
+	configRereadInterval   = 3 * protocol.Second
+	configRefreshRetry     = 200 * protocol.Millisecond
 )
 
 // EnableConfiguration lets the configuration change, before Start.
 func (c *Controller) EnableConfiguration(o configuration.Options) {
-	b := configuration.Bounds{Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.stateLimits.target.maxValueBytes}
-	c.config = &configState{options: o, bounds: b, holder: configuration.Holder{Life: c.rng.Uint64()}, settings: configuration.Of(&b, nil)}
+	b := configuration.Bounds{Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.store.limits.target.maxValueBytes}
+	c.config.state = &configState{options: o, bounds: b, holder: configuration.Holder{Life: c.rng.Uint64()}, settings: configuration.Of(&b, nil)}
 }
 
 // team is a team as the revision in force has it.
-func (c *Controller) team(name string) (configuration.Team, bool) {
-	if c.config != nil {
-		t, ok := c.config.settings.Teams[name]
+func (cm *configManager) team(name string) (configuration.Team, bool) {
+	if cm.state != nil {
+		t, ok := cm.state.settings.Teams[name]
 		return t, ok
 	}
-	t, ok := c.platform.Teams[name]
+	t, ok := cm.platform.Teams[name]
 	return configuration.Team{Team: t}, ok
 }
 
 // drainOf says whether a machine is drained, and how.
-func (c *Controller) drainOf(h *state.Host) configuration.Drain {
-	if c.config == nil {
+func (cm *configManager) drainOf(h *state.Host) configuration.Drain {
+	if cm.state == nil {
 		return configuration.NotDrained
 	}
-	return c.config.settings.Drained(h.Name, h.Zone, h.Addr)
+	return cm.state.settings.Drained(h.Name, h.Zone, h.Addr)
 }
 
 // effectiveRevision is the revision that this controller decides by at its last step; false: it
 // decides nothing by any.
-func (c *Controller) effectiveRevision() (revision uint64, ok bool) {
-	if c.config == nil {
+func (cm *configManager) effectiveRevision() (revision uint64, ok bool) {
+	if cm.state == nil {
 		return 0, false
 	}
-	if isLeaderRole(c.role) {
-		return c.config.revision, c.mayActAsLeader()
+	if isLeaderRole(cm.election.role) {
+		return cm.state.revision, cm.election.mayActAsLeader()
 	}
-	return c.config.revision, c.config.holder.Holds(c.now.Steady)
+	return cm.state.revision, cm.state.holder.Holds(cm.now.Steady)
 }
 
 // EffectiveRevision is the revision that this controller decides by at its last step; false: it
 // decides nothing by any.
-func (c *Controller) EffectiveRevision() (revision uint64, ok bool) { return c.effectiveRevision() }
+func (c *Controller) EffectiveRevision() (revision uint64, ok bool) {
+	return c.config.effectiveRevision()
+}
 
 // updateLogLevel tells the driver which level the log has to have.
-func (c *Controller) updateLogLevel() {
-	if c.config == nil {
+func (cm *configManager) updateLogLevel() {
+	if cm.state == nil {
 		return
 	}
 	level := ""
-	if _, ok := c.effectiveRevision(); ok {
-		level = c.config.settings.Log
+	if _, ok := cm.effectiveRevision(); ok {
+		level = cm.state.settings.Log
 	}
-	if level != c.config.logLevel {
-		c.config.logLevel = level
-		c.emit(SetLogLevel{level})
+	if level != cm.state.logLevel {
+		cm.state.logLevel = level
+		cm.emit(SetLogLevel{level})
 	}
 }
 
@@ -126,41 +128,41 @@
 func (SetLogLevel) effect() {}
 
 // withRevisionCondition makes a transaction depend on the revision that this controller goes by.
-func (c *Controller) withRevisionCondition(when []protocol.Condition) []protocol.Condition {
-	if c.config == nil {
+func (cm *configManager) withRevisionCondition(when []protocol.Condition) []protocol.Condition {
+	if cm.state == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: c.config.headRevision})
+	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: cm.state.headRevision})
 }
 
 // outdated notices a transaction that was refused because the head is another one: it is
 // read again, and what was refused is decided anew.
-func (c *Controller) handleRevisionConflict(o txnOutcome, r protocol.TxnResult) bool {
-	if c.config == nil || o != txnConflict || !slices.Contains(r.Conflicts, configuration.KeyHead) {
+func (cm *configManager) handleRevisionConflict(o txnOutcome, r protocol.TxnResult) bool {
+	if cm.state == nil || o != txnConflict || !slices.Contains(r.Conflicts, configuration.KeyHead) {
 		return false
 	}
-	c.stats.ConfigOutdated++
-	c.config.known = false
-	c.refreshHead()
+	cm.stats.ConfigOutdated++
+	cm.state.known = false
+	cm.refreshHead()
 	return true
 }
 
 // refreshHead reads the head until it is known.
-func (c *Controller) refreshHead() {
-	s := c.config
+func (cm *configManager) refreshHead() {
+	s := cm.state
 	if s.refreshing {
 		s.refreshAgain = true // the read under way may have been made before
 		return
 	}
 	s.refreshing, s.refreshAgain = true, false
-	c.readHead(priorityUrgent, func(ok bool) {
+	cm.readHead(priorityUrgent, func(ok bool) {
 		s.refreshing = false
 		if ok && !s.refreshAgain {
 			return
 		}
-		c.after(configRefreshRetry, func() {
+		cm.after(configRefreshRetry, func() {
 			if !s.known || s.refreshAgain {
-				c.refreshHead()
+				cm.refreshHead()
 			}
 		})
 	})
@@ -168,11 +170,11 @@
 
 // readHead reads the head and goes by it. It always asks: what is decided after it goes
 // by what the state service had after whoever decides wanted to know.
-func (c *Controller) readHead(prio uint8, done func(ok bool)) {
-	began := c.config.headChanges
-	c.getKey(prio, configuration.KeyHead, func(e protocol.Entry, found, ok bool) {
-		if ok && (found || began == c.config.headChanges) { // otherwise it was made meanwhile
-			c.applyHead(e, found)
+func (cm *configManager) readHead(prio uint8, done func(ok bool)) {
+	began := cm.state.headChanges
+	cm.store.getKey(prio, configuration.KeyHead, func(e protocol.Entry, found, ok bool) {
+		if ok && (found || began == cm.state.headChanges) { // otherwise it was made meanwhile
+			cm.applyHead(e, found)
 		}
 		done(ok)
 	})
@@ -180,8 +182,8 @@
 
 // applyHead goes by what the state service has for the head. One that can't be read, or
 // is not there any more, stops nothing: the last good revision stays.
-func (c *Controller) applyHead(e protocol.Entry, found bool) {
-	s := c.config
+func (cm *configManager) applyHead(e protocol.Entry, found bool) {
+	s := cm.state
 	if s.known && e.Revision < s.headRevision && found {
 		return // it was read before what is known
 	}
@@ -199,7 +201,7 @@
 			err = fmt.Errorf("it has revision %d, and %d was known", h.Revision, s.revision)
 		}
 		s.damaged = true
-		c.logDamagedRecord(protocol.Entry{Key: configuration.KeyHead, Revision: e.Revision}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
+		cm.logDamagedRecord(protocol.Entry{Key: configuration.KeyHead, Revision: e.Revision}, fmt.Errorf("%w: going on by revision %d", err, s.revision))
 		return
 	}
 	s.damaged = false
@@ -207,43 +209,43 @@
 		return // there is no revision yet
 	}
 	s.head = h
-	c.applyRevision(h.Revision, h.Document)
+	cm.applyRevision(h.Revision, h.Document)
 }
 
 // applyRevision takes a revision into force here.
-func (c *Controller) applyRevision(revision uint64, d configuration.Document) {
-	s := c.config
+func (cm *configManager) applyRevision(revision uint64, d configuration.Document) {
+	s := cm.state
 	if revision <= s.revision {
 		return
 	}
 	was := s.settings
 	s.revision, s.document, s.settings = revision, d, configuration.Of(&s.bounds, d)
 	s.holder.Revision = max(s.holder.Revision, revision)
-	c.operator = s.settings.Operator
-	c.log.Info("configuration", "revision", revision)
-	if t := c.term; t != nil && t.config.granter != nil {
-		t.config.granter.Goes(revision, c.now.Steady)
-		c.withdrawOutdatedDecisions(was)
-		c.sendGrants(t)
+	cm.operator = s.settings.Operator
+	cm.log.Info("configuration", "revision", revision)
+	if t := cm.term; t != nil && t.config.granter != nil {
+		t.config.granter.Goes(revision, cm.now.Steady)
+		cm.withdrawOutdatedDecisions(was)
+		cm.sendGrants(t)
 	}
-	c.updateLogLevel()
+	cm.updateLogLevel()
 }
 
 // withdrawOutdatedDecisions takes back what a leader has decided by an earlier revision and not carried
 // out yet. Rows are touched where the change is about them, and nowhere else.
-func (c *Controller) withdrawOutdatedDecisions(was *configuration.Settings) {
-	t := c.term
-	s := c.config.settings
+func (cm *configManager) withdrawOutdatedDecisions(was *configuration.Settings) {
+	t := cm.term
+	s := cm.state.settings
 	back := func(a *state.Attempt) {
 		// A launch that may be on its way is repeated until the worker knows it; with the
 		// stop behind it nothing of it runs.
 		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.LaunchUncertain {
-			c.requestStop(a, 0)
+			cm.term.commands.requestStop(a, 0)
 		}
 	}
 	if drains := func(s *configuration.Settings) int { return len(s.Zones) + len(s.Machines) + len(s.Nets) }; drains(was)+drains(s) > 0 {
 		for _, h := range t.cluster.Hosts() {
-			if d := c.drainOf(h); d != was.Drained(h.Name, h.Zone, h.Addr) {
+			if d := cm.drainOf(h); d != was.Drained(h.Name, h.Zone, h.Addr) {
 				h.Stale = true
 				if d != configuration.NotDrained {
 					for _, a := range h.Attempts() {
@@ -258,9 +260,9 @@
 			continue
 		}
 		// A pass under way has its jobs in the order of the guarantees before.
-		t.cycle = nil
+		t.scheduler.cycle = nil
 		if !withinLimit(team.Limit, t.cluster.UsedByTeam[name]) {
-			c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
+			cm.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 				back(a)
 				return !withinLimit(team.Limit, t.cluster.UsedByTeam[name])
 			})
@@ -271,8 +273,8 @@
 
 // forEachTeamAttempt goes through the attempts of a team's jobs, those that come last in line first,
 // as long as more says so.
-func (c *Controller) forEachTeamAttempt(team string, more func(*state.Attempt) bool) {
-	for _, j := range slices.Backward(slices.Clone(c.term.cluster.Jobs())) {
+func (cm *configManager) forEachTeamAttempt(team string, more func(*state.Attempt) bool) {
+	for _, j := range slices.Backward(slices.Clone(cm.term.cluster.Jobs())) {
 		if j.Spec.Team != team {
 			continue
 		}
@@ -287,21 +289,21 @@
 // enforce stops what runs against the revision in force, where it says so: on drained
 // machines, and above a team's limit. It is looked at again and again, so that a new
 // leader goes on with it.
-func (c *Controller) enforceRevision() {
-	if c.config == nil || !c.mayActAsLeader() {
+func (cm *configManager) enforceRevision() {
+	if cm.state == nil || !cm.election.mayActAsLeader() {
 		return
 	}
-	t, s := c.term, c.config.settings
+	t, s := cm.term, cm.state.settings
 	gently := func(a *state.Attempt) {
 		grace := micros(0)
 		if a.Job != nil && a.Job.Spec.CanCheckpoint() {
 			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
-		c.requestStop(a, grace)
+		cm.term.commands.requestStop(a, grace)
 	}
 	if len(s.Zones)+len(s.Machines)+len(s.Nets) > 0 {
 		for _, h := range t.cluster.Hosts() {
-			if h.Empty() || c.drainOf(h) != configuration.DrainStop {
+			if h.Empty() || cm.drainOf(h) != configuration.DrainStop {
 				continue
 			}
 			for _, a := range h.Attempts() {
@@ -317,13 +319,13 @@
 			continue
 		}
 		// What is told to stop counts until it is gone; nothing more is stopped for it.
-		c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
+		cm.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 			if a.StopRequested && a.State.MayRun() {
 				used = used.Add(a.Job.Spec.TaskResources, -1)
 			}
 			return true
 		})
-		c.forEachTeamAttempt(name, func(a *state.Attempt) bool {
+		cm.forEachTeamAttempt(name, func(a *state.Attempt) bool {
 			if withinLimit(team.Limit, used) {
 				return false
 			}
@@ -339,22 +341,22 @@
 // rentalAllowance bounds how many machines of a kind may be asked for, by the ceiling of their
 // type and zone, spot or not. mine are those that a request which is repeated has asked
 // for already.
-func (c *Controller) rentalAllowance(k machineKind, mine int) int {
-	if c.config == nil {
+func (as *autoscaler) rentalAllowance(k machineKind, mine int) int {
+	if as.config.state == nil {
 		return maxMachinesPerRequest
 	}
-	if c.config.settings.Zones[k.zone] != configuration.NotDrained {
+	if as.config.state.settings.Zones[k.zone] != configuration.NotDrained {
 		return 0
 	}
-	ceiling, ok := c.config.settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
+	ceiling, ok := as.config.state.settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
 	if !ok {
 		return maxMachinesPerRequest
 	}
-	if mine == 0 && c.term.epoch > 1 && (!c.term.autoscaler.cloudListAnswering || c.now.Steady-c.term.startedAt < rentTimeout+2*c.platform.MachineListLag) {
+	if mine == 0 && as.epoch > 1 && (!as.cloud.listAnswering || as.now.Steady-as.startedAt < rentTimeout+2*as.platform.MachineListLag) {
 		return 0 // what an earlier leader asked for may not be listed yet
 	}
-	there := c.term.autoscaler.requested[machineKind{k.machineType, k.zone, false}] + c.term.autoscaler.requested[machineKind{k.machineType, k.zone, true}] - mine
-	for _, h := range c.term.cluster.Hosts() {
+	there := as.requested[machineKind{k.machineType, k.zone, false}] + as.requested[machineKind{k.machineType, k.zone, true}] - mine
+	for _, h := range as.cluster.Hosts() {
 		if h.TypeName == k.machineType && h.Zone == k.zone && h.State != state.HostGone {
 			there++
 		}
@@ -363,37 +365,37 @@
 }
 
 // initConfigTerm gives a new term what it needs, before the records are read.
-func (c *Controller) initConfigTerm(t *leaderTerm) {
-	if c.config != nil {
+func (cm *configManager) initConfigTerm(t *leaderTerm) {
+	if cm.state != nil {
 		// Earlier leaders may have granted leases until this one had taken the lead.
-		t.config.granter = configuration.NewGranter(c.config.revision, c.now.Steady)
+		t.config.granter = configuration.NewGranter(cm.state.revision, cm.now.Steady)
 	}
 }
 
 // readHeadRecord takes the head among the records that a new leader reads.
-func (c *Controller) readHeadRecord(e protocol.Entry) {
+func (cm *configManager) readHeadRecord(e protocol.Entry) {
 	if e.Key == configuration.KeyHead {
-		c.term.config.headFound = true
-		c.config.known = false
-		c.applyHead(e, true)
+		cm.term.config.headFound = true
+		cm.state.known = false
+		cm.applyHead(e, true)
 	}
 }
 
 // startConfigTerm begins what a leader does about the configuration.
-func (c *Controller) startConfigTerm(t *leaderTerm) {
-	if c.config == nil {
+func (cm *configManager) startConfigTerm(t *leaderTerm) {
+	if cm.state == nil {
 		return
 	}
 	if !t.config.headFound {
-		c.config.known = false
-		c.applyHead(protocol.Entry{}, false)
+		cm.state.known = false
+		cm.applyHead(protocol.Entry{}, false)
 	}
-	c.updateLogLevel()
+	cm.updateLogLevel()
 	var ask func()
 	ask = func() {
-		if c.term == t {
-			c.sendGrants(t)
-			c.after(grantInterval, ask)
+		if cm.term == t {
+			cm.sendGrants(t)
+			cm.after(grantInterval, ask)
 		}
 	}
 	ask()
@@ -401,28 +403,28 @@
 
 // sendGrants tells the others which revision the leader goes by, and so renews their
 // leases on it. A leader that is not certain to lead renews none.
-func (c *Controller) sendGrants(t *leaderTerm) {
-	if !c.mayActAsLeader() {
+func (cm *configManager) sendGrants(t *leaderTerm) {
+	if !cm.election.mayActAsLeader() {
 		return
 	}
-	s := c.config
+	s := cm.state
 	var document []byte
-	for _, o := range c.platform.Peers {
+	for _, o := range cm.platform.Peers {
 		q, needs := t.config.granter.Ask(o.Name, t.epoch)
-		m := &protocol.PeerMessage{Kind: protocol.PeerConfigGrant, Epoch: q.Epoch, From: c.platform.ControllerName, Revision: q.Revision, Incarnation: q.Life, At: q.Heard}
+		m := &protocol.PeerMessage{Kind: protocol.PeerConfigGrant, Epoch: q.Epoch, From: cm.platform.ControllerName, Revision: q.Revision, Incarnation: q.Life, At: q.Heard}
 		if needs {
 			if document == nil {
 				document = configuration.EncodeDocument(s.document)
 			}
 			m.Body = document
 		}
-		c.callAddress(ToPeer, "", o.Address, "", protocol.AppendPeer(nil, m), grantInterval, func(r CallResult) {
-			if c.term != t || r.Status != 200 {
+		cm.callAddress(ToPeer, "", o.Address, "", protocol.AppendPeer(nil, m), grantInterval, func(r CallResult) {
+			if cm.term != t || r.Status != 200 {
 				return
 			}
 			a, err := protocol.ParsePeer(r.Body)
 			if err != nil {
-				c.logMalformed("controller", err)
+				cm.logMalformed("controller", err)
 				return
 			}
 			if a.Kind != protocol.PeerConfigAck {
@@ -432,13 +434,13 @@
 				// It knows a later one than this leader: the record is gone or can't be read,
 				// or a write of this leader without an answer was applied. To be read again.
 				if d, err := configuration.DecodeDocument(a.Body); err == nil {
-					c.applyRevision(a.Revision, d)
+					cm.applyRevision(a.Revision, d)
 					s.known = false
-					c.refreshHead()
+					cm.refreshHead()
 				}
 			}
-			t.config.granter.Answered(o.Name, a.Incarnation, a.At, a.Revision, c.now.Steady)
-			c.answerWaiters(t)
+			t.config.granter.Answered(o.Name, a.Incarnation, a.At, a.Revision, cm.now.Steady)
+			cm.answerWaiters(t)
 		})
 	}
 }
@@ -453,47 +455,47 @@
 func (ConfigGrantRequest) event() {}
 
 // onConfigGrantRequest answers a leader's question about the configuration.
-func (c *Controller) onConfigGrantRequest(e ConfigGrantRequest) {
-	s := c.config
-	if s == nil || isLeaderRole(c.role) || c.role == RoleClaiming {
-		c.reply(e.Reply, 0, nil, 0)
+func (cm *configManager) onConfigGrantRequest(e ConfigGrantRequest) {
+	s := cm.state
+	if s == nil || isLeaderRole(cm.election.role) || cm.election.role == RoleClaiming {
+		cm.reply(e.Reply, 0, nil, 0)
 		return
 	}
 	var d configuration.Document
 	if len(e.Document) > 0 {
 		var err error
 		if d, err = configuration.DecodeDocument(e.Document); err != nil {
-			c.logMalformed("controller", err)
+			cm.logMalformed("controller", err)
 		}
 	}
-	if s.holder.Take(c.now.Steady, e.Grant, d != nil) == configuration.Adopting {
+	if s.holder.Take(cm.now.Steady, e.Grant, d != nil) == configuration.Adopting {
 		s.known = false // its stamp is not
-		c.applyRevision(e.Grant.Revision, d)
+		cm.applyRevision(e.Grant.Revision, d)
 	}
-	c.updateLogLevel()
-	m := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: c.now.Steady}
+	cm.updateLogLevel()
+	m := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: cm.now.Steady}
 	if e.Grant.Revision < s.revision {
 		m.Body = configuration.EncodeDocument(s.document) // in case the leader can't read the record
 	}
-	c.emit(Reply{To: e.Reply, Status: 200, Frame: true, Body: protocol.AppendPeer(nil, m)})
+	cm.emit(Reply{To: e.Reply, Status: 200, Frame: true, Body: protocol.AppendPeer(nil, m)})
 }
 
 // runConfigWork does what is due about the configuration while this node leads.
-func (c *Controller) runConfigWork(t *leaderTerm) {
-	if c.config == nil {
+func (cm *configManager) runConfigWork(t *leaderTerm) {
+	if cm.state == nil {
 		return
 	}
-	at := c.now.Steady
+	at := cm.now.Steady
 	if at < t.config.writeUncertainUntil && at >= t.config.nextReread {
 		t.config.nextReread = at + configRereadInterval
-		c.readHead(priorityNormal, func(bool) {})
+		cm.readHead(priorityNormal, func(bool) {})
 	}
-	c.answerWaiters(t)
+	cm.answerWaiters(t)
 }
 
-func (c *Controller) peerNames() []string {
-	names := make([]string, len(c.platform.Peers))
-	for i, s := range c.platform.Peers {
+func (mb *membership) peerNames() []string {
+	names := make([]string, len(mb.platform.Peers))
+	for i, s := range mb.platform.Peers {
 		names[i] = s.Name
 	}
 	return names
@@ -501,7 +503,7 @@
 
 // answerWaiters answers the operators whose revision is in force everywhere. Only a leader whose lease certainly holds
 // says so: nobody else decides what it does.
-func (c *Controller) answerWaiters(t *leaderTerm) {
+func (cm *configManager) answerWaiters(t *leaderTerm) {
 	waits := t.config.waiters
 	if len(waits) == 0 {
 		return
@@ -509,9 +511,9 @@
 	t.config.waiters = nil
 	for _, w := range waits {
 		switch {
-		case c.mayActAsLeader() && w.revision <= c.config.revision && t.config.granter.InForce(w.revision, c.now.Steady, c.peerNames()):
+		case cm.election.mayActAsLeader() && w.revision <= cm.state.revision && t.config.granter.InForce(w.revision, cm.now.Steady, cm.membership.peerNames()):
 			w.answer(200, fmt.Appendf(nil, `{"revision":%d,"in_force":true}`, w.revision))
-		case c.now.Steady >= w.until: // it has been answered
+		case cm.now.Steady >= w.until: // it has been answered
 		default:
 			t.config.waiters = append(t.config.waiters, w)
 		}
@@ -519,9 +521,9 @@
 }
 
 // onConfigRequest handles an operator's call about the configuration, wherever it came in.
-func (c *Controller) onConfigRequest(e UserRequest) {
-	if c.config == nil {
-		c.reply(e.Reply, 404, protocol.ErrorBody("changes of the configuration are off"), 0)
+func (cm *configManager) onConfigRequest(e UserRequest) {
+	if cm.state == nil {
+		cm.reply(e.Reply, 404, protocol.ErrorBody("changes of the configuration are off"), 0)
 		return
 	}
 	var r *configuration.Request
@@ -542,34 +544,34 @@
 		}
 	}
 	if err != nil {
-		c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
+		cm.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
 		return
 	}
-	if !c.mayActAsLeader() {
+	if !cm.election.mayActAsLeader() {
 		if e.Reply.Peer {
-			c.reply(e.Reply, 0, nil, 0)
+			cm.reply(e.Reply, 0, nil, 0)
 			return
 		}
-		c.forwardLeaderOnly(e, operatorTimeout+500*protocol.Millisecond, c.now.Steady)
+		cm.users.forwardLeaderOnly(e, operatorTimeout+500*protocol.Millisecond, cm.now.Steady)
 		return
 	}
 	switch e.Op {
 	case protocol.OpConfig:
-		c.replyConfig(e.Reply)
+		cm.replyConfig(e.Reply)
 	case protocol.OpConfigStatus:
-		c.replyConfigStatus(e.Reply)
+		cm.replyConfigStatus(e.Reply)
 	case protocol.OpConfigWait:
-		if revision > c.config.revision {
-			c.reply(e.Reply, 409, protocol.ErrorBody(fmt.Sprintf("there is no revision %d, the last one is %d", revision, c.config.revision)), 0)
+		if revision > cm.state.revision {
+			cm.reply(e.Reply, 409, protocol.ErrorBody(fmt.Sprintf("there is no revision %d, the last one is %d", revision, cm.state.revision)), 0)
 			return
 		}
-		t := c.term
-		t.config.waiters = append(t.config.waiters, configWaiter{c.replyOnce(e.Reply, refusalRevisionPending), revision, c.now.Steady + operatorTimeout})
-		c.answerWaiters(t)
+		t := cm.term
+		t.config.waiters = append(t.config.waiters, configWaiter{cm.replyOnce(e.Reply, refusalRevisionPending), revision, cm.now.Steady + operatorTimeout})
+		cm.answerWaiters(t)
 	case protocol.OpConfigHistory:
-		c.replyHistory(c.replyOnce(e.Reply, refusalStateService), revision)
+		cm.replyHistory(cm.replyOnce(e.Reply, refusalStateService), revision)
 	default:
-		c.changeConfig(c.replyOnce(e.Reply, refusalStateService), r)
+		cm.changeConfig(cm.replyOnce(e.Reply, refusalStateService), r)
 	}
 }
 
@@ -578,12 +580,12 @@
 
 // replyOnce makes an answerer, which answers 503 by itself when the operator has waited for as
 // long as one is kept; why is the reason.
-func (c *Controller) replyOnce(to ReplyAddress, why string) operatorReply {
+func (cm *configManager) replyOnce(to ReplyAddress, why string) operatorReply {
 	answered := false
-	c.after(operatorTimeout, func() {
+	cm.after(operatorTimeout, func() {
 		if !answered {
 			answered = true
-			c.replyUnavailable(to, why)
+			cm.replyUnavailable(to, why)
 		}
 	})
 	return func(status int, body []byte) {
@@ -591,17 +593,17 @@
 		case answered:
 			return
 		case status == 503:
-			c.replyUnavailable(to, why)
+			cm.replyUnavailable(to, why)
 		default:
-			c.reply(to, status, body, 0)
+			cm.reply(to, status, body, 0)
 		}
 		answered = true
 	}
 }
 
 // replyConfig answers with the last revision.
-func (c *Controller) replyConfig(to ReplyAddress) {
-	s := c.config
+func (cm *configManager) replyConfig(to ReplyAddress) {
+	s := cm.state
 	b := fmt.Appendf(nil, `{"revision":%d,"damaged":%t,"document":`, s.revision, s.damaged)
 	b = append(b, configuration.EncodeDocument(s.document)...)
 	if s.head != nil && s.head.Revision == s.revision {
@@ -610,23 +612,23 @@
 	} else {
 		b = append(b, '}')
 	}
-	c.reply(to, 200, b, 0)
+	cm.reply(to, 200, b, 0)
 }
 
 // replyConfigStatus answers where the revisions are in force.
-func (c *Controller) replyConfigStatus(to ReplyAddress) {
-	s, g := c.config, c.term.config.granter
+func (cm *configManager) replyConfigStatus(to ReplyAddress) {
+	s, g := cm.state, cm.term.config.granter
 	b := fmt.Appendf(nil, `{"revision":%d,"in_force":%d,"damaged":%t,"controllers":[{"name":%s,"revision":%d,"leads":true}`, s.revision,
-		g.Newest(c.now.Steady, c.peerNames()), s.damaged, protocol.AppendQuoted(nil, c.platform.ControllerName), s.revision)
-	for _, o := range c.platform.Peers {
+		g.Newest(cm.now.Steady, cm.membership.peerNames()), s.damaged, protocol.AppendQuoted(nil, cm.platform.ControllerName), s.revision)
+	for _, o := range cm.platform.Peers {
 		r, when := g.Acknowledged(o.Name)
 		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), o.Name), `,"leads":false`...)
 		if when > 0 {
-			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, r, (c.now.Steady - when).Seconds())
+			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, r, (cm.now.Steady - when).Seconds())
 		}
 		b = append(b, '}')
 	}
-	c.reply(to, 200, append(b, "]}"...), 0)
+	cm.reply(to, 200, append(b, "]}"...), 0)
 }
 
 // maxHistoryBytes bounds the entries of an answer, in bytes.
@@ -634,8 +636,8 @@
 
 // readHistory reads the history that is kept, from a revision on at least: the pages
 // before the head's part where that does not go back so far.
-func (c *Controller) readHistory(from uint64, done func(list []configuration.Entry, ok bool)) {
-	h := c.config.head
+func (cm *configManager) readHistory(from uint64, done func(list []configuration.Entry, ok bool)) {
+	h := cm.state.head
 	if h == nil {
 		done(nil, true)
 		return
@@ -646,13 +648,13 @@
 		done(h.Log, true)
 		return
 	}
-	c.listPrefix(priorityNormal, configuration.PagePrefix, func(e protocol.Entry) {
+	cm.store.listPrefix(priorityNormal, configuration.PagePrefix, func(e protocol.Entry) {
 		if e.Key < first || e.Key > last {
 			return // left by what was before the record was mended
 		}
 		page, err := configuration.DecodePage(e.Value)
 		if err != nil {
-			c.logDamagedRecord(e, err)
+			cm.logDamagedRecord(e, err)
 			return
 		}
 		list = append(list, page...)
@@ -660,7 +662,7 @@
 }
 
 // history answers with the entries before a revision (0: the newest), the last one first.
-func (c *Controller) replyHistory(answer operatorReply, before uint64) {
+func (cm *configManager) replyHistory(answer operatorReply, before uint64) {
 	send := func(list []configuration.Entry, more bool) {
 		b := []byte(`{"history":[`)
 		for i, e := range slices.Backward(list) {
@@ -679,11 +681,11 @@
 		}
 		answer(200, fmt.Appendf(b, `],"more":%t}`, more))
 	}
-	if h := c.config.head; h != nil && before == 0 {
+	if h := cm.state.head; h != nil && before == 0 {
 		send(h.Log, h.LastPage >= h.FirstPage && h.LastPage > 0) // the older ones are asked for if they are wanted
 		return
 	}
-	c.readHistory(0, func(list []configuration.Entry, ok bool) {
+	cm.readHistory(0, func(list []configuration.Entry, ok bool) {
 		if !ok {
 			answer(503, nil)
 			return
@@ -693,8 +695,8 @@
 }
 
 // changeConfig makes a revision. Whatever is wrong with it is said before anything is written.
-func (c *Controller) changeConfig(answer operatorReply, r *configuration.Request) {
-	t, s := c.term, c.config
+func (cm *configManager) changeConfig(answer operatorReply, r *configuration.Request) {
+	t, s := cm.term, cm.state
 	refuse := func(status int, format string, args ...any) {
 		text := protocol.AppendQuoted([]byte(`{"error":`), fmt.Sprintf(format, args...))
 		answer(status, fmt.Appendf(text, `,"revision":%d}`, s.revision))
@@ -720,7 +722,7 @@
 		return
 	case r.Expected < s.revision && s.head != nil && r.Expected+1 < s.head.Log[0].Revision:
 		// It may be one that was made so long ago that its entry is in a page.
-		c.readHistory(r.Expected+1, func(list []configuration.Entry, ok bool) {
+		cm.readHistory(r.Expected+1, func(list []configuration.Entry, ok bool) {
 			for _, e := range list {
 				if e.ID == r.ID {
 					made(e.Revision, true)
@@ -740,9 +742,9 @@
 	}
 	if r.Rollback {
 		revision := s.revision
-		c.readHistory(r.To+1, func(list []configuration.Entry, ok bool) {
+		cm.readHistory(r.To+1, func(list []configuration.Entry, ok bool) {
 			switch {
-			case c.term != t || !c.mayActAsLeader() || !ok:
+			case cm.term != t || !cm.election.mayActAsLeader() || !ok:
 				answer(503, nil)
 			case s.revision != revision:
 				refuse(409, "expected: the last revision is %d, not %d", s.revision, r.Expected)
@@ -756,18 +758,18 @@
 					refuse(422, "%v", err)
 					return
 				}
-				c.writeRevision(answer, r, configuration.Diff(s.document, d), refuse, made)
+				cm.writeRevision(answer, r, configuration.Diff(s.document, d), refuse, made)
 			}
 		})
 		return
 	}
-	c.writeRevision(answer, r, r.Changes(s.document), refuse, made)
+	cm.writeRevision(answer, r, r.Changes(s.document), refuse, made)
 }
 
 // writeRevision makes a revision durable, and then takes it into force: one transaction on the
 // head's stamp, and on the leader's key like each of a leader's.
-func (c *Controller) writeRevision(answer operatorReply, r *configuration.Request, changes []configuration.Change, refuse func(int, string, ...any), made func(uint64, bool)) {
-	t, s := c.term, c.config
+func (cm *configManager) writeRevision(answer operatorReply, r *configuration.Request, changes []configuration.Change, refuse func(int, string, ...any), made func(uint64, bool)) {
+	t, s := cm.term, cm.state
 	if len(changes) == 0 && !r.Mend {
 		made(s.revision, false)
 		return
@@ -776,7 +778,7 @@
 		answer(503, nil)
 		return
 	}
-	e := configuration.Entry{At: c.now.Wall, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}
+	e := configuration.Entry{At: cm.now.Wall, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}
 	var w *configuration.Write
 	var err error
 	if r.Mend {
@@ -797,20 +799,20 @@
 		then = append(then, protocol.Change{Key: w.Page, Value: w.PageValue})
 	}
 	if w.LeftOut > 0 {
-		c.log.Warn("the history of the configuration is too long for the state service", "entries_left_out", w.LeftOut)
+		cm.log.Warn("the history of the configuration is too long for the state service", "entries_left_out", w.LeftOut)
 	}
 	if w.Drop != "" {
 		then = append(then, protocol.Change{Key: w.Drop})
 	}
 	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.headRevision}}
 	t.config.writing = true
-	c.leaderTransaction(priorityLatencyCritical, when, then, func(o txnOutcome, res protocol.TxnResult) {
+	cm.election.leaderTransaction(priorityLatencyCritical, when, then, func(o txnOutcome, res protocol.TxnResult) {
 		t.config.writing = false
 		if o == txnCommitted {
 			s.head, s.headRevision, s.known, s.damaged = w.Head, res.Revision, true, false
 			s.headChanges++
-			c.stats.ConfigChanges++
-			c.applyRevision(w.Head.Revision, w.Head.Document)
+			cm.stats.ConfigChanges++
+			cm.applyRevision(w.Head.Revision, w.Head.Document)
 			made(w.Head.Revision, true)
 			return
 		}
@@ -820,9 +822,9 @@
 		}
 		// Without an answer it may have been applied, or may still be; refused, an earlier
 		// one of ours was. Its request's id says which.
-		t.config.writeUncertainUntil = c.now.Steady + configWriteUncertainty
-		t.config.nextReread = c.now.Steady + configRereadInterval
-		c.readHead(priorityLatencyCritical, func(ok bool) {
+		t.config.writeUncertainUntil = cm.now.Steady + configWriteUncertainty
+		t.config.nextReread = cm.now.Steady + configRereadInterval
+		cm.readHead(priorityLatencyCritical, func(ok bool) {
 			if ok && s.head != nil {
 				if e, here := s.head.Request(r.ID); here {
 					made(e.Revision, true)
@@ -836,22 +838,22 @@
 
 // ConfigStats is how the configuration stands at a controller.
 type ConfigStats struct {
-	Revision  uint64
-	InEffect     bool              // it is gone by here
-	Damaged   bool              // the head can't be read
-	EffectiveEverywhere   uint64            // newest revision in force everywhere, as the leader knows; 0 elsewhere
-	Revisions map[string]uint64 // of the other controllers, as they told the leader; nil elsewhere
+	Revision            uint64
+	InEffect            bool              // it is gone by here
+	Damaged             bool              // the head can't be read
+	EffectiveEverywhere uint64            // newest revision in force everywhere, as the leader knows; 0 elsewhere
+	Revisions           map[string]uint64 // of the other controllers, as they told the leader; nil elsewhere
 }
 
-func (c *Controller) configStats() *ConfigStats {
-	if c.config == nil {
+func (cm *configManager) configStats() *ConfigStats {
+	if cm.state == nil {
 		return nil
 	}
-	s := &ConfigStats{Damaged: c.config.damaged}
-	s.Revision, s.InEffect = c.effectiveRevision()
-	if t := c.term; t != nil {
-		names := c.peerNames()
-		s.EffectiveEverywhere, s.Revisions = t.config.granter.Newest(c.now.Steady, names), make(map[string]uint64, len(names))
+	s := &ConfigStats{Damaged: cm.state.damaged}
+	s.Revision, s.InEffect = cm.effectiveRevision()
+	if t := cm.term; t != nil {
+		names := cm.membership.peerNames()
+		s.EffectiveEverywhere, s.Revisions = t.config.granter.Newest(cm.now.Steady, names), make(map[string]uint64, len(names))
 		for _, n := range names {
 			s.Revisions[n], _ = t.config.granter.Acknowledged(n)
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,20 +5,15 @@
 
 import (
 	"container/heap"
-	"log/slog"
-	"math/rand/v2"
 	"strconv"
 
 	"mapleslip/internal/configuration"
-	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/rollout"
-	"mapleslip/internal/state"
 )
 
 type (
-	micros = protocol.Micros
-	instant    = protocol.Now
+	micros  = protocol.Micros
+	instant = protocol.Now
 )
 
 // Target is who a call goes to.
@@ -108,9 +103,9 @@
 
 // CallResult is the end of a call. Status 0: no answer.
 type CallResult struct {
-	ID     uint64
-	Status int
-	Body   []byte
+	ID      uint64
+	Status  int
+	Body    []byte
 	NotSent bool // certainly not executed
 	// Refused: the other side could not be connected to. An unsent call that was
 	// not refused says nothing of the other side.
@@ -126,21 +121,21 @@
 	Backlog int // events that wait
 }
 
-func (UserRequest) event()      {}
-func (WorkerHeartbeat) event()  {}
-func (PeerStatusRequest) event()  {}
-func (WorkerProbe) event()    {}
-func (HealthCheckRequest) event()     {}
+func (UserRequest) event()         {}
+func (WorkerHeartbeat) event()     {}
+func (PeerStatusRequest) event()   {}
+func (WorkerProbe) event()         {}
+func (HealthCheckRequest) event()  {}
 func (FeatureRangeRequest) event() {}
-func (HealthzRequest) event()    {}
-func (CallResult) event()      {}
-func (Tick) event()          {}
+func (HealthzRequest) event()      {}
+func (CallResult) event()          {}
+func (Tick) event()                {}
 
 // ReplyAddress is where an answer goes.
 type ReplyAddress struct {
-	Conn uint64
-	Peer bool   // the other side is a controller
-	internal  uint64 // it is this one itself, see callInternally
+	Conn     uint64
+	Peer     bool   // the other side is a controller
+	internal uint64 // it is this one itself, see callInternally
 }
 
 // Effect is something to be done outside.
@@ -172,16 +167,16 @@
 // services' rates it may use.
 type RateShare struct{ Leads bool }
 
-func (Reply) effect() {}
-func (Call) effect()  {}
+func (Reply) effect()     {}
+func (Call) effect()      {}
 func (RateShare) effect() {}
 
 // Priorities of metered calls: the first goes before all others, which share the rates.
 const (
-	priorityLeadership uint8 = iota
-	priorityLatencyCritical         // somebody waits for the answer, and for work that has to start at once
-	priorityUser             // somebody waits for the answer
-	priorityUrgent           // work waits
+	priorityLeadership      uint8 = iota
+	priorityLatencyCritical       // somebody waits for the answer, and for work that has to start at once
+	priorityUser                  // somebody waits for the answer
+	priorityUrgent                // work waits
 	priorityNormal
 	priorityFinalRecord // a job is over; beside what work waits for
 )
@@ -191,119 +186,35 @@
 
 // Roles of a node.
 const (
-	RoleFollower Role = iota // another node leads, or may
-	RoleAcquiringLease               // asks for a state lease
-	RoleClaiming              // takes the leader key
-	RoleRecovering               // leads, reads the records
-	RoleLeader               // leads
-	RoleLeaseUncertain              // leads, but its lease could have ended
+	RoleFollower       Role = iota // another node leads, or may
+	RoleAcquiringLease             // asks for a state lease
+	RoleClaiming                   // takes the leader key
+	RoleRecovering                 // leads, reads the records
+	RoleLeader                     // leads
+	RoleLeaseUncertain             // leads, but its lease could have ended
 )
 
 func (r Role) String() string {
 	return [...]string{"following", "leasing", "claiming", "loading", "leading", "doubtful"}[r]
 }
 
-// Controller is one node.
-type Controller struct {
-	platform *protocol.Platform
-	operator protocol.OperatorSettings
-	rng      *rand.Rand
-	log      *slog.Logger
-	stateLimits   stateLimits
-
-	now       instant
-	effects  []Effect
-	calls    map[uint64]openCall
-	callSeq  uint64
-	roleGeneration  uint64 // raised when the role restarts, so that old answers are dropped
-	timers   timers
-	timerSeq uint64
-	lastTick   micros // when the last tick was handled
-	lastLag   micros // when this node was last found to fall behind
-	lastLagLog   micros
-
-	role          Role
-	roleSince     micros
-	lease          leaderLease
-	leader        state.LeaderRecord // as known from the state service
-	leaderSuspectUntil       micros           // the leader did not answer, until then it is not asked
-	leaderRecheckedAt     micros           // when the leader's record was read again after that
-	startedAt          micros
-	leaderKeyRead        bool              // the leader key was read since
-	damagedRecords        map[string]uint64 // records that can't be read, with the stamps under which that was told
-	leaderContactAt         micros            // when a leader last asked this node
-	workerAnsweredAt      micros            // when this node last answered a worker without leading
-	redirectedWorkers       map[string]redirectedWorker // workers that came here while another node led
-	forwardedHeartbeats      int               // their reports that are on their way to the leader
-	forwardingPausedUntil    micros            // the leader did not answer one: none is passed on before
-	stepDownBackoffUntil           micros            // this node gave its lease back: until then others go first
-	handover        protocol.HandoverState   // the newest that a leader told of
-	leaderAnsweredAt   micros            // when the leader last answered a call that was passed on
-	leaderExpectsOwnZoneOnly        bool              // the last leader that asked knows only of controllers that answer their own zone
-	deferredEpoch        uint64            // the epoch after which another one was let go first
-	stateServiceAnsweredAt    micros            // when the state service last answered
-	peerContactAt  micros            // when another controller was last heard
-	livenessCheckedAt          micros            // when the others were last asked whether they are there
-	directQueries        int               // users' questions that are being served from the state service
-	forwardedSubmits       int               // users' calls on their way to the leader, of those that can wait
-	directSubmits int               // users' submissions that are being served from the state service
-	leaderLookups       int               // questions to the leader that the state service is asked for
-	finishedJobs        finishedJobCache
-	machineTypes         []*protocol.MachineType
-	machineTypeByName    map[string]*protocol.MachineType
-
-	term *leaderTerm // what a leader knows; nil unless it leads
-
-	rolloutSettings *rollout.Settings // nil: roll-outs are off
-	internalCalls map[uint64]func(status int, body []byte)
-	internalCallSeq   uint64
-	operatorCalls   map[uint64]ReplyAddress // operators who wait for an answer about a roll-out
-	operatorCallSeq   uint64
-
-	config *configState // nil: the configuration does not change while this runs
-
-	features *featureState // nil: this controller behaves as one that knows of no feature levels
-
-	stats                  Stats
-	tracing               bool // spans are emitted
-	stateServiceHealth, cloudHealth serviceHealth
-	nextRefusalLog             micros
-	refusalsLogged           map[string]uint64
-}
-
-// openCall is a call that has not ended.
-type openCall struct {
-	target Target
-	done   func(CallResult)
-}
-
 type timer struct {
 	at  micros
 	seq uint64
 	fn  func()
 }
 
-// New makes a controller.
-func New(p *protocol.Platform, o protocol.OperatorSettings, seed uint64, log *slog.Logger) *Controller {
-	return &Controller{
-		platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log, stateLimits: newStateLimits(p),
-		calls: make(map[uint64]openCall), redirectedWorkers: make(map[string]redirectedWorker), finishedJobs: newFinishedJobCache(),
-		machineTypeByName: make(map[string]*protocol.MachineType), features: &featureState{serves: featuregate.Build},
-		stateServiceHealth: serviceHealth{name: "the state service"}, cloudHealth: serviceHealth{name: "the cloud"},
-	}
-}
-
 // EnableTracing has the controller emit spans.
 func (c *Controller) EnableTracing() { c.tracing = true }
 
 // Role says what the node is.
-func (c *Controller) Role() Role { return c.role }
+func (c *Controller) Role() Role { return c.election.role }
 
 // Start begins the controller's work.
 func (c *Controller) Start(at instant) []Effect {
 	c.now, c.startedAt = at, at.Steady
-	c.becomeFollower()
-	c.startFeatureTracking()
+	c.election.becomeFollower()
+	c.features.startFeatureTracking()
 	return c.flush()
 }
 
@@ -315,99 +226,101 @@
 	c.now = at
 	// Before anything else: the process may have been frozen for longer than
 	// the lease, and for longer than workers may be answered without one.
-	c.checkLease()
+	c.election.checkLease()
 	c.runTimers()
 	switch e := ev.(type) {
 	case UserRequest:
-		c.onUserRequest(e)
+		c.users.onUserRequest(e)
 	case WorkerHeartbeat:
-		c.onHeartbeat(e)
+		c.router.onHeartbeat(e)
 	case HealthzRequest:
-		c.onHealth(e)
+		c.membership.onHealth(e)
 	case HealthCheckRequest:
-		c.onHealthCheckRequest(e)
+		c.rollouts.onHealthCheckRequest(e)
 	case PeerStatusRequest:
-		c.onPeerStatusRequest(e)
+		c.membership.onPeerStatusRequest(e)
 	case FeatureRangeRequest:
-		c.onFeatureRangeRequest(e)
+		c.features.onFeatureRangeRequest(e)
 	case ConfigGrantRequest:
-		c.onConfigGrantRequest(e)
+		c.config.onConfigGrantRequest(e)
 	case WorkerProbe:
-		c.onWorkerProbe(e)
+		c.router.onWorkerProbe(e)
 	case CallResult:
 		if o := c.calls[e.ID]; o.done != nil {
 			delete(c.calls, e.ID)
 			switch o.target {
 			case ToState:
-				c.observeServiceCall(&c.stateServiceHealth, e)
+				c.observeServiceCall(&c.store.health, e)
 			case ToCloud:
 				c.observeServiceCall(&c.cloudHealth, e)
 			case ToPeer:
 				if e.Status == 200 {
-					c.peerContactAt = at.Steady
+					c.membership.peerContactAt = at.Steady
 				}
 			}
 			if o.target == ToState && e.Status > 0 && e.Status != 503 {
-				c.stateServiceAnsweredAt = at.Steady
+				c.store.answeredAt = at.Steady
 			}
 			o.done(e)
 		}
 	case Tick:
 		c.watchLag(e.Backlog)
-		c.checkLiveness()
-		c.probeWriteRate()
+		c.membership.checkLiveness()
+		c.store.probeWriteRate()
 		c.logRefusals()
 	}
-	c.checkLease()
+	c.election.checkLease()
 	if _, tick := ev.(Tick); tick && c.term != nil {
 		c.runPeriodicWork()
 	}
-	c.updateLogLevel()
+	c.config.updateLogLevel()
 	return c.flush()
 }
 
-func (c *Controller) flush() []Effect {
-	e := c.effects
-	c.effects = nil
+func (env *environment) flush() []Effect {
+	e := env.effects
+	env.effects = nil
 	return e
 }
 
-func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
+func (env *environment) emit(e Effect) { env.effects = append(env.effects, e) }
 
-func (c *Controller) reply(to ReplyAddress, status int, body []byte, retry micros) {
+func (env *environment) reply(to ReplyAddress, status int, body []byte, retry micros) {
 	if to.internal > 0 {
-		c.onInternalReply(to, status, body)
+		env.onInternalReply(to, status, body)
 		return
 	}
-	c.emit(Reply{To: to, Status: status, Body: body, RetryAfter: retry})
+	env.emit(Reply{To: to, Status: status, Body: body, RetryAfter: retry})
 }
 
 // retryLater is what users are told when a request can't be taken now.
 const retryLater = protocol.Second
 
-func (c *Controller) replyUnavailable(to ReplyAddress, why string) { c.replyUnavailableAfter(to, why, retryLater) }
+func (env *environment) replyUnavailable(to ReplyAddress, why string) {
+	env.replyUnavailableAfter(to, why, retryLater)
+}
 
-func (c *Controller) call(target Target, prio uint8, method, path string, body []byte, timeout micros, changes int, done func(CallResult)) {
-	c.callSeq++
-	c.calls[c.callSeq] = openCall{target, done}
-	c.emit(Call{ID: c.callSeq, Target: target, Method: method, Path: path, Body: body, Timeout: timeout, Priority: prio, Changes: changes})
+func (env *environment) call(target Target, prio uint8, method, path string, body []byte, timeout micros, changes int, done func(CallResult)) {
+	env.callSeq++
+	env.calls[env.callSeq] = openCall{target, done}
+	env.emit(Call{ID: env.callSeq, Target: target, Method: method, Path: path, Body: body, Timeout: timeout, Priority: prio, Changes: changes})
 }
 
-func (c *Controller) callAddress(target Target, method, addr, path string, body []byte, timeout micros, done func(CallResult)) {
-	c.callSeq++
-	c.calls[c.callSeq] = openCall{target, done}
-	c.emit(Call{ID: c.callSeq, Target: target, Addr: addr, Method: method, Path: path, Body: body, Timeout: timeout})
+func (env *environment) callAddress(target Target, method, addr, path string, body []byte, timeout micros, done func(CallResult)) {
+	env.callSeq++
+	env.calls[env.callSeq] = openCall{target, done}
+	env.emit(Call{ID: env.callSeq, Target: target, Addr: addr, Method: method, Path: path, Body: body, Timeout: timeout})
 }
 
 // after runs fn once the time has come, within the resolution of ticks.
-func (c *Controller) after(d micros, fn func()) {
-	c.timerSeq++
-	heap.Push(&c.timers, timer{c.now.Steady + d, c.timerSeq, fn})
+func (env *environment) after(d micros, fn func()) {
+	env.timerSeq++
+	heap.Push(&env.timers, timer{env.now.Steady + d, env.timerSeq, fn})
 }
 
-func (c *Controller) runTimers() {
-	for last := c.timerSeq; len(c.timers) > 0 && c.timers[0].at <= c.now.Steady && c.timers[0].seq <= last; {
-		heap.Pop(&c.timers).(timer).fn()
+func (env *environment) runTimers() {
+	for last := env.timerSeq; len(env.timers) > 0 && env.timers[0].at <= env.now.Steady && env.timers[0].seq <= last; {
+		heap.Pop(&env.timers).(timer).fn()
 	}
 }
 
@@ -436,41 +349,41 @@
 
 // watchLag notices that this node falls behind. What it has not heard then may
 // wait in its own queue, so for a while silence says nothing.
-func (c *Controller) watchLag(backlog int) {
-	at := c.now.Steady
-	if gap := at - c.lastTick; c.lastTick > 0 && gap > lagGap || backlog > lagBacklog {
-		c.lastLag = at
-		if at-c.lastLagLog > 5*protocol.Second {
-			c.lastLagLog = at
-			c.log.Info("falling behind", "not_run_ms", int64(gap/protocol.Millisecond), "events_waiting", backlog)
+func (env *environment) watchLag(backlog int) {
+	at := env.now.Steady
+	if gap := at - env.lastTick; env.lastTick > 0 && gap > lagGap || backlog > lagBacklog {
+		env.lastLag = at
+		if at-env.lastLagLog > 5*protocol.Second {
+			env.lastLagLog = at
+			env.log.Info("falling behind", "not_run_ms", int64(gap/protocol.Millisecond), "events_waiting", backlog)
 		}
 	}
-	c.lastTick = at
+	env.lastTick = at
 }
 
 // isLagging reports whether this node fell behind within a span.
-func (c *Controller) isLagging(within micros) bool {
-	return c.lastLag > 0 && c.now.Steady-c.lastLag < within
+func (env *environment) isLagging(within micros) bool {
+	return env.lastLag > 0 && env.now.Steady-env.lastLag < within
 }
 
 // logMalformed notes an answer that does not follow the protocol. It is treated
 // as no answer.
-func (c *Controller) logMalformed(from string, err error) {
-	c.stats.Malformed++
-	c.log.Info("malformed message", "from", from, "err", err, "count", c.stats.Malformed)
+func (env *environment) logMalformed(from string, err error) {
+	env.stats.Malformed++
+	env.log.Info("malformed message", "from", from, "err", err, "count", env.stats.Malformed)
 }
 
 // maxClockDrift is how far apart steady clocks may be after a span, with a little for
 // timers that fire late.
 func maxClockDrift(d micros) micros { return d/1000 + 5*protocol.Millisecond }
 
-func (c *Controller) getKey(prio uint8, key string, done func(e protocol.Entry, found, ok bool)) {
-	c.call(ToState, prio, "GET", "/store/"+key, nil, stateTimeout, 0, func(r CallResult) {
+func (s *stateStore) getKey(prio uint8, key string, done func(e protocol.Entry, found, ok bool)) {
+	s.call(ToState, prio, "GET", "/store/"+key, nil, stateTimeout, 0, func(r CallResult) {
 		switch r.Status {
 		case 200:
 			e, err := protocol.ParseEntry(r.Body)
 			if err != nil {
-				c.logMalformed("state", err)
+				s.logMalformed("state", err)
 				done(e, false, false)
 				return
 			}
@@ -490,11 +403,11 @@
 
 const (
 	txnCommitted   txnOutcome = iota
-	txnConflict              // a condition did not hold
-	txnNotExecuted             // certainly not executed
-	txnTooLarge             // certainly not executed: beyond the limits, which are known to be lower now
-	txnMalformed            // certainly not executed, and not for the limits: it is not sent again
-	txnUnknown              // may have been executed, or may still be
+	txnConflict               // a condition did not hold
+	txnNotExecuted            // certainly not executed
+	txnTooLarge               // certainly not executed: beyond the limits, which are known to be lower now
+	txnMalformed              // certainly not executed, and not for the limits: it is not sent again
+	txnUnknown                // may have been executed, or may still be
 )
 
 // notExecuted reports whether a transaction was certainly not executed.
@@ -502,19 +415,19 @@
 	return o == txnNotExecuted || o == txnTooLarge || o == txnMalformed
 }
 
-func (c *Controller) compareAndSwap(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
+func (s *stateStore) compareAndSwap(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
 	body := protocol.AppendTxn(nil, when, then)
-	if c.stateLimits.wasRefused(body) {
-		c.after(0, func() { done(txnMalformed, protocol.TxnResult{}) })
+	if s.limits.wasRefused(body) {
+		s.after(0, func() { done(txnMalformed, protocol.TxnResult{}) })
 		return
 	}
-	c.sendTransaction(prio, body, then, c.now.Steady+stateTimeout, done)
+	s.sendTransaction(prio, body, then, s.now.Steady+stateTimeout, done)
 }
 
 // sendTransaction sends a transaction. One that is refused for the rate was not executed and is sent
 // again until a time: it would else be what a user waits for another second.
-func (c *Controller) sendTransaction(prio uint8, body []byte, then []protocol.Change, until micros, done func(o txnOutcome, r protocol.TxnResult)) {
-	c.call(ToState, prio, "POST", "/commit", body, stateTimeout, len(then), func(r CallResult) {
+func (s *stateStore) sendTransaction(prio uint8, body []byte, then []protocol.Change, until micros, done func(o txnOutcome, r protocol.TxnResult)) {
+	s.call(ToState, prio, "POST", "/commit", body, stateTimeout, len(then), func(r CallResult) {
 		if r.NotSent {
 			done(txnNotExecuted, protocol.TxnResult{})
 			return
@@ -523,7 +436,7 @@
 		case 200, 409:
 			res, err := protocol.ParseTxn(r.Body)
 			if err != nil {
-				c.logMalformed("state", err)
+				s.logMalformed("state", err)
 				done(txnUnknown, res)
 				return
 			}
@@ -533,14 +446,14 @@
 				done(txnConflict, res)
 			}
 		case 400:
-			done(c.onMalformedTransaction(body, r.Body, then), protocol.TxnResult{})
+			done(s.onMalformedTransaction(body, r.Body, then), protocol.TxnResult{})
 		case 429:
-			c.onRateLimited()
-			if c.now.Steady+rateLimitedRetry >= until {
+			s.onRateLimited()
+			if s.now.Steady+rateLimitedRetry >= until {
 				done(txnNotExecuted, protocol.TxnResult{})
 				return
 			}
-			c.after(rateLimitedRetry, func() { c.sendTransaction(prio, body, then, until, done) })
+			s.after(rateLimitedRetry, func() { s.sendTransaction(prio, body, then, until, done) })
 		case 503:
 			done(txnNotExecuted, protocol.TxnResult{})
 		default:
@@ -550,7 +463,7 @@
 }
 
 // listPrefix reads all keys with a prefix, page by page.
-func (c *Controller) listPrefix(prio uint8, prefix string, each func(protocol.Entry), done func(revision uint64, ok bool)) {
+func (s *stateStore) listPrefix(prio uint8, prefix string, each func(protocol.Entry), done func(revision uint64, ok bool)) {
 	var first uint64
 	var page func(since string)
 	page = func(since string) {
@@ -558,14 +471,14 @@
 		if since != "" {
 			path += "&since=" + since
 		}
-		c.call(ToState, prio, "GET", path, nil, 3*protocol.Second, 0, func(r CallResult) {
+		s.call(ToState, prio, "GET", path, nil, 3*protocol.Second, 0, func(r CallResult) {
 			if r.Status != 200 {
 				done(0, false)
 				return
 			}
 			p, err := protocol.ParsePage(r.Body)
 			if err != nil {
-				c.logMalformed("state", err)
+				s.logMalformed("state", err)
 				done(0, false)
 				return
 			}
@@ -587,14 +500,14 @@
 
 // watch follows a prefix from a revision until stop says so. lost is called
 // when changes were missed and the keys have to be read again.
-func (c *Controller) watchPrefix(prio uint8, prefix string, from uint64, stop func() bool, each func(protocol.Entry), lost func()) {
+func (s *stateStore) watchPrefix(prio uint8, prefix string, from uint64, stop func() bool, each func(protocol.Entry), lost func()) {
 	var next func(rev uint64)
 	next = func(rev uint64) {
 		if stop() {
 			return
 		}
 		path := "/follow?under=" + prefix + "&since=" + strconv.FormatUint(rev, 10) + "&blockMs=20000"
-		c.call(ToState, prio, "GET", path, nil, 25*protocol.Second, 0, func(r CallResult) {
+		s.call(ToState, prio, "GET", path, nil, 25*protocol.Second, 0, func(r CallResult) {
 			if stop() {
 				return
 			}
@@ -602,19 +515,19 @@
 			case 200:
 				entries, revision, err := protocol.ParseWatch(r.Body)
 				if err != nil {
-					c.logMalformed("state", err)
-					c.after(protocol.Second, lost)
+					s.logMalformed("state", err)
+					s.after(protocol.Second, lost)
 					return
 				}
 				for _, e := range entries {
 					each(e)
 				}
 				// Changes that come together are read together.
-				c.after(200*protocol.Millisecond, func() { next(max(rev, revision)) })
+				s.after(200*protocol.Millisecond, func() { next(max(rev, revision)) })
 			case 410:
 				lost()
 			default:
-				c.after(500*protocol.Millisecond, func() { next(rev) })
+				s.after(500*protocol.Millisecond, func() { next(rev) })
 			}
 		})
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -60,7 +60,7 @@
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.EnableConfiguration(configuration.Options{Pages: 4})
 	c.Start(instant{})
-	c.startRecovery()
+	c.recovery.startRecovery()
 	var lists []Call
 	for _, e := range c.Step(instant{Steady: 1000}, Tick{}) {
 		if call, ok := e.(Call); ok && strings.HasPrefix(call.Path, "/store?under=") {
@@ -70,7 +70,7 @@
 	if len(lists) < 5 {
 		t.Fatalf("%d lists of records", len(lists))
 	}
-	c.followAfter(protocol.Second)
+	c.election.followAfter(protocol.Second)
 	for _, call := range lists {
 		prefix := strings.TrimSuffix(strings.TrimPrefix(call.Path, "/store?under="), "&page=500")
 		key, value := prefix+"x", `{}`
@@ -80,7 +80,7 @@
 		body := fmt.Sprintf(`{"entries":[{"path":%q,"data":%s,"stamp":9}],"generation":9,"truncated":false}`, key, value)
 		c.Step(instant{Steady: 2000}, CallResult{ID: call.ID, Status: 200, Body: []byte(body)})
 	}
-	if c.term != nil || c.config.revision != 0 {
-		t.Errorf("term %v, revision %d", c.term, c.config.revision)
+	if c.term != nil || c.config.state.revision != 0 {
+		t.Errorf("term %v, revision %d", c.term, c.config.state.revision)
 	}
 }
--- a/internal/controller/faults.go
+++ b/internal/controller/faults.go
@@ -22,12 +22,12 @@
 const maxFailureBackoff = 60 * protocol.Second
 
 // isProven reports whether something shows that a job can run.
-func (c *Controller) isProven(j *state.Job) bool {
+func (ft *faultTracker) isProven(j *state.Job) bool {
 	if j.CompletedTasks > 0 {
 		return true
 	}
 	for _, a := range j.ActiveAttempts() {
-		if a.State == state.AttemptRunning && c.now.Steady-a.StartedAt >= provenRunTime {
+		if a.State == state.AttemptRunning && ft.now.Steady-a.StartedAt >= provenRunTime {
 			return true
 		}
 	}
@@ -35,24 +35,24 @@
 }
 
 // failed handles a task's error.
-func (c *Controller) onTaskFailed(a *state.Attempt) {
+func (ft *faultTracker) onTaskFailed(a *state.Attempt) {
 	j, h := a.Job, a.Host
-	at := c.now.Steady
+	at := ft.now.Steady
 	if j.FailuresByHost == nil {
 		j.FailuresByHost = make(map[string]int)
 	}
 	j.FailuresByHost[h.Name]++
-	c.stepRollouts(rollout.Crashed{Ref: j.Spec.Ref, Index: a.Name.Index})
+	ft.rollouts.stepRollouts(rollout.Crashed{Ref: j.Spec.Ref, Index: a.Name.Index})
 	defer func() {
-		c.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.FailuresByHost[h.Name], "hosts", len(j.FailuresByHost), "suspect", j.Suspect)
+		ft.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.FailuresByHost[h.Name], "hosts", len(j.FailuresByHost), "suspect", j.Suspect)
 	}()
 	switch {
-	case c.isProven(j):
-		c.quarantineHost(h)
+	case ft.isProven(j):
+		ft.quarantineHost(h)
 		return
 	case len(j.FailuresByHost) > 1:
 		j.Suspect = true
-		c.clearBlame(j)
+		ft.clearBlame(j)
 		if at >= j.BackoffUntil { // tasks that fail together count once
 			j.BackoffUntil = at + min(4*protocol.Second<<min(j.BackoffAttempts, 8), maxFailureBackoff)
 			j.BackoffAttempts++
@@ -60,24 +60,24 @@
 	case !slices.Contains(h.SuspectedBy, j.Spec.Ref):
 		h.SuspectedBy, h.Stale = append(h.SuspectedBy, j.Spec.Ref), true
 		if len(h.SuspectedBy) == 2 && at >= h.QuarantinedUntil {
-			c.quarantineHost(h)
+			ft.quarantineHost(h)
 			h.QuarantinedOnSuspicion = true
 		}
 	}
 }
 
 // condemn leaves a machine alone for a while.
-func (c *Controller) quarantineHost(h *state.Host) {
+func (ft *faultTracker) quarantineHost(h *state.Host) {
 	h.FaultCount++
-	h.QuarantinedUntil = c.now.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
+	h.QuarantinedUntil = ft.now.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
 	h.QuarantinedOnSuspicion, h.Stale = false, true
-	c.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.FaultCount)
+	ft.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.FaultCount)
 }
 
 // clearBlame takes back what a suspect job's failures said of machines.
-func (c *Controller) clearBlame(j *state.Job) {
+func (ft *faultTracker) clearBlame(j *state.Job) {
 	for name := range j.FailuresByHost {
-		h := c.term.cluster.Host(name)
+		h := ft.cluster.Host(name)
 		if h == nil || !slices.Contains(h.SuspectedBy, j.Spec.Ref) {
 			continue
 		}
@@ -91,11 +91,11 @@
 }
 
 // confirmHealthy notes that a job can run. Where it failed before, the machine did.
-func (c *Controller) confirmHealthy(j *state.Job) {
+func (ft *faultTracker) confirmHealthy(j *state.Job) {
 	for name := range j.FailuresByHost {
-		if h := c.term.cluster.Host(name); h != nil && c.now.Steady >= h.QuarantinedUntil {
+		if h := ft.cluster.Host(name); h != nil && ft.now.Steady >= h.QuarantinedUntil {
 			h.SuspectedBy = nil
-			c.quarantineHost(h)
+			ft.quarantineHost(h)
 		}
 	}
 	if j.Suspect {
--- a/internal/controller/features.go
+++ b/internal/controller/features.go
@@ -14,11 +14,11 @@
 
 // featureState is what a controller knows of the feature levels.
 type featureState struct {
-	serves featuregate.Range
-	build  string
-	active featuregate.Level // at least this one is active: levels never fall
-	revision  uint64            // of the level's record, 0: there is none
-	known  bool              // the stamp was read, and nothing has shown since that it is another
+	serves     featuregate.Range
+	build      string
+	active     featuregate.Level // at least this one is active: levels never fall
+	revision   uint64            // of the level's record, 0: there is none
+	known      bool              // the stamp was read, and nothing has shown since that it is another
 	registered bool              // the roster has what this process runs
 }
 
@@ -28,31 +28,33 @@
 
 // SetFeatureRange says what this program serves, before Start.
 func (c *Controller) SetFeatureRange(r featuregate.Range, build string) {
-	c.features = &featureState{serves: r, build: build}
+	c.features.state = &featureState{serves: r, build: build}
 }
 
 // DisableFeatureLevels has the controller behave as one of a version before there were levels, for
 // tests, before Start: it writes no entry, asks for no level, and reads no record of the
 // later form.
-func (c *Controller) DisableFeatureLevels() { c.features = nil }
+func (c *Controller) DisableFeatureLevels() { c.features.state = nil }
 
 // featureEnabled reports whether a feature may be used: the active level, as far as this controller
 // knows it, has the feature. Levels never fall, so what was allowed once stays allowed; a
 // controller that does not know the level yet allows nothing new.
-func (c *Controller) featureEnabled(f featuregate.Feature) bool { return c.activeLevel() >= f.From }
+func (fm *featureManager) featureEnabled(f featuregate.Feature) bool {
+	return fm.activeLevel() >= f.From
+}
 
 // featureLevel is the active level as far as this controller knows it.
-func (c *Controller) activeLevel() featuregate.Level {
-	if c.features == nil {
+func (fm *featureManager) activeLevel() featuregate.Level {
+	if fm.state == nil {
 		return 0
 	}
-	return c.features.active
+	return fm.state.active
 }
 
 // raiseActiveLevel notes that a level is active, as the epoch's record says.
-func (c *Controller) raiseActiveLevel(l featuregate.Level) {
-	if c.features != nil {
-		c.features.active = max(c.features.active, l)
+func (fm *featureManager) raiseActiveLevel(l featuregate.Level) {
+	if fm.state != nil {
+		fm.state.active = max(fm.state.active, l)
 	}
 }
 
@@ -60,62 +62,62 @@
 // but leading waits for the entry: what a controller accepts by itself depends on the
 // level's record, so one that is not listed because the state service is down serves as
 // before, and only holds a new level up.
-func (c *Controller) startFeatureTracking() {
-	if c.features == nil {
+func (fm *featureManager) startFeatureTracking() {
+	if fm.state == nil {
 		return
 	}
-	c.registerVersion()
-	c.watchLevel()
+	fm.registerVersion()
+	fm.watchLevel()
 }
 
 // registerVersion writes what this process runs into the roster. It writes also where the entry says
 // the same, so that the stamp is another one: a write of the process before it, which may
 // have run another version, is refused from then on.
-func (c *Controller) registerVersion() {
-	key := featuregate.RegistryKey(c.platform.ControllerName)
-	again := func() { c.after(registryRetry, c.registerVersion) }
-	c.getKey(priorityLeadership, key, func(e protocol.Entry, _, ok bool) {
+func (fm *featureManager) registerVersion() {
+	key := featuregate.RegistryKey(fm.platform.ControllerName)
+	again := func() { fm.after(registryRetry, fm.registerVersion) }
+	fm.store.getKey(priorityLeadership, key, func(e protocol.Entry, _, ok bool) {
 		if !ok {
 			again()
 			return
 		}
-		value := featuregate.EncodeEntry(featuregate.Entry{Controller: c.platform.ControllerName, Levels: c.features.serves, Build: c.features.build})
+		value := featuregate.EncodeEntry(featuregate.Entry{Controller: fm.platform.ControllerName, Levels: fm.state.serves, Build: fm.state.build})
 		when := []protocol.Condition{{Key: key, Revision: e.Revision}}
-		c.compareAndSwap(priorityLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
+		fm.store.compareAndSwap(priorityLeadership, when, []protocol.Change{{Key: key, Value: value}}, func(o txnOutcome, _ protocol.TxnResult) {
 			if o != txnCommitted {
 				again() // where the outcome is unknown it is written once more
 				return
 			}
-			c.features.registered = true
+			fm.state.registered = true
 		})
 	})
 }
 
 // watchLevel reads the level and follows it until there is none that this program could
 // use beyond it. Leaders follow it too: an activation may be carried out late.
-func (c *Controller) watchLevel() {
-	enough := func() bool { return c.features.active >= c.features.serves.High }
+func (fm *featureManager) watchLevel() {
+	enough := func() bool { return fm.state.active >= fm.state.serves.High }
 	found := false
-	c.listPrefix(priorityNormal, featuregate.KeyLevel, func(e protocol.Entry) {
+	fm.store.listPrefix(priorityNormal, featuregate.KeyLevel, func(e protocol.Entry) {
 		if e.Key == featuregate.KeyLevel {
 			found = true
-			c.applyLevelRecord(e)
+			fm.applyLevelRecord(e)
 		}
 	}, func(revision uint64, ok bool) {
 		if !ok {
-			c.after(registryRetry, c.watchLevel)
+			fm.after(registryRetry, fm.watchLevel)
 			return
 		}
-		if !found && c.features.active == 0 {
-			c.features.known = true
+		if !found && fm.state.active == 0 {
+			fm.state.known = true
 		}
-		c.watchPrefix(priorityNormal, featuregate.KeyLevel, revision, enough, func(e protocol.Entry) {
+		fm.store.watchPrefix(priorityNormal, featuregate.KeyLevel, revision, enough, func(e protocol.Entry) {
 			if e.Key == featuregate.KeyLevel && e.Value != nil {
-				c.applyLevelRecord(e)
+				fm.applyLevelRecord(e)
 			}
 		}, func() {
 			if !enough() {
-				c.watchLevel()
+				fm.watchLevel()
 			}
 		})
 	})
@@ -123,8 +125,8 @@
 
 // applyLevelRecord goes by the level's record. One that can't be read is told of, and nothing is
 // accepted or written that depends on it.
-func (c *Controller) applyLevelRecord(e protocol.Entry) {
-	s := c.features
+func (fm *featureManager) applyLevelRecord(e protocol.Entry) {
+	s := fm.state
 	if e.Revision < s.revision {
 		return // it was read before what is known
 	}
@@ -134,57 +136,57 @@
 			err = errLevelFell
 		}
 		s.known = false
-		c.logDamagedRecord(e, err)
+		fm.logDamagedRecord(e, err)
 		return
 	}
 	if l > s.active {
-		c.log.Info("feature level is active", "level", uint64(l), "role", c.role.String())
+		fm.log.Info("feature level is active", "level", uint64(l), "role", fm.election.role.String())
 	}
 	s.active, s.revision, s.known = l, e.Revision, true
 }
 
 // readLevel reads the level's record, where it has to be known.
-func (c *Controller) readLevel(prio uint8, done func(ok bool)) {
-	c.getKey(prio, featuregate.KeyLevel, func(e protocol.Entry, found, ok bool) {
+func (fm *featureManager) readLevel(prio uint8, done func(ok bool)) {
+	fm.store.getKey(prio, featuregate.KeyLevel, func(e protocol.Entry, found, ok bool) {
 		switch {
 		case ok && found:
-			c.applyLevelRecord(e)
-		case ok && c.features.revision == 0:
-			c.features.known = true
+			fm.applyLevelRecord(e)
+		case ok && fm.state.revision == 0:
+			fm.state.known = true
 		}
 		done(ok)
 	})
 }
 
 // withLevelCondition makes a transaction depend on the level that this controller goes by.
-func (c *Controller) withLevelCondition(when []protocol.Condition) []protocol.Condition {
-	if c.features == nil {
+func (fm *featureManager) withLevelCondition(when []protocol.Condition) []protocol.Condition {
+	if fm.state == nil {
 		return when
 	}
-	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Revision: c.features.revision})
+	return append(when, protocol.Condition{Key: featuregate.KeyLevel, Revision: fm.state.revision})
 }
 
 // handleLevelConflict notices a transaction that was refused because another level is active: it is
 // read again, and what was refused is decided anew.
-func (c *Controller) handleLevelConflict(o txnOutcome, r protocol.TxnResult) bool {
-	if c.features == nil || o != txnConflict || !slices.Contains(r.Conflicts, featuregate.KeyLevel) {
+func (fm *featureManager) handleLevelConflict(o txnOutcome, r protocol.TxnResult) bool {
+	if fm.state == nil || o != txnConflict || !slices.Contains(r.Conflicts, featuregate.KeyLevel) {
 		return false
 	}
-	c.features.known = false
-	c.readLevel(priorityUrgent, func(bool) {})
+	fm.state.known = false
+	fm.readLevel(priorityUrgent, func(bool) {})
 	return true
 }
 
 // applyMachineTypesRecord takes machine types from their record. That of the later form is not for
 // controllerNames that know of no levels: without machine types they accept nothing.
-func (c *Controller) applyMachineTypesRecord(value []byte) {
+func (mc *machineCatalog) applyMachineTypesRecord(value []byte) {
 	types, later, err := state.DecodeTypes(value)
-	if err == nil && later && c.features == nil {
+	if err == nil && later && mc.features.state == nil {
 		err = errLaterFormat
 	}
 	if err != nil {
-		c.logMalformed("machine types", err)
+		mc.logMalformed("machine types", err)
 		return
 	}
-	c.setMachineTypes(types)
+	mc.setMachineTypes(types)
 }
--- a/internal/controller/guests.go
+++ b/internal/controller/guests.go
@@ -21,14 +21,14 @@
 
 // usesSpareCapacityOnly reports whether a job neither keeps a machine at the full price nor has
 // one rented.
-func (c *Controller) usesSpareCapacityOnly(j *state.Job) bool {
-	return isOpportunistic(j) && j.Spec.AllowSpot && c.now.Steady-j.EligibleAt < opportunisticWithoutRentalFor
+func (sc *scheduler) usesSpareCapacityOnly(j *state.Job) bool {
+	return isOpportunistic(j) && j.Spec.AllowSpot && sc.now.Steady-j.EligibleAt < opportunisticWithoutRentalFor
 }
 
 // heldForTeam reports whether a machine has work for which it is to be kept.
-func (c *Controller) hasRetainingWork(h *state.Host) bool {
+func (sc *scheduler) hasRetainingWork(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !c.usesSpareCapacityOnly(a.Job)) {
+		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !sc.usesSpareCapacityOnly(a.Job)) {
 			return true
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // evictOpportunistic stops the guests on a host that are in the way of a task.
-func (c *Controller) evictOpportunistic(h *state.Host, need protocol.Resources) {
+func (sc *scheduler) evictOpportunistic(h *state.Host, need protocol.Resources) {
 	free := h.Type.Capacity
 	var guests []victim
 	for _, a := range h.Attempts() {
@@ -48,7 +48,7 @@
 		if isOpportunistic(a.Job) {
 			lost := micros(0)
 			if a.StartedAt > 0 {
-				lost = c.now.Steady - a.StartedAt
+				lost = sc.now.Steady - a.StartedAt
 				if s.CanCheckpoint() {
 					lost = min(lost, s.CheckpointInterval)
 				}
@@ -60,20 +60,20 @@
 		return
 	}
 	for _, v := range minimalVictims(guests, free, need) {
-		c.log.Debug("guest gives way", "task", v.attempt.Name.TaskName.String(), "host", h.Name)
-		c.requestStop(v.attempt, 0)
+		sc.log.Debug("guest gives way", "task", v.attempt.Name.TaskName.String(), "host", h.Name)
+		sc.commands.requestStop(v.attempt, 0)
 	}
 }
 
 // evictAll lets the guests on a machine that goes back save what they did.
-func (c *Controller) evictAll(h *state.Host) {
+func (sc *scheduler) evictAll(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State.HoldsResources() && !a.StopRequested && a.Job != nil {
 			grace := micros(0)
 			if a.Job.Spec.CanCheckpoint() {
 				grace = a.Job.Spec.CheckpointDuration + protocol.Second
 			}
-			c.requestStop(a, grace)
+			sc.commands.requestStop(a, grace)
 		}
 	}
 }
--- a/internal/controller/jobend.go
+++ b/internal/controller/jobend.go
@@ -20,20 +20,20 @@
 // on their way at a time: of more some would not get their turn before they expire, and
 // begin again behind those of jobs that ended later.
 type finalWriter struct {
-	queue    []queuedFinal
-	inFlight int
+	queue          []queuedFinal
+	inFlight       int
 	lastLatency    micros // what the last one took, which is mostly its wait in line
-	lastFinishedAt      micros // when that was
+	lastFinishedAt micros // when that was
 }
 
 type queuedFinal struct {
-	job   *state.Job
+	job      *state.Job
 	queuedAt micros
 }
 
 // maxFinalWrites is how many final records are on their way at a time: what the leader
 // may write in half a second, and as many as keep a small rate in use.
-func (c *Controller) maxFinalWrites() int { return max(4, int(c.writeRate()/4)) }
+func (jm *jobManager) maxFinalWrites() int { return max(4, int(jm.store.writeRate()/4)) }
 
 // finished counts a final record that is not on its way any more.
 func (w *finalWriter) finished(at, since micros) {
@@ -42,20 +42,20 @@
 }
 
 // writeQueuedFinals writes the final records whose turn it is.
-func (c *Controller) writeQueuedFinals() {
-	w := &c.term.finals
-	for c.role == RoleLeader && len(w.queue) > 0 && w.inFlight < c.maxFinalWrites() {
+func (jm *jobManager) writeQueuedFinals() {
+	w := &jm.finals
+	for jm.election.role == RoleLeader && len(w.queue) > 0 && w.inFlight < jm.maxFinalWrites() {
 		next := w.queue[0]
 		w.queue[0] = queuedFinal{}
 		w.queue = w.queue[1:]
 		w.inFlight++
-		c.writeFinalRecord(next.job, next.queuedAt)
+		jm.writeFinalRecord(next.job, next.queuedAt)
 	}
 }
 
 // finishIfComplete writes the final record of a job whose tasks are all done.
 // Only after it is durable are users told.
-func (c *Controller) finishIfComplete(j *state.Job) {
+func (jm *jobManager) finishIfComplete(j *state.Job) {
 	if j.State != state.JobActive || j.CompletedTasks < len(j.Tasks) {
 		return
 	}
@@ -66,24 +66,22 @@
 		return
 	}
 	j.SetState(state.JobFinishing)
-	c.queueFinalRecord(j)
+	jm.queueFinalRecord(j)
 }
 
 // finish moves a job's record to where jobs that are over are kept.
-func (c *Controller) queueFinalRecord(j *state.Job) {
-	t := c.term
-	if c.role != RoleLeader {
+func (jm *jobManager) queueFinalRecord(j *state.Job) {
+	if jm.election.role != RoleLeader {
 		// It would be refused: the state service is not there, or this node's lease.
-		c.after(400*protocol.Millisecond, func() { c.requeueFinalRecord(t, j) })
+		jm.after(400*protocol.Millisecond, func() { jm.requeueFinalRecord(j) })
 		return
 	}
-	t.finals.queue = append(t.finals.queue, queuedFinal{j, c.now.Steady})
-	c.writeQueuedFinals()
+	jm.finals.queue = append(jm.finals.queue, queuedFinal{j, jm.now.Steady})
+	jm.writeQueuedFinals()
 }
 
 // writeFinalRecord writes a job's final record, in its turn.
-func (c *Controller) writeFinalRecord(j *state.Job, since micros) {
-	t := c.term
+func (jm *jobManager) writeFinalRecord(j *state.Job, since micros) {
 	ref := j.Spec.Ref
 	phase := protocol.PhaseDone
 	if j.State == state.JobCancelledLegacy || j.State == state.JobCancelling {
@@ -93,7 +91,7 @@
 		{Key: state.JobPrefix + ref},
 		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))},
 	}
-	t.bookingShards.drop(ref, protocol.Forever)
+	jm.records.bookingShards.drop(ref, protocol.Forever)
 	chunks := make([]int, 0, len(j.ChunkRevisions))
 	for k := range j.ChunkRevisions {
 		chunks = append(chunks, k)
@@ -101,106 +99,106 @@
 	sort.Ints(chunks)
 	var rest []string // dropped once the job is over
 	for _, k := range chunks {
-		if key := (chunkKey{ref, k}).key(); len(then) < c.stateLimits.target.maxChanges {
+		if key := (chunkKey{ref, k}).key(); len(then) < jm.store.limits.target.maxChanges {
 			then = append(then, protocol.Change{Key: key})
 		} else {
 			rest = append(rest, key)
 		}
 	}
 	when := []protocol.Condition{{Key: state.JobPrefix + ref, Revision: j.Revision}}
-	c.leaderTransaction(priorityFinalRecord, when, then, func(o txnOutcome, r protocol.TxnResult) {
-		t.finals.finished(c.now.Steady, since)
-		c.writeQueuedFinals()
+	jm.election.leaderTransaction(priorityFinalRecord, when, then, func(o txnOutcome, r protocol.TxnResult) {
+		jm.finals.finished(jm.now.Steady, since)
+		jm.writeQueuedFinals()
 		switch o {
 		case txnCommitted:
-			t.orphanedKeys = append(t.orphanedKeys, rest...)
-			c.onJobFinished(j, phase)
+			jm.records.orphanedKeys = append(jm.records.orphanedKeys, rest...)
+			jm.onJobFinished(j, phase)
 		case txnConflict:
 			// Our own earlier try may have been applied late.
-			c.getKey(priorityUrgent, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
-				if c.term != t {
+			jm.store.getKey(priorityUrgent, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+				if jm.ended() {
 					return
 				}
 				if found {
 					if p, _, err := state.DecodeFinal(e.Value); err == nil {
-						c.onJobFinished(j, p)
+						jm.onJobFinished(j, p)
 						return
 					}
 				}
 				// Or a write to the job's record was: its stamp is another.
-				c.getKey(priorityUrgent, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
-					if c.term != t {
+				jm.store.getKey(priorityUrgent, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+					if jm.ended() {
 						return
 					}
 					if found {
 						j.Revision = e.Revision
 					}
-					c.after(500*protocol.Millisecond, func() { c.requeueFinalRecord(t, j) })
+					jm.after(500*protocol.Millisecond, func() { jm.requeueFinalRecord(j) })
 				})
 			})
 		default:
-			c.after(400*protocol.Millisecond, func() { c.requeueFinalRecord(t, j) })
+			jm.after(400*protocol.Millisecond, func() { jm.requeueFinalRecord(j) })
 		}
 	})
 }
 
-func (c *Controller) requeueFinalRecord(t *leaderTerm, j *state.Job) {
-	if c.term == t && (j.State == state.JobFinishing || j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) {
-		c.queueFinalRecord(j)
+func (jm *jobManager) requeueFinalRecord(j *state.Job) {
+	if !jm.ended() && (j.State == state.JobFinishing || j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) {
+		jm.queueFinalRecord(j)
 	}
 }
 
 // onJobFinished notes that a job's final record is durable.
-func (c *Controller) onJobFinished(j *state.Job, p protocol.Phase) {
-	t := c.term
-	c.cacheFinishedJob(j.Spec.Ref, finishedJob{p, len(j.Tasks)})
+func (jm *jobManager) onJobFinished(j *state.Job, p protocol.Phase) {
+	jm.directory.cacheFinishedJob(j.Spec.Ref, finishedJob{p, len(j.Tasks)})
 	if p == protocol.PhaseDone {
 		if j.State == state.JobFinishing {
 			j.SetState(state.JobDone)
 		}
 	} else if j.State == state.JobCancelledLegacy || j.State == state.JobCancelling {
 		j.SetState(state.JobClosed)
-		c.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((c.now.Wall-j.CancelRequestedWall)/protocol.Millisecond), "told", len(t.pendingCancels[j.Spec.Ref]))
+		jm.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((jm.now.Wall-j.CancelRequestedWall)/protocol.Millisecond), "told", len(jm.pendingCancels[j.Spec.Ref]))
 	}
-	delete(t.dependencies.finalWritesInFlight, j)
+	delete(jm.dependencies.finalWritesInFlight, j)
 	for i := range j.Tasks {
 		j.Tasks[i].Durable = true
 	}
-	for _, a := range t.pendingCancels[j.Spec.Ref] {
-		c.reply(a, 200, protocol.JobStatusBody(j.Spec.Ref, p, j.CompletedTasks, 0), 0)
+	for _, a := range jm.pendingCancels[j.Spec.Ref] {
+		jm.reply(a, 200, protocol.JobStatusBody(j.Spec.Ref, p, j.CompletedTasks, 0), 0)
 	}
-	delete(t.pendingCancels, j.Spec.Ref)
-	t.cycleNeeded = true
+	delete(jm.pendingCancels, j.Spec.Ref)
+	jm.cycleNeeded = true
 }
 
 // cacheFinishedJob keeps the last phase of a job that is durably over, and takes it to the jobs
 // that await it.
-func (c *Controller) cacheFinishedJob(ref string, f finishedJob) {
-	c.finishedJobs.add(ref, f)
-	c.onDependencyFinished(ref, f.phase)
+func (d *jobDirectory) cacheFinishedJob(ref string, f finishedJob) {
+	d.finishedJobs.add(ref, f)
+	if d.term != nil {
+		d.term.dependencies.onDependencyFinished(ref, f.phase)
+	}
 }
 
 // reviewJobs lets go of jobs that are over and of which no attempt is left.
-func (c *Controller) reviewJobs() {
-	t := c.term
+func (jm *jobManager) reviewJobs() {
 	var over []*state.Job
-	for _, j := range t.cluster.Jobs() {
-		c.countObjective(j)
-		c.countLargeJobStart(j)
+	for _, j := range jm.cluster.Jobs() {
+		jm.objectives.countObjective(j)
+		jm.objectives.countLargeJobStart(j)
 		switch j.State {
 		case state.JobDone, state.JobClosed:
 			if j.NoActiveAttempts() {
 				over = append(over, j)
 			}
 		case state.JobCancelling:
-			c.completeCancellation(j)
-			c.persistCancelRequest(j)
+			jm.completeCancellation(j)
+			jm.persistCancelRequest(j)
 		case state.JobCancelledLegacy: // by an earlier version
-			if j.NoActiveAttempts() && t.reconciled && !j.FinalWriteInFlight && len(t.pendingCancels[j.Spec.Ref]) == 0 {
-				c.onFinalWriteStarted(j)
-				c.queueFinalRecord(j)
+			if j.NoActiveAttempts() && jm.reconciled && !j.FinalWriteInFlight && len(jm.pendingCancels[j.Spec.Ref]) == 0 {
+				jm.dependencies.onFinalWriteStarted(j)
+				jm.queueFinalRecord(j)
 			}
 		}
 	}
-	t.cluster.RemoveJobs(over)
+	jm.cluster.RemoveJobs(over)
 }
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -26,27 +26,27 @@
 	// is announced, lowered in large steps where the service refuses.
 	target transactionLimits
 
-	publishedRate  float64 // changes a second
-	writeRate       float64 // as far as the service takes them
-	loweredAt    micros  // when the rate was last lowered; 0: never
-	probeAt    micros  // when a higher rate is tried
+	publishedRate float64 // changes a second
+	writeRate     float64 // as far as the service takes them
+	loweredAt     micros  // when the rate was last lowered; 0: never
+	probeAt       micros  // when a higher rate is tried
 	probeInterval micros
 
-	seed    maphash.Seed
+	seed          maphash.Seed
 	refusedBodies map[uint64]bool // hashes of transactions that were refused as malformed
 }
 
 // How the rate follows the answers: down at once, up slowly, and ever more slowly while
 // that leads to refusals.
 const (
-	rateDecrease       = 0.8
-	rateIncrease         = 1.05
-	minProbeInterval     = protocol.Second
-	maxProbeInterval   = 60 * protocol.Second
-	rateSettleTime    = protocol.Second // refusals within it are of what was sent before
-	maxRefusedBodies    = 4096
-	rateLimitedRetry   = 100 * protocol.Millisecond // until a transaction beyond the rate is sent again
-	errNoSuchLease = "no such lease"
+	rateDecrease     = 0.8
+	rateIncrease     = 1.05
+	minProbeInterval = protocol.Second
+	maxProbeInterval = 60 * protocol.Second
+	rateSettleTime   = protocol.Second // refusals within it are of what was sent before
+	maxRefusedBodies = 4096
+	rateLimitedRetry = 100 * protocol.Millisecond // until a transaction beyond the rate is sent again
+	errNoSuchLease   = "no such lease"
 )
 
 func newStateLimits(p *protocol.Platform) stateLimits {
@@ -147,25 +147,25 @@
 func (WriteRate) effect() {}
 
 // propagateLimits hands the limits on to those that keep them for themselves.
-func (c *Controller) propagateLimits() {
-	if c.config != nil {
-		c.config.bounds.ValueBytes = c.stateLimits.target.maxValueBytes
-	}
-	if c.rolloutSettings != nil {
-		c.rolloutSettings.ValueBytes = c.stateLimits.target.maxValueBytes
-		if c.term != nil && c.term.rollouts.manager != nil {
-			c.term.rollouts.manager.SetValueBytes(c.stateLimits.target.maxValueBytes)
+func (s *stateStore) propagateLimits() {
+	if s.config.state != nil {
+		s.config.state.bounds.ValueBytes = s.limits.target.maxValueBytes
+	}
+	if s.rollouts.settings != nil {
+		s.rollouts.settings.ValueBytes = s.limits.target.maxValueBytes
+		if s.term != nil && s.term.rollouts.manager != nil {
+			s.term.rollouts.manager.SetValueBytes(s.limits.target.maxValueBytes)
 		}
 	}
 }
 
 // onMalformedTransaction handles a transaction that was refused as malformed. It is never sent
 // again as it is: either the limits are lower now and it is divided, or it stays undone.
-func (c *Controller) onMalformedTransaction(body, answer []byte, then []protocol.Change) txnOutcome {
+func (s *stateStore) onMalformedTransaction(body, answer []byte, then []protocol.Change) txnOutcome {
 	if fastjson.GetString(answer, "error") == errNoSuchLease {
 		return txnNotExecuted
 	}
-	l := &c.stateLimits
+	l := &s.limits
 	if len(l.refusedBodies) >= maxRefusedBodies {
 		clear(l.refusedBodies)
 	}
@@ -176,13 +176,13 @@
 	}
 	was := *l
 	if !l.learnFromMalformed(len(then), largest) {
-		c.log.Error("the state service refused a transaction as malformed", "body", string(body))
+		s.log.Error("the state service refused a transaction as malformed", "body", string(body))
 		return txnMalformed
 	}
 	if was.target != l.target || was.accepted != l.accepted {
-		c.log.Warn("the state service's limits are lower", "refused_changes", len(then), "refused_bytes", largest,
+		s.log.Warn("the state service's limits are lower", "refused_changes", len(then), "refused_bytes", largest,
 			"changes", l.target.maxChanges, "value_bytes", l.target.maxValueBytes, "longest_description", l.accepted.maxValueBytes)
-		c.propagateLimits()
+		s.propagateLimits()
 	}
 	return txnTooLarge
 }
@@ -193,22 +193,22 @@
 }
 
 // onRateLimited handles a transaction that was refused for the rate.
-func (c *Controller) onRateLimited() {
-	if c.stateLimits.learnFromRateLimit(c.now.Steady) {
-		c.log.Warn("the state service takes fewer changes", "a_second", c.stateLimits.writeRate, "published", c.stateLimits.publishedRate)
-		c.emit(WriteRate{PerSecond: c.stateLimits.writeRate, Lowered: true})
+func (s *stateStore) onRateLimited() {
+	if s.limits.learnFromRateLimit(s.now.Steady) {
+		s.log.Warn("the state service takes fewer changes", "a_second", s.limits.writeRate, "published", s.limits.publishedRate)
+		s.emit(WriteRate{PerSecond: s.limits.writeRate, Lowered: true})
 	}
 }
 
 // probeWriteRate tries a higher rate where it is time for that.
-func (c *Controller) probeWriteRate() {
-	most := c.stateLimits.publishedRate
-	if isLeaderRole(c.role) {
+func (s *stateStore) probeWriteRate() {
+	most := s.limits.publishedRate
+	if isLeaderRole(s.election.role) {
 		// Its part of that is all there is: the others mostly write nothing.
-		most /= WriteShare(len(c.platform.Peers)+1, true)
+		most /= WriteShare(len(s.platform.Peers)+1, true)
 	}
-	if c.stateLimits.tryHigherRate(c.now.Steady, most) {
-		c.log.Debug("more changes are tried", "a_second", c.stateLimits.writeRate)
-		c.emit(WriteRate{PerSecond: c.stateLimits.writeRate})
+	if s.limits.tryHigherRate(s.now.Steady, most) {
+		s.log.Debug("more changes are tried", "a_second", s.limits.writeRate)
+		s.emit(WriteRate{PerSecond: s.limits.writeRate})
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -78,11 +78,11 @@
 // measuredRate is, after a pause, and the rate is lower from then on.
 func TestRefusedTransactions(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+100*protocol.Second
+	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+100*protocol.Second
 	stateCalls(c)
 	var ended []txnOutcome
 	write := func(value string) []Call {
-		c.compareAndSwap(priorityUrgent, nil, []protocol.Change{{Key: "k", Value: []byte(value)}}, func(o txnOutcome, _ protocol.TxnResult) { ended = append(ended, o) })
+		c.store.compareAndSwap(priorityUrgent, nil, []protocol.Change{{Key: "k", Value: []byte(value)}}, func(o txnOutcome, _ protocol.TxnResult) { ended = append(ended, o) })
 		return stateCalls(c)
 	}
 	answer := func(call Call, status int, body string) {
@@ -109,11 +109,11 @@
 	if sent = write(`"b"`); len(sent) != 1 || ended[2] != txnNotExecuted {
 		t.Fatalf("sent %+v, ended %v: the lease may be another one", sent, ended)
 	}
-	rate := c.stateLimits.writeRate
+	rate := c.store.limits.writeRate
 	answer(sent[0], 429, `{}`)
 	again := later(rateLimitedRetry)
-	if len(again) != 1 || string(again[0].Body) != string(sent[0].Body) || len(ended) != 3 || c.stateLimits.writeRate >= rate {
-		t.Fatalf("sent again: %+v, ended %v, rate %g", again, ended, c.stateLimits.writeRate)
+	if len(again) != 1 || string(again[0].Body) != string(sent[0].Body) || len(ended) != 3 || c.store.limits.writeRate >= rate {
+		t.Fatalf("sent again: %+v, ended %v, rate %g", again, ended, c.store.limits.writeRate)
 	}
 	answer(again[0], 200, `{"generation":3}`)
 	if len(ended) != 4 || ended[3] != txnCommitted {
@@ -125,20 +125,20 @@
 // the others mostly write nothing; one that leads no more keeps to its part.
 func TestLeaderTriesForAllOfTheRate(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+1000*protocol.Second
+	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+1000*protocol.Second
 	c.platform.Peers = make([]protocol.Peer, 2)
 	part := WriteShare(3, true)
 	for range 60 {
 		c.now.Steady += 2 * protocol.Second
-		c.probeWriteRate()
+		c.store.probeWriteRate()
 	}
-	if got := c.stateLimits.writeRate * part; math.Abs(got-c.stateLimits.publishedRate) > 1e-6 {
-		t.Errorf("%g a second of %g", got, c.stateLimits.publishedRate)
+	if got := c.store.limits.writeRate * part; math.Abs(got-c.store.limits.publishedRate) > 1e-6 {
+		t.Errorf("%g a second of %g", got, c.store.limits.publishedRate)
 	}
 	c.effects = nil
-	c.role = RoleFollower
-	c.probeWriteRate()
-	if c.stateLimits.writeRate != c.stateLimits.publishedRate || len(c.effects) != 1 {
-		t.Errorf("%g of %g, then %v", c.stateLimits.writeRate, c.stateLimits.publishedRate, c.effects)
+	c.election.role = RoleFollower
+	c.store.probeWriteRate()
+	if c.store.limits.writeRate != c.store.limits.publishedRate || len(c.effects) != 1 {
+		t.Errorf("%g of %g, then %v", c.store.limits.writeRate, c.store.limits.publishedRate, c.effects)
 	}
 }
--- a/internal/controller/memory.go
+++ b/internal/controller/memory.go
@@ -13,18 +13,10 @@
 // nothing needed the whole time of silence again before it did anything, and if
 // leaders followed each other faster than that, nothing was ever done.
 
-// handoverWriter is how a leader keeps its memory.
-type handoverWriter struct {
-	persisted    protocol.HandoverState // as the state service has it
-	sentToPeers    map[string]sentHandover
-	next    micros // when it is looked at again
-	writing bool
-}
-
 // sentHandover is what another controller was told.
 type sentHandover struct {
-	stateAt micros // At of the memory
-	acknowledgedAt   micros // when it answered
+	stateAt        micros // At of the memory
+	acknowledgedAt micros // when it answered
 }
 
 // handoverResendInterval is how often a controller is told again what it has been told: it may have
@@ -34,39 +26,38 @@
 // Spans of that. A cut that lasts is written again now and then, since a successor
 // goes by when it was last seen.
 const (
-	handoverInterval = protocol.Second
-	partitionRefreshInterval   = 10 * protocol.Second
-	handoverRetry = 2 * protocol.Second
+	handoverInterval         = protocol.Second
+	partitionRefreshInterval = 10 * protocol.Second
+	handoverRetry            = 2 * protocol.Second
 )
 
 // wallTime turns the steady clock's time into a time of day.
-func (c *Controller) wallTime(steady micros) micros { return steady - c.now.Steady + c.now.Wall }
+func (env *environment) wallTime(steady micros) micros { return steady - env.now.Steady + env.now.Wall }
 
 // updateHandover brings the memory up to date, and the record of it where it differs.
-func (c *Controller) updateHandover(release micros) {
-	t := c.term
-	at := c.now.Steady
-	if at < t.handover.next || !c.mayActAsLeader() {
+func (hw *handoverWriter) updateHandover(release micros) {
+	at := hw.now.Steady
+	if at < hw.next || !hw.election.mayActAsLeader() {
 		return
 	}
-	t.handover.next = at + handoverInterval
-	m := protocol.HandoverState{Epoch: t.epoch, At: c.now.Wall}
+	hw.next = at + handoverInterval
+	m := protocol.HandoverState{Epoch: hw.epoch, At: hw.now.Wall}
 	cuts := make(map[string]*protocol.Partition)
-	for zone, seen := range t.partitionSeenAt {
-		if at-seen < c.partitionHoldTime() {
-			cuts[zone] = &protocol.Partition{Zone: zone, Since: c.now.Wall, LastSeen: c.wallTime(seen)}
+	for zone, seen := range hw.hosts.partitionSeenAt {
+		if at-seen < hw.hosts.partitionHoldTime() {
+			cuts[zone] = &protocol.Partition{Zone: zone, Since: hw.now.Wall, LastSeen: hw.wallTime(seen)}
 		}
 	}
-	bytes, room := 200, c.shardCapacity()
-	for _, h := range t.cluster.Hosts() {
+	bytes, room := 200, hw.records.shardCapacity()
+	for _, h := range hw.cluster.Hosts() {
 		if h.State != state.HostReady && (!h.FromRecord || h.Reconciled) || at-h.LastContact <= release {
 			continue
 		}
 		if cut := cuts[h.Zone]; cut != nil {
-			cut.Since = min(cut.Since, c.wallTime(h.LastContact))
+			cut.Since = min(cut.Since, hw.wallTime(h.LastContact))
 			continue
 		}
-		s := protocol.SilentHost{Host: h.Name, Since: c.wallTime(h.LastContact)}
+		s := protocol.SilentHost{Host: h.Name, Since: hw.wallTime(h.LastContact)}
 		m.SilentHosts = append(m.SilentHosts, s)
 		bytes += state.SilentHostBytes(s)
 	}
@@ -79,18 +70,18 @@
 		most = min(most, max(0, room/(bytes/max(1, len(m.SilentHosts)))))
 	}
 	m = leadership.Trim(m, most)
-	if same := leadership.SameContent(m, c.handover); !same || c.handover.Epoch != m.Epoch {
-		c.handover = m
+	if same := leadership.SameContent(m, hw.membership.handover); !same || hw.membership.handover.Epoch != m.Epoch {
+		hw.membership.handover = m
 	}
-	kept := &t.handover.persisted
+	kept := &hw.persisted
 	again := len(m.Partitions) > 0 && m.At-kept.At >= partitionRefreshInterval
-	if t.handover.writing || leadership.SameContent(m, *kept) && !again {
+	if hw.writing || leadership.SameContent(m, *kept) && !again {
 		return
 	}
-	t.handover.writing = true
-	c.leaderTransaction(priorityUrgent, nil, []protocol.Change{{Key: state.KeyHandover, Value: state.EncodeHandoverState(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
-		t.handover.writing = false
-		t.handover.next = c.now.Steady + handoverRetry
+	hw.writing = true
+	hw.election.leaderTransaction(priorityUrgent, nil, []protocol.Change{{Key: state.KeyHandover, Value: state.EncodeHandoverState(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
+		hw.writing = false
+		hw.next = hw.now.Steady + handoverRetry
 		if o == txnCommitted {
 			*kept = m
 		}
@@ -99,60 +90,61 @@
 
 // partitionHoldTime is how long a zone counts as cut off after it last looked so: when a cut
 // ends, its hosts do not all come back at the same instant.
-func (c *Controller) partitionHoldTime() micros { return 2*c.platform.HeartbeatInterval + 4*protocol.Second }
+func (hm *hostMonitor) partitionHoldTime() micros {
+	return 2*hm.platform.HeartbeatInterval + 4*protocol.Second
+}
 
 // applyHandover takes what earlier leaders have seen into a new leader's book.
-func (c *Controller) applyHandover() {
-	t := c.term
-	at := c.now.Steady
-	t.handover.persisted, t.handover.sentToPeers = c.handover, make(map[string]sentHandover)
-	in := leadership.Inherit(c.handover)
+func (hw *handoverWriter) applyHandover() {
+	at := hw.now.Steady
+	hw.persisted, hw.sentToPeers = hw.membership.handover, make(map[string]sentHandover)
+	in := leadership.Inherit(hw.membership.handover)
 	for zone, cut := range in.Partitions() {
-		if c.now.Wall-cut.LastSeen < c.partitionRetention() {
-			t.partitionSeenAt[zone] = at // its hosts soon show whether it still is
+		if hw.now.Wall-cut.LastSeen < hw.hosts.partitionRetention() {
+			hw.hosts.partitionSeenAt[zone] = at // its hosts soon show whether it still is
 		}
 	}
 	silent := 0
-	for _, h := range t.cluster.Hosts() {
+	for _, h := range hw.cluster.Hosts() {
 		h.LastContact = at
 		if wall, ok := in.SilentSince(h.Name, h.Zone); ok {
-			h.LastContact = min(at, c.steadyTime(wall))
+			h.LastContact = min(at, hw.steadyTime(wall))
 			silent++
 		}
 	}
 	if silent > 0 {
-		c.log.Info("taken from earlier leaders", "epoch", t.epoch, "silent", silent, "zones_cut", len(in.Partitions()), "seen_ms_ago", int64((c.now.Wall-c.handover.At)/protocol.Millisecond))
+		hw.log.Info("taken from earlier leaders", "epoch", hw.epoch, "silent", silent, "zones_cut", len(in.Partitions()), "seen_ms_ago", int64((hw.now.Wall-hw.membership.handover.At)/protocol.Millisecond))
 	}
 }
 
 // encodeStatusRequest makes a leader's question, with what it has seen. That is empty where the
 // other side has it already.
-func (c *Controller) encodeStatusRequest(m protocol.HandoverState) []byte {
-	return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerStatusRequest, Epoch: c.term.epoch, From: c.platform.ControllerName, Body: protocol.AppendHandoverState(nil, m)})
+func (pm *peerMonitor) encodeStatusRequest(m protocol.HandoverState) []byte {
+	return protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerStatusRequest, Epoch: pm.epoch, From: pm.platform.ControllerName, Body: protocol.AppendHandoverState(nil, m)})
 }
 
 // mergeHandover keeps what a leader tells.
-func (c *Controller) mergeHandover(body []byte) {
-	if len(body) == 0 || isLeaderRole(c.role) {
+func (mb *membership) mergeHandover(body []byte) {
+	if len(body) == 0 || isLeaderRole(mb.election.role) {
 		return
 	}
 	m, err := protocol.ParseHandoverState(body)
 	if err != nil {
-		c.logMalformed("controller", err)
+		mb.logMalformed("controller", err)
 		return
 	}
-	c.handover = leadership.Newest(c.handover, m)
+	mb.handover = leadership.Newest(mb.handover, m)
 }
 
 // parseReachability reads how many workers another controller hears that can't reach this
 // one. One that doesn't tell zones apart counts all that came to it.
-func (c *Controller) parseReachability(m *protocol.PeerMessage) leadership.Reachability {
+func (pm *peerMonitor) parseReachability(m *protocol.PeerMessage) leadership.Reachability {
 	if len(m.Body) == 0 {
 		return leadership.Reachability{"": int(m.RedirectedWorkers)}
 	}
 	heard, err := protocol.ParseReachability(m.Body)
 	if err != nil {
-		c.logMalformed("controller", err)
+		pm.logMalformed("controller", err)
 		return nil
 	}
 	return heard
@@ -162,28 +154,27 @@
 // and not the workers that are gone. To release them for that would end all that runs.
 // It reports whether it does. Where it may not, though others hear them, the zones count
 // as cut off.
-func (c *Controller) considerTransfer(zones map[string]leadership.ZoneWorkers) bool {
-	t := c.term
-	if t.transferInFlight {
+func (tr *transferController) considerTransfer(zones map[string]leadership.ZoneWorkers) bool {
+	if tr.inFlight {
 		return true
 	}
-	if !c.mayActAsLeader() || c.now.Steady-t.recordsLoadedAt <= c.silenceThreshold() {
+	if !tr.election.mayActAsLeader() || tr.now.Steady-tr.recordsLoadedAt <= tr.hosts.silenceThreshold() {
 		return false
 	}
 	others := make(map[string]leadership.Reachability)
-	for name, o := range t.peers {
-		if o.statusAt > 0 && c.now.Steady-o.statusAt <= peerStatusLifetime {
+	for name, o := range tr.peers.statuses {
+		if o.statusAt > 0 && tr.now.Steady-o.statusAt <= peerStatusLifetime {
 			others[name] = o.reachability
 		}
 	}
-	to, v := leadership.Decide(c.now.Wall, zones, others, t.transfers)
-	if v != t.transferDecision {
-		t.transferDecision = v
-		c.log.Info("workers heard", "verdict", v.String(), "epoch", t.epoch)
+	to, v := leadership.Decide(tr.now.Wall, zones, others, tr.recent)
+	if v != tr.lastDecision {
+		tr.lastDecision = v
+		tr.log.Info("workers heard", "verdict", v.String(), "epoch", tr.epoch)
 	}
 	switch v {
 	case leadership.Transfer:
-		c.transferLeadership(to, leadership.ReachableByZone(zones))
+		tr.transferLeadership(to, leadership.ReachableByZone(zones))
 		return true
 	case leadership.KeepHearsMost, leadership.KeepNobodyHearsMore:
 	default:
@@ -193,7 +184,7 @@
 				heard += o[name]
 			}
 			if missed := z.Silent + z.Relayed; missed > 0 && 2*heard >= missed {
-				t.partitionSeenAt[name] = c.now.Steady
+				tr.hosts.partitionSeenAt[name] = tr.now.Steady
 			}
 		}
 	}
@@ -206,21 +197,20 @@
 // transferLeadership gives leadership up, so that a node that the workers reach can lead. Who heard
 // how many is in the record of the epoch: the successor goes by it. The key goes in
 // the same transaction, so that nobody leads who does not see that.
-func (c *Controller) transferLeadership(to string, heard map[string]int) {
-	t := c.term
-	t.transferInFlight = true
-	y := protocol.LeadershipTransfer{From: c.platform.ControllerName, To: to, Epoch: t.epoch, At: c.now.Wall, ReachableWorkers: heard}
-	rec := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.launchesUnrecorded, Transfers: leadership.RecentTransfers(append(t.transfers, y), c.now.Wall), Level: c.activeLevel()}
+func (tr *transferController) transferLeadership(to string, heard map[string]int) {
+	tr.inFlight = true
+	y := protocol.LeadershipTransfer{From: tr.platform.ControllerName, To: to, Epoch: tr.epoch, At: tr.now.Wall, ReachableWorkers: heard}
+	rec := state.EpochRecord{Epoch: tr.epoch, LaunchesUnrecorded: tr.launchesUnrecorded, Transfers: leadership.RecentTransfers(append(tr.recent, y), tr.now.Wall), Level: tr.features.activeLevel()}
 	then := []protocol.Change{{Key: state.KeyEpoch, Value: state.EncodeEpoch(rec)}, {Key: state.KeyLeader}}
-	c.leaderTransaction(priorityLeadership, c.withLevelCondition(nil), then, func(o txnOutcome, r protocol.TxnResult) {
-		if other := c.handleLevelConflict(o, r); other || o.notExecuted() {
-			t.transferInFlight, t.cycleNeeded = false, true // nothing was done: it is looked at again
+	tr.election.leaderTransaction(priorityLeadership, tr.features.withLevelCondition(nil), then, func(o txnOutcome, r protocol.TxnResult) {
+		if other := tr.features.handleLevelConflict(o, r); other || o.notExecuted() {
+			tr.inFlight, tr.cycleNeeded = false, true // nothing was done: it is looked at again
 			return
 		}
-		c.log.Info("giving the lease back: workers are heard by other nodes and not by this one", "epoch", t.epoch, "to", to,
+		tr.log.Info("giving the lease back: workers are heard by other nodes and not by this one", "epoch", tr.epoch, "to", to,
 			"heard", leadership.Reachability(heard).Total())
-		c.stepDownBackoffUntil = c.now.Steady + stepDownBackoff
-		c.revokeLease(c.lease.id)
-		c.becomeFollower()
+		tr.election.stepDownBackoffUntil = tr.now.Steady + stepDownBackoff
+		tr.election.revokeLease(tr.election.lease.id)
+		tr.election.becomeFollower()
 	})
 }
--- a/internal/controller/mute.go
+++ b/internal/controller/mute.go
@@ -8,6 +8,6 @@
 // commands renew no lease, so whatever is put there is gone within one. Tasks were launched
 // on such machines once a lease, for as long as that lasted, beside others that were free.
 // What is on one stays until its lease ends, and stops still go out as direct commands.
-func (c *Controller) missesHeartbeats(h *state.Host) bool {
-	return c.now.Steady-max(h.HeartbeatAt, h.KnownSince, c.term.recordsLoadedAt) > c.platform.WorkerLease
+func (hm *hostMonitor) missesHeartbeats(h *state.Host) bool {
+	return hm.now.Steady-max(h.HeartbeatAt, h.KnownSince, hm.recordsLoadedAt) > hm.platform.WorkerLease
 }
--- a/internal/controller/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -21,23 +21,23 @@
 		TaskResources: protocol.Resources{CPU: 1000, GPU: 1000, Memory: 1000}, SingleZone: true, Image: "img", EstimatedRuntime: 60 * protocol.Second,
 	})
 	j.SubmittedWall = c.now.Wall
-	c.addJob(j)
+	c.term.jobs.addJob(j)
 	pin := func(host, zone string, index int, try uint64) *state.Attempt {
 		h := state.NewHost(c.now.Steady, host, "small", zone, false)
 		h.FromRecord = true
 		b.AddHost(h)
 		name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: try}
-		c.pinLaunch(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.launchShards.addStored(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
+		c.recovery.pinLaunch(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.records.launchShards.addStored(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
 		return j.Tasks[index].Current
 	}
 	pin("n-900002", "b", 1, 7)
 	stale := pin("n-900001", "a", 3, 4)
 	w := &pendingJob{job: j}
-	if c.buildRequest(w) {
+	if c.term.scheduler.buildRequest(w) {
 		t.Fatalf("tasks %v are placed while some are pinned in two zones: %v", w.tasks, w.request.ZoneUsed)
 	}
-	c.onAttemptLost(stale) // its machine has reported without it
-	if !c.buildRequest(w) || len(w.tasks) != 3 || len(w.request.ZoneUsed) != 1 || w.request.ZoneUsed["b"] != 1 {
+	c.term.agents.onAttemptLost(stale) // its machine has reported without it
+	if !c.term.scheduler.buildRequest(w) || len(w.tasks) != 3 || len(w.request.ZoneUsed) != 1 || w.request.ZoneUsed["b"] != 1 {
 		t.Fatalf("tasks %v, zones %+v", w.tasks, w.request)
 	}
 }
--- a/internal/controller/pages.go
+++ b/internal/controller/pages.go
@@ -10,17 +10,17 @@
 
 // recordShard is one record that many entries share.
 type recordShard struct {
-	key     string
-	revision   uint64
-	revisionUnknown    bool           // a write of it may have been applied or not: its stamp has to be read
-	entries map[string]int // bytes that each may take
-	size    int
-	storedBytes   int     // of the record as the state service has it
-	replacements   []*recordShard // that took entries of it, and have to be durable before it is written without them
-	due     micros  // when it has to be written, Forever: it is as it should be
-	urgent  bool    // work waits for that
-	writeState shardWriteState
-	writeAlone   bool // a transaction with it was refused as malformed: it goes by itself
+	key             string
+	revision        uint64
+	revisionUnknown bool           // a write of it may have been applied or not: its stamp has to be read
+	entries         map[string]int // bytes that each may take
+	size            int
+	storedBytes     int            // of the record as the state service has it
+	replacements    []*recordShard // that took entries of it, and have to be durable before it is written without them
+	due             micros         // when it has to be written, Forever: it is as it should be
+	urgent          bool           // work waits for that
+	writeState      shardWriteState
+	writeAlone      bool // a transaction with it was refused as malformed: it goes by itself
 }
 
 // finalWritesInFlight is whether a record is on its way to the state service.
@@ -37,19 +37,19 @@
 // otherwise be one each. A write depends on the record's own stamp, so that one
 // that is applied late can't bring back what it said before.
 type recordShards struct {
-	prefix string
-	shards   []*recordShard
-	shardOf     map[string]*recordShard
-	inFlight   [shardWritingDeferred + 1]bool   // transactions that are on their way
-	notBefore   [shardWritingDeferred + 1]micros // none before
-	readingRevision bool                     // the stamp of a record that was lost is being read
-	lastNumber   int                      // number of the newest record
-	deferredSince micros                   // since when records that nothing waits for wait for others
+	prefix          string
+	shards          []*recordShard
+	shardOf         map[string]*recordShard
+	inFlight        [shardWritingDeferred + 1]bool   // transactions that are on their way
+	notBefore       [shardWritingDeferred + 1]micros // none before
+	readingRevision bool                             // the stamp of a record that was lost is being read
+	lastNumber      int                              // number of the newest record
+	deferredSince   micros                           // since when records that nothing waits for wait for others
 	// encode makes the record of some entries; applied is called once it is durable.
 	encode func(names []string) (value []byte, applied func())
 }
 
-func (c *Controller) newRecordShards(prefix string, value func([]string) ([]byte, func())) *recordShards {
+func newRecordShards(prefix string, value func([]string) ([]byte, func())) *recordShards {
 	return &recordShards{prefix: prefix, shardOf: make(map[string]*recordShard), encode: value}
 }
 
@@ -150,8 +150,8 @@
 // transaction takes, and besides some of those that it doesn't, if there are no others.
 // Together they had machines that had just come up wait for seven seconds to be recorded,
 // and the urgent tasks that were put on them with it, until the images of all others were.
-func (c *Controller) writeDueShards(p *recordShards) {
-	at := c.now.Steady
+func (rs *recordStore) writeDueShards(p *recordShards) {
+	at := rs.now.Steady
 	if p.readingRevision {
 		return
 	}
@@ -167,7 +167,7 @@
 		}
 		if g.revisionUnknown {
 			if at >= p.notBefore[shardWritingUrgent] {
-				c.refreshShardRevision(p, g)
+				rs.refreshShardRevision(p, g)
 			}
 			return
 		}
@@ -177,23 +177,23 @@
 		p.deferredSince = at
 	}
 	if urgent && !p.inFlight[shardWritingUrgent] && at >= p.notBefore[shardWritingUrgent] {
-		c.writeShards(p, shardWritingUrgent)
+		rs.writeShards(p, shardWritingUrgent)
 	}
 	// Where something is urgent all the time the others get their turn now and then.
 	if later && (!urgent || at-p.deferredSince >= maxDeferral) && !p.inFlight[shardWritingDeferred] && at >= p.notBefore[shardWritingDeferred] {
-		c.writeShards(p, shardWritingDeferred)
+		rs.writeShards(p, shardWritingDeferred)
 	}
 }
 
 // writeShards writes records that are due and of that urgency, in one transaction.
-func (c *Controller) writeShards(p *recordShards, how shardWriteState) {
-	at := c.now.Steady
-	prio, most := priorityUrgent, c.stateLimits.target.maxChanges
+func (rs *recordStore) writeShards(p *recordShards, how shardWriteState) {
+	at := rs.now.Steady
+	prio, most := priorityUrgent, rs.store.limits.target.maxChanges
 	if how == shardWritingDeferred {
 		prio, most = priorityNormal, min(maxDeferredShards, most)
 	}
 	if p.isSplitting() {
-		most = c.stateLimits.accepted.maxChanges // a record and its parts go together if they can
+		most = rs.store.limits.accepted.maxChanges // a record and its parts go together if they can
 	}
 	var when []protocol.Condition
 	var then []protocol.Change
@@ -218,8 +218,8 @@
 		ch := protocol.Change{Key: g.key}
 		var done func()
 		ch.Value, done = p.encode(slices.Sorted(maps.Keys(g.entries)))
-		if len(ch.Value) > c.stateLimits.target.maxValueBytes {
-			c.splitShard(p, g, len(ch.Value))
+		if len(ch.Value) > rs.store.limits.target.maxValueBytes {
+			rs.splitShard(p, g, len(ch.Value))
 			continue
 		}
 		if size += len(ch.Value) + 100; size > maxTxnBytes && len(then) > 0 {
@@ -238,13 +238,13 @@
 		return
 	}
 	p.inFlight[how] = true
-	if p == c.term.launchShards {
-		when = c.withRevisionCondition(when)
-		c.term.launchesWrittenAt = at
+	if p == rs.launchShards {
+		when = rs.config.withRevisionCondition(when)
+		rs.launchesWrittenAt = at
 	}
-	c.leaderTransaction(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
+	rs.election.leaderTransaction(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		p.inFlight[how] = false
-		c.handleRevisionConflict(o, r)
+		rs.config.handleRevisionConflict(o, r)
 		for i, g := range batch {
 			g.writeState = shardIdle
 			if o == txnCommitted {
@@ -254,16 +254,16 @@
 				}
 				continue
 			}
-			g.due, g.urgent = c.now.Steady, g.urgent || how == shardWritingUrgent
+			g.due, g.urgent = rs.now.Steady, g.urgent || how == shardWritingUrgent
 			g.writeAlone = g.writeAlone || o == txnMalformed
 			g.revisionUnknown = g.revisionUnknown || o == txnUnknown || o == txnConflict && slices.Contains(r.Conflicts, g.key)
 		}
 		if o == txnMalformed && len(batch) == 1 {
-			batch[0].due = c.now.Steady + unwritableRetry // it is told of, and holds up no others
+			batch[0].due = rs.now.Steady + unwritableRetry // it is told of, and holds up no others
 			return
 		}
 		if o != txnCommitted {
-			p.notBefore[how] = c.now.Steady + 300*protocol.Millisecond
+			p.notBefore[how] = rs.now.Steady + 300*protocol.Millisecond
 		}
 	})
 }
@@ -299,13 +299,12 @@
 // splitLargeShards brings records that are stored above what is written now under it, one of
 // each kind at a time and after everything else, so that nothing has to be divided when
 // the state service takes no larger ones any more.
-func (c *Controller) splitLargeShards() {
-	t := c.term
-	for _, p := range []*recordShards{t.launchShards, t.hostShards, t.completionShards, t.bookingShards} {
+func (rs *recordStore) splitLargeShards() {
+	for _, p := range []*recordShards{rs.launchShards, rs.hostShards, rs.completionShards, rs.bookingShards} {
 		var large *recordShard
 		left := 0
 		for _, g := range p.shards {
-			if g.storedBytes <= c.stateLimits.target.maxValueBytes {
+			if g.storedBytes <= rs.store.limits.target.maxValueBytes {
 				continue
 			}
 			if left++; g.due < protocol.Forever || g.writeState != shardIdle || len(g.replacements) > 0 {
@@ -317,23 +316,23 @@
 			}
 		}
 		if large != nil {
-			large.due = c.now.Steady
-			c.log.Info("dividing a record", "key", large.key, "bytes", large.storedBytes, "most", c.stateLimits.target.maxValueBytes, "left", left)
+			large.due = rs.now.Steady
+			rs.log.Info("dividing a record", "key", large.key, "bytes", large.storedBytes, "most", rs.store.limits.target.maxValueBytes, "left", left)
 		}
 	}
 }
 
 // split moves half of a record that came out too long to another one. Both are
 // written; the one that takes them first, in case only one gets through.
-func (c *Controller) splitShard(p *recordShards, g *recordShard, size int) {
+func (rs *recordStore) splitShard(p *recordShards, g *recordShard, size int) {
 	names := slices.Sorted(maps.Keys(g.entries))
 	if len(names) < 2 {
-		c.log.Error("record too long", "key", g.key, "bytes", size)
-		g.due = c.now.Steady + 60*protocol.Second
+		rs.log.Error("record too long", "key", g.key, "bytes", size)
+		g.due = rs.now.Steady + 60*protocol.Second
 		return
 	}
 	p.lastNumber++
-	o := &recordShard{key: p.prefix + strconv.Itoa(p.lastNumber), entries: make(map[string]int), due: c.now.Steady, urgent: g.urgent}
+	o := &recordShard{key: p.prefix + strconv.Itoa(p.lastNumber), entries: make(map[string]int), due: rs.now.Steady, urgent: g.urgent}
 	p.shards = append([]*recordShard{o}, p.shards...)
 	g.replacements = append(g.replacements, o)
 	for _, name := range names[len(names)/2:] {
@@ -342,20 +341,19 @@
 		delete(g.entries, name)
 		p.assign(o, name, size)
 	}
-	g.due = c.now.Steady // in the same transaction, or later
+	g.due = rs.now.Steady // in the same transaction, or later
 }
 
 // refreshShardRevision finds out which stamp a record has after a write without an answer.
-func (c *Controller) refreshShardRevision(p *recordShards, g *recordShard) {
-	t := c.term
+func (rs *recordStore) refreshShardRevision(p *recordShards, g *recordShard) {
 	p.readingRevision = true
-	c.getKey(priorityUrgent, g.key, func(e protocol.Entry, found, ok bool) {
-		if c.term != t {
+	rs.store.getKey(priorityUrgent, g.key, func(e protocol.Entry, found, ok bool) {
+		if rs.ended() {
 			return
 		}
 		p.readingRevision = false
 		if !ok {
-			p.notBefore[shardWritingUrgent] = c.now.Steady + 300*protocol.Millisecond
+			p.notBefore[shardWritingUrgent] = rs.now.Steady + 300*protocol.Millisecond
 			return
 		}
 		g.revisionUnknown, g.revision = false, e.Revision // 0 where there is none
--- a/internal/controller/pages_test.go
+++ b/internal/controller/pages_test.go
@@ -16,9 +16,9 @@
 // of its kind is written, and the lost one goes with the next.
 func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
-	p := c.newRecordShards(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
-	room := c.shardCapacity()
+	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
+	p := newRecordShards(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
+	room := c.term.records.shardCapacity()
 	p.put("req-900001/0", room-100, room, c.now.Steady, true)
 	p.put("req-900002/0", room-100, room, c.now.Steady, true)
 	lost := p.shards[0]
@@ -32,18 +32,18 @@
 		return made
 	}
 	calls()
-	c.writeDueShards(p)
+	c.term.records.writeDueShards(p)
 	asked := calls()
 	if len(asked) != 1 || asked[0].Method != "GET" || asked[0].Path != "/store/"+lost.key {
 		t.Fatalf("asked %+v", asked)
 	}
-	c.writeDueShards(p)
+	c.term.records.writeDueShards(p)
 	if more := calls(); len(more) > 0 {
 		t.Fatalf("before the stamp is known: %+v", more)
 	}
 	c.Step(c.now, CallResult{ID: asked[0].ID, Status: 404, Body: []byte(`{"generation":1}`)})
 	calls()
-	c.writeDueShards(p)
+	c.term.records.writeDueShards(p)
 	if made := calls(); len(made) != 1 || made[0].Method != "POST" || made[0].Changes != 2 {
 		t.Fatalf("then %+v", made)
 	}
@@ -66,11 +66,11 @@
 // would not know where tasks are.
 func TestWhatIsTakenOutIsWrittenFirst(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	c.role, c.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
-	c.stateLimits.target = transactionLimits{maxValueBytes: 2048, maxChanges: 4}
-	c.stateLimits.accepted = c.stateLimits.target
+	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
+	c.store.limits.target = transactionLimits{maxValueBytes: 2048, maxChanges: 4}
+	c.store.limits.accepted = c.store.limits.target
 	bytes := map[string]int{"a": 100, "b": 100, "c": 100, "d": 1500, "e": 1500, "f": 1500}
-	p := c.newRecordShards("xp/", func(names []string) ([]byte, func()) {
+	p := newRecordShards("xp/", func(names []string) ([]byte, func()) {
 		n := 2
 		for _, name := range names {
 			n += bytes[name]
@@ -85,7 +85,7 @@
 	stateCalls(c)
 	durable := make(map[string]bool)
 	for step := 0; step < 10 && g.revision == 5; step++ {
-		c.writeDueShards(p)
+		c.term.records.writeDueShards(p)
 		for _, call := range stateCalls(c) {
 			written := string(call.Body)
 			for _, o := range p.shards {
@@ -111,7 +111,7 @@
 // and those that are new come into one of them as long as it has.
 func TestNewEntriesComeTogether(t *testing.T) {
 	c := busyLeader(t, 8, 0)
-	p := c.newRecordShards("xp/", func([]string) ([]byte, func()) { return nil, nil })
+	p := newRecordShards("xp/", func([]string) ([]byte, func()) { return nil, nil })
 	for i := range 10 {
 		g := p.addStored(protocol.Entry{Key: p.prefix + strconv.Itoa(i+1), Revision: uint64(i + 1)})
 		p.assignStored(g, "old-"+strconv.Itoa(i), 1000+100*i)
--- a/internal/controller/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -44,9 +44,9 @@
 	}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.now = instant{Steady: 1000 * sec, Wall: 1000 * sec}
-	c.role, c.lease.validUntil, c.lease.epoch = RoleLeader, protocol.Forever, 3
-	c.machineTypes = []*protocol.MachineType{small, large}
-	c.machineTypeByName = map[string]*protocol.MachineType{"small": small, "large": large}
+	c.election.role, c.election.lease.validUntil, c.election.lease.epoch = RoleLeader, protocol.Forever, 3
+	c.catalog.types = []*protocol.MachineType{small, large}
+	c.catalog.byName = map[string]*protocol.MachineType{"small": small, "large": large}
 	c.term = c.newLeaderTerm()
 	t := c.term
 	t.reconciled = true
@@ -57,7 +57,7 @@
 		spec.Team = fmt.Sprint("team-", next%16)
 		j := state.NewJob(&spec)
 		j.SubmittedWall = c.now.Wall - age
-		c.addJob(j)
+		c.term.jobs.addJob(j)
 		return j
 	}
 	// What runs: one job of many tasks for each class, so that its tasks can be
@@ -78,7 +78,7 @@
 	}
 	used := map[string]int{}
 	for i := range machines {
-		typ := c.machineTypes[i%2]
+		typ := c.catalog.types[i%2]
 		h := state.NewHost(c.now.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
 		h.Type, h.Reconciled, h.LastContact, h.Recorded = typ, true, c.now.Steady, true
 		h.SetState(state.HostReady)
@@ -136,9 +136,9 @@
 	c.term.cycleNeeded = true
 	for {
 		rounds++
-		c.runSchedulingStep()
-		rows += c.term.slotTable.Work
-		if c.term.cycle == nil {
+		c.term.scheduler.runSchedulingStep()
+		rows += c.term.scheduler.slotTable.Work
+		if c.term.scheduler.cycle == nil {
 			c.effects = nil
 			return rows, rounds
 		}
--- a/internal/controller/preempt.go
+++ b/internal/controller/preempt.go
@@ -19,11 +19,11 @@
 // the same pass it is no better for one that asks for as much, and may take no
 // more from others.
 type unschedulableShape struct {
-	taskResources          protocol.Resources
-	tasks         int
-	priority          protocol.Priority
-	zone          string
-	machineTypes         []string
+	taskResources         protocol.Resources
+	tasks                 int
+	priority              protocol.Priority
+	zone                  string
+	machineTypes          []string
 	singleZone, allowSpot bool
 }
 
@@ -47,14 +47,14 @@
 
 // preempt makes room for a job of higher rank, where no place comes free soon:
 // shardOf the hosts that could give it those where the least work is lost.
-func (c *Controller) preempt(p *schedulingCycle, w *pendingJob) {
-	at := c.now.Steady
+func (sc *scheduler) preempt(p *schedulingCycle, w *pendingJob) {
+	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
 	if j.Priority > protocol.PriorityHigh || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.PreemptionRetryAt {
 		return
 	}
-	need := preemptionGoal{startObjective: c.startObjective(s.Class), usedHosts: make(map[*state.Host]bool)}
+	need := preemptionGoal{startObjective: sc.startObjective(s.Class), usedHosts: make(map[*state.Host]bool)}
 	if need.startObjective == 0 {
 		need.startObjective = protocol.Forever
 	}
@@ -73,7 +73,7 @@
 	if at < j.EligibleAt+min(2*protocol.Second, need.startObjective/16) {
 		missing = 0
 	}
-	need.readyWithout = at + 10*protocol.Second + c.classStats(s.Class).estimatedRuntime(s)
+	need.readyWithout = at + 10*protocol.Second + sc.workload.classStats(s.Class).estimatedRuntime(s)
 	if n := len(w.result.Booked); n > 0 {
 		need.readyWithout = w.result.Booked[n-1].Ready
 	}
@@ -81,12 +81,12 @@
 		switch {
 		case at < j.ReservedUntil || w.request.Limit < len(w.tasks):
 		case missing > 0:
-			c.preemptForGang(p, w, need)
-		case len(cold) > 0 && c.canWithdraw(w):
+			sc.preemptForGang(p, w, need)
+		case len(cold) > 0 && sc.canWithdraw(w):
 			need.readyWithout = due
-			if c.preemptForGang(p, w, need) {
+			if sc.preemptForGang(p, w, need) {
 				for i := range w.result.Start {
-					c.onAttemptLost(j.Tasks[w.tasks[i]].Current)
+					sc.agents.onAttemptLost(j.Tasks[w.tasks[i]].Current)
 				}
 			}
 		}
@@ -98,7 +98,7 @@
 		zones[m.Host.Zone]++
 	}
 	for ; missing > 0; missing-- {
-		if !c.preemptForTask(p, w, &need, zones) {
+		if !sc.preemptForTask(p, w, &need, zones) {
 			j.PreemptionRetryAt = at + preemptionRetryDelay
 			break
 		}
@@ -111,21 +111,21 @@
 		}
 		need.readyWithout = w.result.Start[i].Ready
 		zones[a.Host.Zone]--
-		if !c.preemptForTask(p, w, &need, zones) {
+		if !sc.preemptForTask(p, w, &need, zones) {
 			j.PreemptionRetryAt = at + preemptionRetryDelay
 			break
 		}
-		c.onAttemptLost(a) // no launch has left yet
+		sc.agents.onAttemptLost(a) // no launch has left yet
 	}
 }
 
 // preemptionGoal is what room has to be like.
 type preemptionGoal struct {
-	startObjective  micros // time that the class has to start
-	readyWithout micros // what the job has without it
-	deadline     micros // latest time of use, 0: any
-	immediate   bool
-	usedHosts   map[*state.Host]bool
+	startObjective micros // time that the class has to start
+	readyWithout   micros // what the job has without it
+	deadline       micros // latest time of use, 0: any
+	immediate      bool
+	usedHosts      map[*state.Host]bool
 }
 
 // preemptionRetryDelay is how long a job for which no room could be made is left alone.
@@ -148,7 +148,7 @@
 }
 
 // canWithdraw reports whether no launch of what a pass placed has left yet.
-func (c *Controller) canWithdraw(w *pendingJob) bool {
+func (sc *scheduler) canWithdraw(w *pendingJob) bool {
 	for i := range w.result.Start {
 		if a := w.job.Tasks[w.tasks[i]].Current; a == nil || a.State != state.AttemptAssigned {
 			return false
@@ -158,9 +158,8 @@
 }
 
 // preemptForTask makes room for one task. It reports whether there was some.
-func (c *Controller) preemptForTask(p *schedulingCycle, w *pendingJob, need *preemptionGoal, zones map[string]int) bool {
-	t := c.term
-	at := c.now.Steady
+func (sc *scheduler) preemptForTask(p *schedulingCycle, w *pendingJob, need *preemptionGoal, zones map[string]int) bool {
+	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
 	var best []*state.Attempt
@@ -169,9 +168,9 @@
 		return false
 	}
 	some := false
-	t.slotTable.Making(w.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
-		h := t.cluster.Host(m.Name)
-		if h == nil || need.usedHosts[h] || !c.couldHost(h, s) {
+	sc.slotTable.Making(w.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
+		h := sc.cluster.Host(m.Name)
+		if h == nil || need.usedHosts[h] || !sc.couldHost(h, s) {
 			some = some || h != nil && need.usedHosts[h]
 			return false
 		}
@@ -179,19 +178,19 @@
 			some = true
 			return false
 		}
-		if !h.Type.Capacity.Add(h.Used(), -1).Add(c.preemptibleResources(p, h), 1).Covers(s.TaskResources) {
+		if !h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(p, h), 1).Covers(s.TaskResources) {
 			return false
 		}
 		some = true
 		ready := at + protocol.Second
 		if _, ok := h.Images[s.Image]; !ok {
-			ready += c.fetchTime(h.Type, s.ImageSize)
+			ready += sc.estimates.fetchTime(h.Type, s.ImageSize)
 		}
 		if ready+need.minGain() > need.readyWithout || need.deadline > 0 && ready > need.deadline {
 			return false
 		}
-		t.slotTable.Work += 16
-		victims, loss := c.chooseVictims(h, j, 1)
+		sc.slotTable.Work += 16
+		victims, loss := sc.chooseVictims(h, j, 1)
 		saved := ready
 		for _, a := range victims {
 			if a.Job.Spec.CanCheckpoint() && !need.immediate {
@@ -219,19 +218,19 @@
 	zones[h.Zone]++
 	j.ReservedUntil = at + reservationTime
 	j.Reservations = append(j.Reservations, state.Reservation{Host: h, Until: j.ReservedUntil})
-	c.preemptVictims(j, best, need.immediate)
+	sc.preemptVictims(j, best, need.immediate)
 	return true
 }
 
 // preemptVictims stops the work of others for a job.
-func (c *Controller) preemptVictims(j *state.Job, victims []*state.Attempt, hurry bool) {
+func (sc *scheduler) preemptVictims(j *state.Job, victims []*state.Attempt, hurry bool) {
 	for _, a := range victims {
 		grace := micros(0)
 		if a.Job.Spec.CanCheckpoint() && !hurry {
 			grace = a.Job.Spec.CheckpointDuration + protocol.Second
 		}
-		c.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
-		c.requestStop(a, grace)
+		sc.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
+		sc.commands.requestStop(a, grace)
 	}
 }
 
@@ -242,9 +241,8 @@
 // least work is lost. What comes free is booked for it until it has started;
 // otherwise smaller jobs would take it, one machine at a time.
 // It reports whether it could.
-func (c *Controller) preemptForGang(p *schedulingCycle, w *pendingJob, need preemptionGoal) bool {
-	t := c.term
-	at := c.now.Steady
+func (sc *scheduler) preemptForGang(p *schedulingCycle, w *pendingJob, need preemptionGoal) bool {
+	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
 	type room struct {
@@ -261,22 +259,22 @@
 		return false
 	}
 	late := false
-	t.slotTable.Making(w.request, 1, maxVictimHosts+2*len(w.tasks), func(m *slottable.Machine) bool {
-		h := t.cluster.Host(m.Name)
-		if h == nil || !c.couldHost(h, s) {
+	sc.slotTable.Making(w.request, 1, maxVictimHosts+2*len(w.tasks), func(m *slottable.Machine) bool {
+		h := sc.cluster.Host(m.Name)
+		if h == nil || !sc.couldHost(h, s) {
 			return false
 		}
-		n := h.Type.Capacity.Add(h.Used(), -1).Add(c.preemptibleResources(p, h), 1).MaxCopies(s.TaskResources)
+		n := h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(p, h), 1).MaxCopies(s.TaskResources)
 		if n < 1 {
 			return false
 		}
-		t.slotTable.Work += 8
+		sc.slotTable.Work += 8
 		r := room{h: h, tasks: min(int(n), len(w.tasks)), ready: at + protocol.Second}
 		if _, ok := h.Images[s.Image]; !ok {
-			r.ready += c.fetchTime(h.Type, s.ImageSize)
+			r.ready += sc.estimates.fetchTime(h.Type, s.ImageSize)
 		}
 		var loss float64
-		r.victims, loss = c.chooseVictims(h, j, r.tasks)
+		r.victims, loss = sc.chooseVictims(h, j, r.tasks)
 		saves := micros(0)
 		for _, a := range r.victims {
 			if a.Job.Spec.CanCheckpoint() && !need.immediate {
@@ -328,7 +326,7 @@
 	j.ReservedUntil = at + reservationTime
 	j.Bookings = j.Bookings[:0]
 	for _, r := range best {
-		c.preemptVictims(j, r.victims, need.immediate)
+		sc.preemptVictims(j, r.victims, need.immediate)
 		delete(p.preemptible, r.h)
 		for range r.tasks {
 			if len(j.Bookings) < len(w.tasks) {
@@ -340,17 +338,17 @@
 }
 
 // couldHost reports whether a job's task could be on a host, were it empty.
-func (c *Controller) couldHost(h *state.Host, s *protocol.JobSpec) bool {
-	return c.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
+func (sc *scheduler) couldHost(h *state.Host, s *protocol.JobSpec) bool {
+	return sc.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
 }
 
 // transferInFlight is what a host's work of lower rank takes, and what is being
 // stopped.
-func (c *Controller) preemptibleResources(p *schedulingCycle, h *state.Host) protocol.Resources {
+func (sc *scheduler) preemptibleResources(p *schedulingCycle, h *state.Host) protocol.Resources {
 	sum, ok := p.preemptible[h]
 	if !ok {
 		for _, a := range h.Attempts() {
-			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || c.isPreemptible(a.Job)) {
+			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || sc.isPreemptible(a.Job)) {
 				sum = sum.Add(a.Job.Spec.TaskResources, 1)
 			}
 		}
@@ -361,14 +359,14 @@
 
 // transfers reports whether a job's tasks may be stopped for one of the two upper
 // ranks.
-func (c *Controller) isPreemptible(j *state.Job) bool {
+func (sc *scheduler) isPreemptible(j *state.Job) bool {
 	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
 
 // chooseVictims finds attempts of lower rank on a host whose end makes room for n
 // tasks of a job, those that lose least first.
-func (c *Controller) chooseVictims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
-	at := c.now.Steady
+func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
+	at := sc.now.Steady
 	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(n))
 	free := h.Type.Capacity.Add(h.Used(), -1)
 	var list []victim
@@ -381,7 +379,7 @@
 			continue
 		}
 		s := a.Job.Spec
-		if a.Job.Priority <= j.Priority || !c.isPreemptible(a.Job) {
+		if a.Job.Priority <= j.Priority || !sc.isPreemptible(a.Job) {
 			continue
 		}
 		ran := micros(0)
@@ -404,7 +402,7 @@
 
 // victim is an attempt that could be stopped, and the seconds that it would lose.
 type victim struct {
-	attempt    *state.Attempt
+	attempt     *state.Attempt
 	lostSeconds float64
 }
 
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -14,11 +14,10 @@
 func launchRecordSize(a *state.Attempt) int { return len(a.Host.Name) + 24 }
 
 // recordLaunch asks for the record of a launch.
-func (c *Controller) recordLaunch(a *state.Attempt, due micros) {
-	t := c.term
+func (rs *recordStore) recordLaunch(a *state.Attempt, due micros) {
 	name := a.Name.TaskName.String()
-	t.launches[name] = a
-	t.launchShards.put(name, launchRecordSize(a), c.shardCapacity(), due, due < protocol.Forever)
+	rs.launches[name] = a
+	rs.launchShards.put(name, launchRecordSize(a), rs.shardCapacity(), due, due < protocol.Forever)
 }
 
 // launchRecordDue is when the record of a launch has to be written: at once, unless final records
@@ -26,25 +25,24 @@
 // to a second. Jobs of one task that come several a second had one written for each, a
 // quarter of all changes, while others' launches and their own ends had to wait. A class
 // with an aim on starting does not wait.
-func (c *Controller) launchRecordDue(s *protocol.JobSpec) micros {
-	t, at := c.term, c.now.Steady
-	if c.startObjective(s.Class) > 0 || at-t.finals.lastFinishedAt > finalWriteRecency {
+func (rs *recordStore) launchRecordDue(s *protocol.JobSpec) micros {
+	at := rs.now.Steady
+	if rs.startObjective(s.Class) > 0 || at-rs.jobs.finals.lastFinishedAt > finalWriteRecency {
 		return at
 	}
-	return max(at, t.launchesWrittenAt+min(t.finals.lastLatency, maxLaunchRecordDelay))
+	return max(at, rs.launchesWrittenAt+min(rs.jobs.finals.lastLatency, maxLaunchRecordDelay))
 }
 
 // encodeLaunches makes the record that some launches share. What is over falls
 // out of it.
-func (c *Controller) encodeLaunches(names []string) ([]byte, func()) {
-	t := c.term
+func (rs *recordStore) encodeLaunches(names []string) ([]byte, func()) {
 	var list []state.Launch
 	var attempts []*state.Attempt
 	for _, name := range names {
-		a := t.launches[name]
+		a := rs.launches[name]
 		if a == nil || !a.State.HoldsResources() {
-			delete(t.launches, name)
-			t.launchShards.drop(name, protocol.Forever)
+			delete(rs.launches, name)
+			rs.launchShards.drop(name, protocol.Forever)
 			continue
 		}
 		list, attempts = append(list, state.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
@@ -53,7 +51,7 @@
 		for _, a := range attempts {
 			if !a.Recorded {
 				a.Recorded = true
-				c.queueCommands(a.Host)
+				rs.commands.queueCommands(a.Host)
 			}
 		}
 	}
@@ -68,45 +66,44 @@
 
 // hasReservation is how much of a record entries may take; in a host's some is left for
 // images, which are written as far as they fit.
-func (c *Controller) shardCapacity() int { return c.stateLimits.target.maxValueBytes - 200 }
+func (rs *recordStore) shardCapacity() int { return rs.store.limits.target.maxValueBytes - 200 }
 
-func (c *Controller) hostShardCapacity() int { return c.stateLimits.target.maxValueBytes * 6 / 10 }
+func (rs *recordStore) hostShardCapacity() int { return rs.store.limits.target.maxValueBytes * 6 / 10 }
 
 // key asks for a host's record. Nothing is launched on a host before: a
 // successor must know where tasks may be.
-func (c *Controller) recordHost(h *state.Host) {
+func (rs *recordStore) recordHost(h *state.Host) {
 	if !h.Recorded {
-		c.term.hostShards.put(h.Name, hostRecordSize(h), c.hostShardCapacity(), c.now.Steady, true)
+		rs.hostShards.put(h.Name, hostRecordSize(h), rs.hostShardCapacity(), rs.now.Steady, true)
 	}
 }
 
 // encodeHosts makes the record that some hosts share.
-func (c *Controller) encodeHosts(names []string) ([]byte, func()) {
-	t := c.term
+func (rs *recordStore) encodeHosts(names []string) ([]byte, func()) {
 	var hosts []*state.Host
 	for _, name := range names {
-		if h := t.cluster.Host(name); h != nil {
+		if h := rs.cluster.Host(name); h != nil {
 			if h.RecordedWall == 0 {
-				h.RecordedWall = c.now.Wall
+				h.RecordedWall = rs.now.Wall
 			}
 			h.ImagesUnrecorded = false
 			hosts = append(hosts, h)
 		}
 	}
 	value := state.EncodeHosts(hosts, true)
-	if len(value) > c.stateLimits.target.maxValueBytes {
+	if len(value) > rs.store.limits.target.maxValueBytes {
 		value = state.EncodeHosts(hosts, false)
 	}
 	return value, func() {
 		for _, h := range hosts {
 			if !h.Recorded {
 				h.Recorded = true
-				t.cycleNeeded = true
-				c.queueCommands(h)
+				rs.cycleNeeded = true
+				rs.commands.queueCommands(h)
 			}
 			if h.LegacyRecord {
 				h.LegacyRecord = false
-				t.orphanedKeys = append(t.orphanedKeys, state.LegacyHostPrefix+h.Name)
+				rs.orphanedKeys = append(rs.orphanedKeys, state.LegacyHostPrefix+h.Name)
 			}
 		}
 	}
@@ -127,39 +124,36 @@
 	return max(imageRecordInterval, protocol.FromSeconds(float64(records)/(rate*imageRecordRateShare)))
 }
 
-func (c *Controller) recordImages() {
-	t := c.term
-	if c.now.Steady < t.nextImageRecord {
+func (rs *recordStore) recordImages() {
+	if rs.now.Steady < rs.nextImageRecord {
 		return
 	}
-	t.nextImageRecord = c.now.Steady + imageRecordDelay(len(t.hostShards.shards), c.writeRate())
-	for _, h := range t.cluster.Hosts() {
+	rs.nextImageRecord = rs.now.Steady + imageRecordDelay(len(rs.hostShards.shards), rs.store.writeRate())
+	for _, h := range rs.cluster.Hosts() {
 		if h.Recorded && h.ImagesUnrecorded && h.State == state.HostReady {
-			t.hostShards.put(h.Name, hostRecordSize(h), c.hostShardCapacity(), c.now.Steady, false)
+			rs.hostShards.put(h.Name, hostRecordSize(h), rs.hostShardCapacity(), rs.now.Steady, false)
 		}
 	}
 }
 
 // encodeBookings makes the record that some bookings share.
-func (c *Controller) encodeBookings(refs []string) ([]byte, func()) {
-	t := c.term
+func (rs *recordStore) encodeBookings(refs []string) ([]byte, func()) {
 	return state.EncodeBookings(refs, func(ref string) micros {
-		if j := t.cluster.Job(ref); j != nil {
-			return j.BookedStart - c.now.Steady + c.now.Wall
+		if j := rs.cluster.Job(ref); j != nil {
+			return j.BookedStart - rs.now.Steady + rs.now.Wall
 		}
 		return 0
 	}), nil
 }
 
 // encodeCompletions makes the record of completions that some arrays share.
-func (c *Controller) encodeCompletions(refs []string) ([]byte, func()) {
-	t := c.term
+func (rs *recordStore) encodeCompletions(refs []string) ([]byte, func()) {
 	var jobs []*state.Job
 	var tasks [][]int
 	for _, ref := range refs {
-		j := t.cluster.Job(ref)
+		j := rs.cluster.Job(ref)
 		if j == nil || j.State != state.JobActive {
-			t.completionShards.drop(ref, protocol.Forever) // its final record covers it
+			rs.completionShards.drop(ref, protocol.Forever) // its final record covers it
 			continue
 		}
 		jobs, tasks = append(jobs, j), append(tasks, j.CompletedNotDurable(0, len(j.Tasks)))
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -98,17 +98,17 @@
 	if _, answer := reportAgain(c, sec, "w", 2, 7); answer == nil || answer.Status != 421 {
 		t.Fatalf("%+v", answer)
 	}
-	n, _ := c.summarizeRedirectedWorkers()
+	n, _ := c.router.summarizeRedirectedWorkers()
 	for tick := 7; tick > 4; tick-- {
 		if call, answer := reportAgain(c, 5*sec, "w", 2, tick); call != nil || answer == nil || answer.Status != 421 {
 			t.Errorf("a copy with tick %d: %+v %+v", tick, call, answer)
 		}
 	}
-	if got, _ := c.summarizeRedirectedWorkers(); n != 1 || got != 1 {
+	if got, _ := c.router.summarizeRedirectedWorkers(); n != 1 || got != 1 {
 		t.Errorf("%d, then %d callers", n, got)
 	}
 	c.Step(instant{Steady: 20 * sec}, Tick{})
-	if got, _ := c.summarizeRedirectedWorkers(); got != 0 {
+	if got, _ := c.router.summarizeRedirectedWorkers(); got != 0 {
 		t.Errorf("a copy kept its worker counted: %d", got)
 	}
 	if call, _ := reportAgain(c, 21*sec, "w", 3, 8); call == nil {
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -19,13 +19,13 @@
 
 // rolloutTerm is what a leader has of roll-outs during one epoch.
 type rolloutTerm struct {
-	manager *rollout.Manager // nil: they are off
-	revisions  map[string]uint64
-	nextChecker    int               // which controller makes the next check
-	checkBackoffUntil     map[string]micros // controllers whose checks others disputed: not asked before
-	damaged map[string]bool   // services whose record can't be read
-	tooLong map[string]bool   // services whose record is longer than the state service takes
-	deferredEvents   []rollout.Event   // what came while the lease could have ended
+	manager           *rollout.Manager // nil: they are off
+	revisions         map[string]uint64
+	nextChecker       int               // which controller makes the next check
+	checkBackoffUntil map[string]micros // controllers whose checks others disputed: not asked before
+	damaged           map[string]bool   // services whose record can't be read
+	tooLong           map[string]bool   // services whose record is longer than the state service takes
+	deferredEvents    []rollout.Event   // what came while the lease could have ended
 }
 
 // checkBackoff is how long a controller makes no checks after one was disputed.
@@ -39,20 +39,20 @@
 
 // EnableRollouts switches roll-outs on, before Start.
 func (c *Controller) EnableRollouts(s rollout.Settings) {
-	s.ValueBytes = c.stateLimits.target.maxValueBytes
+	s.ValueBytes = c.store.limits.target.maxValueBytes
 	s.Others = len(c.platform.Peers)
-	c.rolloutSettings = &s
+	c.rollouts.settings = &s
 	c.internalCalls = make(map[uint64]func(int, []byte))
-	c.operatorCalls = make(map[uint64]ReplyAddress)
+	c.rollouts.operatorCalls = make(map[uint64]ReplyAddress)
 	c.stats.Checks = make(map[string]uint64)
 }
 
-func (c *Controller) initRolloutTerm(t *leaderTerm) {
-	if c.rolloutSettings == nil {
+func (rd *rolloutDriver) initRolloutTerm(t *leaderTerm) {
+	if rd.settings == nil {
 		return
 	}
 	t.rollouts = rolloutTerm{
-		manager: rollout.NewManager(*c.rolloutSettings, jobSource{t}, c.rng.Uint64()), revisions: make(map[string]uint64),
+		manager: rollout.NewManager(*rd.settings, jobSource{t}, rd.rng.Uint64()), revisions: make(map[string]uint64),
 		checkBackoffUntil: make(map[string]micros), damaged: make(map[string]bool), tooLong: make(map[string]bool),
 	}
 }
@@ -88,11 +88,11 @@
 
 // readRolloutRecord takes a record. One that can't be read bars roll-outs of its service,
 // and nothing else.
-func (c *Controller) readRolloutRecord(e protocol.Entry) {
-	t := c.term
+func (rd *rolloutDriver) readRolloutRecord(e protocol.Entry) {
+	t := rd.term
 	service := e.Key[len(rollout.Prefix):]
-	if err := t.rollouts.manager.Load(c.now.Steady, e.Value); err != nil {
-		c.log.Error("damaged record", "key", e.Key, "err", err)
+	if err := t.rollouts.manager.Load(rd.now.Steady, e.Value); err != nil {
+		rd.log.Error("damaged record", "key", e.Key, "err", err)
 		t.rollouts.damaged[service] = true
 		return
 	}
@@ -100,12 +100,12 @@
 }
 
 // stepRollouts hands an event to the roll-outs and does what follows.
-func (c *Controller) stepRollouts(ev rollout.Event) {
-	t := c.term
+func (rd *rolloutDriver) stepRollouts(ev rollout.Event) {
+	t := rd.term
 	if t == nil || t.rollouts.manager == nil {
 		return
 	}
-	if !c.mayActAsLeader() {
+	if !rd.election.mayActAsLeader() {
 		// Nothing is begun now, and nothing is forgotten: a check whose end got lost
 		// would be taken for one on its way for ever.
 		t.rollouts.deferredEvents = append(t.rollouts.deferredEvents, ev)
@@ -114,103 +114,103 @@
 	if later := t.rollouts.deferredEvents; len(later) > 0 {
 		t.rollouts.deferredEvents = nil
 		for _, ev := range later {
-			c.stepRollouts(ev)
+			rd.stepRollouts(ev)
 		}
 	}
-	for _, e := range t.rollouts.manager.Step(c.now.Steady, ev) {
+	for _, e := range t.rollouts.manager.Step(rd.now.Steady, ev) {
 		switch e := e.(type) {
 		case rollout.Save:
-			c.saveRollout(t, e)
+			rd.saveRollout(t, e)
 		case rollout.Submit:
-			c.callInternally(func(to ReplyAddress) { c.submitRolloutJob(to, e.Job) }, func(status int, body []byte) {
+			rd.callInternally(func(to ReplyAddress) { rd.submitRolloutJob(to, e.Job) }, func(status int, body []byte) {
 				s := rollout.Submitted{Ref: e.Job.Ref, Status: status, Phase: protocol.Phase(fastjson.GetString(body, "phase"))}
 				if status == 400 || status == 422 {
 					s.Why = fastjson.GetString(body, "error")
 				}
-				c.stepRollouts(s)
+				rd.stepRollouts(s)
 			})
 		case rollout.Cancel:
-			c.callInternally(func(to ReplyAddress) { c.cancelJob(to, e.Ref) }, func(status int, _ []byte) {
-				c.stepRollouts(rollout.CancelDone{Ref: e.Ref, Status: status})
+			rd.callInternally(func(to ReplyAddress) { rd.term.jobs.cancelJob(to, e.Ref) }, func(status int, _ []byte) {
+				rd.stepRollouts(rollout.CancelDone{Ref: e.Ref, Status: status})
 			})
 		case rollout.Check:
-			c.checkInstance(t, e)
+			rd.checkInstance(t, e)
 		case rollout.Answer:
-			if to, ok := c.operatorCalls[e.To]; ok {
-				delete(c.operatorCalls, e.To)
-				c.reply(to, e.Status, e.Body, 0)
+			if to, ok := rd.operatorCalls[e.To]; ok {
+				delete(rd.operatorCalls, e.To)
+				rd.reply(to, e.Status, e.Body, 0)
 			}
 		case rollout.Moved:
-			c.log.Info("roll-out", "service", e.Service, "id", e.ID, "from", e.From.String(), "to", e.To.String(), "reason", e.Reason)
+			rd.log.Info("roll-out", "service", e.Service, "id", e.ID, "from", e.From.String(), "to", e.To.String(), "reason", e.Reason)
 			if e.Text != "" {
-				c.log.Info(e.Text)
+				rd.log.Info(e.Text)
 			}
 		case rollout.Disputed:
-			c.log.Info("check disputed", "by", e.By, "against", e.Against)
-			c.stats.DisputedChecks++
-			t.rollouts.checkBackoffUntil[e.Against] = c.now.Steady + checkBackoff
+			rd.log.Info("check disputed", "by", e.By, "against", e.Against)
+			rd.stats.DisputedChecks++
+			t.rollouts.checkBackoffUntil[e.Against] = rd.now.Steady + checkBackoff
 		}
 	}
 }
 
 // callInternally makes a call as a user would, to this node.
-func (c *Controller) callInternally(make func(to ReplyAddress), done func(status int, body []byte)) {
-	c.internalCallSeq++
-	c.internalCalls[c.internalCallSeq] = done
-	make(ReplyAddress{internal: c.internalCallSeq})
+func (env *environment) callInternally(make func(to ReplyAddress), done func(status int, body []byte)) {
+	env.internalCallSeq++
+	env.internalCalls[env.internalCallSeq] = done
+	make(ReplyAddress{internal: env.internalCallSeq})
 }
 
-func (c *Controller) onInternalReply(to ReplyAddress, status int, body []byte) {
-	done := c.internalCalls[to.internal]
-	delete(c.internalCalls, to.internal)
+func (env *environment) onInternalReply(to ReplyAddress, status int, body []byte) {
+	done := env.internalCalls[to.internal]
+	delete(env.internalCalls, to.internal)
 	if done != nil {
 		done(status, body)
 	}
 }
 
 // submitRolloutJob submits a roll-out's job. One that is over is known by its last phase.
-func (c *Controller) submitRolloutJob(to ReplyAddress, spec *protocol.JobSpec) {
-	if f, over := c.finishedJobs.find(spec.Ref); over {
-		c.replyFinishedJob(to, spec.Ref, f)
+func (rd *rolloutDriver) submitRolloutJob(to ReplyAddress, spec *protocol.JobSpec) {
+	if f, over := rd.directory.finishedJobs.find(spec.Ref); over {
+		rd.directory.replyFinishedJob(to, spec.Ref, f)
 		return
 	}
-	c.submitJob(to, spec)
+	rd.submissions.submitJob(to, spec)
 }
 
 // saveRollout makes a record durable: again and again, until it is or this node does
 // not lead any more.
-func (c *Controller) saveRollout(t *leaderTerm, e rollout.Save) {
+func (rd *rolloutDriver) saveRollout(t *leaderTerm, e rollout.Save) {
 	key := rollout.Prefix + e.Service
 	when := []protocol.Condition{{Key: key, Revision: t.rollouts.revisions[e.Service]}}
 	again := func(d micros) {
-		c.after(d, func() {
-			if c.term == t {
-				c.saveRollout(t, e)
+		rd.after(d, func() {
+			if rd.term == t {
+				rd.saveRollout(t, e)
 			}
 		})
 	}
-	if size := len(e.Value); size > c.stateLimits.accepted.maxValueBytes {
+	if size := len(e.Value); size > rd.store.limits.accepted.maxValueBytes {
 		// It was begun under larger limits. Nothing of it goes on; its jobs do.
 		if !t.rollouts.tooLong[e.Service] {
 			t.rollouts.tooLong[e.Service] = true
-			c.log.Error("the record of a roll-out is too long for the state service", "service", e.Service, "bytes", size, "most", c.stateLimits.accepted.maxValueBytes)
+			rd.log.Error("the record of a roll-out is too long for the state service", "service", e.Service, "bytes", size, "most", rd.store.limits.accepted.maxValueBytes)
 		}
 		again(tooLongRetry)
 		return
 	}
-	c.leaderTransaction(priorityUser, when, []protocol.Change{{Key: key, Value: e.Value}}, func(o txnOutcome, r protocol.TxnResult) {
+	rd.election.leaderTransaction(priorityUser, when, []protocol.Change{{Key: key, Value: e.Value}}, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
 		case txnCommitted:
 			t.rollouts.revisions[e.Service] = r.Revision
-			c.stepRollouts(rollout.Saved{Service: e.Service})
+			rd.stepRollouts(rollout.Saved{Service: e.Service})
 		case txnConflict:
 			// An earlier try may have been applied late. Nobody else writes it.
-			c.getKey(priorityUser, key, func(now protocol.Entry, found, ok bool) {
+			rd.store.getKey(priorityUser, key, func(now protocol.Entry, found, ok bool) {
 				switch {
-				case c.term != t:
+				case rd.term != t:
 				case ok && found && sameJSON(now.Value, e.Value):
 					t.rollouts.revisions[e.Service] = now.Revision
-					c.stepRollouts(rollout.Saved{Service: e.Service})
+					rd.stepRollouts(rollout.Saved{Service: e.Service})
 				default:
 					if ok {
 						t.rollouts.revisions[e.Service] = now.Revision // 0: it is not there
@@ -240,7 +240,7 @@
 
 // checkInstance has an instance checked. The leader is asked last: its turns are for
 // what nobody else can do, and a check by another node costs it a frame.
-func (c *Controller) checkInstance(t *leaderTerm, e rollout.Check) {
+func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
 	end := func(made, ok bool, by, why string) {
 		outcome := "unmade"
 		switch {
@@ -249,9 +249,9 @@
 		case made:
 			outcome = "failed"
 		}
-		c.stats.Checks[outcome]++
-		if c.term == t {
-			c.stepRollouts(rollout.Checked{ID: e.ID, Made: made, OK: ok, By: by, Why: why})
+		rd.stats.Checks[outcome]++
+		if rd.term == t {
+			rd.stepRollouts(rollout.Checked{ID: e.ID, Made: made, OK: ok, By: by, Why: why})
 		}
 	}
 	judge := func(by string, status int, body []byte) {
@@ -266,25 +266,25 @@
 			end(true, false, by, "status "+strconv.Itoa(status))
 		}
 	}
-	at := c.now.Steady
+	at := rd.now.Steady
 	not := make(map[string]bool, len(e.Not))
 	for _, n := range e.Not {
 		not[n] = true
 	}
-	siblings := c.platform.Peers
+	siblings := rd.platform.Peers
 	for _, bold := range []bool{false, true} { // those that others disputed come after this node
-		if bold && !not[c.platform.ControllerName] {
+		if bold && !not[rd.platform.ControllerName] {
 			break
 		}
 		for i := range siblings {
 			s := siblings[(t.rollouts.nextChecker+i)%len(siblings)]
-			if o := t.peers[s.Name]; not[s.Name] || o.statusAt == 0 || at-o.statusAt > peerStatusLifetime || !bold && at < t.rollouts.checkBackoffUntil[s.Name] {
+			if o := t.peers.statuses[s.Name]; not[s.Name] || o.statusAt == 0 || at-o.statusAt > peerStatusLifetime || !bold && at < t.rollouts.checkBackoffUntil[s.Name] {
 				continue
 			}
 			t.rollouts.nextChecker += i + 1
 			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
-			c.callAddress(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallResult) {
-				if m := c.parsePeerResponse(d); m != nil {
+			rd.callAddress(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallResult) {
+				if m := rd.membership.parsePeerResponse(d); m != nil {
 					judge(s.Name, int(m.Status), m.Body)
 					return
 				}
@@ -293,11 +293,11 @@
 			return
 		}
 	}
-	if not[c.platform.ControllerName] {
-		c.after(0, func() { end(false, false, "", "") })
+	if not[rd.platform.ControllerName] {
+		rd.after(0, func() { end(false, false, "", "") })
 		return
 	}
-	c.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(c.platform.ControllerName, status, body) })
+	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(rd.platform.ControllerName, status, body) })
 }
 
 // statusNoAnswer is the status of an instance that gives none; the body says why. 0 is that
@@ -305,12 +305,12 @@
 const statusNoAnswer = 599
 
 // sendCheck makes a check from this node.
-func (c *Controller) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
+func (rd *rolloutDriver) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
 	method := "GET"
 	if kind == protocol.CheckTCP {
 		method = "" // a connection, and nothing more
 	}
-	c.callAddress(ToInstance, method, addr, path, nil, timeout, func(d CallResult) {
+	rd.callAddress(ToInstance, method, addr, path, nil, timeout, func(d CallResult) {
 		switch {
 		case d.ConnectionRefused:
 			done(statusNoAnswer, []byte("no connection"))
@@ -325,9 +325,9 @@
 }
 
 // onHealthCheckRequest makes a check for the leader.
-func (c *Controller) onHealthCheckRequest(e HealthCheckRequest) {
-	c.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
-		c.reply(e.Reply, status, body, 0)
+func (rd *rolloutDriver) onHealthCheckRequest(e HealthCheckRequest) {
+	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
+		rd.reply(e.Reply, status, body, 0)
 	})
 }
 
@@ -337,58 +337,58 @@
 }
 
 // onRolloutRequest handles an operator's call about roll-outs, wherever it came in.
-func (c *Controller) onRolloutRequest(e UserRequest) {
-	if c.rolloutSettings == nil {
-		c.reply(e.Reply, 404, protocol.ErrorBody("roll-outs are off"), 0)
+func (rd *rolloutDriver) onRolloutRequest(e UserRequest) {
+	if rd.settings == nil {
+		rd.reply(e.Reply, 404, protocol.ErrorBody("roll-outs are off"), 0)
 		return
 	}
 	r := rollout.Request{Op: rolloutOps[e.Op], Service: e.Ref}
 	if e.Op == protocol.OpRollout {
 		spec, err := protocol.ParseRollout(e.Body)
 		if err != nil {
-			c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
+			rd.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
 			return
 		}
 		r.Spec, r.Service = spec, spec.Service
 	} else if r.Op != rollout.List && !protocol.ValidService(e.Ref) {
-		c.reply(e.Reply, 404, protocol.ErrorBody("no such service"), 0)
+		rd.reply(e.Reply, 404, protocol.ErrorBody("no such service"), 0)
 		return
 	}
-	if !c.mayActAsLeader() {
+	if !rd.election.mayActAsLeader() {
 		if e.Reply.Peer {
-			c.reply(e.Reply, 0, nil, 0)
+			rd.reply(e.Reply, 0, nil, 0)
 			return
 		}
-		c.forwardLeaderOnly(e, rolloutReplyTimeout+500*protocol.Millisecond, c.now.Steady)
+		rd.users.forwardLeaderOnly(e, rolloutReplyTimeout+500*protocol.Millisecond, rd.now.Steady)
 		return
 	}
-	t := c.term
+	t := rd.term
 	if t.rollouts.damaged[r.Service] {
-		c.reply(e.Reply, 422, protocol.ErrorBody("the record of this service is damaged, see the leader's log"), 0)
+		rd.reply(e.Reply, 422, protocol.ErrorBody("the record of this service is damaged, see the leader's log"), 0)
 		return
 	}
 	if r.Spec != nil {
-		if len(c.machineTypes) == 0 {
-			c.replyUnavailable(e.Reply, refusalMachineTypes)
+		if len(rd.catalog.types) == 0 {
+			rd.replyUnavailable(e.Reply, refusalMachineTypes)
 			return
 		}
 		// All instances and the surge at once have to be within what the team may use.
 		job := *r.Spec.Job
 		job.Kind, job.Tasks = protocol.Service, r.Spec.Count+r.Spec.MaxSurge
-		if why := c.validateRunnable(&job); why != "" {
-			c.reply(e.Reply, 422, protocol.ErrorBody("job, with count and surge: "+why), 0)
+		if why := rd.submissions.validateRunnable(&job); why != "" {
+			rd.reply(e.Reply, 422, protocol.ErrorBody("job, with count and surge: "+why), 0)
 			return
 		}
 	}
-	c.operatorCallSeq++
-	r.To = c.operatorCallSeq
-	c.operatorCalls[r.To] = e.Reply
+	rd.operatorCallSeq++
+	r.To = rd.operatorCallSeq
+	rd.operatorCalls[r.To] = e.Reply
 	// Nobody is kept waiting for the state service longer than this.
-	c.after(rolloutReplyTimeout, func() {
-		if to, ok := c.operatorCalls[r.To]; ok {
-			delete(c.operatorCalls, r.To)
-			c.replyUnavailable(to, refusalStateService)
+	rd.after(rolloutReplyTimeout, func() {
+		if to, ok := rd.operatorCalls[r.To]; ok {
+			delete(rd.operatorCalls, r.To)
+			rd.replyUnavailable(to, refusalStateService)
 		}
 	})
-	c.stepRollouts(r)
+	rd.stepRollouts(r)
 }
