--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -12,14 +12,14 @@
 
 // pendingJob is a job that still needs places, with its request.
 type pendingJob struct {
-	job     *state.Job
-	request *slottable.Request
-	tasks   []int
-	withinGuarantee  bool // its team's jobs up to this one fit into the guarantee
+	job             *state.Job
+	request         *slottable.Request
+	tasks           []int
+	withinGuarantee bool // its team's jobs up to this one fit into the guarantee
 	deadlineMissed  bool // too late for its deadline and every aim on finishing
-	hasReservation    bool // room was made for it
-	queueOrder    micros
-	result  slottable.Result
+	hasReservation  bool // room was made for it
+	queueOrder      micros
+	result          slottable.Result
 }
 
 // cycleStage is how far a pass has come.
@@ -27,13 +27,15 @@
 
 // CycleStages of a pass.
 const (
-	stagePlanning   cycleStage = iota // jobs get places and bookings, in their order
-	stageBackfilling                 // arrays that had the choice of machines with their image get what is left
-	stagePreempting              // room is made for those of high rank
-	stageScaling                 // what to rent is found
+	stagePlanning    cycleStage = iota // jobs get places and bookings, in their order
+	stageBackfilling                   // arrays that had the choice of machines with their image get what is left
+	stagePreempting                    // room is made for those of high rank
+	stageScaling                       // what to rent is found
 )
 
-func (s cycleStage) String() string { return [...]string{"planning", "filling", "preempting", "renting"}[s] }
+func (s cycleStage) String() string {
+	return [...]string{"planning", "filling", "preempting", "renting"}[s]
+}
 
 // cycle is one pass over the queue. It may take several rounds: a round has a
 // bound on its work, so that renewal, workers and users never wait behind it,
@@ -41,18 +43,18 @@
 // booked before the cut stays marked in the table, so backfilling after it
 // moves no booking.
 type schedulingCycle struct {
-	stage    cycleStage
-	pending     []*pendingJob
-	next     int
-	heldForTeam     map[string]protocol.Resources // by team, for jobs that come first
-	unreconciled protocol.Resources            // that tasks on hosts not heard of yet may use
+	stage         cycleStage
+	pending       []*pendingJob
+	next          int
+	heldForTeam   map[string]protocol.Resources // by team, for jobs that come first
+	unreconciled  protocol.Resources            // that tasks on hosts not heard of yet may use
 	unknownTypes  bool                          // some of those hosts are of a type not known
 	preemptible   map[*state.Host]protocol.Resources
 	unschedulable []unschedulableShape
-	localityFirst    []*pendingJob // for the second stage
-	steps   int
-	work     int
-	startedAt    micros
+	localityFirst []*pendingJob // for the second stage
+	steps         int
+	work          int
+	startedAt     micros
 }
 
 // redirectedEpoch is the one place where a pass changes its stage.
@@ -60,44 +62,43 @@
 
 // maxStepWork bounds what one round looks at, in rows of the table. It is a few
 // milliseconds of a whole processor, more where the share is larger.
-func (c *Controller) maxStepWork() int {
-	return int(240_000 * max(0.1, min(1, c.platform.CPUShare)))
+func (sc *scheduler) maxStepWork() int {
+	return int(240_000 * max(0.1, min(1, sc.platform.CPUShare)))
 }
 
 // round plans: it assigns what can start now, keeps bookings, makes room by
 // preemption, and finds what to rent.
-func (c *Controller) runSchedulingStep() {
-	t := c.term
-	t.lastCycle = c.now.Steady
-	if !c.mayActAsLeader() || len(c.machineTypes) == 0 {
-		t.cycle, t.cycleNeeded = nil, false
+func (sc *scheduler) runSchedulingStep() {
+	sc.lastCycle = sc.now.Steady
+	if !sc.election.mayActAsLeader() || len(sc.catalog.types) == 0 {
+		sc.cycle, sc.cycleNeeded = nil, false
 		return
 	}
-	c.refreshSlotTable()
-	t.slotTable.Work = 0
-	if t.cycle == nil {
-		t.cycleNeeded = false
-		t.cycle = c.newSchedulingCycle()
-		t.slotTable.Begin()
+	sc.refreshSlotTable()
+	sc.slotTable.Work = 0
+	if sc.cycle == nil {
+		sc.cycleNeeded = false
+		sc.cycle = sc.newSchedulingCycle()
+		sc.slotTable.Begin()
 	} else {
-		t.slotTable.Resume()
+		sc.slotTable.Resume()
 	}
-	p := t.cycle
+	p := sc.cycle
 	p.steps++
-	c.stats.SchedulingSteps++
-	most := c.maxStepWork()
+	sc.stats.SchedulingSteps++
+	most := sc.maxStepWork()
 	done := 0 // of the round's work, by the stages before
 	count := func(s cycleStage) {
-		c.stats.RowsByStage[s] += uint64(t.slotTable.Work - done)
-		done = t.slotTable.Work
+		sc.stats.RowsByStage[s] += uint64(sc.slotTable.Work - done)
+		done = sc.slotTable.Work
 	}
 	if p.stage == stagePlanning {
-		for ; p.next < len(p.pending) && t.slotTable.Work < most; p.next++ {
-			if w := p.pending[p.next]; c.prefersLocality(w) {
-				c.placeImageLocal(p, w)
+		for ; p.next < len(p.pending) && sc.slotTable.Work < most; p.next++ {
+			if w := p.pending[p.next]; sc.prefersLocality(w) {
+				sc.placeImageLocal(p, w)
 				p.localityFirst = append(p.localityFirst, w)
 			} else {
-				c.placeJob(p, w)
+				sc.placeJob(p, w)
 			}
 		}
 		count(stagePlanning)
@@ -106,10 +107,10 @@
 		}
 	}
 	if p.stage == stageBackfilling {
-		for ; p.next < len(p.localityFirst) && t.slotTable.Work < most; p.next++ {
+		for ; p.next < len(p.localityFirst) && sc.slotTable.Work < most; p.next++ {
 			w := p.localityFirst[p.next]
 			w.tasks, w.request, w.result = nil, nil, slottable.Result{}
-			c.placeJob(p, w)
+			sc.placeJob(p, w)
 		}
 		count(stageBackfilling)
 		if p.next == len(p.localityFirst) {
@@ -117,36 +118,36 @@
 		}
 	}
 	if p.stage == stagePreempting {
-		for ; p.next < len(p.pending) && t.slotTable.Work < most; p.next++ {
-			c.preempt(p, p.pending[p.next])
+		for ; p.next < len(p.pending) && sc.slotTable.Work < most; p.next++ {
+			sc.preempt(p, p.pending[p.next])
 		}
 		count(stagePreempting)
 		if p.next == len(p.pending) {
 			p.setStage(stageScaling)
 		}
 	}
-	p.work += t.slotTable.Work
-	if p.stage == stageScaling && (t.slotTable.Work < most/2 || p.steps > 1) {
-		c.planScaling(p.pending)
+	p.work += sc.slotTable.Work
+	if p.stage == stageScaling && (sc.slotTable.Work < most/2 || p.steps > 1) {
+		sc.autoscaler.planScaling(p.pending)
 		count(stageScaling)
-		c.stats.SchedulingCycles++
-		c.emitCycleSpan(p)
-		t.cycle = nil
+		sc.stats.SchedulingCycles++
+		sc.emitCycleSpan(p)
+		sc.cycle = nil
 		return
 	}
-	c.stats.CutStepsByStage[p.stage]++
-	if at := c.now.Steady; at-t.lastCutLog > 5*protocol.Second {
-		t.lastCutLog = at
-		c.log.Info("plan cut short", "stage", p.stage.String(), "next", p.next, "of", len(p.pending), "work", p.work)
+	sc.stats.CutStepsByStage[p.stage]++
+	if at := sc.now.Steady; at-sc.lastCutLog > 5*protocol.Second {
+		sc.lastCutLog = at
+		sc.log.Info("plan cut short", "stage", p.stage.String(), "next", p.next, "of", len(p.pending), "work", p.work)
 	}
 }
 
 // emitCycleSpan tells of a pass that is over.
-func (c *Controller) emitCycleSpan(p *schedulingCycle) {
-	if !c.tracing {
+func (sc *scheduler) emitCycleSpan(p *schedulingCycle) {
+	if !sc.tracing {
 		return
 	}
-	c.emit(Span{Name: "pass", From: p.startedAt, To: c.now.Steady, Counts: []SpanCount{
+	sc.emit(Span{Name: "pass", From: p.startedAt, To: sc.now.Steady, Counts: []SpanCount{
 		{"jobs", int64(len(p.pending))},
 		{"rounds", int64(p.steps)},
 		{"rows", int64(p.work)},
@@ -154,11 +155,10 @@
 }
 
 // newSchedulingCycle orders the queue.
-func (c *Controller) newSchedulingCycle() *schedulingCycle {
-	t := c.term
-	p := &schedulingCycle{heldForTeam: make(map[string]protocol.Resources), preemptible: make(map[*state.Host]protocol.Resources), startedAt: c.now.Steady}
-	if !t.reconciled && t.launchesUnrecorded {
-		for _, h := range t.cluster.Hosts() {
+func (sc *scheduler) newSchedulingCycle() *schedulingCycle {
+	p := &schedulingCycle{heldForTeam: make(map[string]protocol.Resources), preemptible: make(map[*state.Host]protocol.Resources), startedAt: sc.now.Steady}
+	if !sc.reconciled && sc.launchesUnrecorded {
+		for _, h := range sc.cluster.Hosts() {
 			if h.FromRecord && !h.Reconciled {
 				if h.Type == nil {
 					p.unknownTypes = true
@@ -168,7 +168,7 @@
 			}
 		}
 	}
-	p.pending = c.pendingJobs()
+	p.pending = sc.pendingJobs()
 	return p
 }
 
@@ -184,70 +184,70 @@
 // left after all had that choice is given to the same jobs in the same round, so no
 // machine stays free for it. A job that has waited for as long as a fetch, or that has
 // a booking, is served in its turn.
-func (c *Controller) prefersLocality(w *pendingJob) bool {
+func (sc *scheduler) prefersLocality(w *pendingJob) bool {
 	j := w.job
 	s := j.Spec
 	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || isOpportunistic(j) || j.Suspect || len(j.Bookings) > 0 || s.ImageSize == 0 {
 		return false
 	}
 	var fetch micros
-	for _, typ := range c.machineTypes {
+	for _, typ := range sc.catalog.types {
 		if s.AllowsType(typ.Name) {
-			fetch = max(fetch, c.fetchTime(typ, s.ImageSize))
+			fetch = max(fetch, sc.estimates.fetchTime(typ, s.ImageSize))
 		}
 	}
-	return c.now.Steady-j.EligibleAt < localityWaitFetches*fetch
+	return sc.now.Steady-j.EligibleAt < localityWaitFetches*fetch
 }
 
 // placeImageLocal starts what an array can at once on machines that have its image.
-func (c *Controller) placeImageLocal(p *schedulingCycle, w *pendingJob) {
-	if !c.buildRequest(w) {
+func (sc *scheduler) placeImageLocal(p *schedulingCycle, w *pendingJob) {
+	if !sc.buildRequest(w) {
 		return
 	}
 	r := w.request
-	r.Limit = c.quotaAllowance(p, w.job, p.heldForTeam[w.job.Spec.Team])
+	r.Limit = sc.quotaAllowance(p, w.job, p.heldForTeam[w.job.Spec.Team])
 	r.HotOnly = true
 	if r.Limit <= 0 {
 		return
 	}
-	w.result = c.term.slotTable.Try(r, false)
+	w.result = sc.slotTable.Try(r, false)
 	for i, pl := range w.result.Start {
-		c.assignTask(w, w.tasks[i], pl)
+		sc.assignTask(w, w.tasks[i], pl)
 	}
 }
 
 // placeJob gives a job what places it can have, in its turn.
-func (c *Controller) placeJob(p *schedulingCycle, w *pendingJob) {
+func (sc *scheduler) placeJob(p *schedulingCycle, w *pendingJob) {
 	j := w.job
-	if !c.buildRequest(w) {
+	if !sc.buildRequest(w) {
 		return
 	}
 	r := w.request
-	r.Limit = c.quotaAllowance(p, j, p.heldForTeam[j.Spec.Team])
+	r.Limit = sc.quotaAllowance(p, j, p.heldForTeam[j.Spec.Team])
 	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Suspect {
 		// Its team's limit leaves no room for all of its tasks at once.
 		// Without this, smaller jobs of the team would take what comes free,
 		// one task at a time, for as long as they last.
 		p.heldForTeam[j.Spec.Team] = p.heldForTeam[j.Spec.Team].Add(j.Spec.TaskResources, int64(r.Tasks))
 	}
-	res := c.term.slotTable.Next(r)
+	res := sc.slotTable.Next(r)
 	w.result = res
 	j.Bookings = j.Bookings[:0]
 	for _, b := range res.Booked {
 		j.Bookings = append(j.Bookings, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
 	}
 	if res.Late {
-		j.BookingRetryAt = c.now.Steady + bookingRetryDelay
+		j.BookingRetryAt = sc.now.Steady + bookingRetryDelay
 	}
 	for i, pl := range res.Start {
-		c.assignTask(w, w.tasks[i], pl)
+		sc.assignTask(w, w.tasks[i], pl)
 	}
 	if len(res.Start) == maxTasksPerCycle {
-		c.term.cycleNeeded = true // the rest of a long array comes with the next round
+		sc.cycleNeeded = true // the rest of a long array comes with the next round
 	}
 	if len(res.Booked) > 0 {
 		j.BookedZone = res.Booked[0].Machine.Zone
-		c.persistBooking(w, res)
+		sc.persistBooking(w, res)
 	}
 }
 
@@ -257,76 +257,74 @@
 
 // refreshSlotTable brings the rows up to date whose machine changed, or whose
 // estimates ran out.
-func (c *Controller) refreshSlotTable() {
-	t := c.term
-	at := c.now.Steady
-	t.slotTable.Now = at
-	for _, h := range t.cluster.Hosts() {
+func (sc *scheduler) refreshSlotTable() {
+	at := sc.now.Steady
+	sc.slotTable.Now = at
+	for _, h := range sc.cluster.Hosts() {
 		if h.Type == nil || h.State == state.HostGone || h.State == state.HostReleasing {
-			if t.machines[h] != nil {
-				c.withdrawAssignments(h)
-				c.removeMachine(h)
+			if sc.machines[h] != nil {
+				sc.withdrawAssignments(h)
+				sc.removeMachine(h)
 			}
 			continue
 		}
-		m := t.machines[h]
-		usable := c.isSchedulable(h)
+		m := sc.machines[h]
+		usable := sc.isSchedulable(h)
 		booting := h.State == state.HostBooting && !h.FromRecord
 		if m == nil {
 			typ := h.Type
 			m = &slottable.Machine{
 				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Capacity,
-				Fetch: func(size int64) micros { return c.fetchTime(typ, size) },
+				Fetch: func(size int64) micros { return sc.estimates.fetchTime(typ, size) },
 			}
-			t.machines[h] = m
-			t.slotTable.Add(m)
+			sc.machines[h] = m
+			sc.slotTable.Add(m)
 			h.Stale = true
 		}
 		if !usable && !m.Blocked {
-			c.withdrawAssignments(h)
+			sc.withdrawAssignments(h)
 		}
 		if h.Stale || booting || m.Blocked == usable || m.NextEnd() <= at {
-			c.refreshMachine(h, m, usable, booting)
+			sc.refreshMachine(h, m, usable, booting)
 		}
 	}
 }
 
 // removeMachine takes a host's row out of the table.
-func (c *Controller) removeMachine(h *state.Host) {
-	t := c.term
-	if m := t.machines[h]; m != nil {
-		t.slotTable.Remove(m)
-		delete(t.machines, h)
+func (sc *scheduler) removeMachine(h *state.Host) {
+	if m := sc.machines[h]; m != nil {
+		sc.slotTable.Remove(m)
+		delete(sc.machines, h)
 	}
 }
 
 // withdrawAssignments takes back assignments whose host can't be reached or is leaving.
-func (c *Controller) withdrawAssignments(h *state.Host) {
+func (sc *scheduler) withdrawAssignments(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State == state.AttemptAssigned {
-			c.onAttemptLost(a)
+			sc.agents.onAttemptLost(a)
 		}
 	}
 }
 
 // isSchedulable reports whether tasks may be put on a host.
-func (c *Controller) isSchedulable(h *state.Host) bool {
-	at := c.now.Steady
-	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !ignoresCommands(h) && !c.missesHeartbeats(h) && c.drainOf(h) == configuration.NotDrained &&
-		at >= h.QuarantinedUntil && at >= h.FullUntil && at-h.LastContact < 2*c.platform.HeartbeatInterval+protocol.Second
+func (sc *scheduler) isSchedulable(h *state.Host) bool {
+	at := sc.now.Steady
+	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !ignoresCommands(h) && !sc.hosts.missesHeartbeats(h) && sc.config.drainOf(h) == configuration.NotDrained &&
+		at >= h.QuarantinedUntil && at >= h.FullUntil && at-h.LastContact < 2*sc.platform.HeartbeatInterval+protocol.Second
 }
 
 // refreshMachine makes a host's row from what is known of it.
-func (c *Controller) refreshMachine(h *state.Host, m *slottable.Machine, usable, booting bool) {
-	at := c.now.Steady
-	table := &c.term.slotTable
+func (sc *scheduler) refreshMachine(h *state.Host, m *slottable.Machine, usable, booting bool) {
+	at := sc.now.Steady
+	table := &sc.slotTable
 	h.Stale = false
 	m.Reset()
 	m.From = at
 	switch {
 	case usable:
-	case booting && c.drainOf(h) == configuration.NotDrained:
-		m.From = c.expectedBootEnd(h)
+	case booting && sc.config.drainOf(h) == configuration.NotDrained:
+		m.From = sc.estimates.expectedBootEnd(h)
 	default:
 		m.Blocked = true
 	}
@@ -336,7 +334,7 @@
 	if len(h.SuspectedBy) > 0 {
 		m.Penalty += 10 * protocol.Second
 	}
-	m.Unheld = !h.Spot && !c.hasRetainingWork(h)
+	m.Unheld = !h.Spot && !sc.hasRetainingWork(h)
 	for name := range h.Images {
 		table.AddImage(m, name, 0)
 	}
@@ -346,7 +344,7 @@
 			continue
 		}
 		s := a.Job.Spec
-		k := c.classStats(s.Class)
+		k := sc.workload.classStats(s.Class)
 		till := protocol.Forever
 		switch {
 		case a.StopRequested:
@@ -359,7 +357,7 @@
 			till = max(at, a.ExpectedReady) + k.estimatedRuntime(s)
 		}
 		m.Occupy(slottable.Span{From: at, To: till, Need: s.TaskResources, Guest: isOpportunistic(a.Job)})
-		if a.StopRequested || c.isPreemptible(a.Job) {
+		if a.StopRequested || sc.isPreemptible(a.Job) {
 			gives = gives.Add(s.TaskResources, 1)
 		}
 		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching {
@@ -377,12 +375,11 @@
 // pendingJob lists the jobs that need places, in the order in which they are
 // tried: by rank, then those that can still be in time, then those within their
 // team's guarantee, then by their turn.
-func (c *Controller) pendingJobs() []*pendingJob {
-	t := c.term
-	at := c.now.Steady
+func (sc *scheduler) pendingJobs() []*pendingJob {
+	at := sc.now.Steady
 	sums := make(map[string]protocol.Resources)
 	var list []*pendingJob
-	for _, j := range t.cluster.Jobs() {
+	for _, j := range sc.cluster.Jobs() {
 		if j.State != state.JobActive {
 			continue
 		}
@@ -391,16 +388,16 @@
 		if j.QueuedTasks == 0 || at < j.BackoffUntil {
 			continue
 		}
-		if !t.reconciled && t.launchesUnrecorded && j.LeaderEpoch != t.epoch {
+		if !sc.reconciled && sc.launchesUnrecorded && j.LeaderEpoch != sc.epoch {
 			continue // its tasks may be on hosts that have not reported yet
 		}
-		w := &pendingJob{job: j, withinGuarantee: fitsGuarantee(c.guarantee(s.Team), sums[s.Team])}
-		w.deadlineMissed, w.hasReservation = c.isDeadlineMissed(j), at < j.ReservedUntil
+		w := &pendingJob{job: j, withinGuarantee: fitsGuarantee(sc.guarantee(s.Team), sums[s.Team])}
+		w.deadlineMissed, w.hasReservation = sc.isDeadlineMissed(j), at < j.ReservedUntil
 		w.queueOrder = j.EligibleAt
 		if s.Kind == protocol.Array {
 			// Jobs count alike, so a large one lets small ones pass that come a
 			// little later: by its work, spread over some machines.
-			w.queueOrder += c.classStats(s.Class).estimatedRuntime(s) * micros(s.Tasks-j.CompletedTasks) / 8
+			w.queueOrder += sc.workload.classStats(s.Class).estimatedRuntime(s) * micros(s.Tasks-j.CompletedTasks) / 8
 		}
 		list = append(list, w)
 	}
@@ -431,21 +428,20 @@
 
 // buildRequest makes a job's request, in its turn. It reports whether there is
 // something to place.
-func (c *Controller) buildRequest(w *pendingJob) bool {
-	t := c.term
-	at := c.now.Steady
+func (sc *scheduler) buildRequest(w *pendingJob) bool {
+	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
 	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.BackoffUntil {
 		return false
 	}
-	if j.Suspect && c.isProven(j) {
-		c.confirmHealthy(j)
+	if j.Suspect && sc.faults.isProven(j) {
+		sc.faults.confirmHealthy(j)
 	}
 	if j.Suspect && j.AttemptCount > 0 {
 		return false // what is being tried says whether it can run
 	}
-	if s.Kind == protocol.Gang && (j.GangStarted || c.hasStoppingAttempt(j)) {
+	if s.Kind == protocol.Gang && (j.GangStarted || sc.hasStoppingAttempt(j)) {
 		return false // what is left of the attempt has to end first
 	}
 	var used map[string]int
@@ -485,8 +481,8 @@
 	}
 	r := &slottable.Request{
 		Tasks: len(w.tasks), Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: c.classStats(s.Class).estimatedRuntime(s),
-		Guest: isOpportunistic(j), Frugal: c.usesSpareCapacityOnly(j),
+		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: sc.workload.classStats(s.Class).estimatedRuntime(s),
+		Guest: isOpportunistic(j), Frugal: sc.usesSpareCapacityOnly(j),
 	}
 	w.request = r
 	if r.Gang && s.SingleZone {
@@ -496,7 +492,7 @@
 		r.ZoneCap = (s.Tasks + 1) / 2
 	}
 	if due := effectiveDeadline(j); due > 0 {
-		r.Deadline = due - c.operator.DeadlineMargin
+		r.Deadline = due - sc.operator.DeadlineMargin
 		r.NoBooking = at < j.BookingRetryAt
 	}
 	if j.Suspect && s.Kind != protocol.Gang {
@@ -507,12 +503,12 @@
 		failures := j.FailuresByHost
 		r.Avoid = func(name string) bool { return failures[name] > 0 }
 	}
-	if len(j.Reservations) > 0 && !c.applyReservations(w) {
+	if len(j.Reservations) > 0 && !sc.applyReservations(w) {
 		return false
 	}
 	for _, b := range j.Bookings {
-		h := t.cluster.Host(b.Machine)
-		if h == nil || t.machines[h] == nil {
+		h := sc.cluster.Host(b.Machine)
+		if h == nil || sc.machines[h] == nil {
 			r.Kept = nil
 			break
 		}
@@ -522,24 +518,23 @@
 			r.Hold = true
 			begin = max(begin, at+2*protocol.Second)
 		}
-		r.Kept = append(r.Kept, slottable.Place{Machine: t.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
+		r.Kept = append(r.Kept, slottable.Place{Machine: sc.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
 	}
-	r.Patient = c.startDeadline(j)
+	r.Patient = sc.objectives.startDeadline(j)
 	return true
 }
 
 // applyReservations lets tasks wait for the room that was made for them, rather than
 // fetch elsewhere, and prefer it once it is free. It reports whether there are
 // others, or room.
-func (c *Controller) applyReservations(w *pendingJob) bool {
-	t := c.term
+func (sc *scheduler) applyReservations(w *pendingJob) bool {
 	j, r := w.job, w.request
 	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool {
-		return c.now.Steady >= m.Until || t.machines[m.Host] == nil || !c.isSchedulable(m.Host)
+		return sc.now.Steady >= m.Until || sc.machines[m.Host] == nil || !sc.isSchedulable(m.Host)
 	})
 	waiting := 0
 	for _, m := range j.Reservations {
-		row := t.machines[m.Host]
+		row := sc.machines[m.Host]
 		r.Preferred = append(r.Preferred, row)
 		if !row.Free().Covers(r.Need) {
 			waiting++
@@ -556,21 +551,21 @@
 // deadlineMissed reports whether a job is too late for whatever was asked of its end.
 // Such a job lets those pass that are not: served in order of submission, in an
 // overload each late job would make the next one late too.
-func (c *Controller) isDeadlineMissed(j *state.Job) bool {
-	due := c.objectiveDeadline(j)
+func (sc *scheduler) isDeadlineMissed(j *state.Job) bool {
+	due := sc.objectives.objectiveDeadline(j)
 	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
 		due = j.InheritedDeadline
 	}
 	if due == 0 {
 		return false
 	}
-	late := c.now.Steady + c.classStats(j.Spec.Class).estimatedRuntime(j.Spec) - due
+	late := sc.now.Steady + sc.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec) - due
 	return late > 0 && late < maxOvertakenLateness
 }
 
 // objectiveDeadline is when a job should have ended, by its deadline and the latest aim on the end
 // of its class; 0: nothing is asked of its end.
-func (c *Controller) objectiveDeadline(j *state.Job) micros {
+func (ot *objectiveTracker) objectiveDeadline(j *state.Job) micros {
 	s := j.Spec
 	var due micros
 	if s.Kind == protocol.Service {
@@ -579,7 +574,7 @@
 	if s.Deadline > 0 {
 		due = j.Submitted + s.Deadline
 	}
-	for _, o := range c.platform.Objectives {
+	for _, o := range ot.platform.Objectives {
 		if o.Kind == "finished" && o.Class == s.Class {
 			due = max(due, j.EligibleAt+o.Within)
 		}
@@ -588,7 +583,7 @@
 }
 
 // hasStoppingAttempt reports whether an attempt of a job is being stopped.
-func (c *Controller) hasStoppingAttempt(j *state.Job) bool {
+func (sc *scheduler) hasStoppingAttempt(j *state.Job) bool {
 	for _, a := range j.ActiveAttempts() {
 		if task := a.Task(); a.StopRequested && task != nil && task.Current == a {
 			return true
@@ -597,8 +592,8 @@
 	return false
 }
 
-func (c *Controller) guarantee(name string) protocol.Resources {
-	team, _ := c.team(name)
+func (sc *scheduler) guarantee(name string) protocol.Resources {
+	team, _ := sc.config.team(name)
 	return team.Guarantee
 }
 
@@ -608,12 +603,11 @@
 
 // quotaAllowance is how many more tasks of a job its team's limit allows, with all
 // that may still be on hosts counted, and what is held for others of the team.
-func (c *Controller) quotaAllowance(p *schedulingCycle, j *state.Job, held protocol.Resources) int {
-	t := c.term
-	team, _ := c.team(j.Spec.Team)
+func (sc *scheduler) quotaAllowance(p *schedulingCycle, j *state.Job, held protocol.Resources) int {
+	team, _ := sc.config.team(j.Spec.Team)
 	limit := team.Limit
-	used := t.cluster.UsedByTeam[j.Spec.Team].Add(held, 1)
-	if !t.reconciled && t.launchesUnrecorded && limit != (protocol.Resources{}) {
+	used := sc.cluster.UsedByTeam[j.Spec.Team].Add(held, 1)
+	if !sc.reconciled && sc.launchesUnrecorded && limit != (protocol.Resources{}) {
 		if p.unknownTypes {
 			return 0
 		}
@@ -631,54 +625,52 @@
 
 // assignTask gives a task a place. The launch leaves with the answer to the
 // host's next report.
-func (c *Controller) assignTask(w *pendingJob, index int, p slottable.Place) {
-	t := c.term
+func (sc *scheduler) assignTask(w *pendingJob, index int, p slottable.Place) {
 	j := w.job
-	h := t.cluster.Host(p.Machine.Name)
-	if h == nil || !c.isSchedulable(h) {
+	h := sc.cluster.Host(p.Machine.Name)
+	if h == nil || !sc.isSchedulable(h) {
 		return
 	}
 	var number uint64
 	if j.Spec.Kind == protocol.Gang {
 		if j.GangAttempt == 0 {
-			j.GangAttempt = c.nextAttemptNumber()
+			j.GangAttempt = sc.nextAttemptNumber()
 		}
 		number = j.GangAttempt
 	} else {
-		number = c.nextAttemptNumber()
+		number = sc.nextAttemptNumber()
 	}
 	name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: number}
 	if h.Find(name) != nil {
 		return // the host still knows this attempt: it would ignore the launch
 	}
 	if !isOpportunistic(j) {
-		c.evictOpportunistic(h, j.Spec.TaskResources)
+		sc.evictOpportunistic(h, j.Spec.TaskResources)
 	}
-	a := t.cluster.Attach(c.now.Steady, j, h, name)
+	a := sc.cluster.Attach(sc.now.Steady, j, h, name)
 	a.ExpectedReady = p.Ready
 	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool { return m.Host == h })
-	t.cluster.SetAttemptState(c.now.Steady, a, state.AttemptAssigned)
-	c.updateIdleSince(h)
-	c.recordLaunch(a, c.launchRecordDue(j.Spec))
-	c.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-c.now.Steady)/protocol.Millisecond))
+	sc.cluster.SetAttemptState(sc.now.Steady, a, state.AttemptAssigned)
+	sc.agents.updateIdleSince(h)
+	sc.records.recordLaunch(a, sc.records.launchRecordDue(j.Spec))
+	sc.log.Debug("assigned", "task", name.TaskName.String(), "try", number, "host", h.Name, "ready_in_ms", int64((p.Ready-sc.now.Steady)/protocol.Millisecond))
 }
 
 // nextAttemptNumber makes a number that no epoch has used.
-func (c *Controller) nextAttemptNumber() uint64 {
-	t := c.term
-	t.attemptSeq++
-	return t.epoch<<24 | t.attemptSeq
+func (sc *scheduler) nextAttemptNumber() uint64 {
+	sc.attemptSeq++
+	return sc.epoch<<24 | sc.attemptSeq
 }
 
 // bookingBatchDelay is how long new bookings are let come together in a record.
 const bookingBatchDelay = protocol.Second
 
 // cluster keeps a deadline job's booking.
-func (c *Controller) persistBooking(w *pendingJob, res slottable.Result) {
+func (sc *scheduler) persistBooking(w *pendingJob, res slottable.Result) {
 	j := w.job
 	j.BookedStart = res.Booked[0].Begin
 	if j.Spec.Deadline > 0 && res.Viable && !j.BookingPersisted {
 		j.BookingPersisted = true
-		c.term.bookingShards.put(j.Spec.Ref, bookingRecordSize(j.Spec.Ref), c.shardCapacity(), c.now.Steady+bookingBatchDelay, false)
+		sc.records.bookingShards.put(j.Spec.Ref, bookingRecordSize(j.Spec.Ref), sc.records.shardCapacity(), sc.now.Steady+bookingBatchDelay, false)
 	}
 }
--- a/internal/controller/service.go
+++ b/internal/controller/service.go
@@ -9,12 +9,12 @@
 // objectiveDue is when a job should have what is asked of its class: the end by its
 // deadline or its class's latest aim on it, or, if nothing is asked of that, the start
 // of all its tasks. 0: nothing is asked.
-func (c *Controller) objectiveDue(j *state.Job) (at micros, toEnd bool) {
-	if due := c.objectiveDeadline(j); due > 0 {
+func (ot *objectiveTracker) objectiveDue(j *state.Job) (at micros, toEnd bool) {
+	if due := ot.objectiveDeadline(j); due > 0 {
 		return due, true
 	}
 	var within micros
-	for _, o := range c.platform.Objectives {
+	for _, o := range ot.platform.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class {
 			within = max(within, o.Within)
 		}
@@ -28,35 +28,35 @@
 // countObjective counts a job once it has what is asked of its class, or it is too late.
 // It is looked at with the sweep over all jobs. What was due before this node led is
 // not counted: nobody knows it.
-func (c *Controller) countObjective(j *state.Job) {
+func (ot *objectiveTracker) countObjective(j *state.Job) {
 	if j.SLOCounted || j.State > state.JobActive && j.State != state.JobFinishing && j.State != state.JobDone {
 		return
 	}
-	at := c.now.Steady
-	due, toEnd := c.objectiveDue(j)
+	at := ot.now.Steady
+	due, toEnd := ot.objectiveDue(j)
 	switch {
-	case due == 0 || due < c.term.recordsLoadedAt || isOpportunistic(j):
+	case due == 0 || due < ot.recordsLoadedAt || isOpportunistic(j):
 		j.SLOCounted = true
 		return
 	case toEnd && j.CompletedTasks == len(j.Tasks), !toEnd && j.RunningTasks+j.CompletedTasks >= len(j.Tasks):
 		j.SLOCounted = true
-		c.addObjectiveOutcome(j, at <= due+protocol.Second)
+		ot.addObjectiveOutcome(j, at <= due+protocol.Second)
 	case at > due:
 		j.SLOCounted = true
-		c.addObjectiveOutcome(j, false)
+		ot.addObjectiveOutcome(j, false)
 	}
 }
 
-func (c *Controller) addObjectiveOutcome(j *state.Job, inTime bool) {
-	c.addToWindow(slo.Class, j.Spec.Class, inTime)
-	c.addToWindow(slo.Team, j.Spec.Team, inTime)
+func (ot *objectiveTracker) addObjectiveOutcome(j *state.Job, inTime bool) {
+	ot.addToWindow(slo.Class, j.Spec.Class, inTime)
+	ot.addToWindow(slo.Team, j.Spec.Team, inTime)
 }
 
 // addToWindow adds a job to a group, and tells where the group's state changes by it.
-func (c *Controller) addToWindow(k slo.Kind, name string, inTime bool) {
-	if c.term.sloWindow.Add(k, name, c.now.Steady, inTime) {
-		n := c.term.sloWindow.Lately(k, name, c.now.Steady)
-		c.log.Info("share served", k.String(), name, "state", c.term.sloWindow.Is(k, name).String(), "served", n.Served, "of", n.Of())
+func (ot *objectiveTracker) addToWindow(k slo.Kind, name string, inTime bool) {
+	if ot.window.Add(k, name, ot.now.Steady, inTime) {
+		n := ot.window.Lately(k, name, ot.now.Steady)
+		ot.log.Info("share served", k.String(), name, "state", ot.window.Is(k, name).String(), "served", n.Served, "of", n.Of())
 	}
 }
 
@@ -66,28 +66,27 @@
 
 // countLargeJobStart counts a job that is among the largest of its class, of at least half as many
 // tasks as the largest one that this leader has seen, once it has begun or should have.
-func (c *Controller) countLargeJobStart(j *state.Job) {
+func (ot *objectiveTracker) countLargeJobStart(j *state.Job) {
 	if j.StartSLOCounted || j.State != state.JobActive && j.State != state.JobFinishing {
 		return
 	}
-	t := c.term
 	name := j.Spec.Class
-	if 2*j.Spec.Tasks < c.classStats(name).largestJob || isOpportunistic(j) || j.EligibleAt+largeJobStartObjective < t.recordsLoadedAt {
+	if 2*j.Spec.Tasks < ot.workload.classStats(name).largestJob || isOpportunistic(j) || j.EligibleAt+largeJobStartObjective < ot.recordsLoadedAt {
 		j.StartSLOCounted = true
 		return
 	}
-	wait := c.now.Steady - j.EligibleAt
+	wait := ot.now.Steady - j.EligibleAt
 	begun := j.RunningTasks+j.CompletedTasks > 0
 	if j.Spec.Kind == protocol.Gang {
 		begun = j.RunningTasks+j.CompletedTasks >= len(j.Tasks)
 	}
 	if !begun {
-		t.longestStartWait[name] = max(t.longestStartWait[name], wait)
+		ot.longestStartWait[name] = max(ot.longestStartWait[name], wait)
 		if wait <= largeJobStartObjective {
 			return
 		}
-		c.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.AttemptCount)
+		ot.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.AttemptCount)
 	}
 	j.StartSLOCounted = true
-	c.addToWindow(slo.Largest, name, wait <= largeJobStartObjective)
+	ot.addToWindow(slo.Largest, name, wait <= largeJobStartObjective)
 }
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -3,8 +3,8 @@
 // The parts of the metered services' rates that a controller may use.
 
 // writeRate is how many changes a second the leader may make.
-func (c *Controller) writeRate() float64 {
-	return max(1, c.stateLimits.writeRate*WriteShare(len(c.platform.Peers)+1, true))
+func (s *stateStore) writeRate() float64 {
+	return max(1, s.limits.writeRate*WriteShare(len(s.platform.Peers)+1, true))
 }
 
 // WriteShare is the part of the rate of changes, and of the cloud's, that a node
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -12,18 +12,18 @@
 
 // Reasons for which a user's call, or a worker's report, is refused for now.
 const (
-	refusalNoLeader   = "no leader can be reached"
-	refusalStateService      = "the state service can't be reached"
-	refusalMachineTypes      = "machine types are not known yet"
-	refusalSubmitRate     = "too many submissions"
-	refusalLookupLimit  = "too many questions"
-	refusalRecovering   = "not ready"
-	refusalHostReleased       = "the machine is gone"
-	refusalIsolated      = "this node hears nobody"
+	refusalNoLeader        = "no leader can be reached"
+	refusalStateService    = "the state service can't be reached"
+	refusalMachineTypes    = "machine types are not known yet"
+	refusalSubmitRate      = "too many submissions"
+	refusalLookupLimit     = "too many questions"
+	refusalRecovering      = "not ready"
+	refusalHostReleased    = "the machine is gone"
+	refusalIsolated        = "this node hears nobody"
 	refusalRevisionPending = "the revision is not in force everywhere yet"
-	refusalFeatureLevel      = "this version does not serve the active feature level"
-	refusalFeatureDisabled    = "not every controller has the version for this yet"
-	refusalTasksStopping      = "tasks of the job may still be on machines"
+	refusalFeatureLevel    = "this version does not serve the active feature level"
+	refusalFeatureDisabled = "not every controller has the version for this yet"
+	refusalTasksStopping   = "tasks of the job may still be on machines"
 )
 
 // Span is something that took time, for tracing. It is over when it is emitted.
@@ -50,18 +50,18 @@
 
 // emitFailoverSpan tells of a take-over: from the question for a lease until every
 // recorded host is accounted for.
-func (c *Controller) emitFailoverSpan() {
-	c.stats.Failovers++
-	if !c.tracing {
+func (rc *recovery) emitFailoverSpan() {
+	rc.stats.Failovers++
+	if !rc.tracing {
 		return
 	}
-	t := c.term
-	stages := append([]SpanStage{{"claim", c.lease.requestedAt, t.startedAt}}, t.recoveryStages...)
+	t := rc.term
+	stages := append([]SpanStage{{"claim", rc.election.lease.requestedAt, t.startedAt}}, t.recoveryStages...)
 	if n := len(t.recoveryStages); n > 0 {
-		stages = append(stages, SpanStage{"account for hosts", t.recoveryStages[n-1].To, c.now.Steady})
+		stages = append(stages, SpanStage{"account for hosts", t.recoveryStages[n-1].To, rc.now.Steady})
 	}
-	c.emit(Span{
-		Name: "take-over", From: c.lease.requestedAt, To: c.now.Steady, Stages: stages,
+	rc.emit(Span{
+		Name: "take-over", From: rc.election.lease.requestedAt, To: rc.now.Steady, Stages: stages,
 		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.cluster.Jobs()))}, {"hosts", int64(len(t.cluster.Hosts()))}},
 	})
 }
@@ -69,33 +69,33 @@
 // Stats is what a controller has counted since it began, and how it stands. The
 // maps' keys are of fixed sets, or classes of jobs.
 type Stats struct {
-	Role      Role
-	Epoch     uint64
-	SchedulingSteps    uint64
-	SchedulingCycles    uint64
+	Role             Role
+	Epoch            uint64
+	SchedulingSteps  uint64
+	SchedulingCycles uint64
 	RowsByStage      [4]uint64 // looked at, by stage of a pass
-	CutStepsByStage      [4]uint64 // rounds that reached their bound, by stage
-	Refused   map[string]uint64
-	Malformed uint64
-	Failovers uint64
-	LostTasks      uint64            // tasks that ended with their machine
-	Checks    map[string]uint64 // of instances, by what became of them: passed, failed, unmade
-	DisputedChecks  uint64            // checks that failed where another controller saw nothing wrong
-
-	ConfigChanges  uint64       // revisions made
-	ConfigOutdated uint64       // transactions refused because the head was another one
-	Config         *ConfigStats // nil: the configuration does not change while this runs
-	Features         *FeatureStats  // nil: this controller behaves as one that knows of no levels
+	CutStepsByStage  [4]uint64 // rounds that reached their bound, by stage
+	Refused          map[string]uint64
+	Malformed        uint64
+	Failovers        uint64
+	LostTasks        uint64            // tasks that ended with their machine
+	Checks           map[string]uint64 // of instances, by what became of them: passed, failed, unmade
+	DisputedChecks   uint64            // checks that failed where another controller saw nothing wrong
+
+	ConfigChanges  uint64        // revisions made
+	ConfigOutdated uint64        // transactions refused because the head was another one
+	Config         *ConfigStats  // nil: the configuration does not change while this runs
+	Features       *FeatureStats // nil: this controller behaves as one that knows of no levels
 
 	// What a leader knows. Nothing else has them.
-	Hosts    map[string]int                    // by state
-	WaitingJobs  map[string]int                    // jobs with tasks that wait for a place, by class
-	RunningTasks  map[string]int                    // tasks, by class
-	Objectives      map[slo.Kind]map[string]slo.Count // jobs that had what is asked of their class, or were too late, by class and by team
+	Hosts             map[string]int                    // by state
+	WaitingJobs       map[string]int                    // jobs with tasks that wait for a place, by class
+	RunningTasks      map[string]int                    // tasks, by class
+	Objectives        map[slo.Kind]map[string]slo.Count // jobs that had what is asked of their class, or were too late, by class and by team
 	LongestStartWait  map[string]micros                 // for which a largest job of a class has waited to begin, by class
-	BlockedJobs int                               // jobs that await others
+	BlockedJobs       int                               // jobs that await others
 	UnreconciledHosts int                               // recorded hosts that have not been heard of in this epoch
-	Rollouts map[string]int                    // by state; nil where they are off
+	Rollouts          map[string]int                    // by state; nil where they are off
 }
 
 // CycleStages are the names of a pass's stages, as indices of Rows and Cuts.
@@ -106,12 +106,12 @@
 // Snapshot is how the controller stands. It costs a look at every job and host.
 func (c *Controller) Snapshot() Stats {
 	s := c.stats
-	s.Role, s.Epoch = c.role, c.lease.epoch
-	if c.term == nil && c.leader.Epoch > s.Epoch {
-		s.Epoch = c.leader.Epoch
+	s.Role, s.Epoch = c.election.role, c.election.lease.epoch
+	if c.term == nil && c.election.leader.Epoch > s.Epoch {
+		s.Epoch = c.election.leader.Epoch
 	}
-	s.Config = c.configStats()
-	s.Features = c.featureStats()
+	s.Config = c.config.configStats()
+	s.Features = c.features.featureStats()
 	s.Refused, s.Checks = maps.Clone(c.stats.Refused), maps.Clone(c.stats.Checks)
 	if c.term == nil {
 		return s
@@ -119,9 +119,9 @@
 	if g := c.term.rollouts.manager; g != nil {
 		s.Rollouts = g.States()
 	}
-	s.Objectives, s.LongestStartWait = make(map[slo.Kind]map[string]slo.Count), maps.Clone(c.term.longestStartWait)
+	s.Objectives, s.LongestStartWait = make(map[slo.Kind]map[string]slo.Count), maps.Clone(c.term.objectives.longestStartWait)
 	for _, k := range slo.Kinds() {
-		s.Objectives[k] = c.term.sloWindow.Counts(k)
+		s.Objectives[k] = c.term.objectives.window.Counts(k)
 	}
 	s.Hosts, s.WaitingJobs, s.RunningTasks = make(map[string]int), make(map[string]int), make(map[string]int)
 	for _, h := range c.term.cluster.Hosts() {
@@ -146,12 +146,12 @@
 }
 
 // later answers that a call can't be taken now, at once, and counts why.
-func (c *Controller) replyUnavailableAfter(to ReplyAddress, why string, after micros) {
-	if c.stats.Refused == nil {
-		c.stats.Refused = make(map[string]uint64)
+func (env *environment) replyUnavailableAfter(to ReplyAddress, why string, after micros) {
+	if env.stats.Refused == nil {
+		env.stats.Refused = make(map[string]uint64)
 	}
-	c.stats.Refused[why]++
-	c.reply(to, 503, protocol.ErrorBody(why), after)
+	env.stats.Refused[why]++
+	env.reply(to, 503, protocol.ErrorBody(why), after)
 }
 
 // refusalLogInterval is how often the log says what was refused.
@@ -168,7 +168,7 @@
 			if c.refusalsLogged == nil {
 				c.refusalsLogged = make(map[string]uint64)
 			}
-			c.log.Info("refused for now", "why", why, "count", n-c.refusalsLogged[why], "role", c.role.String())
+			c.log.Info("refused for now", "why", why, "count", n-c.refusalsLogged[why], "role", c.election.role.String())
 			c.refusalsLogged[why] = n
 		}
 	}
@@ -180,17 +180,17 @@
 // States of a service outside.
 const (
 	ServiceAnswering   ServiceState = iota
-	ServiceFailing           // the last calls failed, for too short a time to say so
-	ServiceUnreachable       // told in the log
+	ServiceFailing                  // the last calls failed, for too short a time to say so
+	ServiceUnreachable              // told in the log
 )
 
 func (r ServiceState) String() string { return [...]string{"answering", "failing", "unreachable"}[r] }
 
 // serviceHealth is what is known of a service outside.
 type serviceHealth struct {
-	name   string
-	state  ServiceState
-	since  micros
+	name        string
+	state       ServiceState
+	since       micros
 	failedCalls int
 }
 
@@ -198,15 +198,17 @@
 // over at least that time: single answers are lost now and then.
 const (
 	unreachableAfterCalls = 3
-	unreachableAfter = protocol.Second
+	unreachableAfter      = protocol.Second
 )
 
 // redirectedEpoch is the one place where what is known of a service changes its state.
-func (r *serviceHealth) setState(s ServiceState, at micros) { r.state, r.since, r.failedCalls = s, at, 0 }
+func (r *serviceHealth) setState(s ServiceState, at micros) {
+	r.state, r.since, r.failedCalls = s, at, 0
+}
 
 // observeServiceCall takes the end of a call. A call that this node did not send says nothing.
-func (c *Controller) observeServiceCall(r *serviceHealth, d CallResult) {
-	at := c.now.Steady
+func (env *environment) observeServiceCall(r *serviceHealth, d CallResult) {
+	at := env.now.Steady
 	if d.notAttempted() {
 		return
 	}
@@ -219,9 +221,9 @@
 	case d.Status == 503:
 		why = "503"
 	}
-	if why == "" || why == "503" && r == &c.cloudHealth && isNoCapacity(d.Body) {
+	if why == "" || why == "503" && r == &env.cloudHealth && isNoCapacity(d.Body) {
 		if r.state == ServiceUnreachable {
-			c.log.Info(r.name+" answers again", "after_ms", int64((at-r.since)/protocol.Millisecond))
+			env.log.Info(r.name+" answers again", "after_ms", int64((at-r.since)/protocol.Millisecond))
 		}
 		r.setState(ServiceAnswering, at)
 		return
@@ -234,7 +236,7 @@
 		if r.failedCalls++; r.failedCalls >= unreachableAfterCalls && at-r.since >= unreachableAfter {
 			since := r.since
 			r.setState(ServiceUnreachable, since)
-			c.log.Warn(r.name+" can't be reached", "why", why, "calls", unreachableAfterCalls)
+			env.log.Warn(r.name+" can't be reached", "why", why, "calls", unreachableAfterCalls)
 		}
 	}
 }
--- a/internal/controller/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -27,24 +27,24 @@
 		c.observeServiceCall(r, d)
 	}
 	for range 5 {
-		end(&c.stateServiceHealth, protocol.Second, CallResult{})
-		end(&c.stateServiceHealth, protocol.Second, CallResult{Status: 200})
+		end(&c.store.health, protocol.Second, CallResult{})
+		end(&c.store.health, protocol.Second, CallResult{Status: 200})
 		end(&c.cloudHealth, protocol.Second, CallResult{Status: 503, Body: []byte(`{"error":"no capacity"}`)})
-		end(&c.stateServiceHealth, 0, CallResult{NotSent: true}) // of its rate: says nothing
+		end(&c.store.health, 0, CallResult{NotSent: true}) // of its rate: says nothing
 	}
 	// Many failures at one moment are one lost connection, not an outage.
 	for range 10 {
-		end(&c.stateServiceHealth, 0, CallResult{})
+		end(&c.store.health, 0, CallResult{})
 	}
 	if log.Len() > 0 {
 		t.Errorf("told of nothing: %s", log)
 	}
-	end(&c.stateServiceHealth, 0, CallResult{Status: 404})
+	end(&c.store.health, 0, CallResult{Status: 404})
 	for range 100 {
-		end(&c.stateServiceHealth, protocol.Second/2, CallResult{Status: 503})
+		end(&c.store.health, protocol.Second/2, CallResult{Status: 503})
 		end(&c.cloudHealth, protocol.Second/2, CallResult{ConnectionRefused: true, NotSent: true})
 	}
-	end(&c.stateServiceHealth, 0, CallResult{Status: 200})
+	end(&c.store.health, 0, CallResult{Status: 200})
 	end(&c.cloudHealth, 0, CallResult{Status: 200})
 	text := log.String()
 	for _, line := range []string{
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -8,74 +8,74 @@
 // Submissions: what can be accepted, by the leader and without it.
 
 // submitWithoutLeader creates a job's record without the leader, which notices it.
-func (c *Controller) submitWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, over func()) {
-	if len(c.machineTypes) == 0 {
-		c.getKey(priorityUser, state.KeyTypes, func(e protocol.Entry, found, ok bool) {
+func (sb *submissions) submitWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, over func()) {
+	if len(sb.catalog.types) == 0 {
+		sb.store.getKey(priorityUser, state.KeyTypes, func(e protocol.Entry, found, ok bool) {
 			if found {
-				c.applyMachineTypesRecord(e.Value)
+				sb.catalog.applyMachineTypesRecord(e.Value)
 			}
-			if len(c.machineTypes) == 0 {
+			if len(sb.catalog.types) == 0 {
 				over()
-				c.replyUnavailable(to, refusalMachineTypes)
+				sb.replyUnavailable(to, refusalMachineTypes)
 				return
 			}
-			c.submitWithoutLeader(to, spec, over)
+			sb.submitWithoutLeader(to, spec, over)
 		})
 		return
 	}
-	if c.config != nil && !c.config.known {
-		c.readHead(priorityUser, func(ok bool) {
+	if sb.config.state != nil && !sb.config.state.known {
+		sb.config.readHead(priorityUser, func(ok bool) {
 			if !ok {
 				over()
-				c.replyUnavailable(to, refusalStateService)
+				sb.replyUnavailable(to, refusalStateService)
 				return
 			}
-			c.submitWithoutLeader(to, spec, over)
+			sb.submitWithoutLeader(to, spec, over)
 		})
 		return
 	}
-	if c.features != nil && !c.features.known {
-		c.readLevel(priorityUser, func(ok bool) {
-			if !ok || !c.features.known {
+	if sb.features.state != nil && !sb.features.state.known {
+		sb.features.readLevel(priorityUser, func(ok bool) {
+			if !ok || !sb.features.state.known {
 				over()
-				c.replyUnavailable(to, refusalStateService)
+				sb.replyUnavailable(to, refusalStateService)
 				return
 			}
-			c.submitWithoutLeader(to, spec, over)
+			sb.submitWithoutLeader(to, spec, over)
 		})
 		return
 	}
-	if c.features != nil && !c.features.serves.Serves(c.features.active) {
+	if sb.features.state != nil && !sb.features.state.serves.Serves(sb.features.state.active) {
 		over()
-		c.replyUnavailable(to, refusalFeatureLevel)
+		sb.replyUnavailable(to, refusalFeatureLevel)
 		return
 	}
-	if why := c.validateRunnable(spec); why != "" {
+	if why := sb.validateRunnable(spec); why != "" {
 		over()
-		c.rejectSubmission(to, spec, why)
+		sb.rejectSubmission(to, spec, why)
 		return
 	}
 	if len(spec.DependsOn) == 0 {
-		c.createWithoutLeader(to, spec, protocol.PhaseQueued, over)
+		sb.createWithoutLeader(to, spec, protocol.PhaseQueued, over)
 		return
 	}
-	c.admitWithDependencies(to, spec, over, func(cancelled bool) {
+	sb.admitWithDependencies(to, spec, over, func(cancelled bool) {
 		phase := protocol.PhaseQueued
 		if cancelled {
 			phase = protocol.PhaseCancelled
 		}
-		c.createWithoutLeader(to, spec, phase, over)
+		sb.createWithoutLeader(to, spec, phase, over)
 	})
 }
 
 // createWithoutLeader creates a job's record without the leader. phase is what its user is told.
-func (c *Controller) createWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, phase protocol.Phase, over func()) {
+func (sb *submissions) createWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, phase protocol.Phase, over func()) {
 	j := state.NewJob(spec)
-	j.SubmittedWall = c.now.Wall
-	c.createJobRecord(to, j, phase, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		c.compareAndSwap(priorityUser, c.withLevelCondition(c.withRevisionCondition(when)), then, func(o txnOutcome, r protocol.TxnResult) {
+	j.SubmittedWall = sb.now.Wall
+	sb.createJobRecord(to, j, phase, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
+		sb.store.compareAndSwap(priorityUser, sb.features.withLevelCondition(sb.config.withRevisionCondition(when)), then, func(o txnOutcome, r protocol.TxnResult) {
 			over()
-			if outdated, other := c.handleRevisionConflict(o, r), c.handleLevelConflict(o, r); outdated || other {
+			if outdated, other := sb.config.handleRevisionConflict(o, r), sb.features.handleLevelConflict(o, r); outdated || other {
 				o = txnNotExecuted
 			}
 			done(o, r)
@@ -85,42 +85,42 @@
 
 // refuse answers 422, unless the job was accepted before: machine types may
 // have been others then.
-func (c *Controller) rejectSubmission(to ReplyAddress, spec *protocol.JobSpec, why string) {
-	if c.config != nil && !c.mayActAsLeader() {
+func (sb *submissions) rejectSubmission(to ReplyAddress, spec *protocol.JobSpec, why string) {
+	if sb.config.state != nil && !sb.election.mayActAsLeader() {
 		// The revision that this node knows may be an old one, and what it refuses
 		// depends on nothing that would show it.
-		c.readHead(priorityUser, func(ok bool) {
-			if why = c.validateRunnable(spec); !ok || why == "" {
-				c.replyUnavailable(to, refusalStateService)
+		sb.config.readHead(priorityUser, func(ok bool) {
+			if why = sb.validateRunnable(spec); !ok || why == "" {
+				sb.replyUnavailable(to, refusalStateService)
 				return
 			}
-			c.rejectUnlessAccepted(to, spec, 422, why)
+			sb.rejectUnlessAccepted(to, spec, 422, why)
 		})
 		return
 	}
-	c.rejectUnlessAccepted(to, spec, 422, why)
+	sb.rejectUnlessAccepted(to, spec, 422, why)
 }
 
 // rejectUnlessAccepted refuses a job with a status unless it was accepted before.
-func (c *Controller) rejectUnlessAccepted(to ReplyAddress, spec *protocol.JobSpec, status int, why string) {
-	c.findJob(priorityUser, spec.Ref, func(j *state.Job, f finishedJob, found, ok bool) {
+func (sb *submissions) rejectUnlessAccepted(to ReplyAddress, spec *protocol.JobSpec, status int, why string) {
+	sb.directory.findJob(priorityUser, spec.Ref, func(j *state.Job, f finishedJob, found, ok bool) {
 		switch {
 		case !ok:
-			c.replyUnavailable(to, refusalStateService)
+			sb.replyUnavailable(to, refusalStateService)
 		case found:
-			c.replyKnownJob(to, spec.Ref, j, f)
+			sb.directory.replyKnownJob(to, spec.Ref, j, f)
 		default:
-			c.reply(to, status, protocol.ErrorBody(why), 0)
+			sb.reply(to, status, protocol.ErrorBody(why), 0)
 		}
 	})
 }
 
-func (c *Controller) replyKnownJob(to ReplyAddress, ref string, j *state.Job, f finishedJob) {
+func (d *jobDirectory) replyKnownJob(to ReplyAddress, ref string, j *state.Job, f finishedJob) {
 	if j != nil {
-		c.replyActiveJob(to, j)
+		d.replyActiveJob(to, j)
 		return
 	}
-	c.replyFinishedJob(to, ref, f)
+	d.replyFinishedJob(to, ref, f)
 }
 
 type jobRecordWriter func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult))
@@ -130,12 +130,12 @@
 // if it was written in this term, and is not over already: it may have noticed the job long
 // before the answer comes, or another leader may have, and ended it. One that it does not
 // take here it notices as those that other nodes write.
-func (c *Controller) createJobRecord(to ReplyAddress, j *state.Job, phase protocol.Phase, write jobRecordWriter, refused func()) {
-	ref, t := j.Spec.Ref, c.term
+func (sb *submissions) createJobRecord(to ReplyAddress, j *state.Job, phase protocol.Phase, write jobRecordWriter, refused func()) {
+	ref, t := j.Spec.Ref, sb.term
 	value := state.EncodeJob(j)
 	// An earlier submission of it may have been accepted under a larger limit.
-	tooLong := func() { c.rejectUnlessAccepted(to, j.Spec, 400, "description too long") }
-	if len(value) > c.stateLimits.accepted.maxValueBytes {
+	tooLong := func() { sb.rejectUnlessAccepted(to, j.Spec, 400, "description too long") }
+	if len(value) > sb.store.limits.accepted.maxValueBytes {
 		refused()
 		// The record that it was accepted with may have been shorter: it names an epoch.
 		tooLong()
@@ -146,42 +146,42 @@
 	write(when, then, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
 		case txnCommitted:
-			if f, over := c.finishedJobs.find(ref); over {
-				c.replyFinishedJob(to, ref, f)
+			if f, over := sb.directory.finishedJobs.find(ref); over {
+				sb.directory.replyFinishedJob(to, ref, f)
 				return
 			}
 			j.Revision = r.Revision
-			if c.mayActAsLeader() && c.term == t && t.cluster.Job(ref) == nil {
-				c.addJob(j)
+			if sb.election.mayActAsLeader() && sb.term == t && t.cluster.Job(ref) == nil {
+				sb.term.jobs.addJob(j)
 			}
 			body := protocol.JobStatusBody(ref, phase, 0, 0)
-			if len(j.Spec.DependsOn) > 0 && c.isTrackedByLeader(j) {
-				body = c.jobStatusBody(j)
+			if len(j.Spec.DependsOn) > 0 && sb.directory.isTrackedByLeader(j) {
+				body = sb.directory.jobStatusBody(j)
 			}
-			c.reply(to, 201, body, 0)
+			sb.reply(to, 201, body, 0)
 		case txnConflict:
-			c.findJob(priorityUser, ref, func(j *state.Job, f finishedJob, found, ok bool) {
+			sb.directory.findJob(priorityUser, ref, func(j *state.Job, f finishedJob, found, ok bool) {
 				if !ok || !found {
-					c.replyUnavailable(to, refusalStateService)
+					sb.replyUnavailable(to, refusalStateService)
 					return
 				}
-				c.replyKnownJob(to, ref, j, f)
+				sb.directory.replyKnownJob(to, ref, j, f)
 			})
 		case txnTooLarge, txnMalformed:
-			if len(value) > c.stateLimits.accepted.maxValueBytes {
+			if len(value) > sb.store.limits.accepted.maxValueBytes {
 				tooLong()
 				return
 			}
-			c.replyUnavailable(to, refusalStateService)
+			sb.replyUnavailable(to, refusalStateService)
 		default:
-			c.replyUnavailable(to, refusalStateService)
+			sb.replyUnavailable(to, refusalStateService)
 		}
 	})
 }
 
 // validateRunnable says why a job can never run, or nothing.
-func (c *Controller) validateRunnable(s *protocol.JobSpec) string {
-	team, ok := c.team(s.Team)
+func (sb *submissions) validateRunnable(s *protocol.JobSpec) string {
+	team, ok := sb.config.team(s.Team)
 	if !ok {
 		return "unknown team"
 	}
@@ -189,7 +189,7 @@
 		return "the team takes no new jobs"
 	}
 	fits := false
-	for _, t := range c.machineTypes {
+	for _, t := range sb.catalog.types {
 		if !t.Capacity.Covers(s.TaskResources) || !s.AllowsType(t.Name) {
 			continue
 		}
@@ -220,92 +220,92 @@
 }
 
 // submit accepts a job as the leader.
-func (c *Controller) submitJob(to ReplyAddress, spec *protocol.JobSpec) {
-	t := c.term
+func (sb *submissions) submitJob(to ReplyAddress, spec *protocol.JobSpec) {
+	t := sb.term
 	ref := spec.Ref
 	if j := t.cluster.Job(ref); j != nil && isOutcomeUncertain(j) {
-		c.replyFromStateService(to, ref, func() {})
+		sb.directory.replyFromStateService(to, ref, func() {})
 		return
 	} else if j != nil {
-		c.reply(to, 200, c.jobStatusBody(j), 0)
+		sb.reply(to, 200, sb.directory.jobStatusBody(j), 0)
 		return
 	}
-	if len(c.machineTypes) == 0 {
-		c.replyUnavailable(to, refusalMachineTypes)
+	if len(sb.catalog.types) == 0 {
+		sb.replyUnavailable(to, refusalMachineTypes)
 		return
 	}
-	if why := c.validateRunnable(spec); why != "" {
-		c.rejectSubmission(to, spec, why)
+	if why := sb.validateRunnable(spec); why != "" {
+		sb.rejectSubmission(to, spec, why)
 		return
 	}
-	if !c.knowsDependencies(spec) {
-		c.admitAfterLookup(to, spec)
+	if !sb.knowsDependencies(spec) {
+		sb.admitAfterLookup(to, spec)
 		return
 	}
-	c.admitJob(to, spec)
+	sb.admitJob(to, spec)
 }
 
 // admitAfterLookup accepts a job as the leader of which it has to look up what it awaits.
-func (c *Controller) admitAfterLookup(to ReplyAddress, spec *protocol.JobSpec) {
-	if c.lookupLimitReached() {
-		c.replyUnavailable(to, refusalLookupLimit)
+func (sb *submissions) admitAfterLookup(to ReplyAddress, spec *protocol.JobSpec) {
+	if sb.users.lookupLimitReached() {
+		sb.replyUnavailable(to, refusalLookupLimit)
 		return
 	}
-	c.leaderLookups++
-	t := c.term
-	over := func() { c.leaderLookups-- }
-	c.admitWithDependencies(to, spec, over, func(bool) {
+	sb.users.leaderLookups++
+	t := sb.term
+	over := func() { sb.users.leaderLookups-- }
+	sb.admitWithDependencies(to, spec, over, func(bool) {
 		over()
-		if c.term != t || !c.mayActAsLeader() {
-			c.replyUnavailable(to, refusalNoLeader)
+		if sb.term != t || !sb.election.mayActAsLeader() {
+			sb.replyUnavailable(to, refusalNoLeader)
 			return
 		}
 		if j := t.cluster.Job(spec.Ref); j != nil {
-			c.replyActiveJob(to, j)
+			sb.directory.replyActiveJob(to, j)
 			return
 		}
-		c.admitJob(to, spec)
+		sb.admitJob(to, spec)
 	})
 }
 
 // admit accepts a job as the leader, in its turn.
-func (c *Controller) admitJob(to ReplyAddress, spec *protocol.JobSpec) {
-	t := c.term
+func (sb *submissions) admitJob(to ReplyAddress, spec *protocol.JobSpec) {
+	t := sb.term
 	ref := spec.Ref
-	if waiting, ok := t.pendingSubmits[ref]; ok {
-		t.pendingSubmits[ref] = append(waiting, to)
+	if waiting, ok := t.submitQueue.pending[ref]; ok {
+		t.submitQueue.pending[ref] = append(waiting, to)
 		return
 	}
 	// What would have to wait for its record for longer than users should is
 	// refused at once: they are told when its turn comes.
-	prio, line := priorityUser, &t.submitLimiter
-	if c.isLatencyCritical(spec) {
-		prio, line = priorityLatencyCritical, &t.urgentSubmitLimiter
+	prio, line := priorityUser, &t.submitQueue.limiter
+	if sb.isLatencyCritical(spec) {
+		prio, line = priorityLatencyCritical, &t.submitQueue.urgentLimiter
 	}
-	if wait, ok := line.admit(c.now.Steady, ref, c.writeRate()); !ok {
-		if at := c.now.Steady; at-t.lastBudgetLog > 5*protocol.Second {
-			t.lastBudgetLog = at
-			c.log.Info("state budget used up", "waiting", line.inFlight, "a_second", int64(line.measuredRate), "delay_ms", int64(wait/protocol.Millisecond))
+	if wait, ok := line.admit(sb.now.Steady, ref, sb.store.writeRate()); !ok {
+		if at := sb.now.Steady; at-t.submitQueue.lastBudgetLog > 5*protocol.Second {
+			t.submitQueue.lastBudgetLog = at
+			sb.log.Info("state budget used up", "waiting", line.inFlight, "a_second", int64(line.measuredRate), "delay_ms", int64(wait/protocol.Millisecond))
 		}
-		c.replyUnavailableAfter(to, refusalSubmitRate, wait)
+		sb.replyUnavailableAfter(to, refusalSubmitRate, wait)
 		return
 	}
-	t.pendingSubmits[ref] = nil
+	t.submitQueue.pending[ref] = nil
 	line.began()
 	j := state.NewJob(spec)
-	j.SubmittedWall, j.LeaderEpoch = c.now.Wall, t.epoch
-	c.createJobRecord(to, j, protocol.PhaseQueued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: c.lease.keyRevision}}, when...)
-		c.compareAndSwap(prio, c.withRevisionCondition(when), then, func(o txnOutcome, r protocol.TxnResult) {
-			others := t.pendingSubmits[ref]
-			delete(t.pendingSubmits, ref)
-			outdated := c.handleRevisionConflict(o, r)
+	j.SubmittedWall, j.LeaderEpoch = sb.now.Wall, t.epoch
+	sb.createJobRecord(to, j, protocol.PhaseQueued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
+		when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: sb.election.lease.keyRevision}}, when...)
+		sb.store.compareAndSwap(prio, sb.config.withRevisionCondition(when), then, func(o txnOutcome, r protocol.TxnResult) {
+			others := t.submitQueue.pending[ref]
+			delete(t.submitQueue.pending, ref)
+			outdated := sb.config.handleRevisionConflict(o, r)
 			line.ended(o == txnCommitted || o == txnConflict)
-			if o == txnNotExecuted && c.term == t && c.mayActAsLeader() && c.stateServiceHealth.state == ServiceAnswering {
+			if o == txnNotExecuted && sb.term == t && sb.election.mayActAsLeader() && sb.store.health.state == ServiceAnswering {
 				// Other records left it no room, or less than it seemed.
-				wait := line.reserve(c.now.Steady, ref, c.writeRate())
+				wait := line.reserve(sb.now.Steady, ref, sb.store.writeRate())
 				for _, a := range append(others, to) {
-					c.replyUnavailableAfter(a, refusalSubmitRate, wait)
+					sb.replyUnavailableAfter(a, refusalSubmitRate, wait)
 				}
 				return
 			}
@@ -313,8 +313,8 @@
 				for _, k := range r.Conflicts {
 					if k == state.KeyLeader {
 						o = txnNotExecuted
-						if c.term == t {
-							c.stepDownSuperseded("the leader key is another's")
+						if sb.term == t {
+							sb.election.stepDownSuperseded("the leader key is another's")
 						}
 					}
 				}
@@ -324,23 +324,23 @@
 			}
 			done(o, r)
 			for _, a := range others {
-				if j := t.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) && c.term == t {
-					c.reply(a, 200, c.jobStatusBody(j), 0)
+				if j := t.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) && sb.term == t {
+					sb.reply(a, 200, sb.directory.jobStatusBody(j), 0)
 				} else {
-					c.replyUnavailable(a, refusalStateService)
+					sb.replyUnavailable(a, refusalStateService)
 				}
 			}
 		})
 	}, func() {
-		delete(t.pendingSubmits, ref)
+		delete(t.submitQueue.pending, ref)
 		line.ended(false)
 	})
 }
 
 // urgentSubmitLimiter reports whether a job has to start so soon that its records don't wait in line
 // with those of others.
-func (c *Controller) isLatencyCritical(s *protocol.JobSpec) bool {
-	within := c.startObjective(s.Class)
+func (sb *submissions) isLatencyCritical(s *protocol.JobSpec) bool {
+	within := sb.startObjective(s.Class)
 	return within > 0 && within < latencyCriticalWithin
 }
 
--- a/internal/controller/upgrade.go
+++ b/internal/controller/upgrade.go
@@ -17,9 +17,9 @@
 // then on a controller of a version without levels neither leads nor accepts.
 
 var (
-	errLevelFell  = errors.New("it has a lower feature level than was active")
+	errLevelFell     = errors.New("it has a lower feature level than was active")
 	errLevelMismatch = errors.New("the epoch's record has another feature level")
-	errLaterFormat  = errors.New("record of a later form")
+	errLaterFormat   = errors.New("record of a later form")
 )
 
 // registryCheckInterval is how often the leader looks at the roster while a level waits.
@@ -27,95 +27,95 @@
 
 // featureTerm is what a leader does about the level during one epoch.
 type featureTerm struct {
-	nextCheck  micros // when the roster is looked at again
+	nextCheck      micros // when the roster is looked at again
 	checkInFlight  bool   // it is being read, or a level is being made active
-	blockers []featuregate.Blocker
-	blockersLogged  string // for whom, as last logged
+	blockers       []featuregate.Blocker
+	blockersLogged string // for whom, as last logged
 	// Controllers that answered as a version without levels, with the stamps that their
 	// entries had then.
 	withoutFeatures map[string]uint64
 }
 
 // checkLevelSupported says why this program must not lead at a level, or nothing.
-func (c *Controller) checkLevelSupported(l featuregate.Level) error {
+func (fm *featureManager) checkLevelSupported(l featuregate.Level) error {
 	switch {
-	case c.features == nil && l > 0:
+	case fm.state == nil && l > 0:
 		return errLaterFormat
-	case c.features != nil && !c.features.serves.Serves(l):
-		return fmt.Errorf("feature level %d is active, and this program serves %d to %d", l, c.features.serves.Low, c.features.serves.High)
+	case fm.state != nil && !fm.state.serves.Serves(l):
+		return fmt.Errorf("feature level %d is active, and this program serves %d to %d", l, fm.state.serves.Low, fm.state.serves.High)
 	}
 	return nil
 }
 
 // levelReader reads the level's record as a new leader. It has to be what the epoch's record
 // had when the leader key was taken: both are only ever written together.
-func (c *Controller) levelReader(refused *bool) func(protocol.Entry) {
+func (fm *featureManager) levelReader(refused *bool) func(protocol.Entry) {
 	return func(e protocol.Entry) {
 		if e.Key != featuregate.KeyLevel {
 			return
 		}
-		c.applyLevelRecord(e)
-		if l, err := featuregate.DecodeLevel(e.Value); err != nil || l != c.lease.featureLevel {
+		fm.applyLevelRecord(e)
+		if l, err := featuregate.DecodeLevel(e.Value); err != nil || l != fm.election.lease.featureLevel {
 			*refused = true
 			if err == nil {
-				c.logDamagedRecord(e, errLevelMismatch)
+				fm.logDamagedRecord(e, errLevelMismatch)
 			}
 		}
 	}
 }
 
 // controllerNames are the names of all controllers of the settings.
-func (c *Controller) controllerNames() []string {
-	names := []string{c.platform.ControllerName}
-	for _, s := range c.platform.Peers {
+func (mb *membership) controllerNames() []string {
+	names := []string{mb.platform.ControllerName}
+	for _, s := range mb.platform.Peers {
 		names = append(names, s.Name)
 	}
 	return names
 }
 
 // checkRegistry looks at the roster now and then, as long as there is a higher level.
-func (c *Controller) checkRegistry(t *leaderTerm) {
-	s := c.features
-	if s == nil || s.active >= s.serves.High || t.features.checkInFlight || c.now.Steady < t.features.nextCheck || !c.mayActAsLeader() {
+func (fm *featureManager) checkRegistry(t *leaderTerm) {
+	s := fm.state
+	if s == nil || s.active >= s.serves.High || t.features.checkInFlight || fm.now.Steady < t.features.nextCheck || !fm.election.mayActAsLeader() {
 		return
 	}
 	t.features.checkInFlight = true
 	roster := make(map[string]featuregate.StoredEntry)
-	c.listPrefix(priorityNormal, featuregate.RegistryPrefix, func(e protocol.Entry) {
+	fm.store.listPrefix(priorityNormal, featuregate.RegistryPrefix, func(e protocol.Entry) {
 		entry, err := featuregate.DecodeEntry(e.Value)
 		roster[strings.TrimPrefix(e.Key, featuregate.RegistryPrefix)] = featuregate.StoredEntry{Entry: entry, Revision: e.Revision, Err: err}
 	}, func(_ uint64, ok bool) {
-		if c.term != t {
+		if fm.term != t {
 			return
 		}
-		if !ok || !c.mayActAsLeader() {
-			c.scheduleRegistryCheck(t)
+		if !ok || !fm.election.mayActAsLeader() {
+			fm.scheduleRegistryCheck(t)
 			return
 		}
-		c.evaluateLevel(t, roster)
+		fm.evaluateLevel(t, roster)
 	})
 }
 
 // scheduleRegistryCheck lets the roster be looked at again after a while.
-func (c *Controller) scheduleRegistryCheck(t *leaderTerm) {
+func (fm *featureManager) scheduleRegistryCheck(t *leaderTerm) {
 	t.features.checkInFlight = false
-	t.features.nextCheck = c.now.Steady + registryCheckInterval
+	t.features.nextCheck = fm.now.Steady + registryCheckInterval
 }
 
 // evaluateLevel tells for whom the highest level waits, and makes active the one that all
 // have.
-func (c *Controller) evaluateLevel(t *leaderTerm, roster map[string]featuregate.StoredEntry) {
-	s := c.features
-	names := c.controllerNames()
+func (fm *featureManager) evaluateLevel(t *leaderTerm, roster map[string]featuregate.StoredEntry) {
+	s := fm.state
+	names := fm.membership.controllerNames()
 	d := featuregate.Decide(names, s.serves, s.active, roster)
 	t.features.blockers = d.Blockers
 	// Without machine types there would be nothing to write in the later form.
-	if d.Next <= s.active || len(c.machineTypes) == 0 {
-		c.logBlockers(t)
-		c.scheduleRegistryCheck(t)
+	if d.Next <= s.active || len(fm.catalog.types) == 0 {
+		fm.logBlockers(t)
+		fm.scheduleRegistryCheck(t)
 		return
 	}
-	c.queryPeerFeatures(t, roster, func() {
+	fm.queryPeerFeatures(t, roster, func() {
 		withdrawn := false
 		for _, name := range names {
 			if stamp, old := t.features.withoutFeatures[name]; old && stamp == roster[name].Revision {
@@ -123,24 +123,24 @@
 				withdrawn = true
 			}
 		}
-		c.logBlockers(t)
-		if withdrawn || !c.mayActAsLeader() {
-			c.scheduleRegistryCheck(t)
+		fm.logBlockers(t)
+		if withdrawn || !fm.election.mayActAsLeader() {
+			fm.scheduleRegistryCheck(t)
 			return
 		}
-		c.activateLevel(t, d.Next, names, roster)
+		fm.activateLevel(t, d.Next, names, roster)
 	})
 }
 
 // logBlockers logs for whom the highest level waits, where that has changed.
-func (c *Controller) logBlockers(t *leaderTerm) {
+func (fm *featureManager) logBlockers(t *leaderTerm) {
 	text := featuregate.Describe(t.features.blockers)
 	if text == t.features.blockersLogged {
 		return
 	}
 	t.features.blockersLogged = text
 	if text != "" {
-		c.log.Info("feature level waits", "level", uint64(c.features.serves.High), "active", uint64(c.features.active), "for", text)
+		fm.log.Info("feature level waits", "level", uint64(fm.state.serves.High), "active", uint64(fm.state.active), "for", text)
 	}
 }
 
@@ -148,8 +148,8 @@
 // notes those that answer as a version without levels. An operator who went back to that
 // version leaves the entry of the newer one in the roster, which counts for nothing from then
 // on until it is written again. Who does not answer says nothing: the roster has what it runs.
-func (c *Controller) queryPeerFeatures(t *leaderTerm, roster map[string]featuregate.StoredEntry, done func()) {
-	waiting := len(c.platform.Peers)
+func (fm *featureManager) queryPeerFeatures(t *leaderTerm, roster map[string]featuregate.StoredEntry, done func()) {
+	waiting := len(fm.platform.Peers)
 	if waiting == 0 {
 		done()
 		return
@@ -157,13 +157,13 @@
 	if t.features.withoutFeatures == nil {
 		t.features.withoutFeatures = make(map[string]uint64)
 	}
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerFeatureRequest, From: c.platform.ControllerName})
-	for _, s := range c.platform.Peers {
-		c.callAddress(ToPeer, "", s.Address, "", frame, peerStatusInterval, func(r CallResult) {
-			if c.term != t {
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerFeatureRequest, From: fm.platform.ControllerName})
+	for _, s := range fm.platform.Peers {
+		fm.callAddress(ToPeer, "", s.Address, "", frame, peerStatusInterval, func(r CallResult) {
+			if fm.term != t {
 				return
 			}
-			if m := c.parsePeerResponse(r); m != nil {
+			if m := fm.membership.parsePeerResponse(r); m != nil {
 				t.features.withoutFeatures[s.Name] = roster[s.Name].Revision
 			}
 			if waiting--; waiting == 0 {
@@ -175,63 +175,63 @@
 
 // onFeatureRangeRequest says what this controller serves. One of a version without levels answers
 // that it knows no such message.
-func (c *Controller) onFeatureRangeRequest(e FeatureRangeRequest) {
-	if c.features == nil {
-		c.reply(e.Reply, 0, nil, 0)
+func (fm *featureManager) onFeatureRangeRequest(e FeatureRangeRequest) {
+	if fm.state == nil {
+		fm.reply(e.Reply, 0, nil, 0)
 		return
 	}
-	m := &protocol.PeerMessage{Kind: protocol.PeerFeatureRange, MinLevel: uint64(c.features.serves.Low), MaxLevel: uint64(c.features.serves.High)}
-	c.emit(Reply{To: e.Reply, Status: 200, Body: protocol.AppendPeer(nil, m), Frame: true})
+	m := &protocol.PeerMessage{Kind: protocol.PeerFeatureRange, MinLevel: uint64(fm.state.serves.Low), MaxLevel: uint64(fm.state.serves.High)}
+	fm.emit(Reply{To: e.Reply, Status: 200, Body: protocol.AppendPeer(nil, m), Frame: true})
 }
 
 // activateLevel makes a level active.
-func (c *Controller) activateLevel(t *leaderTerm, next featuregate.Level, names []string, roster map[string]featuregate.StoredEntry) {
-	when := c.withLevelCondition(nil)
+func (fm *featureManager) activateLevel(t *leaderTerm, next featuregate.Level, names []string, roster map[string]featuregate.StoredEntry) {
+	when := fm.withLevelCondition(nil)
 	for _, name := range names {
 		when = append(when, protocol.Condition{Key: featuregate.RegistryKey(name), Revision: roster[name].Revision})
 	}
-	epoch := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.launchesUnrecorded, Transfers: t.transfers, Level: next}
-	types, _ := c.encodeMachineTypes(next) // none of the later form is better than those of the earlier
+	epoch := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.launchesUnrecorded, Transfers: t.transfer.recent, Level: next}
+	types, _ := fm.catalog.encodeMachineTypes(next) // none of the later form is better than those of the earlier
 	then := []protocol.Change{
 		{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(next)},
 		{Key: state.KeyEpoch, Value: state.EncodeEpoch(epoch)},
 		{Key: state.KeyTypes, Value: types},
 	}
-	c.log.Info("making a feature level active", "level", uint64(next), "controllers", len(names))
-	c.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
+	fm.log.Info("making a feature level active", "level", uint64(next), "controllers", len(names))
+	fm.election.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if o == txnCommitted {
-			c.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: then[0].Value, Revision: r.Revision})
-			c.scheduleRegistryCheck(t)
+			fm.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: then[0].Value, Revision: r.Revision})
+			fm.scheduleRegistryCheck(t)
 			return
 		}
 		// An entry may have changed, or an earlier try was carried out.
-		c.readLevel(priorityUrgent, func(bool) { c.scheduleRegistryCheck(t) })
+		fm.readLevel(priorityUrgent, func(bool) { fm.scheduleRegistryCheck(t) })
 	})
 }
 
 // encodeMachineTypes is the record of the machine types at a level, and whether they fit into a
 // value. Those that don't are left out, since part of them would have jobs refused that fit
 // the others: then only the leader accepts.
-func (c *Controller) encodeMachineTypes(l featuregate.Level) (value []byte, fits bool) {
-	if value = state.EncodeTypes(c.machineTypes, l); len(value) <= c.stateLimits.target.maxValueBytes {
+func (mc *machineCatalog) encodeMachineTypes(l featuregate.Level) (value []byte, fits bool) {
+	if value = state.EncodeTypes(mc.types, l); len(value) <= mc.store.limits.target.maxValueBytes {
 		return value, true
 	}
-	c.log.Warn("machine types don't fit into a record: only the leader accepts jobs", "bytes", len(value))
+	mc.log.Warn("machine types don't fit into a record: only the leader accepts jobs", "bytes", len(value))
 	return state.EncodeTypes(nil, l), false
 }
 
 // persistMachineTypes records the machine types. What a leader sent before it made a level active
 // must not be carried out after it: that would put the earlier form back.
-func (c *Controller) persistMachineTypes(t *leaderTerm) {
-	value, fits := c.encodeMachineTypes(c.activeLevel())
+func (fm *featureManager) persistMachineTypes(t *leaderTerm) {
+	value, fits := fm.catalog.encodeMachineTypes(fm.activeLevel())
 	if !fits {
 		return // those that are kept are better than none
 	}
-	c.leaderTransaction(priorityNormal, c.withLevelCondition(nil), []protocol.Change{{Key: state.KeyTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
-		if c.handleLevelConflict(o, r) {
-			c.after(registryRetry, func() {
-				if c.term == t {
-					c.persistMachineTypes(t)
+	fm.election.leaderTransaction(priorityNormal, fm.withLevelCondition(nil), []protocol.Change{{Key: state.KeyTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+		if fm.handleLevelConflict(o, r) {
+			fm.after(registryRetry, func() {
+				if fm.term == t {
+					fm.persistMachineTypes(t)
 				}
 			})
 		}
@@ -241,17 +241,17 @@
 // FeatureStats is how the feature levels stand.
 type FeatureStats struct {
 	Active, Highest uint64
-	Blockers           map[string]string // of a leader: for whom the highest level waits, and why; nil elsewhere
+	Blockers        map[string]string // of a leader: for whom the highest level waits, and why; nil elsewhere
 }
 
-func (c *Controller) featureStats() *FeatureStats {
-	if c.features == nil {
+func (fm *featureManager) featureStats() *FeatureStats {
+	if fm.state == nil {
 		return nil
 	}
-	s := &FeatureStats{Active: uint64(c.features.active), Highest: uint64(c.features.serves.High)}
-	if c.term != nil && c.features.active < c.features.serves.High {
-		s.Blockers = make(map[string]string, len(c.term.features.blockers))
-		for _, w := range c.term.features.blockers {
+	s := &FeatureStats{Active: uint64(fm.state.active), Highest: uint64(fm.state.serves.High)}
+	if fm.term != nil && fm.state.active < fm.state.serves.High {
+		s.Blockers = make(map[string]string, len(fm.term.features.blockers))
+		for _, w := range fm.term.features.blockers {
 			s.Blockers[w.Controller] = w.Reason.String()
 		}
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -73,7 +73,7 @@
 
 // atLevel has a controller know the level by a record with stamp 7.
 func atLevel(c *Controller, l featuregate.Level) {
-	c.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Revision: 7})
+	c.features.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(l), Revision: 7})
 }
 
 // What a leader writes that has a form by the level depends on the level's record: a
@@ -81,14 +81,14 @@
 func TestWritesUnderTheLevel(t *testing.T) {
 	c, _ := levelled(t)
 	atLevel(c, 1)
-	c.startRecovery()
+	c.recovery.startRecovery()
 	term := c.term
-	c.role = RoleLeader
-	c.lease.validUntil = protocol.Forever
+	c.election.role = RoleLeader
+	c.election.lease.validUntil = protocol.Forever
 	term.launchesUnrecorded = true
-	c.transferLeadership("n1", map[string]int{"a": 1})
-	c.confirmLaunchesRecorded(term)
-	c.persistMachineTypes(term)
+	c.term.transfer.transferLeadership("n1", map[string]int{"a": 1})
+	c.recovery.confirmLaunchesRecorded(term)
+	c.features.persistMachineTypes(term)
 	effects := c.flush()
 	for _, key := range []string{state.KeyEpoch, state.KeyTypes} {
 		written := calls(effects, `"set":"`+key+`"`)
@@ -108,10 +108,10 @@
 func TestDirectAcceptanceUnderTheLevel(t *testing.T) {
 	c, _ := levelled(t)
 	atLevel(c, 1)
-	c.machineTypes = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, Zones: []string{"a"}}}
+	c.catalog.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, Zones: []string{"a"}}}
 	spec := &protocol.JobSpec{Ref: "req-000001", Class: "work", Team: "red", Tasks: 1, TaskResources: protocol.Resources{CPU: 1000, Memory: 1000}, Image: "i"}
 	over := 0
-	c.submitWithoutLeader(ReplyAddress{Conn: 1}, spec, func() { over++ })
+	c.submissions.submitWithoutLeader(ReplyAddress{Conn: 1}, spec, func() { over++ })
 	written := calls(c.flush(), `"set":"j/req-000001"`)
 	if len(written) != 1 || !strings.Contains(string(written[0].Body), underLevel) {
 		t.Fatalf("%v", written)
@@ -123,8 +123,8 @@
 			refused = r.Status == 503
 		}
 	}
-	if !refused || over != 1 || c.features.known || len(calls(effects, "/store/level")) != 1 {
-		t.Errorf("refused %v, over %d, known %v, %v", refused, over, c.features.known, effects)
+	if !refused || over != 1 || c.features.state.known || len(calls(effects, "/store/level")) != 1 {
+		t.Errorf("refused %v, over %d, known %v, %v", refused, over, c.features.state.known, effects)
 	}
 }
 
@@ -132,19 +132,19 @@
 // a controller that knew only some of them would refuse what fits the others.
 func TestTypesThatDoNotFit(t *testing.T) {
 	c, _ := levelled(t)
-	c.machineTypes = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
-	value, fits := c.encodeMachineTypes(1)
+	c.catalog.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
+	value, fits := c.catalog.encodeMachineTypes(1)
 	if types, later, err := state.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
-	c.stateLimits.target.maxValueBytes = 100
-	value, fits = c.encodeMachineTypes(1)
+	c.store.limits.target.maxValueBytes = 100
+	value, fits = c.catalog.encodeMachineTypes(1)
 	if _, later, err := state.DecodeTypes(value); err == nil || !later || fits || len(value) > 100 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
-	c.startRecovery()
+	c.recovery.startRecovery()
 	c.flush()
-	c.persistMachineTypes(c.term)
+	c.features.persistMachineTypes(c.term)
 	if written := calls(c.flush(), `"set":"types"`); len(written) > 0 {
 		t.Errorf("those that are kept are overwritten: %s", written[0].Body)
 	}
@@ -153,19 +153,19 @@
 // The level that is known never falls, and features are asked by it.
 func TestAllows(t *testing.T) {
 	c, _ := levelled(t)
-	if c.featureEnabled(featuregate.ChainedJobs) {
+	if c.features.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("allowed before anything is known")
 	}
 	atLevel(c, 1)
-	if !c.featureEnabled(featuregate.ChainedJobs) {
+	if !c.features.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("not allowed at its level")
 	}
-	c.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Revision: 9})
-	if !c.featureEnabled(featuregate.ChainedJobs) || c.features.known {
-		t.Errorf("after a record that can't be read: %+v", c.features)
+	c.features.applyLevelRecord(protocol.Entry{Key: featuregate.KeyLevel, Value: []byte(`{"torn":1}`), Revision: 9})
+	if !c.features.featureEnabled(featuregate.ChainedJobs) || c.features.state.known {
+		t.Errorf("after a record that can't be read: %+v", c.features.state)
 	}
 	c.DisableFeatureLevels()
-	if c.featureEnabled(featuregate.ChainedJobs) {
+	if c.features.featureEnabled(featuregate.ChainedJobs) {
 		t.Error("allowed by a version without levels")
 	}
 }
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -15,7 +15,7 @@
 // with a full second of submissions to write counted as dead: users were sent to the
 // state service, which was what it waited for.
 const (
-	leaderAliveWindow    = 1500 * protocol.Millisecond
+	leaderAliveWindow = 1500 * protocol.Millisecond
 	liveLeaderTimeout = 1900 * protocol.Millisecond
 )
 
@@ -24,135 +24,137 @@
 // users keep their connections to it, each question is answered 503, and a job of which
 // all questions end here is forgotten by that. While the state service is down for all
 // the controllers hear each other, so an outage takes no node away from the balancer.
-func (c *Controller) onHealth(e HealthzRequest) {
-	if c.isIsolatedFromAll() {
-		c.replyUnavailable(e.Reply, refusalIsolated)
+func (mb *membership) onHealth(e HealthzRequest) {
+	if mb.isIsolatedFromAll() {
+		mb.replyUnavailable(e.Reply, refusalIsolated)
 		return
 	}
-	c.reply(e.Reply, 200, []byte(`{}`), 0)
+	mb.reply(e.Reply, 200, []byte(`{}`), 0)
 }
 
 // isolationThreshold is how long a node has to hear nobody to be alone. Health checks come once
 // a second and it takes two; users' patience is a minute.
 const isolationThreshold = 4 * protocol.Second
 
-func (c *Controller) isIsolatedFromAll() bool {
-	at := c.now.Steady
-	return len(c.platform.Peers) > 0 && at-max(c.stateServiceAnsweredAt, c.startedAt) > isolationThreshold && at-max(c.peerContactAt, c.startedAt) > isolationThreshold
+func (mb *membership) isIsolatedFromAll() bool {
+	at := mb.now.Steady
+	return len(mb.platform.Peers) > 0 && at-max(mb.store.answeredAt, mb.startedAt) > isolationThreshold && at-max(mb.peerContactAt, mb.startedAt) > isolationThreshold
 }
 
 // onUserRequest handles a user's call, wherever it came in.
-func (c *Controller) onUserRequest(e UserRequest) {
+func (g *userGateway) onUserRequest(e UserRequest) {
 	if e.Op >= protocol.OpConfig {
-		c.onConfigRequest(e)
+		g.config.onConfigRequest(e)
 		return
 	}
 	if e.Op >= protocol.OpRollout {
-		c.onRolloutRequest(e)
+		g.rollouts.onRolloutRequest(e)
 		return
 	}
 	var spec *protocol.JobSpec
 	if e.Op == protocol.OpSubmit {
 		var err error
 		if spec, err = protocol.ParseJob(e.Body); err != nil {
-			c.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
+			g.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
 			return
 		}
 		e.Ref = spec.Ref
-		if len(spec.DependsOn) > 0 && !c.featureEnabled(featuregate.ChainedJobs) {
-			c.replyUnavailable(e.Reply, refusalFeatureDisabled)
+		if len(spec.DependsOn) > 0 && !g.features.featureEnabled(featuregate.ChainedJobs) {
+			g.replyUnavailable(e.Reply, refusalFeatureDisabled)
 			return
 		}
 	} else if !protocol.ValidRef(e.Ref) {
 		// No such id can ever have been accepted.
-		c.reply(e.Reply, 404, protocol.ErrorBody("no such job"), 0)
+		g.reply(e.Reply, 404, protocol.ErrorBody("no such job"), 0)
 		return
 	}
-	if f, ok := c.finishedJobs.find(e.Ref); ok {
-		c.replyFinishedJob(e.Reply, e.Ref, f)
+	if f, ok := g.directory.finishedJobs.find(e.Ref); ok {
+		g.directory.replyFinishedJob(e.Reply, e.Ref, f)
 		return
 	}
-	if c.mayActAsLeader() {
+	if g.election.mayActAsLeader() {
 		switch e.Op {
 		case protocol.OpSubmit:
-			c.submitJob(e.Reply, spec)
+			g.submissions.submitJob(e.Reply, spec)
 		case protocol.OpQuery:
-			c.queryJob(e.Reply, e.Ref)
+			g.queryJob(e.Reply, e.Ref)
 		case protocol.OpCancel:
-			c.cancelJob(e.Reply, e.Ref)
+			g.term.jobs.cancelJob(e.Reply, e.Ref)
 		}
 		return
 	}
-	if c.role == RoleLeaseUncertain && e.Op == protocol.OpCancel && c.term.cluster.Job(e.Ref) != nil {
+	if g.election.role == RoleLeaseUncertain && e.Op == protocol.OpCancel && g.term.cluster.Job(e.Ref) != nil {
 		// Nobody can be told now, but the tasks can end: a stop can do no harm.
-		c.cancelJob(e.Reply, e.Ref)
+		g.term.jobs.cancelJob(e.Reply, e.Ref)
 		return
 	}
 	if e.Reply.Peer {
-		c.reply(e.Reply, 0, nil, 0)
+		g.reply(e.Reply, 0, nil, 0)
 		return
 	}
-	c.forwardToLeader(e, spec)
+	g.forwardToLeader(e, spec)
 }
 
-func (c *Controller) replyFinishedJob(to ReplyAddress, ref string, f finishedJob) {
+func (d *jobDirectory) replyFinishedJob(to ReplyAddress, ref string, f finishedJob) {
 	done := 0
 	if f.phase == protocol.PhaseDone {
 		done = f.tasks
 	}
-	c.reply(to, 200, protocol.JobStatusBody(ref, f.phase, done, 0), 0)
+	d.reply(to, 200, protocol.JobStatusBody(ref, f.phase, done, 0), 0)
 }
 
 // forwardToLeader gives a user's call to the leader, or goes to the state service
 // where it can't be reached.
-func (c *Controller) forwardToLeader(e UserRequest, spec *protocol.JobSpec) { c.forwardToLeaderSince(e, spec, c.now.Steady) }
+func (g *userGateway) forwardToLeader(e UserRequest, spec *protocol.JobSpec) {
+	g.forwardToLeaderSince(e, spec, g.now.Steady)
+}
 
 // forwardToLeaderSince does so for a call that came in at that time.
-func (c *Controller) forwardToLeaderSince(e UserRequest, spec *protocol.JobSpec, came micros) {
-	epoch, began := c.leader.Epoch, c.now.Steady
+func (g *userGateway) forwardToLeaderSince(e UserRequest, spec *protocol.JobSpec, came micros) {
+	epoch, began := g.election.leader.Epoch, g.now.Steady
 	timeout := forwardTimeout
-	if heard := max(c.leaderContactAt, c.leaderAnsweredAt); e.Op != protocol.OpQuery && heard > 0 && began-heard <= leaderAliveWindow {
+	if heard := max(g.membership.leaderContactAt, g.membership.leaderAnsweredAt); e.Op != protocol.OpQuery && heard > 0 && began-heard <= leaderAliveWindow {
 		timeout = liveLeaderTimeout
 	}
 	// Most submissions leave connections for what can't wait.
-	waits := e.Op == protocol.OpSubmit && !c.isLatencyCritical(spec)
-	if waits && c.forwardedSubmits >= maxForwardedSubmits {
-		c.onForwardFailed(e, spec, began-leaderAliveWindow)
+	waits := e.Op == protocol.OpSubmit && !g.submissions.isLatencyCritical(spec)
+	if waits && g.forwardedSubmits >= maxForwardedSubmits {
+		g.onForwardFailed(e, spec, began-leaderAliveWindow)
 		return
 	}
 	if waits {
-		c.forwardedSubmits++
+		g.forwardedSubmits++
 	}
 	over := func() {
 		if waits {
-			c.forwardedSubmits--
+			g.forwardedSubmits--
 		}
 	}
-	sent := c.callLeader(e, timeout, over, func(r CallResult) {
+	sent := g.callLeader(e, timeout, over, func(r CallResult) {
 		unmade := r.notAttempted()
-		if c.leader.Epoch == epoch && r.Status != 200 && !unmade && max(c.leaderContactAt, c.leaderAnsweredAt) < began {
-			c.leaderSuspectUntil = c.now.Steady + 2*protocol.Second
+		if g.election.leader.Epoch == epoch && r.Status != 200 && !unmade && max(g.membership.leaderContactAt, g.membership.leaderAnsweredAt) < began {
+			g.election.leaderSuspectUntil = g.now.Steady + 2*protocol.Second
 		}
-		if c.mayActAsLeader() {
-			c.onUserRequest(e) // this node has come to lead meanwhile
+		if g.election.mayActAsLeader() {
+			g.onUserRequest(e) // this node has come to lead meanwhile
 			return
 		}
-		if unmade && !waits && e.Op != protocol.OpQuery && c.now.Steady-came < connectionWait {
-			c.after(connectionWait/8, func() { c.retryForward(e, spec, came) })
+		if unmade && !waits && e.Op != protocol.OpQuery && g.now.Steady-came < connectionWait {
+			g.after(connectionWait/8, func() { g.retryForward(e, spec, came) })
 			return
 		}
-		if since := began; c.leader.Epoch == epoch {
+		if since := began; g.election.leader.Epoch == epoch {
 			if unmade {
 				since -= leaderAliveWindow
 			}
-			c.onForwardFailed(e, spec, since)
+			g.onForwardFailed(e, spec, since)
 			return
 		}
-		c.serveWithoutLeader(e, spec)
+		g.serveWithoutLeader(e, spec)
 	})
 	if !sent {
 		over()
-		c.serveWithoutLeader(e, spec)
+		g.serveWithoutLeader(e, spec)
 	}
 }
 
@@ -160,39 +162,39 @@
 // if the leader has answered this node since: it is there, and has more to write than it can.
 // What would be written from here besides only has the state service refuse the leader's
 // launches.
-func (c *Controller) onForwardFailed(e UserRequest, spec *protocol.JobSpec, since micros) {
-	if e.Op == protocol.OpSubmit && c.leaderAnsweredAt > since {
-		c.replyUnavailable(e.Reply, refusalSubmitRate)
+func (g *userGateway) onForwardFailed(e UserRequest, spec *protocol.JobSpec, since micros) {
+	if e.Op == protocol.OpSubmit && g.membership.leaderAnsweredAt > since {
+		g.replyUnavailable(e.Reply, refusalSubmitRate)
 		return
 	}
-	c.serveWithoutLeader(e, spec)
+	g.serveWithoutLeader(e, spec)
 }
 
 // retryForward tries a call once more that found no connection to the leader.
-func (c *Controller) retryForward(e UserRequest, spec *protocol.JobSpec, came micros) {
-	if c.mayActAsLeader() {
-		c.onUserRequest(e) // this node has come to lead meanwhile
+func (g *userGateway) retryForward(e UserRequest, spec *protocol.JobSpec, came micros) {
+	if g.election.mayActAsLeader() {
+		g.onUserRequest(e) // this node has come to lead meanwhile
 		return
 	}
-	c.forwardToLeaderSince(e, spec, came)
+	g.forwardToLeaderSince(e, spec, came)
 }
 
 // forwardLeaderOnly gives a call to the leader that came at a time and that nobody else can serve:
 // operators' calls, about roll-outs and the configuration. It looks for a connection as what
 // is pressing does: submissions may have all of them just then.
-func (c *Controller) forwardLeaderOnly(e UserRequest, timeout, came micros) {
-	if c.mayActAsLeader() {
-		c.onUserRequest(e) // this node has come to lead meanwhile
+func (g *userGateway) forwardLeaderOnly(e UserRequest, timeout, came micros) {
+	if g.election.mayActAsLeader() {
+		g.onUserRequest(e) // this node has come to lead meanwhile
 		return
 	}
 	refuse := func(r CallResult) {
-		if r.notAttempted() && c.now.Steady-came < connectionWait {
-			c.after(connectionWait/8, func() { c.forwardLeaderOnly(e, timeout, came) })
+		if r.notAttempted() && g.now.Steady-came < connectionWait {
+			g.after(connectionWait/8, func() { g.forwardLeaderOnly(e, timeout, came) })
 			return
 		}
-		c.replyUnavailable(e.Reply, refusalNoLeader)
+		g.replyUnavailable(e.Reply, refusalNoLeader)
 	}
-	if !c.callLeader(e, timeout, func() {}, refuse) {
+	if !g.callLeader(e, timeout, func() {}, refuse) {
 		refuse(CallResult{})
 	}
 }
@@ -201,28 +203,28 @@
 // many of them may be submissions that can wait. What can't looks for a connection for
 // connectionWait: those of users' questions are free again at any moment.
 const (
-	MaxPeerCalls      = 24
-	maxForwardedSubmits     = MaxPeerCalls / 2
-	connectionWait = 400 * protocol.Millisecond
+	MaxPeerCalls        = 24
+	maxForwardedSubmits = MaxPeerCalls / 2
+	connectionWait      = 400 * protocol.Millisecond
 )
 
 // callLeader gives a call to the leader, whose answer goes to whoever made the call, and
 // reports whether there is a leader to give it to. over is called when the call is over,
 // otherwise after it when the leader did not serve it.
-func (c *Controller) callLeader(e UserRequest, timeout micros, over func(), otherwise func(CallResult)) bool {
-	addr := c.peerAddress(c.leader.Controller)
-	if addr == "" || c.now.Steady < c.leaderSuspectUntil || isLeaderRole(c.role) {
+func (g *userGateway) callLeader(e UserRequest, timeout micros, over func(), otherwise func(CallResult)) bool {
+	addr := g.membership.peerAddress(g.election.leader.Controller)
+	if addr == "" || g.now.Steady < g.election.leaderSuspectUntil || isLeaderRole(g.election.role) {
 		return false
 	}
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerUserRequest, Op: e.Op, Ref: e.Ref, From: c.platform.ControllerName, Body: e.Body})
-	c.callAddress(ToPeer, "", addr, "", frame, timeout, func(r CallResult) {
+	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerUserRequest, Op: e.Op, Ref: e.Ref, From: g.platform.ControllerName, Body: e.Body})
+	g.callAddress(ToPeer, "", addr, "", frame, timeout, func(r CallResult) {
 		over()
-		if m := c.parsePeerResponse(r); m != nil && m.Status != 0 {
-			c.leaderAnsweredAt = c.now.Steady
-			c.reply(e.Reply, int(m.Status), m.Body, m.RetryAfter)
+		if m := g.membership.parsePeerResponse(r); m != nil && m.Status != 0 {
+			g.membership.leaderAnsweredAt = g.now.Steady
+			g.reply(e.Reply, int(m.Status), m.Body, m.RetryAfter)
 			return
 		}
-		c.recheckLeader()
+		g.election.recheckLeader()
 		otherwise(r)
 	})
 	return true
@@ -230,26 +232,26 @@
 
 // serveWithoutLeader serves a call from the state service alone. What its rate has no
 // room for is refused at once: waiting in line would only make the others late.
-func (c *Controller) serveWithoutLeader(e UserRequest, spec *protocol.JobSpec) {
-	nodes := len(c.platform.Peers) + 1
-	room, under := c.platform.StateRequestRate*ReadShare(nodes, false)/2, c.directQueries
+func (g *userGateway) serveWithoutLeader(e UserRequest, spec *protocol.JobSpec) {
+	nodes := len(g.platform.Peers) + 1
+	room, under := g.platform.StateRequestRate*ReadShare(nodes, false)/2, g.directQueries
 	if e.Op == protocol.OpSubmit {
-		room, under = c.stateLimits.writeRate*WriteShare(nodes, false), c.directSubmits
+		room, under = g.store.limits.writeRate*WriteShare(nodes, false), g.directSubmits
 	}
 	if e.Op != protocol.OpCancel && float64(under) >= max(2, room*maxDirectDelay.Seconds()) {
-		c.replyUnavailable(e.Reply, refusalNoLeader)
+		g.replyUnavailable(e.Reply, refusalNoLeader)
 		return
 	}
 	switch e.Op {
 	case protocol.OpCancel:
 		// Only the leader can stop tasks; the user comes again.
-		c.replyUnavailable(e.Reply, refusalNoLeader)
+		g.replyUnavailable(e.Reply, refusalNoLeader)
 	case protocol.OpQuery:
-		c.directQueries++
-		c.replyFromStateService(e.Reply, e.Ref, func() { c.directQueries-- })
+		g.directQueries++
+		g.directory.replyFromStateService(e.Reply, e.Ref, func() { g.directQueries-- })
 	case protocol.OpSubmit:
-		c.directSubmits++
-		c.submitWithoutLeader(e.Reply, spec, func() { c.directSubmits-- })
+		g.directSubmits++
+		g.submissions.submitWithoutLeader(e.Reply, spec, func() { g.directSubmits-- })
 	}
 }
 
@@ -258,19 +260,19 @@
 
 // replyFromStateService answers a query from the state service. The live record is read
 // first: a job that ends meanwhile is then found among the final ones.
-func (c *Controller) replyFromStateService(to ReplyAddress, ref string, over func()) {
+func (d *jobDirectory) replyFromStateService(to ReplyAddress, ref string, over func()) {
 	// Users poll again soon, and wait for a submission.
-	c.findJob(priorityUrgent, ref, func(j *state.Job, f finishedJob, found, ok bool) {
+	d.findJob(priorityUrgent, ref, func(j *state.Job, f finishedJob, found, ok bool) {
 		over()
 		switch {
 		case !ok:
-			c.replyUnavailable(to, refusalStateService)
+			d.replyUnavailable(to, refusalStateService)
 		case !found:
-			c.reply(to, 404, protocol.ErrorBody("no such job"), 0)
+			d.reply(to, 404, protocol.ErrorBody("no such job"), 0)
 		case j != nil:
-			c.replyActiveJob(to, j)
+			d.replyActiveJob(to, j)
 		default:
-			c.replyFinishedJob(to, ref, f)
+			d.replyFinishedJob(to, ref, f)
 		}
 	})
 }
@@ -278,9 +280,9 @@
 // find looks for a job in the state service. What it finds live a leader takes into its
 // book, if it was read in this term: an answer that was on its way while another node led
 // says nothing of what that one ended. What this node ended itself observeJobRecord knows.
-func (c *Controller) findJob(prio uint8, ref string, done func(j *state.Job, f finishedJob, found, ok bool)) {
-	t := c.term
-	c.getKey(prio, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+func (d *jobDirectory) findJob(prio uint8, ref string, done func(j *state.Job, f finishedJob, found, ok bool)) {
+	t := d.term
+	d.store.getKey(prio, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
 		if !ok {
 			done(nil, finishedJob{}, false, false)
 			return
@@ -288,39 +290,39 @@
 		if found {
 			j, err := state.DecodeJob(e.Value)
 			if err != nil {
-				c.logMalformed("state", err)
+				d.logMalformed("state", err)
 				done(nil, finishedJob{}, false, false)
 				return
 			}
 			j.Revision = e.Revision
-			if c.mayActAsLeader() && c.term == t {
-				if known := c.observeJobRecord(e); known != nil {
+			if d.election.mayActAsLeader() && d.term == t {
+				if known := d.term.jobs.observeJobRecord(e); known != nil {
 					j = known
 				}
 			}
 			done(j, finishedJob{}, true, true)
 			return
 		}
-		c.getKey(prio, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+		d.store.getKey(prio, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
 			if !ok || !found {
 				done(nil, finishedJob{}, false, ok)
 				return
 			}
 			p, n, err := state.DecodeFinal(e.Value)
 			if err != nil {
-				c.logMalformed("state", err)
+				d.logMalformed("state", err)
 				done(nil, finishedJob{}, false, false)
 				return
 			}
 			f := finishedJob{p, n}
-			c.cacheFinishedJob(ref, f)
+			d.cacheFinishedJob(ref, f)
 			done(nil, f, true, true)
 		})
 	})
 }
 
 // jobStatusBody says how a job of the book stands.
-func (c *Controller) jobStatusBody(j *state.Job) []byte {
+func (d *jobDirectory) jobStatusBody(j *state.Job) []byte {
 	phase := protocol.PhaseQueued
 	running := j.RunningTasks
 	switch {
@@ -352,22 +354,22 @@
 	return !j.DependencyCancelled && (j.State == state.JobFinishing || j.FinalWriteInFlight || j.DependencyUncertain)
 }
 
-func (c *Controller) queryJob(to ReplyAddress, ref string) {
-	if j := c.term.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) {
-		c.reply(to, 200, c.jobStatusBody(j), 0)
+func (g *userGateway) queryJob(to ReplyAddress, ref string) {
+	if j := g.term.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) {
+		g.reply(to, 200, g.directory.jobStatusBody(j), 0)
 		return
 	}
-	if c.lookupLimitReached() {
-		c.replyUnavailable(to, refusalLookupLimit)
+	if g.lookupLimitReached() {
+		g.replyUnavailable(to, refusalLookupLimit)
 		return
 	}
-	c.leaderLookups++
-	c.replyFromStateService(to, ref, func() { c.leaderLookups-- })
+	g.leaderLookups++
+	g.directory.replyFromStateService(to, ref, func() { g.leaderLookups-- })
 }
 
 // lookupLimitReached reports whether this leader looks up as much for users as it may. Lookups
 // come second to what the leader has to write and read itself: a storm of questions about
 // jobs that nobody knows would use up the rate.
-func (c *Controller) lookupLimitReached() bool {
-	return float64(c.leaderLookups) >= max(4, c.platform.StateRequestRate*ReadShare(len(c.platform.Peers)+1, true)/2*maxDirectDelay.Seconds())
+func (g *userGateway) lookupLimitReached() bool {
+	return float64(g.leaderLookups) >= max(4, g.platform.StateRequestRate*ReadShare(len(g.platform.Peers)+1, true)/2*maxDirectDelay.Seconds())
 }
