--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -25,10 +25,10 @@
 }
 
 // More users come at once than there is room for, while other records take a part of the
-// measuredRate that differs from second to second. They come back when they are told to, on the
+// rate that differs from second to second. They come back when they are told to, on the
 // whole second. What has been admitted never waits for long, all that the rate has room
 // for is used, nobody is told to come later than it takes to write what came before, and
-// largestJob are told once or twice.
+// most are told once or twice.
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const full = 50.0
--- a/internal/controller/completions.go
+++ b/internal/controller/completion_chunks.go
@@ -3,13 +3,12 @@
 import (
 	"slices"
 	"sort"
+	"strconv"
 
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
 )
 
-// Completions of large arrays, which have records of their own.
-
 // chunkWriter batches the records of arrays' completed tasks. Each write depends on the
 // record's own stamp: one that got no answer and is carried out after the next one would
 // take back completions that are durable, and that their workers were told to forget.
@@ -25,6 +24,11 @@
 	chunk int
 }
 
+// key is the key of the record.
+func (k chunkKey) key() string {
+	return state.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
+}
+
 // Completions of arrays up to this size share records; larger ones have some
 // for themselves. They are let come together for a while.
 const (
--- a/internal/controller/chains.go
+++ b/internal/controller/dependency_graph.go
@@ -7,12 +7,25 @@
 	"mapleslip/internal/state"
 )
 
-// Chained jobs, as the leader sees them. A job that awaits others is waiting until each of
-// them is known to be durably done, and is no part of any plan until then. Once one of them
-// is durably cancelled the job is doomed: whoever answers for it says cancelled, since every
-// reader comes to the same conclusion from the same records, and its own final record
-// follows when there is room for it. Nothing else has to be written, or to be written in
-// time, for the promise to hold.
+// dependencyGraph is what a leader knows of jobs that depend on others. A job that depends on
+// others is blocked until each of them is known to be durably done, and is no part of any plan
+// until then. Once one of them is durably cancelled, so is the job: every reader of the records
+// comes to the same conclusion, and its own final record follows when there is room for it.
+type dependencyGraph struct {
+	*termContext
+	catalog   *machineCatalog
+	directory *jobDirectory
+	estimates *machineEstimates
+	jobs      *jobManager
+	workload  *workload
+
+	dependents            map[string][]*state.Job // blocked jobs, by each of their unmet dependencies
+	pendingLookups        []string                // dependencies that this leader has to look up
+	lookupRequested       map[string]bool         // those, and the ones that are being looked up
+	lookupsInFlight       int
+	cancelledByDependency []*state.Job        // whose final records are not on their way yet
+	finalWritesInFlight   map[*state.Job]bool // jobs cancelled by a dependency whose final records are
+}
 
 // maxDependencyLookups bounds the awaited jobs that are looked up at once, maxDependentFinalWrites the final
 // records of doomed jobs on their way: others wait for the state service as well.
@@ -21,6 +34,13 @@
 	maxDependentFinalWrites = 8
 )
 
+func newDependencyGraph(tc *termContext) *dependencyGraph {
+	return &dependencyGraph{
+		termContext: tc, dependents: make(map[string][]*state.Job), lookupRequested: make(map[string]bool),
+		finalWritesInFlight: make(map[*state.Job]bool),
+	}
+}
+
 // linkDependencies takes a job that entered the book into the graph.
 func (g *dependencyGraph) linkDependencies(j *state.Job) {
 	j.EligibleAt = j.Submitted
@@ -229,84 +249,3 @@
 		})
 	})
 }
-
-// inheritPriority has a job be served as one that needs it: with its rank, if that is higher, and so
-// that it is done by when the other has to start to meet its deadline. So it goes back
-// nextPeer the chain, to whatever can start now.
-func (g *dependencyGraph) inheritPriority(from, to *state.Job) {
-	neededBy := g.latestStart(from)
-	rises := from.Priority < to.Priority
-	hastens := neededBy > 0 && (to.InheritedDeadline == 0 || neededBy < to.InheritedDeadline)
-	if !rises && !hastens {
-		return
-	}
-	to.Priority = min(to.Priority, from.Priority)
-	if hastens {
-		to.InheritedDeadline = neededBy
-	}
-	g.requeueJob(to)
-	for _, ref := range to.UnmetDependencies {
-		if o := g.cluster.Job(ref); o != nil {
-			g.inheritPriority(to, o)
-		}
-	}
-}
-
-// requeueJob has the next round plan with a job's new rank, and around what runs of it.
-func (g *dependencyGraph) requeueJob(j *state.Job) {
-	for _, a := range j.ActiveAttempts() {
-		a.Host.Stale = true
-	}
-	g.cycleNeeded = true
-}
-
-// revokeInheritedPriority ends what a job lends that is being cancelled: those that it awaits are served by
-// the others that need them.
-func (g *dependencyGraph) revokeInheritedPriority(j *state.Job) {
-	for _, ref := range j.UnmetDependencies {
-		o := g.cluster.Job(ref)
-		if o == nil {
-			continue
-		}
-		rank, neededBy := o.Priority, o.InheritedDeadline
-		o.Priority, o.InheritedDeadline = o.Spec.Priority, 0
-		for _, d := range g.dependents[ref] {
-			if d.State == state.JobBlocked {
-				g.inheritPriority(d, o)
-			}
-		}
-		if o.Priority != rank || o.InheritedDeadline != neededBy {
-			g.requeueJob(o)
-			g.revokeInheritedPriority(o)
-		}
-	}
-}
-
-// latestStart is when a job has to be free to start for it, and those that need it, to meet
-// their deadlines: by its estimate, and a fetch of its image. 0: nobody has a deadline.
-func (g *dependencyGraph) latestStart(j *state.Job) micros {
-	due := effectiveDeadline(j)
-	if due == 0 || j.Spec.Kind == protocol.Service {
-		return 0
-	}
-	var fetch micros
-	for _, t := range g.catalog.types {
-		if j.Spec.AllowsType(t.Name) {
-			fetch = max(fetch, g.estimates.fetchTime(t, j.Spec.ImageSize))
-		}
-	}
-	return max(1, due-g.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec)-fetch)
-}
-
-// effectiveDeadline is when a job has to be done by its own deadline and those of the jobs that
-// need it, 0: there is none.
-func effectiveDeadline(j *state.Job) micros {
-	var due micros
-	if j.Spec.Deadline > 0 {
-		due = j.Submitted + j.Spec.Deadline
-	}
-	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
-		due = j.InheritedDeadline
-	}
-	return due
-}
--- a/internal/controller/faults.go
+++ b/internal/controller/fault_tracker.go
@@ -8,12 +8,11 @@
 	"mapleslip/internal/state"
 )
 
-// When a task fails, its machine is faulty or its job was submitted with a
-// mistake. A job that fails on two machines, and of which nothing shows that it
-// can run, is suspect: it is tried a task at a time, ever more seldom, behind all
-// others, and nobody yields for it or rents for it. A machine is left alone for a
-// while when jobs fail on it that run elsewhere, or two that are not suspect. So
-// neither a bad job takes machines away from others, nor a bad machine their time.
+// faultTracker tells faulty hosts from jobs that were submitted with a mistake.
+type faultTracker struct {
+	*termContext
+	rollouts *rolloutDriver
+}
 
 // provenRunTime is how long a task has to run to show that its job can.
 const provenRunTime = 10 * protocol.Second
--- a/internal/controller/upgrade.go
+++ b/internal/controller/feature_activation.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 
 	"mapleslip/internal/featuregate"
@@ -10,12 +9,6 @@
 	"mapleslip/internal/state"
 )
 
-// Raising the feature level. Only the leader does it, in one transaction that depends on
-// the leader key, on the level's record and on the entry of every controller that the
-// settings name: so every one of them has the level, whoever answers just then. The epoch's
-// record and the machine types are written in the later form by the same transaction: from
-// then on a controller of a version without levels neither leads nor accepts.
-
 var (
 	errLevelFell     = errors.New("it has a lower feature level than was active")
 	errLevelMismatch = errors.New("the epoch's record has another feature level")
@@ -36,43 +29,6 @@
 	withoutFeatures map[string]uint64
 }
 
-// checkLevelSupported says why this program must not lead at a level, or nothing.
-func (fm *featureManager) checkLevelSupported(l featuregate.Level) error {
-	switch {
-	case fm.state == nil && l > 0:
-		return errLaterFormat
-	case fm.state != nil && !fm.state.serves.Serves(l):
-		return fmt.Errorf("feature level %d is active, and this program serves %d to %d", l, fm.state.serves.Low, fm.state.serves.High)
-	}
-	return nil
-}
-
-// levelReader reads the level's record as a new leader. It has to be what the epoch's record
-// had when the leader key was taken: both are only ever written together.
-func (fm *featureManager) levelReader(refused *bool) func(protocol.Entry) {
-	return func(e protocol.Entry) {
-		if e.Key != featuregate.KeyLevel {
-			return
-		}
-		fm.applyLevelRecord(e)
-		if l, err := featuregate.DecodeLevel(e.Value); err != nil || l != fm.election.lease.featureLevel {
-			*refused = true
-			if err == nil {
-				fm.logDamagedRecord(e, errLevelMismatch)
-			}
-		}
-	}
-}
-
-// controllerNames are the names of all controllers of the settings.
-func (mb *membership) controllerNames() []string {
-	names := []string{mb.platform.ControllerName}
-	for _, s := range mb.platform.Peers {
-		names = append(names, s.Name)
-	}
-	return names
-}
-
 // checkRegistry looks at the roster now and then, as long as there is a higher level.
 func (fm *featureManager) checkRegistry(t *leaderTerm) {
 	s := fm.state
@@ -209,17 +165,6 @@
 	})
 }
 
-// encodeMachineTypes is the record of the machine types at a level, and whether they fit into a
-// value. Those that don't are left out, since part of them would have jobs refused that fit
-// the others: then only the leader accepts.
-func (mc *machineCatalog) encodeMachineTypes(l featuregate.Level) (value []byte, fits bool) {
-	if value = state.EncodeTypes(mc.types, l); len(value) <= mc.store.limits.target.maxValueBytes {
-		return value, true
-	}
-	mc.log.Warn("machine types don't fit into a record: only the leader accepts jobs", "bytes", len(value))
-	return state.EncodeTypes(nil, l), false
-}
-
 // persistMachineTypes records the machine types. What a leader sent before it made a level active
 // must not be carried out after it: that would put the earlier form back.
 func (fm *featureManager) persistMachineTypes(t *leaderTerm) {
@@ -237,23 +182,3 @@
 		}
 	})
 }
-
-// FeatureStats is how the feature levels stand.
-type FeatureStats struct {
-	Active, Highest uint64
-	Blockers        map[string]string // of a leader: for whom the highest level waits, and why; nil elsewhere
-}
-
-func (fm *featureManager) featureStats() *FeatureStats {
-	if fm.state == nil {
-		return nil
-	}
-	s := &FeatureStats{Active: uint64(fm.state.active), Highest: uint64(fm.state.serves.High)}
-	if fm.term != nil && fm.state.active < fm.state.serves.High {
-		s.Blockers = make(map[string]string, len(fm.term.features.blockers))
-		for _, w := range fm.term.features.blockers {
-			s.Blockers[w.Controller] = w.Reason.String()
-		}
-	}
-	return s
-}
--- a/internal/controller/features.go
+++ b/internal/controller/feature_manager.go
@@ -1,16 +1,23 @@
 package controller
 
 import (
+	"fmt"
 	"slices"
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
 )
 
-// Feature levels, as far as every controller has to do with them: its entry in the roster,
-// the active level that it knows, and what depends on it. What only the leader does is in
-// upgrade.go.
+// featureManager owns the feature level that is active, and raises it as the leader.
+type featureManager struct {
+	*environment
+	catalog    *machineCatalog
+	election   *election
+	membership *membership
+	store      *stateStore
+
+	state *featureState // nil: this controller behaves as one that knows of no feature levels
+}
 
 // featureState is what a controller knows of the feature levels.
 type featureState struct {
@@ -26,16 +33,6 @@
 // finishRead the level.
 const registryRetry = 400 * protocol.Millisecond
 
-// SetFeatureRange says what this program serves, before Start.
-func (c *Controller) SetFeatureRange(r featuregate.Range, build string) {
-	c.features.state = &featureState{serves: r, build: build}
-}
-
-// DisableFeatureLevels has the controller behave as one of a version before there were levels, for
-// tests, before Start: it writes no entry, asks for no level, and reads no record of the
-// later form.
-func (c *Controller) DisableFeatureLevels() { c.features.state = nil }
-
 // featureEnabled reports whether a feature may be used: the active level, as far as this controller
 // knows it, has the feature. Levels never fall, so what was allowed once stays allowed; a
 // controller that does not know the level yet allows nothing new.
@@ -177,16 +174,50 @@
 	return true
 }
 
-// applyMachineTypesRecord takes machine types from their record. That of the later form is not for
-// controllerNames that know of no levels: without machine types they accept nothing.
-func (mc *machineCatalog) applyMachineTypesRecord(value []byte) {
-	types, later, err := state.DecodeTypes(value)
-	if err == nil && later && mc.features.state == nil {
-		err = errLaterFormat
+// checkLevelSupported says why this program must not lead at a level, or nothing.
+func (fm *featureManager) checkLevelSupported(l featuregate.Level) error {
+	switch {
+	case fm.state == nil && l > 0:
+		return errLaterFormat
+	case fm.state != nil && !fm.state.serves.Serves(l):
+		return fmt.Errorf("feature level %d is active, and this program serves %d to %d", l, fm.state.serves.Low, fm.state.serves.High)
 	}
-	if err != nil {
-		mc.logMalformed("machine types", err)
-		return
+	return nil
+}
+
+// levelReader reads the level's record as a new leader. It has to be what the epoch's record
+// had when the leader key was taken: both are only ever written together.
+func (fm *featureManager) levelReader(refused *bool) func(protocol.Entry) {
+	return func(e protocol.Entry) {
+		if e.Key != featuregate.KeyLevel {
+			return
+		}
+		fm.applyLevelRecord(e)
+		if l, err := featuregate.DecodeLevel(e.Value); err != nil || l != fm.election.lease.featureLevel {
+			*refused = true
+			if err == nil {
+				fm.logDamagedRecord(e, errLevelMismatch)
+			}
+		}
+	}
+}
+
+// FeatureStats is how the feature levels stand.
+type FeatureStats struct {
+	Active, Highest uint64
+	Blockers        map[string]string // of a leader: for whom the highest level waits, and why; nil elsewhere
+}
+
+func (fm *featureManager) featureStats() *FeatureStats {
+	if fm.state == nil {
+		return nil
+	}
+	s := &FeatureStats{Active: uint64(fm.state.active), Highest: uint64(fm.state.serves.High)}
+	if fm.term != nil && fm.state.active < fm.state.serves.High {
+		s.Blockers = make(map[string]string, len(fm.term.features.blockers))
+		for _, w := range fm.term.features.blockers {
+			s.Blockers[w.Controller] = w.Reason.String()
+		}
 	}
-	mc.setMachineTypes(types)
+	return s
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/job_cancellation.go
@@ -5,8 +5,6 @@
 	"mapleslip/internal/state"
 )
 
-// Cancellations, from the request to the proof that no task is left.
-
 // cancelJob ends a job: durable first, then the answer, then its tasks are
 // stopped until none is left.
 func (jm *jobManager) cancelJob(to ReplyAddress, ref string) {
@@ -136,3 +134,12 @@
 	}
 	jm.cycleNeeded = true
 }
+
+// isCancelled reports whether nobody has any use for an attempt: its user asked to cancel
+// the job. To stop it needs no lease: the worker heeds a stop only as long as it has seen
+// no newer epoch, and then the user has not been told that the job goes on either. So the
+// tasks of a cancelled job end also while the state service is down for everybody, for
+// longer than a cancellation has, and the user is told as soon as it is back.
+func isCancelled(a *state.Attempt) bool {
+	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelledLegacy)
+}
--- a/internal/controller/jobend.go
+++ b/internal/controller/job_completion.go
@@ -7,8 +7,6 @@
 	"mapleslip/internal/state"
 )
 
-// The end of jobs: their final records, and who is told.
-
 const (
 	// maxLaunchRecordDelay is how long a launch waits for others to share its record.
 	maxLaunchRecordDelay = protocol.Second
@@ -31,16 +29,16 @@
 	queuedAt micros
 }
 
-// maxFinalWrites is how many final records are on their way at a time: what the leader
-// may write in half a second, and as many as keep a small rate in use.
-func (jm *jobManager) maxFinalWrites() int { return max(4, int(jm.store.writeRate()/4)) }
-
 // finished counts a final record that is not on its way any more.
 func (w *finalWriter) finished(at, since micros) {
 	w.inFlight--
 	w.lastLatency, w.lastFinishedAt = at-since, at
 }
 
+// maxFinalWrites is how many final records are on their way at a time: what the leader
+// may write in half a second, and as many as keep a small rate in use.
+func (jm *jobManager) maxFinalWrites() int { return max(4, int(jm.store.writeRate()/4)) }
+
 // writeQueuedFinals writes the final records whose turn it is.
 func (jm *jobManager) writeQueuedFinals() {
 	w := &jm.finals
@@ -169,36 +167,3 @@
 	delete(jm.pendingCancels, j.Spec.Ref)
 	jm.cycleNeeded = true
 }
-
-// cacheFinishedJob keeps the last phase of a job that is durably over, and takes it to the jobs
-// that await it.
-func (d *jobDirectory) cacheFinishedJob(ref string, f finishedJob) {
-	d.finishedJobs.add(ref, f)
-	if d.term != nil {
-		d.term.dependencies.onDependencyFinished(ref, f.phase)
-	}
-}
-
-// reviewJobs lets go of jobs that are over and of which no attempt is left.
-func (jm *jobManager) reviewJobs() {
-	var over []*state.Job
-	for _, j := range jm.cluster.Jobs() {
-		jm.objectives.countObjective(j)
-		jm.objectives.countLargeJobStart(j)
-		switch j.State {
-		case state.JobDone, state.JobClosed:
-			if j.NoActiveAttempts() {
-				over = append(over, j)
-			}
-		case state.JobCancelling:
-			jm.completeCancellation(j)
-			jm.persistCancelRequest(j)
-		case state.JobCancelledLegacy: // by an earlier version
-			if j.NoActiveAttempts() && jm.reconciled && !j.FinalWriteInFlight && len(jm.pendingCancels[j.Spec.Ref]) == 0 {
-				jm.dependencies.onFinalWriteStarted(j)
-				jm.queueFinalRecord(j)
-			}
-		}
-	}
-	jm.cluster.RemoveJobs(over)
-}
--- a/internal/controller/term.go
+++ b/internal/controller/jobs.go
@@ -4,12 +4,25 @@
 	"strings"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/rollout"
 	"mapleslip/internal/state"
 )
 
-// steadyTime turns a time of day into the steady clock's.
-func (env *environment) steadyTime(wall micros) micros { return env.now.Steady + wall - env.now.Wall }
+// jobManager owns the life of the jobs that a leader tracks: it takes them into the cluster
+// state, cancels them, and writes their final records.
+type jobManager struct {
+	*termContext
+	commands     *commandSender
+	dependencies *dependencyGraph
+	directory    *jobDirectory
+	election     *election
+	objectives   *objectiveTracker
+	records      *recordStore
+	store        *stateStore
+	workload     *workload
+
+	pendingCancels map[string][]ReplyAddress // users who wait for a cancellation, by job
+	finals         finalWriter
+}
 
 // watchJobs notices the jobs that other nodes took while this one could not
 // be reached. After changes were missed it reads them all again.
@@ -75,52 +88,26 @@
 	jm.cycleNeeded = true
 }
 
-// sweepEvery is how often everything is looked at that only time changes.
-const sweepEvery = 200 * protocol.Millisecond
-
-// runPeriodicWork does what is due while this node leads. It comes with ticks only, so
-// that an event costs what it is about and nothing else.
-func (c *Controller) runPeriodicWork() {
-	t := c.term
-	if c.election.role != RoleLeader && c.election.role != RoleLeaseUncertain {
-		return
-	}
-	sweep := c.now.Steady-t.lastSweep >= sweepEvery
-	if sweep {
-		t.lastSweep = c.now.Steady
-		c.term.hosts.checkHosts()
-		if c.term != t {
-			return // it resigned
+// reviewJobs lets go of jobs that are over and of which no attempt is left.
+func (jm *jobManager) reviewJobs() {
+	var over []*state.Job
+	for _, j := range jm.cluster.Jobs() {
+		jm.objectives.countObjective(j)
+		jm.objectives.countLargeJobStart(j)
+		switch j.State {
+		case state.JobDone, state.JobClosed:
+			if j.NoActiveAttempts() {
+				over = append(over, j)
+			}
+		case state.JobCancelling:
+			jm.completeCancellation(j)
+			jm.persistCancelRequest(j)
+		case state.JobCancelledLegacy: // by an earlier version
+			if j.NoActiveAttempts() && jm.reconciled && !j.FinalWriteInFlight && len(jm.pendingCancels[j.Spec.Ref]) == 0 {
+				jm.dependencies.onFinalWriteStarted(j)
+				jm.queueFinalRecord(j)
+			}
 		}
 	}
-	c.term.prober.runProbes()
-	if c.election.role != RoleLeader {
-		c.term.commands.sendQueuedCommands()
-		return
-	}
-	c.config.runConfigWork(t)
-	c.features.checkRegistry(t)
-	c.term.dependencies.advanceDependencies()
-	if sweep {
-		c.config.enforceRevision()
-		c.term.records.recordImages()
-		c.term.jobs.reviewJobs()
-		c.term.records.deleteOrphanedRecords()
-		c.term.records.splitLargeShards()
-	}
-	c.term.records.writeDueShards(t.records.hostShards)
-	c.term.records.writeDueShards(t.records.launchShards)
-	c.term.records.writeDueShards(t.records.completionShards)
-	c.term.records.writeCompletionChunks()
-	c.term.jobs.writeQueuedFinals() // of jobs that ended while the lease was in doubt
-	c.term.records.writeDueShards(t.records.bookingShards)
-	since := c.now.Steady - t.scheduler.lastCycle
-	if t.scheduler.cycle != nil || since >= c.operator.MaxCycleInterval || (t.cycleNeeded && since >= c.operator.MinCycleInterval) {
-		c.term.scheduler.runSchedulingStep()
-	}
-	if c.term == t && c.election.mayActAsLeader() {
-		c.term.commands.sendQueuedCommands()
-		c.term.cloud.sendReleases()
-		c.rollouts.stepRollouts(rollout.Tick{})
-	}
+	jm.cluster.RemoveJobs(over)
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/leader_term.go
@@ -1,85 +1,60 @@
 package controller
 
 import (
-	"log/slog"
-	"math/rand/v2"
-
-	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/rollout"
 	"mapleslip/internal/slo"
 	"mapleslip/internal/state"
 )
 
-// Controller is one controller of a deployment: it hands events to the component that they
-// are for. The components below live as long as the process; what a leader holds besides is
-// in environment.term.
-type Controller struct {
+// termContext is what every component of a leader's term works with.
+type termContext struct {
 	*environment
-
-	store       *stateStore
-	election    *election
-	recovery    *recovery
-	membership  *membership
-	router      *workerRouter
-	users       *userGateway
-	directory   *jobDirectory
-	submissions *submissions
-	catalog     *machineCatalog
-	config      *configManager
-	features    *featureManager
-	rollouts    *rolloutDriver
-}
-
-// New makes a controller. It does nothing before Start.
-func New(p *protocol.Platform, o protocol.OperatorSettings, seed uint64, log *slog.Logger) *Controller {
-	env := &environment{
-		platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, 0x6d61706c65)), log: log,
-		calls: make(map[uint64]openCall), cloudHealth: serviceHealth{name: "the cloud"},
-	}
-	c := &Controller{
-		environment: env,
-		store:       &stateStore{environment: env, limits: newStateLimits(p), health: serviceHealth{name: "the state service"}},
-		election:    &election{environment: env},
-		recovery:    &recovery{environment: env},
-		membership:  &membership{environment: env},
-		router:      &workerRouter{environment: env, workers: make(map[string]redirectedWorker)},
-		users:       &userGateway{environment: env},
-		directory:   &jobDirectory{environment: env, finishedJobs: newFinishedJobCache()},
-		submissions: &submissions{environment: env},
-		catalog:     &machineCatalog{environment: env, byName: make(map[string]*protocol.MachineType)},
-		config:      &configManager{environment: env},
-		features:    &featureManager{environment: env, state: &featureState{serves: featuregate.Build}},
-		rollouts:    &rolloutDriver{environment: env},
-	}
-	c.connect()
-	return c
+	owner *leaderTerm
+
+	cluster            *state.Cluster
+	epoch              uint64
+	startedAt          micros
+	recordsLoadedAt    micros            // when the records had been read
+	recoveryStages     []SpanStage       // of the failover, for tracing
+	reconciled         bool              // every recorded host has reported or is proven empty
+	launchesUnrecorded bool              // earlier launches may be in no record, see state.EpochRecord
+	cycleNeeded        bool              // something changed that a scheduling cycle should look at
+	releasedHosts      map[string]micros // hosts that are certainly gone, and since when
 }
 
-// connect tells each component which others it works with.
-func (c *Controller) connect() {
-	c.store.config, c.store.election, c.store.rollouts = c.config, c.election, c.rollouts
-	c.election.features, c.election.recovery, c.election.store = c.features, c.recovery, c.store
-	c.membership.election, c.membership.router, c.membership.store = c.election, c.router, c.store
-	c.router.catalog, c.router.election, c.router.membership = c.catalog, c.election, c.membership
-	c.directory.election, c.directory.store = c.election, c.store
-	c.catalog.features, c.catalog.store = c.features, c.store
-
-	c.recovery.newTerm = c.newLeaderTerm
-	c.recovery.config, c.recovery.features, c.recovery.rollouts = c.config, c.features, c.rollouts
-	c.recovery.catalog, c.recovery.directory, c.recovery.election = c.catalog, c.directory, c.election
-	c.recovery.membership, c.recovery.store = c.membership, c.store
-
-	c.users.config, c.users.directory, c.users.election, c.users.features = c.config, c.directory, c.election, c.features
-	c.users.membership, c.users.rollouts, c.users.store, c.users.submissions = c.membership, c.rollouts, c.store, c.submissions
-
-	c.submissions.catalog, c.submissions.config, c.submissions.directory = c.catalog, c.config, c.directory
-	c.submissions.election, c.submissions.features, c.submissions.store, c.submissions.users = c.election, c.features, c.store, c.users
-
-	c.config.election, c.config.membership, c.config.store, c.config.users = c.election, c.membership, c.store, c.users
-	c.features.catalog, c.features.election, c.features.membership, c.features.store = c.catalog, c.election, c.membership, c.store
-
-	c.rollouts.catalog, c.rollouts.directory, c.rollouts.election = c.catalog, c.directory, c.election
-	c.rollouts.membership, c.rollouts.store, c.rollouts.submissions, c.rollouts.users = c.membership, c.store, c.submissions, c.users
+// ended reports whether this controller no longer leads in this term. Callbacks check it
+// before they change anything.
+func (tc *termContext) ended() bool { return tc.environment.term != tc.owner }
+
+// leaderTerm is what a leader holds during one epoch. It is dropped when the role is lost.
+type leaderTerm struct {
+	*termContext
+
+	submitQueue  *submissionQueue
+	jobs         *jobManager
+	dependencies *dependencyGraph
+	agents       *agents
+	commands     *commandSender
+	prober       *prober
+	hosts        *hostMonitor
+	peers        *peerMonitor
+	transfer     *transferController
+	handover     *handoverWriter
+	faults       *faultTracker
+	scheduler    *scheduler
+	objectives   *objectiveTracker
+	workload     *workload
+	estimates    *machineEstimates
+	autoscaler   *autoscaler
+	cloud        *cloudMonitor
+	records      *recordStore
+
+	config   configTerm
+	features featureTerm
+	rollouts rolloutTerm
+
+	lastSweep micros
 }
 
 // newLeaderTerm makes what a leader of the lease's epoch holds before it has read anything.
@@ -173,3 +148,53 @@
 	t.records.commands, t.records.jobs = t.commands, t.jobs
 	t.records.config, t.records.election, t.records.store = c.config, c.election, c.store
 }
+
+// sweepEvery is how often everything is looked at that only time changes.
+const sweepEvery = 200 * protocol.Millisecond
+
+// runPeriodicWork does what is due while this node leads. It comes with ticks only, so
+// that an event costs what it is about and nothing else.
+func (c *Controller) runPeriodicWork() {
+	t := c.term
+	if c.election.role != RoleLeader && c.election.role != RoleLeaseUncertain {
+		return
+	}
+	sweep := c.now.Steady-t.lastSweep >= sweepEvery
+	if sweep {
+		t.lastSweep = c.now.Steady
+		c.term.hosts.checkHosts()
+		if c.term != t {
+			return // it resigned
+		}
+	}
+	c.term.prober.runProbes()
+	if c.election.role != RoleLeader {
+		c.term.commands.sendQueuedCommands()
+		return
+	}
+	c.config.runConfigWork(t)
+	c.features.checkRegistry(t)
+	c.term.dependencies.advanceDependencies()
+	if sweep {
+		c.config.enforceRevision()
+		c.term.records.recordImages()
+		c.term.jobs.reviewJobs()
+		c.term.records.deleteOrphanedRecords()
+		c.term.records.splitLargeShards()
+	}
+	c.term.records.writeDueShards(t.records.hostShards)
+	c.term.records.writeDueShards(t.records.launchShards)
+	c.term.records.writeDueShards(t.records.completionShards)
+	c.term.records.writeCompletionChunks()
+	c.term.jobs.writeQueuedFinals() // of jobs that ended while the lease was in doubt
+	c.term.records.writeDueShards(t.records.bookingShards)
+	since := c.now.Steady - t.scheduler.lastCycle
+	if t.scheduler.cycle != nil || since >= c.operator.MaxCycleInterval || (t.cycleNeeded && since >= c.operator.MinCycleInterval) {
+		c.term.scheduler.runSchedulingStep()
+	}
+	if c.term == t && c.election.mayActAsLeader() {
+		c.term.commands.sendQueuedCommands()
+		c.term.cloud.sendReleases()
+		c.rollouts.stepRollouts(rollout.Tick{})
+	}
+}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -75,7 +75,7 @@
 }
 
 // A transaction that is refused as malformed is never sent again as it is; one beyond the
-// measuredRate is, after a pause, and the rate is lower from then on.
+// rate is, after a pause, and the rate is lower from then on.
 func TestRefusedTransactions(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+100*protocol.Second
--- a/internal/controller/service.go
+++ b/internal/controller/objectives.go
@@ -6,6 +6,67 @@
 	"mapleslip/internal/state"
 )
 
+// objectiveTracker counts how far service-level objectives are met.
+type objectiveTracker struct {
+	*termContext
+	workload *workload
+
+	window           slo.Window        // outcomes by class and team
+	longestStartWait map[string]micros // for which a largest job has waited to start, by class
+}
+
+// startObjective is the shortest time that an aim gives a class to start, or 0.
+func (env *environment) startObjective(class string) micros {
+	var within micros
+	for _, o := range env.platform.Objectives {
+		if o.Kind == "wait" && o.Class == class && (within == 0 || o.Within < within) {
+			within = o.Within
+		}
+	}
+	return within
+}
+
+// startDeadline is until when a job may become ready without an aim being missed,
+// where the only aim of its class is on finishing. Half of the time is left to
+// errors of the estimates.
+func (ot *objectiveTracker) startDeadline(j *state.Job) micros {
+	var within micros
+	for _, o := range ot.platform.Objectives {
+		if o.Class != j.Spec.Class {
+			continue
+		}
+		if o.Kind != "finished" {
+			return 0
+		}
+		if within == 0 || o.Within < within {
+			within = o.Within
+		}
+	}
+	if within == 0 || j.Spec.Kind == protocol.Service {
+		return 0
+	}
+	return j.EligibleAt + within*7/10 - ot.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec)
+}
+
+// objectiveDeadline is when a job should have ended, by its deadline and the latest aim on the end
+// of its class; 0: nothing is asked of its end.
+func (ot *objectiveTracker) objectiveDeadline(j *state.Job) micros {
+	s := j.Spec
+	var due micros
+	if s.Kind == protocol.Service {
+		return 0
+	}
+	if s.Deadline > 0 {
+		due = j.Submitted + s.Deadline
+	}
+	for _, o := range ot.platform.Objectives {
+		if o.Kind == "finished" && o.Class == s.Class {
+			due = max(due, j.EligibleAt+o.Within)
+		}
+	}
+	return due
+}
+
 // objectiveDue is when a job should have what is asked of its class: the end by its
 // deadline or its class's latest aim on it, or, if nothing is asked of that, the start
 // of all its tasks. 0: nothing is asked.
--- a/internal/controller/guests.go
+++ b/internal/controller/opportunistic.go
@@ -5,13 +5,6 @@
 	"mapleslip/internal/state"
 )
 
-// Work of the lowest rank is a guest on machines that are there for others: it
-// takes what is spare. The plans of all others are made as if it were not there;
-// where one of their tasks is placed, guests give way with the same command that
-// launches it. Guests keep no machine at the full price, and none is rented for
-// them but spot ones. Without this, an idle-time job of a thousand tasks kept
-// every machine busy that was ever rented, and had work of higher rank rent more.
-
 // isOpportunistic reports whether a job's tasks give way to whatever else is placed.
 func isOpportunistic(j *state.Job) bool { return j.Priority == protocol.PriorityLow }
 
--- a/internal/controller/preempt.go
+++ b/internal/controller/preemption.go
@@ -1,10 +1,7 @@
 package controller
 
 import (
-	"cmp"
-	"maps"
 	"slices"
-	"sort"
 
 	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/protocol"
@@ -45,6 +42,22 @@
 	return slices.ContainsFunc(p.unschedulable, func(h unschedulableShape) bool { return h.covers(j, tasks) })
 }
 
+// preemptionGoal is what room has to be like.
+type preemptionGoal struct {
+	startObjective micros // time that the class has to start
+	readyWithout   micros // what the job has without it
+	deadline       micros // latest time of use, 0: any
+	immediate      bool
+	usedHosts      map[*state.Host]bool
+}
+
+// preemptionRetryDelay is how long a job for which no room could be made is left alone.
+const preemptionRetryDelay = 500 * protocol.Millisecond
+
+// minGain is how much sooner room has to be ready: stopping work for a place that
+// is ready hardly sooner than the one the job has anyway only loses work.
+func (m *preemptionGoal) minGain() micros { return min(5*protocol.Second, m.startObjective/4) }
+
 // preempt makes room for a job of higher rank, where no place comes free soon:
 // shardOf the hosts that could give it those where the least work is lost.
 func (sc *scheduler) preempt(p *schedulingCycle, w *pendingJob) {
@@ -119,22 +132,6 @@
 	}
 }
 
-// preemptionGoal is what room has to be like.
-type preemptionGoal struct {
-	startObjective micros // time that the class has to start
-	readyWithout   micros // what the job has without it
-	deadline       micros // latest time of use, 0: any
-	immediate      bool
-	usedHosts      map[*state.Host]bool
-}
-
-// preemptionRetryDelay is how long a job for which no room could be made is left alone.
-const preemptionRetryDelay = 500 * protocol.Millisecond
-
-// minGain is how much sooner room has to be ready: stopping work for a place that
-// is ready hardly sooner than the one the job has anyway only loses work.
-func (m *preemptionGoal) minGain() micros { return min(5*protocol.Second, m.startObjective/4) }
-
 // tasksByZone counts a job's tasks by zone, with those that this pass placed.
 func tasksByZone(w *pendingJob) map[string]int {
 	zones := make(map[string]int)
@@ -157,6 +154,9 @@
 	return true
 }
 
+// reservationTime is how long room that was made is kept for a job.
+const reservationTime = 10 * protocol.Second
+
 // preemptForTask makes room for one task. It reports whether there was some.
 func (sc *scheduler) preemptForTask(p *schedulingCycle, w *pendingJob, need *preemptionGoal, zones map[string]int) bool {
 	at := sc.now.Steady
@@ -222,121 +222,6 @@
 	return true
 }
 
-// preemptVictims stops the work of others for a job.
-func (sc *scheduler) preemptVictims(j *state.Job, victims []*state.Attempt, hurry bool) {
-	for _, a := range victims {
-		grace := micros(0)
-		if a.Job.Spec.CanCheckpoint() && !hurry {
-			grace = a.Job.Spec.CheckpointDuration + protocol.Second
-		}
-		sc.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
-		sc.commands.requestStop(a, grace)
-	}
-}
-
-// reservationTime is how long room that was made is kept for a job.
-const reservationTime = 10 * protocol.Second
-
-// preemptForGang makes room for all tasks of a gang, in the zone where the
-// least work is lost. What comes free is booked for it until it has started;
-// otherwise smaller jobs would take it, one machine at a time.
-// It reports whether it could.
-func (sc *scheduler) preemptForGang(p *schedulingCycle, w *pendingJob, need preemptionGoal) bool {
-	at := sc.now.Steady
-	j := w.job
-	s := j.Spec
-	type room struct {
-		h       *state.Host
-		tasks   int
-		victims []*state.Attempt
-		ready   micros
-		cost    float64 // for each task
-	}
-	zones := make(map[string][]room)
-	have := make(map[string]int)
-	if p.isUnschedulable(j, len(w.tasks)) {
-		j.PreemptionRetryAt = at + bookingRetryDelay
-		return false
-	}
-	late := false
-	sc.slotTable.Making(w.request, 1, maxVictimHosts+2*len(w.tasks), func(m *slottable.Machine) bool {
-		h := sc.cluster.Host(m.Name)
-		if h == nil || !sc.couldHost(h, s) {
-			return false
-		}
-		n := h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(p, h), 1).MaxCopies(s.TaskResources)
-		if n < 1 {
-			return false
-		}
-		sc.slotTable.Work += 8
-		r := room{h: h, tasks: min(int(n), len(w.tasks)), ready: at + protocol.Second}
-		if _, ok := h.Images[s.Image]; !ok {
-			r.ready += sc.estimates.fetchTime(h.Type, s.ImageSize)
-		}
-		var loss float64
-		r.victims, loss = sc.chooseVictims(h, j, r.tasks)
-		saves := micros(0)
-		for _, a := range r.victims {
-			if a.Job.Spec.CanCheckpoint() && !need.immediate {
-				saves = max(saves, a.Job.Spec.CheckpointDuration)
-			}
-		}
-		r.ready += saves
-		if r.ready+need.minGain() > need.readyWithout {
-			late = true
-			return true
-		}
-		r.cost = (loss + (r.ready - at).Seconds()) / float64(r.tasks)
-		zone := h.Zone
-		if !s.SingleZone {
-			zone = ""
-		}
-		zones[zone] = append(zones[zone], r)
-		have[zone] += r.tasks
-		return true
-	})
-	var best []room
-	var bestCost float64
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if have[zone] < len(w.tasks) || s.SingleZone && w.request.ZoneUsed != nil && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[zone] == 0 {
-			continue
-		}
-		list := zones[zone]
-		slices.SortStableFunc(list, func(a, b room) int { return cmp.Compare(a.cost, b.cost) })
-		n, cost := 0, 0.0
-		for i := range list {
-			n += list[i].tasks
-			cost += list[i].cost * float64(list[i].tasks)
-			if n >= len(w.tasks) {
-				list = list[:i+1]
-				break
-			}
-		}
-		if best == nil || cost < bestCost {
-			best, bestCost = list, cost
-		}
-	}
-	if best == nil {
-		if !late && len(w.request.ZoneUsed) == 0 {
-			p.markUnschedulable(j, len(w.tasks))
-		}
-		j.PreemptionRetryAt = at + bookingRetryDelay // nothing to be had, for a while
-		return false
-	}
-	j.ReservedUntil = at + reservationTime
-	j.Bookings = j.Bookings[:0]
-	for _, r := range best {
-		sc.preemptVictims(j, r.victims, need.immediate)
-		delete(p.preemptible, r.h)
-		for range r.tasks {
-			if len(j.Bookings) < len(w.tasks) {
-				j.Bookings = append(j.Bookings, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
-			}
-		}
-	}
-	return true
-}
-
 // couldHost reports whether a job's task could be on a host, were it empty.
 func (sc *scheduler) couldHost(h *state.Host, s *protocol.JobSpec) bool {
 	return sc.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
@@ -362,68 +247,3 @@
 func (sc *scheduler) isPreemptible(j *state.Job) bool {
 	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
-
-// chooseVictims finds attempts of lower rank on a host whose end makes room for n
-// tasks of a job, those that lose least first.
-func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
-	at := sc.now.Steady
-	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(n))
-	free := h.Type.Capacity.Add(h.Used(), -1)
-	var list []victim
-	for _, a := range h.Attempts() {
-		if !a.State.HoldsResources() || a.Job == nil {
-			continue
-		}
-		if a.StopRequested {
-			free = free.Add(a.Job.Spec.TaskResources, 1)
-			continue
-		}
-		s := a.Job.Spec
-		if a.Job.Priority <= j.Priority || !sc.isPreemptible(a.Job) {
-			continue
-		}
-		ran := micros(0)
-		if a.StartedAt > 0 {
-			ran = at - a.StartedAt
-			if s.CanCheckpoint() {
-				ran = min(ran, s.CheckpointDuration)
-			}
-		}
-		list = append(list, victim{a, ran.Seconds() + 2})
-	}
-	var victims []*state.Attempt
-	var loss float64
-	for _, v := range minimalVictims(list, free, need) {
-		victims = append(victims, v.attempt)
-		loss += v.lostSeconds
-	}
-	return victims, loss
-}
-
-// victim is an attempt that could be stopped, and the seconds that it would lose.
-type victim struct {
-	attempt     *state.Attempt
-	lostSeconds float64
-}
-
-// fewest chooses attempts whose end makes need free, those that lose least. One
-// that loses little may free nothing that is short: it is left out. There are
-// none if nothing is in the way, or if all together are not enough.
-func minimalVictims(list []victim, free, need protocol.Resources) (chosen []victim) {
-	sort.SliceStable(list, func(a, b int) bool { return list[a].lostSeconds < list[b].lostSeconds })
-	most := 0
-	for ; most < len(list) && !free.Covers(need); most++ {
-		free = free.Add(list[most].attempt.Job.Spec.TaskResources, 1)
-	}
-	if !free.Covers(need) {
-		return nil
-	}
-	for i := most - 1; i >= 0; i-- {
-		if rest := free.Add(list[i].attempt.Job.Spec.TaskResources, -1); rest.Covers(need) {
-			free = rest
-		} else {
-			chosen = append(chosen, list[i])
-		}
-	}
-	return chosen
-}
--- a/internal/controller/shares.go
+++ b/internal/controller/rate_shares.go
@@ -1,12 +1,5 @@
 package controller
 
-// The parts of the metered services' rates that a controller may use.
-
-// writeRate is how many changes a second the leader may make.
-func (s *stateStore) writeRate() float64 {
-	return max(1, s.limits.writeRate*WriteShare(len(s.platform.Peers)+1, true))
-}
-
 // WriteShare is the part of the rate of changes, and of the cloud's, that a node
 // may use; ReadShare that of the state service's requests. A node that does not
 // lead only watches; when the leader can't be reached it serves users for a
--- a/internal/controller/records.go
+++ b/internal/controller/record_store.go
@@ -1,13 +1,42 @@
 package controller
 
 import (
-	"strconv"
-
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
 )
 
-// The records that hosts, launches, bookings and completions share.
+// recordStore writes a leader's records of hosts, launches, bookings and completions to the
+// state service.
+type recordStore struct {
+	*termContext
+	commands *commandSender
+	config   *configManager
+	election *election
+	jobs     *jobManager
+	store    *stateStore
+
+	hostShards       *recordShards
+	bookingShards    *recordShards
+	completionShards *recordShards
+	launchShards     *recordShards
+
+	launches          map[string]*state.Attempt // by task, those that a record names or will
+	launchesWrittenAt micros                    // when a record of launches was last sent
+	chunkWriter       chunkWriter
+	nextImageRecord   micros
+
+	orphanedKeys    []string // of records that belong to nothing: to be deleted
+	droppingOrphans bool
+}
+
+func newRecordStore(tc *termContext) *recordStore {
+	rs := &recordStore{termContext: tc, launches: make(map[string]*state.Attempt)}
+	rs.hostShards = newRecordShards(state.HostShardPrefix, rs.encodeHosts)
+	rs.bookingShards = newRecordShards(state.BookingShardPrefix, rs.encodeBookings)
+	rs.completionShards = newRecordShards(state.CompletionShardPrefix, rs.encodeCompletions)
+	rs.launchShards = newRecordShards(state.LaunchShardPrefix, rs.encodeLaunches)
+	return rs
+}
 
 // launchRecordSize is what a launch may take in a record. Tasks of a job come
 // together mostly; a record that comes out too long is split.
@@ -167,7 +196,24 @@
 	}
 }
 
-// key is the key of the record.
-func (k chunkKey) key() string {
-	return state.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
+// deleteOrphanedRecords removes records that belong to nothing, a transaction at a time.
+// One that is left over only costs its reader a look.
+func (rs *recordStore) deleteOrphanedRecords() {
+	if rs.droppingOrphans || len(rs.orphanedKeys) == 0 {
+		return
+	}
+	n := min(len(rs.orphanedKeys), rs.store.limits.target.maxChanges)
+	var then []protocol.Change
+	for _, key := range rs.orphanedKeys[:n] {
+		then = append(then, protocol.Change{Key: key})
+	}
+	rs.droppingOrphans = true
+	rs.election.leaderTransaction(priorityNormal, nil, then, func(o txnOutcome, _ protocol.TxnResult) {
+		if o == txnCommitted {
+			rs.orphanedKeys = rs.orphanedKeys[n:]
+			rs.droppingOrphans = false
+			return
+		}
+		rs.after(2*protocol.Second, func() { rs.droppingOrphans = false })
+	})
 }
--- a/internal/controller/load.go
+++ b/internal/controller/recovery.go
@@ -15,7 +15,21 @@
 	"mapleslip/internal/state"
 )
 
-// How a new leader reads the records and what it does with them first.
+// recovery is a new leader's failover recovery: it reads the records, and brings what they
+// say together with what hosts report.
+type recovery struct {
+	*environment
+	catalog    *machineCatalog
+	config     *configManager
+	directory  *jobDirectory
+	election   *election
+	features   *featureManager
+	membership *membership
+	rollouts   *rolloutDriver
+	store      *stateStore
+
+	newTerm func() *leaderTerm
+}
 
 // recordReader is what a new leader does with the records under a prefix.
 type recordReader struct {
@@ -236,18 +250,6 @@
 // before it tries to lead again: nothing but a person will have mended them.
 const damagedRecordRetry = 5 * protocol.Second
 
-// logDamagedRecord reports a record that can't be read, once as it stands. It is kept.
-func (env *environment) logDamagedRecord(e protocol.Entry, err error) {
-	if env.damagedRecords == nil {
-		env.damagedRecords = make(map[string]uint64)
-	}
-	if was, told := env.damagedRecords[e.Key]; told && was == e.Revision {
-		return
-	}
-	env.damagedRecords[e.Key] = e.Revision
-	env.log.Error("damaged record", "key", e.Key, "err", err)
-}
-
 // recordedLaunch is a launch and the record that names it.
 type recordedLaunch struct {
 	state.Launch
@@ -354,24 +356,20 @@
 	})
 }
 
-// deleteOrphanedRecords removes records that belong to nothing, a transaction at a time.
-// One that is left over only costs its reader a look.
-func (rs *recordStore) deleteOrphanedRecords() {
-	if rs.droppingOrphans || len(rs.orphanedKeys) == 0 {
+// emitFailoverSpan tells of a take-over: from the question for a lease until every
+// recorded host is accounted for.
+func (rc *recovery) emitFailoverSpan() {
+	rc.stats.Failovers++
+	if !rc.tracing {
 		return
 	}
-	n := min(len(rs.orphanedKeys), rs.store.limits.target.maxChanges)
-	var then []protocol.Change
-	for _, key := range rs.orphanedKeys[:n] {
-		then = append(then, protocol.Change{Key: key})
+	t := rc.term
+	stages := append([]SpanStage{{"claim", rc.election.lease.requestedAt, t.startedAt}}, t.recoveryStages...)
+	if n := len(t.recoveryStages); n > 0 {
+		stages = append(stages, SpanStage{"account for hosts", t.recoveryStages[n-1].To, rc.now.Steady})
 	}
-	rs.droppingOrphans = true
-	rs.election.leaderTransaction(priorityNormal, nil, then, func(o txnOutcome, _ protocol.TxnResult) {
-		if o == txnCommitted {
-			rs.orphanedKeys = rs.orphanedKeys[n:]
-			rs.droppingOrphans = false
-			return
-		}
-		rs.after(2*protocol.Second, func() { rs.droppingOrphans = false })
+	rc.emit(Span{
+		Name: "take-over", From: rc.election.lease.requestedAt, To: rc.now.Steady, Stages: stages,
+		Counts: []SpanCount{{"epoch", int64(t.epoch)}, {"jobs", int64(len(t.cluster.Jobs()))}, {"hosts", int64(len(t.cluster.Hosts()))}},
 	})
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollout_driver.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"net"
-	"strconv"
 
 	"github.com/valyala/fastjson"
 
@@ -12,10 +11,21 @@
 	"mapleslip/internal/state"
 )
 
-// Roll-outs are driven by the leader: internal/rollout decides, this file joins it
-// redirectedEpoch the book, the state service and the other controllers. What a roll-out does to
-// jobs goes the same way as users' calls, so that limits, placing and the rules hold
-// for it as for them.
+// rolloutDriver carries out what package rollout decides.
+type rolloutDriver struct {
+	*environment
+	catalog     *machineCatalog
+	directory   *jobDirectory
+	election    *election
+	membership  *membership
+	store       *stateStore
+	submissions *submissions
+	users       *userGateway
+
+	settings        *rollout.Settings       // nil: roll-outs are off
+	operatorCalls   map[uint64]ReplyAddress // operators who wait for an answer
+	operatorCallSeq uint64
+}
 
 // rolloutTerm is what a leader has of roll-outs during one epoch.
 type rolloutTerm struct {
@@ -28,25 +38,12 @@
 	deferredEvents    []rollout.Event   // what came while the lease could have ended
 }
 
-// checkBackoff is how long a controller makes no checks after one was disputed.
-const checkBackoff = 20 * protocol.Second
-
 // tooLongRetry is how often a record that is too long is looked at again.
 const tooLongRetry = 30 * protocol.Second
 
 // rolloutReplyTimeout is how long an operator waits for the state service.
 const rolloutReplyTimeout = 1500 * protocol.Millisecond
 
-// EnableRollouts switches roll-outs on, before Start.
-func (c *Controller) EnableRollouts(s rollout.Settings) {
-	s.ValueBytes = c.store.limits.target.maxValueBytes
-	s.Others = len(c.platform.Peers)
-	c.rollouts.settings = &s
-	c.internalCalls = make(map[uint64]func(int, []byte))
-	c.rollouts.operatorCalls = make(map[uint64]ReplyAddress)
-	c.stats.Checks = make(map[string]uint64)
-}
-
 func (rd *rolloutDriver) initRolloutTerm(t *leaderTerm) {
 	if rd.settings == nil {
 		return
@@ -153,21 +150,6 @@
 	}
 }
 
-// callInternally makes a call as a user would, to this node.
-func (env *environment) callInternally(make func(to ReplyAddress), done func(status int, body []byte)) {
-	env.internalCallSeq++
-	env.internalCalls[env.internalCallSeq] = done
-	make(ReplyAddress{internal: env.internalCallSeq})
-}
-
-func (env *environment) onInternalReply(to ReplyAddress, status int, body []byte) {
-	done := env.internalCalls[to.internal]
-	delete(env.internalCalls, to.internal)
-	if done != nil {
-		done(status, body)
-	}
-}
-
 // submitRolloutJob submits a roll-out's job. One that is over is known by its last phase.
 func (rd *rolloutDriver) submitRolloutJob(to ReplyAddress, spec *protocol.JobSpec) {
 	if f, over := rd.directory.finishedJobs.find(spec.Ref); over {
@@ -238,99 +220,6 @@
 	return err == nil && err2 == nil && bytes.Equal(v.MarshalTo(nil), w.MarshalTo(nil))
 }
 
-// checkInstance has an instance checked. The leader is asked last: its turns are for
-// what nobody else can do, and a check by another node costs it a frame.
-func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
-	end := func(made, ok bool, by, why string) {
-		outcome := "unmade"
-		switch {
-		case made && ok:
-			outcome = "passed"
-		case made:
-			outcome = "failed"
-		}
-		rd.stats.Checks[outcome]++
-		if rd.term == t {
-			rd.stepRollouts(rollout.Checked{ID: e.ID, Made: made, OK: ok, By: by, Why: why})
-		}
-	}
-	judge := func(by string, status int, body []byte) {
-		switch {
-		case status == 0:
-			end(false, false, by, "") // it could not be made: nothing was learnt
-		case status >= 200 && status < 300:
-			end(true, true, by, "")
-		case status == statusNoAnswer:
-			end(true, false, by, string(body[:min(len(body), 80)]))
-		default:
-			end(true, false, by, "status "+strconv.Itoa(status))
-		}
-	}
-	at := rd.now.Steady
-	not := make(map[string]bool, len(e.Not))
-	for _, n := range e.Not {
-		not[n] = true
-	}
-	siblings := rd.platform.Peers
-	for _, bold := range []bool{false, true} { // those that others disputed come after this node
-		if bold && !not[rd.platform.ControllerName] {
-			break
-		}
-		for i := range siblings {
-			s := siblings[(t.rollouts.nextChecker+i)%len(siblings)]
-			if o := t.peers.statuses[s.Name]; not[s.Name] || o.statusAt == 0 || at-o.statusAt > peerStatusLifetime || !bold && at < t.rollouts.checkBackoffUntil[s.Name] {
-				continue
-			}
-			t.rollouts.nextChecker += i + 1
-			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
-			rd.callAddress(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallResult) {
-				if m := rd.membership.parsePeerResponse(d); m != nil {
-					judge(s.Name, int(m.Status), m.Body)
-					return
-				}
-				judge(s.Name, 0, nil)
-			})
-			return
-		}
-	}
-	if not[rd.platform.ControllerName] {
-		rd.after(0, func() { end(false, false, "", "") })
-		return
-	}
-	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(rd.platform.ControllerName, status, body) })
-}
-
-// statusNoAnswer is the status of an instance that gives none; the body says why. 0 is that
-// of a check that this node could not make.
-const statusNoAnswer = 599
-
-// sendCheck makes a check from this node.
-func (rd *rolloutDriver) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
-	method := "GET"
-	if kind == protocol.CheckTCP {
-		method = "" // a connection, and nothing more
-	}
-	rd.callAddress(ToInstance, method, addr, path, nil, timeout, func(d CallResult) {
-		switch {
-		case d.ConnectionRefused:
-			done(statusNoAnswer, []byte("no connection"))
-		case d.NotSent:
-			done(0, nil)
-		case d.Status == 0:
-			done(statusNoAnswer, []byte("time-out, or no sound answer"))
-		default:
-			done(d.Status, nil)
-		}
-	})
-}
-
-// onHealthCheckRequest makes a check for the leader.
-func (rd *rolloutDriver) onHealthCheckRequest(e HealthCheckRequest) {
-	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
-		rd.reply(e.Reply, status, body, 0)
-	})
-}
-
 var rolloutOps = map[protocol.UserOp]rollout.Op{
 	protocol.OpRollout: rollout.Start, protocol.OpRollouts: rollout.List, protocol.OpRolloutShow: rollout.Show,
 	protocol.OpRolloutPause: rollout.Pause, protocol.OpRolloutResume: rollout.Resume, protocol.OpRolloutRevert: rollout.Revert,
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -5,7 +5,17 @@
 	"mapleslip/internal/state"
 )
 
-// Submissions: what can be accepted, by the leader and without it.
+// submissions decides which jobs are accepted, and makes their records.
+type submissions struct {
+	*environment
+	catalog   *machineCatalog
+	config    *configManager
+	directory *jobDirectory
+	election  *election
+	features  *featureManager
+	store     *stateStore
+	users     *userGateway
+}
 
 // submitWithoutLeader creates a job's record without the leader, which notices it.
 func (sb *submissions) submitWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, over func()) {
@@ -115,14 +125,6 @@
 	})
 }
 
-func (d *jobDirectory) replyKnownJob(to ReplyAddress, ref string, j *state.Job, f finishedJob) {
-	if j != nil {
-		d.replyActiveJob(to, j)
-		return
-	}
-	d.replyFinishedJob(to, ref, f)
-}
-
 type jobRecordWriter func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult))
 
 // create records a job if it is not there yet, and answers once it is durable, with the
@@ -218,131 +220,3 @@
 func withinLimit(limit, amount protocol.Resources) bool {
 	return (limit.CPU == 0 || amount.CPU <= limit.CPU) && (limit.GPU == 0 || amount.GPU <= limit.GPU)
 }
-
-// submit accepts a job as the leader.
-func (sb *submissions) submitJob(to ReplyAddress, spec *protocol.JobSpec) {
-	t := sb.term
-	ref := spec.Ref
-	if j := t.cluster.Job(ref); j != nil && isOutcomeUncertain(j) {
-		sb.directory.replyFromStateService(to, ref, func() {})
-		return
-	} else if j != nil {
-		sb.reply(to, 200, sb.directory.jobStatusBody(j), 0)
-		return
-	}
-	if len(sb.catalog.types) == 0 {
-		sb.replyUnavailable(to, refusalMachineTypes)
-		return
-	}
-	if why := sb.validateRunnable(spec); why != "" {
-		sb.rejectSubmission(to, spec, why)
-		return
-	}
-	if !sb.knowsDependencies(spec) {
-		sb.admitAfterLookup(to, spec)
-		return
-	}
-	sb.admitJob(to, spec)
-}
-
-// admitAfterLookup accepts a job as the leader of which it has to look up what it awaits.
-func (sb *submissions) admitAfterLookup(to ReplyAddress, spec *protocol.JobSpec) {
-	if sb.users.lookupLimitReached() {
-		sb.replyUnavailable(to, refusalLookupLimit)
-		return
-	}
-	sb.users.leaderLookups++
-	t := sb.term
-	over := func() { sb.users.leaderLookups-- }
-	sb.admitWithDependencies(to, spec, over, func(bool) {
-		over()
-		if sb.term != t || !sb.election.mayActAsLeader() {
-			sb.replyUnavailable(to, refusalNoLeader)
-			return
-		}
-		if j := t.cluster.Job(spec.Ref); j != nil {
-			sb.directory.replyActiveJob(to, j)
-			return
-		}
-		sb.admitJob(to, spec)
-	})
-}
-
-// admit accepts a job as the leader, in its turn.
-func (sb *submissions) admitJob(to ReplyAddress, spec *protocol.JobSpec) {
-	t := sb.term
-	ref := spec.Ref
-	if waiting, ok := t.submitQueue.pending[ref]; ok {
-		t.submitQueue.pending[ref] = append(waiting, to)
-		return
-	}
-	// What would have to wait for its record for longer than users should is
-	// refused at once: they are told when its turn comes.
-	prio, line := priorityUser, &t.submitQueue.limiter
-	if sb.isLatencyCritical(spec) {
-		prio, line = priorityLatencyCritical, &t.submitQueue.urgentLimiter
-	}
-	if wait, ok := line.admit(sb.now.Steady, ref, sb.store.writeRate()); !ok {
-		if at := sb.now.Steady; at-t.submitQueue.lastBudgetLog > 5*protocol.Second {
-			t.submitQueue.lastBudgetLog = at
-			sb.log.Info("state budget used up", "waiting", line.inFlight, "a_second", int64(line.measuredRate), "delay_ms", int64(wait/protocol.Millisecond))
-		}
-		sb.replyUnavailableAfter(to, refusalSubmitRate, wait)
-		return
-	}
-	t.submitQueue.pending[ref] = nil
-	line.began()
-	j := state.NewJob(spec)
-	j.SubmittedWall, j.LeaderEpoch = sb.now.Wall, t.epoch
-	sb.createJobRecord(to, j, protocol.PhaseQueued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: sb.election.lease.keyRevision}}, when...)
-		sb.store.compareAndSwap(prio, sb.config.withRevisionCondition(when), then, func(o txnOutcome, r protocol.TxnResult) {
-			others := t.submitQueue.pending[ref]
-			delete(t.submitQueue.pending, ref)
-			outdated := sb.config.handleRevisionConflict(o, r)
-			line.ended(o == txnCommitted || o == txnConflict)
-			if o == txnNotExecuted && sb.term == t && sb.election.mayActAsLeader() && sb.store.health.state == ServiceAnswering {
-				// Other records left it no room, or less than it seemed.
-				wait := line.reserve(sb.now.Steady, ref, sb.store.writeRate())
-				for _, a := range append(others, to) {
-					sb.replyUnavailableAfter(a, refusalSubmitRate, wait)
-				}
-				return
-			}
-			if o == txnConflict {
-				for _, k := range r.Conflicts {
-					if k == state.KeyLeader {
-						o = txnNotExecuted
-						if sb.term == t {
-							sb.election.stepDownSuperseded("the leader key is another's")
-						}
-					}
-				}
-			}
-			if outdated {
-				o = txnNotExecuted
-			}
-			done(o, r)
-			for _, a := range others {
-				if j := t.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) && sb.term == t {
-					sb.reply(a, 200, sb.directory.jobStatusBody(j), 0)
-				} else {
-					sb.replyUnavailable(a, refusalStateService)
-				}
-			}
-		})
-	}, func() {
-		delete(t.submitQueue.pending, ref)
-		line.ended(false)
-	})
-}
-
-// urgentSubmitLimiter reports whether a job has to start so soon that its records don't wait in line
-// with those of others.
-func (sb *submissions) isLatencyCritical(s *protocol.JobSpec) bool {
-	within := sb.startObjective(s.Class)
-	return within > 0 && within < latencyCriticalWithin
-}
-
-// latencyCriticalWithin is the aim on starting below which a class is pressing.
-const latencyCriticalWithin = 10 * protocol.Second
--- a/internal/controller/relay.go
+++ b/internal/controller/worker_router.go
@@ -5,12 +5,18 @@
 	"mapleslip/internal/state"
 )
 
-// A worker that comes to a node that does not lead is sent to the leader. Some
-// can't get there, though the leader is well: a link or a filter is between them
-// and it. Sent back and forth, such a worker would lose its lease and all that
-// runs on it. So a report of a worker that the leader seems out of reach for is
-// passed on to the leader, and the leader's own answer goes back. Nobody but the
-// leader answers: the detour changes who carries the message, nothing else.
+// workerRouter sends workers to the leader while another controller leads, and forwards the
+// heartbeats of those that can't reach it.
+type workerRouter struct {
+	*environment
+	catalog    *machineCatalog
+	election   *election
+	membership *membership
+
+	workers               map[string]redirectedWorker // that came here while another controller led, by host
+	forwardedHeartbeats   int                         // on their way to the leader
+	forwardingPausedUntil micros                      // the leader did not answer one
+}
 
 // redirectedWorker is a worker that came here while another node led.
 type redirectedWorker struct {
@@ -34,6 +40,88 @@
 	maxForwardedHeartbeats  = 24
 )
 
+// onHeartbeat handles a worker's report. Only the leader answers with 200: a
+// worker that gets a 200 it has to drop stays while its lease runs out.
+func (wr *workerRouter) onHeartbeat(e WorkerHeartbeat) {
+	r, err := protocol.ParseHeartbeat(e.Body)
+	if err != nil {
+		wr.logMalformed("worker", err)
+		wr.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
+		return
+	}
+	switch wr.election.role {
+	case RoleRecovering:
+		// The epoch is ours already. The records are not read yet, so there
+		// are no commands; the worker's lease is renewed and its next report
+		// comes under the new epoch.
+		if r.Token <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
+			wr.reply(e.Reply, 200, protocol.AppendCommands(nil, wr.election.lease.epoch, 0, nil), 0)
+			return
+		}
+		wr.replyUnavailable(e.Reply, refusalRecovering)
+		return
+	case RoleLeader, RoleLeaseUncertain:
+	default:
+		if e.Reply.Peer {
+			wr.reply(e.Reply, 0, nil, 0) // this node does not lead
+			return
+		}
+		if wr.membership.isIsolatedFromQuorum() && (r.Zone == wr.platform.Zone || !wr.membership.leaderExpectsOwnZoneOnly && wr.membership.mayAnswerZone(wr.platform.Zone, r.Zone)) && r.Token > 0 {
+			// Cut off together with the worker: under the token that it knows its
+			// tasks go on. It gets no commands.
+			wr.membership.workerAnsweredAt = wr.now.Steady
+			wr.reply(e.Reply, 200, protocol.AppendCommands(nil, r.Token, 0, nil), 0)
+			return
+		}
+		wr.redirectOrForward(e, r)
+		return
+	}
+	t := wr.term
+	if r.Token > t.epoch {
+		wr.election.stepDownSuperseded("a worker has seen a newer epoch")
+		wr.reply(e.Reply, 421, protocol.LeaderBody(""), 0)
+		return
+	}
+	if _, gone := t.releasedHosts[r.Host]; gone {
+		wr.replyUnavailable(e.Reply, refusalHostReleased)
+		return
+	}
+	h := t.cluster.Host(r.Host)
+	if h == nil {
+		h = state.NewHost(wr.now.Steady, r.Host, r.Type, r.Zone, r.Spot)
+		h.Type = wr.catalog.byName[r.Type]
+		h.Unverified, h.Addr = r.Token != t.epoch, r.Addr
+		t.cluster.AddHost(h)
+		wr.term.prober.queueProbe(h)
+		wr.log.Debug("machine reports that was not rented in this term", "host", r.Host)
+	}
+	if h.IsStale(r) {
+		// What it says is older than what is known: it was held up on the way,
+		// or crossed the answer to a direct command. In the second case the
+		// worker still waits, so it is answered, but the book stays as it is.
+		// A worker's lease runs from when it sent what is answered, and that was before
+		// the newer message was heard: a copy that comes again and again proves no more.
+		if r.AgentEpoch == h.AgentEpoch {
+			h.LeaseRenewedAt = max(h.LeaseRenewedAt, h.LastContact)
+		}
+		wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, nil), 0)
+		return
+	}
+	if !e.Reply.Peer {
+		h.LeaderUnreachableAt, h.ForwardedAt = 0, 0
+	} else {
+		h.ForwardedAt = wr.now.Steady
+		if e.ReturnedFromLeader {
+			h.LeaderUnreachableAt = wr.now.Steady
+		}
+	}
+	wr.term.agents.applyHeartbeat(h, r, false)
+	cmds := wr.term.commands.heartbeatCommands(h)
+	h.LeaseRenewedAt = max(h.LeaseRenewedAt, wr.now.Steady)
+	h.RepliedAt = wr.now.Steady
+	wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, cmds), 0)
+}
+
 // cannotReachLeader reports whether a worker seems unable to reach the leader: it was
 // sent there and came back, or it has served under this leader before and tries
 // other nodes now.
@@ -128,33 +216,6 @@
 	return n, protocol.AppendReachability(nil, astray)
 }
 
-// parsePeerResponse reads what another controller answered to a call, a report or a
-// probe, nil: nothing that can be used. Status 0 says that it did not serve it.
-func (mb *membership) parsePeerResponse(d CallResult) *protocol.PeerMessage {
-	if d.Status != 200 {
-		return nil
-	}
-	m, err := protocol.ParsePeer(d.Body)
-	if err != nil {
-		mb.logMalformed("controller", err)
-		return nil
-	}
-	if m.Kind != protocol.PeerResponse {
-		return nil
-	}
-	return m
-}
-
-// peerAddress finds a controller's address, "" if it is unknown or this node.
-func (mb *membership) peerAddress(node string) string {
-	for _, s := range mb.platform.Peers {
-		if s.Name == node {
-			return s.Address
-		}
-	}
-	return ""
-}
-
 // onWorkerProbe makes a call to a worker for the leader. Whether the command has
 // any effect is for the worker to say, by the token and session that it names.
 func (wr *workerRouter) onWorkerProbe(e WorkerProbe) {
@@ -162,26 +223,3 @@
 		wr.reply(e.Reply, r.Status, r.Body, 0)
 	})
 }
-
-// probeViaPeer asks a silent worker by way of another node: the link from here
-// may be what is lost, and to release the machine would end all that runs on it.
-// It reports whether there is a node to ask.
-func (p *prober) probeViaPeer(h *state.Host, body []byte, done func(CallResult)) bool {
-	for i := range p.platform.Peers {
-		s := p.platform.Peers[(p.nextPeer+i)%len(p.platform.Peers)]
-		if o := p.peers.statuses[s.Name]; o.statusAt == 0 || p.now.Steady-o.statusAt > peerStatusLifetime {
-			continue // it can hardly be reached itself
-		}
-		p.nextPeer += i + 1
-		frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerWorkerProbe, Addr: h.Addr, Body: body})
-		p.callAddress(ToPeer, "", s.Address, "", frame, commandTimeout, func(d CallResult) {
-			if m := p.membership.parsePeerResponse(d); m != nil {
-				done(CallResult{Status: int(m.Status), Body: m.Body})
-				return
-			}
-			done(CallResult{})
-		})
-		return true
-	}
-	return false
-}
--- a/internal/controller/classes.go
+++ b/internal/controller/workload.go
@@ -2,18 +2,16 @@
 
 import (
 	"math"
+	"sort"
 
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
 )
 
-// classStats is what was learned of a class of jobs.
-type classStats struct {
-	largestJob      int // tasks of the largest job that was seen
-	arrivals        []micros
-	lastSpec        *protocol.JobSpec
-	logRuntimeRatio float64 // of run times to estimates
-	weight          float64
+// workload is what was learned of the classes of jobs.
+type workload struct {
+	*termContext
+	classes map[string]*classStats
 }
 
 func (wl *workload) classStats(name string) *classStats {
@@ -25,6 +23,24 @@
 	return k
 }
 
+func (wl *workload) classNames() []string {
+	names := make([]string, 0, len(wl.classes))
+	for n := range wl.classes {
+		names = append(names, n)
+	}
+	sort.Strings(names)
+	return names
+}
+
+// classStats is what was learned of a class of jobs.
+type classStats struct {
+	largestJob      int // tasks of the largest job that was seen
+	arrivals        []micros
+	lastSpec        *protocol.JobSpec
+	logRuntimeRatio float64 // of run times to estimates
+	weight          float64
+}
+
 // arrivalWindow is the span over which arrivals are counted.
 const arrivalWindow = 180 * protocol.Second
 
@@ -81,30 +97,3 @@
 	length := k.estimatedRuntime(s)
 	return max(length-ran, ran/4, 2*protocol.Second)
 }
-
-// observeFetch learns how long fetches take on a type of machine.
-func (me *machineEstimates) observeFetch(a *state.Attempt) {
-	h, j := a.Host, a.Job
-	if h.Type == nil || a.Adopted || a.ExpectedReady == 0 {
-		return
-	}
-	nominal := h.Type.FetchTime(j.Spec.ImageSize)
-	took := me.now.Steady - a.PlacedAt
-	if nominal < protocol.Second {
-		return
-	}
-	f := me.fetchFactor[h.TypeName]
-	if f == 0 {
-		f = 1
-	}
-	r := max(0.5, min(3, float64(took)/float64(nominal)))
-	me.fetchFactor[h.TypeName] = f + (r-f)*0.1
-}
-
-func (me *machineEstimates) fetchTime(t *protocol.MachineType, size int64) micros {
-	f := me.fetchFactor[t.Name]
-	if f == 0 {
-		f = 1
-	}
-	return micros(float64(t.FetchTime(size)) * f)
-}
