--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -24,32 +24,32 @@
 func (ag *agents) applyHeartbeat(h *state.Host, r *protocol.Heartbeat, direct bool) {
 	at := ag.now.Steady
 	current := r.Token == ag.epoch
-	if h.AgentEpoch > 0 && r.AgentEpoch > h.AgentEpoch {
+	if h.Agent.Epoch > 0 && r.AgentEpoch > h.Agent.Epoch {
 		// The worker's lease expired: it has killed and forgotten everything.
 		ag.loseAttemptsBefore(h, r.AgentEpoch)
 	}
-	if r.AgentEpoch > h.AgentEpoch && h.RepliedAt > 0 && at <= h.RepliedAt+ag.platform.WorkerLease {
-		h.IneffectiveMessages = ineffectiveMessagesLimit // an answer since would have kept its lease
+	if r.AgentEpoch > h.Agent.Epoch && h.Agent.RepliedAt > 0 && at <= h.Agent.RepliedAt+ag.platform.WorkerLease {
+		h.Commands.Ineffective = ineffectiveMessagesLimit // an answer since would have kept its lease
 	}
 	if direct {
-		h.IneffectiveMessages = 0
-	} else if h.HeartbeatAt = at; r.Token < ag.epoch && h.RepliedAt > 0 {
-		h.IneffectiveMessages++ // it was answered under this epoch, and has not seen it
+		h.Commands.Ineffective = 0
+	} else if h.Agent.HeartbeatAt = at; r.Token < ag.epoch && h.Agent.RepliedAt > 0 {
+		h.Commands.Ineffective++ // it was answered under this epoch, and has not seen it
 	}
-	if r.AgentEpoch > h.AgentEpoch {
+	if r.AgentEpoch > h.Agent.Epoch {
 		// The lease of a session runs from its beginning, which may be now. Counted
 		// from an answer to the session before, or from none, a task that was launched
 		// by a direct call, of which the worker's reports don't get here, was gone
 		// before it had begun, and was started elsewhere too.
-		h.LeaseRenewedAt = max(h.LeaseRenewedAt, at)
+		h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, at)
 	}
 	if current {
 		// It drops what an earlier leader may go on answering. Counted until that one has
 		// certainly stopped, a host that fell silent after a change of leader held the room
 		// shardOf what was on it for three minutes while the cloud could not release it.
-		h.LeaseRenewedAt = min(h.LeaseRenewedAt, at)
+		h.Agent.LeaseRenewedAt = min(h.Agent.LeaseRenewedAt, at)
 	}
-	h.AgentEpoch, h.Sequence, h.LastContact, h.ProbeFailed = r.AgentEpoch, r.Sequence, at, false
+	h.Agent.Epoch, h.Agent.Sequence, h.Agent.LastContact, h.Probe.Failed = r.AgentEpoch, r.Sequence, at, false
 	h.Addr = r.Addr
 	if h.Type == nil {
 		h.Type, h.Stale = ag.catalog.byName[r.Type], true
@@ -64,14 +64,14 @@
 		ag.records.recordHost(h)
 		ag.cycleNeeded = true
 	}
-	if r.Interrupted != h.Interrupted || r.Interrupted {
-		if !h.Interrupted {
+	if r.Interrupted != h.Interruption.Noticed || r.Interrupted {
+		if !h.Interruption.Noticed {
 			ag.cycleNeeded = true
 			ag.log.Info("machine will be taken", "host", h.Name, "in_ms", int64(r.InterruptedIn/protocol.Millisecond))
 		}
-		h.Interrupted, h.InterruptedAt = r.Interrupted, at+r.InterruptedIn
+		h.Interruption.Noticed, h.Interruption.At = r.Interrupted, at+r.InterruptedIn
 	}
-	if (current || !h.FromRecord && !h.Unverified) && !h.Reconciled {
+	if (current || !h.Record.FromEarlierEpoch && !h.Unverified) && !h.Reconciled {
 		// Nothing is ever launched on a host before it is recorded, so one that
 		// was not holds nothing, whatever epoch it has seen. To wait for its next
 		// report would have its room missing from the plans meanwhile, and more
@@ -80,7 +80,7 @@
 		h.Reconciled = true
 		ag.cycleNeeded = true
 	}
-	h.HeartbeatCount++
+	h.Agent.HeartbeatCount++
 	missed := false
 	for i := range r.Tasks {
 		task := &r.Tasks[i]
@@ -96,17 +96,17 @@
 			}
 			a = ag.adoptAttempt(h, *task)
 		}
-		a.LastHeartbeat = h.HeartbeatCount
+		a.LastHeartbeat = h.Agent.HeartbeatCount
 		if a.LaunchAgentEpoch == 0 {
 			a.LaunchAgentEpoch = r.AgentEpoch // or an earlier one
 		}
 		if a.State == state.AttemptLaunched {
-			h.IneffectiveMessages = 0 // it came
+			h.Commands.Ineffective = 0 // it came
 		}
 		ag.observeAttempt(a, *task)
 	}
 	for _, a := range h.Attempts() {
-		if a.LastHeartbeat == h.HeartbeatCount || a.State == state.AttemptAssigned {
+		if a.LastHeartbeat == h.Agent.HeartbeatCount || a.State == state.AttemptAssigned {
 			continue
 		}
 		if a.State == state.AttemptExited {
@@ -138,7 +138,7 @@
 		}
 		if a.State == state.AttemptLaunched && a.LaunchedByHeartbeat && !missed {
 			missed = true
-			h.IneffectiveMessages++
+			h.Commands.Ineffective++
 		}
 		// The launch did not arrive, or the task is gone.
 		ag.log.Debug("attempt is not on its host", "task", a.Name.TaskName.String(), "host", h.Name, "state", a.State.String())
@@ -165,7 +165,7 @@
 	a := ag.cluster.Attach(ag.now.Steady, j, h, task.AttemptName)
 	a.Adopted = true
 	if j != nil && j.Spec.Kind == protocol.Gang && task.State != protocol.TaskExited {
-		j.GangAttempt = max(j.GangAttempt, task.Number)
+		j.Gang.Attempt = max(j.Gang.Attempt, task.Number)
 	}
 	if j != nil && a.Task().Current != a && task.State != protocol.TaskExited {
 		on := ""
@@ -204,8 +204,8 @@
 		if from == state.AttemptFetching {
 			ag.estimates.observeFetch(a)
 		}
-		if to == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.GangAttempt {
-			j.GangStarted = true
+		if to == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.Gang.Attempt {
+			j.Gang.Started = true
 		}
 	}
 	if to == state.AttemptExited {
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -22,7 +22,7 @@
 			h.FullUntil = at + 2*protocol.Second
 			ag.log.Info("start refused: no room", "task", a.Name.TaskName.String(), "host", h.Name)
 		case protocol.ExitUnknown:
-			j.BackoffUntil = at + 2*protocol.Second
+			j.Failures.BackoffUntil = at + 2*protocol.Second
 		case protocol.ExitBusy:
 			a.Task().NotBefore = at + 3*protocol.Second
 		}
@@ -38,7 +38,7 @@
 // settle lets a gang of which nothing is left start anew.
 func (ag *agents) resetSettledGang(j *state.Job) {
 	if j.NoActiveAttempts() {
-		j.GangAttempt, j.GangStarted = 0, false
+		j.Gang.Attempt, j.Gang.Started = 0, false
 		ag.jobs.completeCancellation(j)
 	}
 }
@@ -95,7 +95,7 @@
 
 // onAgentLeaseExpired notes that a host's lease has certainly ended, and its session with it.
 func (ag *agents) onAgentLeaseExpired(h *state.Host) {
-	h.EndedAgentEpoch = h.AgentEpoch
+	h.Agent.EndedEpoch = h.Agent.Epoch
 	ag.loseAllAttempts(h, "silent for longer than its lease")
 }
 
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -58,7 +58,7 @@
 	var requests []*slottable.Request
 	booting := 0
 	for _, h := range as.cluster.Hosts() {
-		if h.State == state.HostBooting && !h.FromRecord {
+		if h.State == state.HostBooting && !h.Record.FromEarlierEpoch {
 			booting++
 		}
 	}
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, w := range list {
-		if w.request == nil || w.job.State != state.JobActive || w.job.Suspect {
+		if w.request == nil || w.job.State != state.JobActive || w.job.Failures.Suspect {
 			continue
 		}
 		left := *w.request
--- a/internal/controller/chains_test.go
+++ b/internal/controller/chains_test.go
@@ -43,8 +43,8 @@
 			due := c.now.Steady + 300*protocol.Second
 			want := []micros{due - 42*protocol.Second, due - 21*protocol.Second, due - 21*protocol.Second, 0}
 			for i, j := range jobs {
-				if j.Priority != protocol.PriorityHigh || j.InheritedDeadline != want[i] {
-					t.Errorf("%s: rank %d, needed by %.1f s before the deadline, want %.1f", j.Spec.Ref, j.Priority, (due - j.InheritedDeadline).Seconds(), (due - want[i]).Seconds())
+				if j.Priority != protocol.PriorityHigh || j.Dependencies.InheritedDeadline != want[i] {
+					t.Errorf("%s: rank %d, needed by %.1f s before the deadline, want %.1f", j.Spec.Ref, j.Priority, (due - j.Dependencies.InheritedDeadline).Seconds(), (due - want[i]).Seconds())
 				}
 			}
 		})
@@ -89,8 +89,8 @@
 			t.Errorf("%s: still to be read", phase)
 		}
 		cancelled := phase == protocol.PhaseCancelled
-		if second.DependencyCancelled != cancelled || third.DependencyCancelled != cancelled || (second.State == state.JobActive) == cancelled || third.State == state.JobActive {
-			t.Errorf("%s: %v %v, doomed %v %v", phase, second.State, third.State, second.DependencyCancelled, third.DependencyCancelled)
+		if second.Dependencies.Cancelled != cancelled || third.Dependencies.Cancelled != cancelled || (second.State == state.JobActive) == cancelled || third.State == state.JobActive {
+			t.Errorf("%s: %v %v, doomed %v %v", phase, second.State, third.State, second.Dependencies.Cancelled, third.Dependencies.Cancelled)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 			b.ResetTimer()
 			for b.Loop() {
 				c.directory.cacheFinishedJob("req-900001", finishedJob{protocol.PhaseDone, 2})
-				j.State, j.UnmetDependencies = state.JobBlocked, append(j.UnmetDependencies, "req-900001")
+				j.State, j.Dependencies.Unmet = state.JobBlocked, append(j.Dependencies.Unmet, "req-900001")
 				c.term.dependencies.dependents["req-900001"] = []*state.Job{j}
 			}
 		})
@@ -153,8 +153,8 @@
 		if within > 0 {
 			want = c.now.Steady + within
 		}
-		if first.Priority != rank || first.InheritedDeadline != want {
-			t.Errorf("%s: rank %d, needed by %d; want %d, %d", when, first.Priority, first.InheritedDeadline, rank, want)
+		if first.Priority != rank || first.Dependencies.InheritedDeadline != want {
+			t.Errorf("%s: rank %d, needed by %d; want %d, %d", when, first.Priority, first.Dependencies.InheritedDeadline, rank, want)
 		}
 	}
 	check("both need it", protocol.PriorityHigh, 158*protocol.Second)
--- a/internal/controller/cloud_monitor.go
+++ b/internal/controller/cloud_monitor.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -101,7 +102,7 @@
 			cl.cluster.AddHost(h)
 			cl.cycleNeeded = true
 		}
-		h.Listed, h.CloudState, h.UnlistedSince = true, l.State, 0
+		h.Listing.Listed, h.Listing.State, h.Listing.AbsentSince = true, l.State, 0
 		if h.Addr == "" {
 			h.Addr = l.Addr
 		}
@@ -111,22 +112,22 @@
 			h.Type, h.Stale = cl.catalog.byName[h.TypeName], true
 		}
 		_, here := listed[h.Name]
-		if !here && h.UnlistedSince == 0 {
-			h.UnlistedSince = at
+		if !here && h.Listing.AbsentSince == 0 {
+			h.Listing.AbsentSince = at
 		}
-		silent := at-h.LastContact > cl.hosts.silenceThreshold()+protocol.Second && !cl.isLagging(cl.hosts.silenceThreshold())
+		silent := at-h.Agent.LastContact > cl.hosts.silenceThreshold()+protocol.Second && !cl.isLagging(cl.hosts.silenceThreshold())
 		// A list is at most twice the lag old, so a machine that had reported
 		// before that and is not in it is gone.
-		known := h.RecordedWall > 0 && cl.now.Wall-h.RecordedWall > 2*cl.platform.MachineListLag+2*protocol.Second
+		known := h.Record.WrittenWall > 0 && cl.now.Wall-h.Record.WrittenWall > 2*cl.platform.MachineListLag+2*protocol.Second
 		switch {
 		case h.State == state.HostReleasing || h.State == state.HostGone:
-		case here && h.CloudState == protocol.CloudFailed:
+		case here && h.Listing.State == protocol.CloudFailed:
 			cl.releaseHost(h, "failed")
 		case !here && silent && known:
 			cl.releaseHost(h, "not listed any more")
-		case !here && h.Listed && silent && at-h.UnlistedSince > 2*cl.platform.MachineListLag+protocol.Second:
+		case !here && h.Listing.Listed && silent && at-h.Listing.AbsentSince > 2*cl.platform.MachineListLag+protocol.Second:
 			cl.releaseHost(h, "not listed any more")
-		case h.State == state.HostBooting && !h.FromRecord && h.Type != nil && at-h.KnownSince > 3*h.Type.BootTime+10*protocol.Second:
+		case h.State == state.HostBooting && !h.Record.FromEarlierEpoch && h.Type != nil && at-h.KnownSince > 3*h.Type.BootTime+10*protocol.Second:
 			cl.releaseHost(h, "does not come up")
 		}
 	}
@@ -187,8 +188,8 @@
 			// A record left over would only make a successor release the name
 			// once more, and wait for that.
 			cl.records.hostShards.drop(name, cl.now.Steady+protocol.Second)
-			if h.LegacyRecord {
-				cl.records.orphanedKeys = append(cl.records.orphanedKeys, state.LegacyHostPrefix+name)
+			if h.Record.Legacy {
+				cl.records.orphanedKeys = append(cl.records.orphanedKeys, records.LegacyHostPrefix+name)
 			}
 		}
 		cl.cycleNeeded = true
--- a/internal/controller/command_sender.go
+++ b/internal/controller/command_sender.go
@@ -24,7 +24,7 @@
 // again and again, a gang's others waiting for it.
 const ineffectiveMessagesLimit = 2
 
-func ignoresCommands(h *state.Host) bool { return h.IneffectiveMessages >= ineffectiveMessagesLimit }
+func ignoresCommands(h *state.Host) bool { return h.Commands.Ineffective >= ineffectiveMessagesLimit }
 
 // commandTimeout is how long a worker has to answer a direct command.
 const commandTimeout = 2 * protocol.Second
@@ -86,9 +86,9 @@
 			}
 			cmds = append(cmds, protocol.Command{Verb: protocol.VerbForget, Name: a.Name})
 		case a.State.MayRun():
-			if a.State == state.AttemptLaunched && a.LaunchUncertain && !h.CommandInFlight {
+			if a.State == state.AttemptLaunched && a.LaunchUncertain && !h.Commands.InFlight {
 				// In doubt: repeated to the same host, it has no effect twice.
-				a.LaunchAgentEpoch, a.LaunchSequence = h.AgentEpoch, h.Sequence
+				a.LaunchAgentEpoch, a.LaunchSequence = h.Agent.Epoch, h.Agent.Sequence
 				cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 			}
 			if !a.StopRequested && (j == nil || j.State != state.JobActive) {
@@ -101,7 +101,7 @@
 	}
 	// Launches come after the stops that make room for them.
 	for _, a := range cs.launchableAttempts(h, protocol.MaxCommands-len(cmds)) {
-		a.LaunchAgentEpoch, a.LaunchSequence, a.LaunchedByHeartbeat = h.AgentEpoch, h.Sequence, true
+		a.LaunchAgentEpoch, a.LaunchSequence, a.LaunchedByHeartbeat = h.Agent.Epoch, h.Agent.Sequence, true
 		cs.cluster.SetAttemptState(at, a, state.AttemptLaunched)
 		cmds = append(cmds, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 	}
@@ -142,7 +142,7 @@
 		if len(list) >= most {
 			break
 		}
-		if a.State != state.AttemptAssigned || !a.Recorded || !h.Recorded || a.Job.State != state.JobActive {
+		if a.State != state.AttemptAssigned || !a.Recorded || !h.Record.Written || a.Job.State != state.JobActive {
 			continue
 		}
 		if with := used.Add(a.Job.Spec.TaskResources, 1); h.Type == nil || h.Type.Capacity.Covers(with) {
--- a/internal/controller/completion_chunks.go
+++ b/internal/controller/completion_chunks.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -26,7 +27,7 @@
 
 // key is the key of the record.
 func (k chunkKey) key() string {
-	return state.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
+	return records.ChunkPrefix + k.ref + "/" + strconv.Itoa(k.chunk)
 }
 
 // Completions of arrays up to this size share records; larger ones have some
@@ -49,7 +50,7 @@
 	if len(w.dirty) == 0 && w.next < rs.now.Steady {
 		w.next = rs.now.Steady + 700*protocol.Millisecond // let some more come together
 	}
-	w.dirty[chunkKey{j.Spec.Ref, index / state.ChunkTasks}] = true
+	w.dirty[chunkKey{j.Spec.Ref, index / records.ChunkTasks}] = true
 }
 
 func (rs *recordStore) writeCompletionChunks() {
@@ -85,10 +86,10 @@
 			rs.refreshChunkRevision(j, k)
 			return
 		}
-		cv := covered{j: j, chunk: k.chunk, tasks: j.CompletedNotDurable(k.chunk*state.ChunkTasks, (k.chunk+1)*state.ChunkTasks)}
+		cv := covered{j: j, chunk: k.chunk, tasks: j.CompletedNotDurable(k.chunk*records.ChunkTasks, (k.chunk+1)*records.ChunkTasks)}
 		batch = append(batch, cv)
-		when = append(when, protocol.Condition{Key: state.JobPrefix + k.ref, Revision: j.Revision}, protocol.Condition{Key: k.key(), Revision: j.ChunkRevisions[k.chunk]})
-		then = append(then, protocol.Change{Key: k.key(), Value: state.EncodeChunk(j, k.chunk)})
+		when = append(when, protocol.Condition{Key: records.JobPrefix + k.ref, Revision: j.Revision}, protocol.Condition{Key: k.key(), Revision: j.ChunkRevisions[k.chunk]})
+		then = append(then, protocol.Change{Key: k.key(), Value: records.EncodeChunk(j, k.chunk)})
 	}
 	for _, cv := range batch {
 		delete(w.dirty, chunkKey{cv.j.Spec.Ref, cv.chunk})
--- a/internal/controller/dependency_graph.go
+++ b/internal/controller/dependency_graph.go
@@ -44,13 +44,13 @@
 // linkDependencies takes a job that entered the book into the graph.
 func (g *dependencyGraph) linkDependencies(j *state.Job) {
 	j.EligibleAt = j.Submitted
-	if len(j.UnmetDependencies) > 0 {
+	if len(j.Dependencies.Unmet) > 0 {
 		g.resolveDependencies(j)
 	}
 	// Jobs that await it may have entered before.
 	for _, d := range g.dependents[j.Spec.Ref] {
 		g.inheritPriority(d, j)
-		if j.DependencyCancelled || j.State == state.JobCancelledLegacy {
+		if j.Dependencies.Cancelled || j.State == state.JobCancelledLegacy {
 			g.cancelDependents(d)
 		} else {
 			g.updateDependencyUncertainty(d)
@@ -61,18 +61,18 @@
 // resolveDependencies finds out how the jobs stand that a job awaits.
 func (g *dependencyGraph) resolveDependencies(j *state.Job) {
 	doomed := false
-	j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(ref string) bool {
+	j.Dependencies.Unmet = slices.DeleteFunc(j.Dependencies.Unmet, func(ref string) bool {
 		f, over := g.directory.finishedJobs.find(ref)
 		doomed = doomed || over && f.phase == protocol.PhaseCancelled
 		return over && f.phase == protocol.PhaseDone
 	})
-	for _, ref := range j.UnmetDependencies {
+	for _, ref := range j.Dependencies.Unmet {
 		g.dependents[ref] = append(g.dependents[ref], j)
 		o := g.cluster.Job(ref)
 		switch {
 		case o == nil:
 			g.requestDependencyLookup(ref)
-		case o.DependencyCancelled || o.State == state.JobCancelledLegacy:
+		case o.Dependencies.Cancelled || o.State == state.JobCancelledLegacy:
 			doomed = true
 		default:
 			g.inheritPriority(j, o)
@@ -81,7 +81,7 @@
 	switch {
 	case doomed:
 		g.cancelDependents(j)
-	case len(j.UnmetDependencies) == 0:
+	case len(j.Dependencies.Unmet) == 0:
 		g.makeEligible(j)
 	default:
 		g.updateDependencyUncertainty(j)
@@ -110,7 +110,7 @@
 		return
 	}
 	j.SetState(state.JobActive)
-	j.UnmetDependencies, j.DependencyUncertain = nil, false
+	j.Dependencies.Unmet, j.Dependencies.Uncertain = nil, false
 	for _, d := range g.dependents[j.Spec.Ref] {
 		g.updateDependencyUncertainty(d)
 	}
@@ -125,8 +125,8 @@
 			g.cancelDependents(j)
 			continue
 		}
-		j.UnmetDependencies = slices.DeleteFunc(j.UnmetDependencies, func(r string) bool { return r == ref })
-		if len(j.UnmetDependencies) == 0 {
+		j.Dependencies.Unmet = slices.DeleteFunc(j.Dependencies.Unmet, func(r string) bool { return r == ref })
+		if len(j.Dependencies.Unmet) == 0 {
 			g.makeEligible(j)
 		}
 		g.updateDependencyUncertainty(j)
@@ -138,14 +138,14 @@
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		if j.DependencyCancelled || j.State != state.JobBlocked && j.State != state.JobCancelling {
+		if j.Dependencies.Cancelled || j.State != state.JobBlocked && j.State != state.JobCancelling {
 			continue
 		}
 		if j.State == state.JobBlocked {
 			j.SetState(state.JobCancelling)
-			j.CancelRequestedWall = g.now.Wall
+			j.Cancellation.RequestedWall = g.now.Wall
 		}
-		j.DependencyCancelled, j.DependencyUncertain = true, false
+		j.Dependencies.Cancelled, j.Dependencies.Uncertain = true, false
 		g.revokeInheritedPriority(j)
 		if !j.FinalWriteInFlight {
 			g.cancelledByDependency = append(g.cancelledByDependency, j)
@@ -167,9 +167,9 @@
 	for work := []*state.Job{first}; len(work) > 0; {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		unsure := !j.DependencyCancelled && slices.ContainsFunc(j.UnmetDependencies, g.mayBeCancelled)
-		if unsure != j.DependencyUncertain {
-			j.DependencyUncertain = unsure
+		unsure := !j.Dependencies.Cancelled && slices.ContainsFunc(j.Dependencies.Unmet, g.mayBeCancelled)
+		if unsure != j.Dependencies.Uncertain {
+			j.Dependencies.Uncertain = unsure
 			work = append(work, g.dependents[j.Spec.Ref]...)
 		}
 	}
@@ -179,7 +179,7 @@
 // leader knowing it.
 func (g *dependencyGraph) mayBeCancelled(ref string) bool {
 	o := g.cluster.Job(ref)
-	return o == nil || o.FinalWriteInFlight || o.DependencyUncertain
+	return o == nil || o.FinalWriteInFlight || o.Dependencies.Uncertain
 }
 
 // onFinalWriteStarted notes that the final record of a cancelled job is on its way.
@@ -212,7 +212,7 @@
 	for len(g.finalWritesInFlight) < maxDependentFinalWrites && len(g.cancelledByDependency) > 0 {
 		j := g.cancelledByDependency[0]
 		g.cancelledByDependency = g.cancelledByDependency[1:]
-		if !j.FinalWriteInFlight && !j.CancelWriteInFlight && g.jobs.noAttemptMayRun(j) {
+		if !j.FinalWriteInFlight && !j.Cancellation.WriteInFlight && g.jobs.noAttemptMayRun(j) {
 			g.finalWritesInFlight[j] = true
 			j.FinalWriteInFlight = true
 			g.jobs.queueFinalRecord(j)
--- a/internal/controller/dependency_priority.go
+++ b/internal/controller/dependency_priority.go
@@ -11,16 +11,16 @@
 func (g *dependencyGraph) inheritPriority(from, to *state.Job) {
 	neededBy := g.latestStart(from)
 	rises := from.Priority < to.Priority
-	hastens := neededBy > 0 && (to.InheritedDeadline == 0 || neededBy < to.InheritedDeadline)
+	hastens := neededBy > 0 && (to.Dependencies.InheritedDeadline == 0 || neededBy < to.Dependencies.InheritedDeadline)
 	if !rises && !hastens {
 		return
 	}
 	to.Priority = min(to.Priority, from.Priority)
 	if hastens {
-		to.InheritedDeadline = neededBy
+		to.Dependencies.InheritedDeadline = neededBy
 	}
 	g.requeueJob(to)
-	for _, ref := range to.UnmetDependencies {
+	for _, ref := range to.Dependencies.Unmet {
 		if o := g.cluster.Job(ref); o != nil {
 			g.inheritPriority(to, o)
 		}
@@ -38,19 +38,19 @@
 // revokeInheritedPriority ends what a job lends that is being cancelled: those that it awaits are served by
 // the others that need them.
 func (g *dependencyGraph) revokeInheritedPriority(j *state.Job) {
-	for _, ref := range j.UnmetDependencies {
+	for _, ref := range j.Dependencies.Unmet {
 		o := g.cluster.Job(ref)
 		if o == nil {
 			continue
 		}
-		rank, neededBy := o.Priority, o.InheritedDeadline
-		o.Priority, o.InheritedDeadline = o.Spec.Priority, 0
+		rank, neededBy := o.Priority, o.Dependencies.InheritedDeadline
+		o.Priority, o.Dependencies.InheritedDeadline = o.Spec.Priority, 0
 		for _, d := range g.dependents[ref] {
 			if d.State == state.JobBlocked {
 				g.inheritPriority(d, o)
 			}
 		}
-		if o.Priority != rank || o.InheritedDeadline != neededBy {
+		if o.Priority != rank || o.Dependencies.InheritedDeadline != neededBy {
 			g.requeueJob(o)
 			g.revokeInheritedPriority(o)
 		}
@@ -80,8 +80,8 @@
 	if j.Spec.Deadline > 0 {
 		due = j.Submitted + j.Spec.Deadline
 	}
-	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
-		due = j.InheritedDeadline
+	if j.Dependencies.InheritedDeadline > 0 && (due == 0 || j.Dependencies.InheritedDeadline < due) {
+		due = j.Dependencies.InheritedDeadline
 	}
 	return due
 }
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -9,8 +9,8 @@
 
 // queueCommands notes that commands wait for a host.
 func (cs *commandSender) queueCommands(h *state.Host) {
-	if !h.CommandQueued {
-		h.CommandQueued = true
+	if !h.Commands.Queued {
+		h.Commands.Queued = true
 		cs.queue = append(cs.queue, h)
 	}
 }
@@ -24,7 +24,7 @@
 			waiting = append(waiting, cs.queue[i:]...)
 			break
 		}
-		if h.CommandInFlight {
+		if h.Commands.InFlight {
 			waiting = append(waiting, h)
 			continue
 		}
@@ -32,8 +32,8 @@
 			waiting = append(waiting, h) // until the lease certainly holds
 			continue
 		}
-		h.CommandQueued = false
-		if at < h.CommandRetryAt || h.Addr == "" || !cs.scheduler.isSchedulable(h) && !h.Interrupted && !cs.hosts.missesHeartbeats(h) || h.State != state.HostReady || !h.Reconciled {
+		h.Commands.Queued = false
+		if at < h.Commands.RetryAt || h.Addr == "" || !cs.scheduler.isSchedulable(h) && !h.Interruption.Noticed && !cs.hosts.missesHeartbeats(h) || h.State != state.HostReady || !h.Reconciled {
 			continue // they go with the answer to its next report
 		}
 		var cmds []protocol.Command
@@ -60,25 +60,25 @@
 // doubt: the worker may execute them at any time in the same session, also
 // long after this node has given up.
 func (cs *commandSender) sendCommands(h *state.Host, cmds []protocol.Command, launched []*state.Attempt) {
-	h.CommandInFlight = true
+	h.Commands.InFlight = true
 	cs.inFlight++
 	for _, a := range launched {
 		a.LaunchUncertain, a.LaunchedByHeartbeat = true, false
-		a.LaunchAgentEpoch, a.LaunchSequence = h.AgentEpoch, h.Sequence
+		a.LaunchAgentEpoch, a.LaunchSequence = h.Agent.Epoch, h.Agent.Sequence
 		cs.cluster.SetAttemptState(cs.now.Steady, a, state.AttemptLaunched)
 	}
-	body := protocol.AppendCommands(nil, cs.epoch, h.AgentEpoch, cmds)
+	body := protocol.AppendCommands(nil, cs.epoch, h.Agent.Epoch, cmds)
 	cs.callAddress(ToWorker, "POST", h.Addr, "/commands", body, commandTimeout, func(r CallResult) {
 		if cs.ended() {
 			return
 		}
-		h.CommandInFlight = false
+		h.Commands.InFlight = false
 		cs.inFlight--
 		report := cs.parseCommandResponse(h, r)
 		if report == nil {
-			h.CommandRetryAt = cs.now.Steady + 8*protocol.Second
+			h.Commands.RetryAt = cs.now.Steady + 8*protocol.Second
 			if !r.NotSent {
-				h.IneffectiveMessages++
+				h.Commands.Ineffective++
 				return
 			}
 		}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -6,7 +6,7 @@
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // election owns the role of this controller and its lease on leadership. Its methods are the
@@ -22,12 +22,12 @@
 	roleGeneration uint64 // raised when the role starts over, so that older answers are dropped
 	lease          leaderLease
 
-	leader               state.LeaderRecord // as known from the state service
-	leaderKeyRead        bool               // the leader key was read since the process began
-	leaderSuspectUntil   micros             // the leader did not answer: it is not asked before
-	leaderRecheckedAt    micros             // when the leader's record was last read again
-	stepDownBackoffUntil micros             // this controller gave its lease back: until then others go first
-	deferredEpoch        uint64             // the epoch after which another controller was let go first
+	leader               records.Leader // as known from the state service
+	leaderKeyRead        bool           // the leader key was read since the process began
+	leaderSuspectUntil   micros         // the leader did not answer: it is not asked before
+	leaderRecheckedAt    micros         // when the leader's record was last read again
+	stepDownBackoffUntil micros         // this controller gave its lease back: until then others go first
+	deferredEpoch        uint64         // the epoch after which another controller was let go first
 }
 
 // setRole is the one place where the role changes.
@@ -52,7 +52,7 @@
 	el.lease = leaderLease{epoch: el.lease.epoch}
 	el.roleGeneration++
 	gen := el.roleGeneration
-	el.store.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	el.store.getKey(priorityLeadership, records.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		if gen != el.roleGeneration || el.role != RoleFollower {
 			return
 		}
@@ -94,7 +94,7 @@
 }
 
 func (el *election) observeLeaderRecord(e protocol.Entry) {
-	l, err := state.DecodeLeader(e.Value)
+	l, err := records.DecodeLeader(e.Value)
 	if err != nil {
 		el.logMalformed("state", err)
 		return
@@ -115,7 +115,7 @@
 		return
 	}
 	el.leaderRecheckedAt = el.now.Steady
-	el.store.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	el.store.getKey(priorityLeadership, records.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		if found && el.role == RoleFollower {
 			el.observeLeaderRecord(e)
 		}
@@ -124,9 +124,9 @@
 
 func (el *election) watchLeader(gen uint64, rev uint64) {
 	stop := func() bool { return gen != el.roleGeneration || el.role != RoleFollower }
-	el.store.watchPrefix(priorityLeadership, state.KeyLeader, rev, stop, func(e protocol.Entry) {
+	el.store.watchPrefix(priorityLeadership, records.KeyLeader, rev, stop, func(e protocol.Entry) {
 		switch {
-		case e.Key != state.KeyLeader:
+		case e.Key != records.KeyLeader:
 		case e.Value != nil:
 			el.observeLeaderRecord(e)
 		default:
@@ -206,7 +206,7 @@
 // claim raises the epoch and takes the leader key in one transaction.
 func (el *election) claimLeadership() {
 	el.setRole(RoleClaiming)
-	el.store.getKey(priorityLeadership, state.KeyEpoch, func(e protocol.Entry, found, ok bool) {
+	el.store.getKey(priorityLeadership, records.KeyEpoch, func(e protocol.Entry, found, ok bool) {
 		if el.role != RoleClaiming {
 			return
 		}
@@ -217,7 +217,7 @@
 		var last uint64
 		var level featuregate.Level
 		if found {
-			rec, err := state.DecodeEpoch(e.Value)
+			rec, err := records.DecodeEpoch(e.Value)
 			if err == nil {
 				err = el.features.checkLevelSupported(rec.Level)
 			}
@@ -228,7 +228,7 @@
 				el.followAfter(damagedRecordRetry)
 				return
 			}
-			last, level = rec.Epoch, rec.Level
+			last, level = rec.Number, rec.Level
 			el.lease.launchesUnrecorded, el.lease.transfers = rec.LaunchesUnrecorded, leadership.RecentTransfers(rec.Transfers, el.now.Wall)
 			if leadership.ShouldDefer(el.platform.ControllerName, last, el.now.Wall, rec.Transfers) && el.deferredEpoch != last {
 				// The lease was given back for another one to lead. It has its turn
@@ -239,11 +239,11 @@
 			}
 		}
 		epoch := last + 1
-		lead := state.LeaderRecord{Controller: el.platform.ControllerName, Epoch: epoch, Lease: el.lease.id, HeartbeatGrace: el.operator.HeartbeatGrace}
-		when := []protocol.Condition{{Key: state.KeyLeader}, {Key: state.KeyEpoch, Revision: e.Revision}}
+		lead := records.Leader{Controller: el.platform.ControllerName, Epoch: epoch, Lease: el.lease.id, HeartbeatGrace: el.operator.HeartbeatGrace}
+		when := []protocol.Condition{{Key: records.KeyLeader}, {Key: records.KeyEpoch, Revision: e.Revision}}
 		then := []protocol.Change{
-			{Key: state.KeyEpoch, Value: state.EncodeEpoch(state.EpochRecord{Epoch: epoch, LaunchesUnrecorded: el.lease.launchesUnrecorded, Transfers: el.lease.transfers, Level: level})},
-			{Key: state.KeyLeader, Value: state.EncodeLeader(lead), Lease: el.lease.id},
+			{Key: records.KeyEpoch, Value: records.EncodeEpoch(records.Epoch{Number: epoch, LaunchesUnrecorded: el.lease.launchesUnrecorded, Transfers: el.lease.transfers, Level: level})},
+			{Key: records.KeyLeader, Value: records.EncodeLeader(lead), Lease: el.lease.id},
 		}
 		pred := el.leader
 		el.store.compareAndSwap(priorityLeadership, when, then, func(o txnOutcome, r protocol.TxnResult) {
--- a/internal/controller/fault_tracker.go
+++ b/internal/controller/fault_tracker.go
@@ -37,68 +37,68 @@
 func (ft *faultTracker) onTaskFailed(a *state.Attempt) {
 	j, h := a.Job, a.Host
 	at := ft.now.Steady
-	if j.FailuresByHost == nil {
-		j.FailuresByHost = make(map[string]int)
+	if j.Failures.ByHost == nil {
+		j.Failures.ByHost = make(map[string]int)
 	}
-	j.FailuresByHost[h.Name]++
+	j.Failures.ByHost[h.Name]++
 	ft.rollouts.stepRollouts(rollout.Crashed{Ref: j.Spec.Ref, Index: a.Name.Index})
 	defer func() {
-		ft.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.FailuresByHost[h.Name], "hosts", len(j.FailuresByHost), "suspect", j.Suspect)
+		ft.log.Info("task failed", "task", a.Name.TaskName.String(), "host", h.Name, "on_host", j.Failures.ByHost[h.Name], "hosts", len(j.Failures.ByHost), "suspect", j.Failures.Suspect)
 	}()
 	switch {
 	case ft.isProven(j):
 		ft.quarantineHost(h)
 		return
-	case len(j.FailuresByHost) > 1:
-		j.Suspect = true
+	case len(j.Failures.ByHost) > 1:
+		j.Failures.Suspect = true
 		ft.clearBlame(j)
-		if at >= j.BackoffUntil { // tasks that fail together count once
-			j.BackoffUntil = at + min(4*protocol.Second<<min(j.BackoffAttempts, 8), maxFailureBackoff)
-			j.BackoffAttempts++
+		if at >= j.Failures.BackoffUntil { // tasks that fail together count once
+			j.Failures.BackoffUntil = at + min(4*protocol.Second<<min(j.Failures.Backoffs, 8), maxFailureBackoff)
+			j.Failures.Backoffs++
 		}
-	case !slices.Contains(h.SuspectedBy, j.Spec.Ref):
-		h.SuspectedBy, h.Stale = append(h.SuspectedBy, j.Spec.Ref), true
-		if len(h.SuspectedBy) == 2 && at >= h.QuarantinedUntil {
+	case !slices.Contains(h.Quarantine.SuspectedBy, j.Spec.Ref):
+		h.Quarantine.SuspectedBy, h.Stale = append(h.Quarantine.SuspectedBy, j.Spec.Ref), true
+		if len(h.Quarantine.SuspectedBy) == 2 && at >= h.Quarantine.Until {
 			ft.quarantineHost(h)
-			h.QuarantinedOnSuspicion = true
+			h.Quarantine.OnSuspicion = true
 		}
 	}
 }
 
 // condemn leaves a machine alone for a while.
 func (ft *faultTracker) quarantineHost(h *state.Host) {
-	h.FaultCount++
-	h.QuarantinedUntil = ft.now.Steady + min(micros(h.FaultCount)*30*protocol.Second, 300*protocol.Second)
-	h.QuarantinedOnSuspicion, h.Stale = false, true
-	ft.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.FaultCount)
+	h.Quarantine.Count++
+	h.Quarantine.Until = ft.now.Steady + min(micros(h.Quarantine.Count)*30*protocol.Second, 300*protocol.Second)
+	h.Quarantine.OnSuspicion, h.Stale = false, true
+	ft.log.Info("machine takes no tasks for a while", "host", h.Name, "faults", h.Quarantine.Count)
 }
 
 // clearBlame takes back what a suspect job's failures said of machines.
 func (ft *faultTracker) clearBlame(j *state.Job) {
-	for name := range j.FailuresByHost {
+	for name := range j.Failures.ByHost {
 		h := ft.cluster.Host(name)
-		if h == nil || !slices.Contains(h.SuspectedBy, j.Spec.Ref) {
+		if h == nil || !slices.Contains(h.Quarantine.SuspectedBy, j.Spec.Ref) {
 			continue
 		}
-		h.SuspectedBy = slices.DeleteFunc(h.SuspectedBy, func(ref string) bool { return ref == j.Spec.Ref })
+		h.Quarantine.SuspectedBy = slices.DeleteFunc(h.Quarantine.SuspectedBy, func(ref string) bool { return ref == j.Spec.Ref })
 		h.Stale = true
-		if h.QuarantinedOnSuspicion && len(h.SuspectedBy) < 2 {
-			h.FaultCount--
-			h.QuarantinedUntil, h.QuarantinedOnSuspicion = 0, false
+		if h.Quarantine.OnSuspicion && len(h.Quarantine.SuspectedBy) < 2 {
+			h.Quarantine.Count--
+			h.Quarantine.Until, h.Quarantine.OnSuspicion = 0, false
 		}
 	}
 }
 
 // confirmHealthy notes that a job can run. Where it failed before, the machine did.
 func (ft *faultTracker) confirmHealthy(j *state.Job) {
-	for name := range j.FailuresByHost {
-		if h := ft.cluster.Host(name); h != nil && ft.now.Steady >= h.QuarantinedUntil {
-			h.SuspectedBy = nil
+	for name := range j.Failures.ByHost {
+		if h := ft.cluster.Host(name); h != nil && ft.now.Steady >= h.Quarantine.Until {
+			h.Quarantine.SuspectedBy = nil
 			ft.quarantineHost(h)
 		}
 	}
-	if j.Suspect {
-		j.Suspect, j.BackoffAttempts, j.BackoffUntil = false, 0, 0
+	if j.Failures.Suspect {
+		j.Failures.Suspect, j.Failures.Backoffs, j.Failures.BackoffUntil = false, 0, 0
 	}
-	j.FailuresByHost = nil
+	j.Failures.ByHost = nil
 }
--- a/internal/controller/feature_activation.go
+++ b/internal/controller/feature_activation.go
@@ -6,7 +6,7 @@
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 var (
@@ -146,12 +146,12 @@
 	for _, name := range names {
 		when = append(when, protocol.Condition{Key: featuregate.RegistryKey(name), Revision: roster[name].Revision})
 	}
-	epoch := state.EpochRecord{Epoch: t.epoch, LaunchesUnrecorded: t.launchesUnrecorded, Transfers: t.transfer.recent, Level: next}
+	epoch := records.Epoch{Number: t.epoch, LaunchesUnrecorded: t.launchesUnrecorded, Transfers: t.transfer.recent, Level: next}
 	types, _ := fm.catalog.encodeMachineTypes(next) // none of the later form is better than those of the earlier
 	then := []protocol.Change{
 		{Key: featuregate.KeyLevel, Value: featuregate.EncodeLevel(next)},
-		{Key: state.KeyEpoch, Value: state.EncodeEpoch(epoch)},
-		{Key: state.KeyTypes, Value: types},
+		{Key: records.KeyEpoch, Value: records.EncodeEpoch(epoch)},
+		{Key: records.KeyMachineTypes, Value: types},
 	}
 	fm.log.Info("making a feature level active", "level", uint64(next), "controllers", len(names))
 	fm.election.leaderTransaction(priorityUrgent, when, then, func(o txnOutcome, r protocol.TxnResult) {
@@ -172,7 +172,7 @@
 	if !fits {
 		return // those that are kept are better than none
 	}
-	fm.election.leaderTransaction(priorityNormal, fm.withLevelCondition(nil), []protocol.Change{{Key: state.KeyTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+	fm.election.leaderTransaction(priorityNormal, fm.withLevelCondition(nil), []protocol.Change{{Key: records.KeyMachineTypes, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
 		if fm.handleLevelConflict(o, r) {
 			fm.after(registryRetry, func() {
 				if fm.term == t {
--- a/internal/controller/gang_preemption.go
+++ b/internal/controller/gang_preemption.go
@@ -28,7 +28,7 @@
 	zones := make(map[string][]room)
 	have := make(map[string]int)
 	if p.isUnschedulable(j, len(w.tasks)) {
-		j.PreemptionRetryAt = at + bookingRetryDelay
+		j.Preemption.RetryAt = at + bookingRetryDelay
 		return false
 	}
 	late := false
@@ -93,17 +93,17 @@
 		if !late && len(w.request.ZoneUsed) == 0 {
 			p.markUnschedulable(j, len(w.tasks))
 		}
-		j.PreemptionRetryAt = at + bookingRetryDelay // nothing to be had, for a while
+		j.Preemption.RetryAt = at + bookingRetryDelay // nothing to be had, for a while
 		return false
 	}
-	j.ReservedUntil = at + reservationTime
-	j.Bookings = j.Bookings[:0]
+	j.Preemption.ReservedUntil = at + reservationTime
+	j.Booking.Places = j.Booking.Places[:0]
 	for _, r := range best {
 		sc.preemptVictims(j, r.victims, need.immediate)
 		delete(p.preemptible, r.h)
 		for range r.tasks {
-			if len(j.Bookings) < len(w.tasks) {
-				j.Bookings = append(j.Bookings, state.Booking{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
+			if len(j.Booking.Places) < len(w.tasks) {
+				j.Booking.Places = append(j.Booking.Places, state.BookedPlace{Machine: r.h.Name, Begin: at + protocol.Second, Ready: r.ready})
 			}
 		}
 	}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -3,6 +3,7 @@
 import (
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -55,16 +56,16 @@
 	}
 	bytes, room := 200, hw.records.shardCapacity()
 	for _, h := range hw.cluster.Hosts() {
-		if h.State != state.HostReady && (!h.FromRecord || h.Reconciled) || at-h.LastContact <= release {
+		if h.State != state.HostReady && (!h.Record.FromEarlierEpoch || h.Reconciled) || at-h.Agent.LastContact <= release {
 			continue
 		}
 		if cut := cuts[h.Zone]; cut != nil {
-			cut.Since = min(cut.Since, hw.wallTime(h.LastContact))
+			cut.Since = min(cut.Since, hw.wallTime(h.Agent.LastContact))
 			continue
 		}
-		s := protocol.SilentHost{Host: h.Name, Since: hw.wallTime(h.LastContact)}
+		s := protocol.SilentHost{Host: h.Name, Since: hw.wallTime(h.Agent.LastContact)}
 		m.SilentHosts = append(m.SilentHosts, s)
-		bytes += state.SilentHostBytes(s)
+		bytes += records.SilentHostSize(s)
 	}
 	for _, cut := range cuts {
 		m.Partitions = append(m.Partitions, *cut)
@@ -84,7 +85,7 @@
 		return
 	}
 	hw.writing = true
-	hw.election.leaderTransaction(priorityUrgent, nil, []protocol.Change{{Key: state.KeyHandover, Value: state.EncodeHandoverState(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
+	hw.election.leaderTransaction(priorityUrgent, nil, []protocol.Change{{Key: records.KeyHandover, Value: records.EncodeHandover(m)}}, func(o txnOutcome, _ protocol.TxnResult) {
 		hw.writing = false
 		hw.next = hw.now.Steady + handoverRetry
 		if o == txnCommitted {
@@ -105,9 +106,9 @@
 	}
 	silent := 0
 	for _, h := range hw.cluster.Hosts() {
-		h.LastContact = at
+		h.Agent.LastContact = at
 		if wall, ok := in.SilentSince(h.Name, h.Zone); ok {
-			h.LastContact = min(at, hw.steadyTime(wall))
+			h.Agent.LastContact = min(at, hw.steadyTime(wall))
 			silent++
 		}
 	}
--- a/internal/controller/host_monitor.go
+++ b/internal/controller/host_monitor.go
@@ -67,17 +67,17 @@
 	zones := make(map[string]leadership.ZoneWorkers, len(hm.platform.Zones))
 	release := max(hm.operator.SilentReleaseDelay, hm.silenceThreshold()+commandTimeout)
 	for _, h := range hm.cluster.Hosts() {
-		if h.State == state.HostReady && (h.Reconciled || !h.Unverified) || h.FromRecord && !h.Reconciled {
+		if h.State == state.HostReady && (h.Reconciled || !h.Unverified) || h.Record.FromEarlierEpoch && !h.Reconciled {
 			z := zones[h.Zone]
 			reporting++
 			z.All++
-			if at-h.LastContact > hm.silenceThreshold() {
+			if at-h.Agent.LastContact > hm.silenceThreshold() {
 				z.Silent++
-			} else if h.LeaderUnreachableAt > 0 && at-h.LeaderUnreachableAt < hm.platform.WorkerLease {
+			} else if h.Agent.LeaderUnreachableAt > 0 && at-h.Agent.LeaderUnreachableAt < hm.platform.WorkerLease {
 				z.Relayed++
 			}
 			zones[h.Zone] = z
-			if at-h.LastContact > release {
+			if at-h.Agent.LastContact > release {
 				silent++
 			}
 		}
@@ -100,16 +100,16 @@
 	lease := hm.platform.WorkerLease
 	mayRelease := hm.election.mayActAsLeader() && !hm.isLagging(release)
 	for _, h := range hm.cluster.Hosts() {
-		if h.FromRecord && !h.Reconciled {
+		if h.Record.FromEarlierEpoch && !h.Reconciled {
 			unproven++
-		} else if h.State == state.HostReady && at-h.LastContact <= hm.silenceThreshold() {
-			if h.Interrupted {
+		} else if h.State == state.HostReady && at-h.Agent.LastContact <= hm.silenceThreshold() {
+			if h.Interruption.Noticed {
 				hm.drainInterrupted(h)
 			}
 			if ignoresCommands(h) && mayRelease && hm.mayRunCancelledTask(h) {
 				hm.cloud.releaseHost(h, "deaf, and a cancelled task may be on it")
-			} else if ignoresCommands(h) && at >= h.NextProbe && hm.election.mayActAsLeader() {
-				h.NextProbe = at + commandTimeout
+			} else if ignoresCommands(h) && at >= h.Probe.NextAt && hm.election.mayActAsLeader() {
+				h.Probe.NextAt = at + commandTimeout
 				hm.prober.queueProbe(h)
 			}
 			continue
@@ -128,7 +128,7 @@
 			// on it goes on, if that is before its lease ends.
 			limit = max(limit, 2*lease)
 		}
-		if h.ForwardedAt > 0 && at-h.ForwardedAt < lease {
+		if h.Agent.ForwardedAt > 0 && at-h.Agent.ForwardedAt < lease {
 			// It is asked to try this node now and then, and comes round to the one
 			// that passes its reports on only after that.
 			limit = max(limit, redirectReturnWindow)
@@ -136,24 +136,24 @@
 		expired := hm.peers.leaseExpired(h)
 		switch h.State {
 		case state.HostReady, state.HostBooting:
-			if h.State == state.HostBooting && !h.FromRecord {
+			if h.State == state.HostBooting && !h.Record.FromEarlierEpoch {
 				break // has never reported: holds nothing
 			}
 			if expired {
 				hm.agents.onAgentLeaseExpired(h)
 				h.SetState(state.HostSilent)
 				h.Reconciled = true
-			} else if at-h.LastContact > hm.silenceThreshold() && (h.ProbeFailed || at-hm.recordsLoadedAt > hm.silenceThreshold()) && mayRelease && hm.mayRunCancelledTask(h) {
+			} else if at-h.Agent.LastContact > hm.silenceThreshold() && (h.Probe.Failed || at-hm.recordsLoadedAt > hm.silenceThreshold()) && mayRelease && hm.mayRunCancelledTask(h) {
 				hm.cloud.releaseHost(h, "silent, and a cancelled task may be on it")
-			} else if at-h.LastContact > limit && (h.ProbeFailed || h.Addr == "" || at-max(h.LastContact, hm.recordsLoadedAt) > limit+limit/2) && mayRelease {
+			} else if at-h.Agent.LastContact > limit && (h.Probe.Failed || h.Addr == "" || at-max(h.Agent.LastContact, hm.recordsLoadedAt) > limit+limit/2) && mayRelease {
 				// It neither reports nor answers.
 				hm.cloud.releaseHost(h, "silent")
-			} else if at-h.LastContact > hm.silenceThreshold() && at >= h.NextProbe && hm.election.mayActAsLeader() {
-				h.NextProbe = at + commandTimeout
+			} else if at-h.Agent.LastContact > hm.silenceThreshold() && at >= h.Probe.NextAt && hm.election.mayActAsLeader() {
+				h.Probe.NextAt = at + commandTimeout
 				hm.prober.queueProbe(h)
 			}
 		case state.HostSilent:
-			if at-h.LastContact > limit+lease && mayRelease {
+			if at-h.Agent.LastContact > limit+lease && mayRelease {
 				hm.cloud.releaseHost(h, "silent")
 			}
 		case state.HostReleasing:
@@ -164,7 +164,7 @@
 				hm.agents.onAgentLeaseExpired(h)
 			}
 		}
-		if h.Interrupted && h.State == state.HostReady {
+		if h.Interruption.Noticed && h.State == state.HostReady {
 			hm.drainInterrupted(h)
 		}
 	}
@@ -183,7 +183,7 @@
 func (hm *hostMonitor) mayRunCancelledTask(h *state.Host) bool {
 	for _, a := range h.Attempts() {
 		if j := a.Job; j != nil && a.State.MayRun() && (j.State == state.JobCancelledLegacy || j.State == state.JobCancelling) &&
-			hm.now.Wall-j.CancelRequestedWall > hm.platform.CancelTimeout/2 {
+			hm.now.Wall-j.Cancellation.RequestedWall > hm.platform.CancelTimeout/2 {
 			return true
 		}
 	}
@@ -197,12 +197,12 @@
 // on such machines once a lease, for as long as that lasted, beside others that were free.
 // What is on one stays until its lease ends, and stops still go out as direct commands.
 func (hm *hostMonitor) missesHeartbeats(h *state.Host) bool {
-	return hm.now.Steady-max(h.HeartbeatAt, h.KnownSince, hm.recordsLoadedAt) > hm.platform.WorkerLease
+	return hm.now.Steady-max(h.Agent.HeartbeatAt, h.KnownSince, hm.recordsLoadedAt) > hm.platform.WorkerLease
 }
 
 // drainInterrupted saves what it can from a machine that is about to be taken.
 func (hm *hostMonitor) drainInterrupted(h *state.Host) {
-	left := h.InterruptedAt - hm.now.Steady
+	left := h.Interruption.At - hm.now.Steady
 	for _, a := range h.Attempts() {
 		j := a.Job
 		if j == nil || a.StopRequested || !a.State.HoldsResources() {
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -89,7 +90,7 @@
 	j := state.NewJob(spec)
 	j.SubmittedWall, j.LeaderEpoch = sb.now.Wall, t.epoch
 	sb.createJobRecord(to, j, protocol.PhaseQueued, func(when []protocol.Condition, then []protocol.Change, done func(txnOutcome, protocol.TxnResult)) {
-		when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: sb.election.lease.keyRevision}}, when...)
+		when = append([]protocol.Condition{{Key: records.KeyLeader, Revision: sb.election.lease.keyRevision}}, when...)
 		sb.store.compareAndSwap(prio, sb.config.withRevisionCondition(when), then, func(o txnOutcome, r protocol.TxnResult) {
 			others := t.submitQueue.pending[ref]
 			delete(t.submitQueue.pending, ref)
@@ -105,7 +106,7 @@
 			}
 			if o == txnConflict {
 				for _, k := range r.Conflicts {
-					if k == state.KeyLeader {
+					if k == records.KeyLeader {
 						o = txnNotExecuted
 						if sb.term == t {
 							sb.election.stepDownSuperseded("the leader key is another's")
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -26,7 +27,7 @@
 		})
 		return
 	}
-	if j.DependencyCancelled {
+	if j.Dependencies.Cancelled {
 		jm.reply(to, 200, jm.directory.jobStatusBody(j), 0)
 		return
 	}
@@ -38,7 +39,7 @@
 	case state.JobActive, state.JobBlocked:
 		jm.pendingCancels[ref] = append(jm.pendingCancels[ref], to)
 		j.SetState(state.JobCancelling)
-		j.CancelRequestedWall = jm.now.Wall
+		j.Cancellation.RequestedWall = jm.now.Wall
 		jm.log.Debug("cancel asked", "ref", ref, "attempts", j.AttemptCount)
 		jm.stopJob(j)
 		jm.completeCancellation(j)
@@ -72,7 +73,7 @@
 // stop. Told before, it was a promise that no later leader could keep when a cut, an
 // outage of the state service and the end of all controllers came together.
 func (jm *jobManager) completeCancellation(j *state.Job) {
-	if j.State == state.JobCancelling && !j.DependencyCancelled && !j.FinalWriteInFlight && !j.CancelWriteInFlight && jm.noAttemptMayRun(j) {
+	if j.State == state.JobCancelling && !j.Dependencies.Cancelled && !j.FinalWriteInFlight && !j.Cancellation.WriteInFlight && jm.noAttemptMayRun(j) {
 		jm.dependencies.onFinalWriteStarted(j)
 		jm.queueFinalRecord(j)
 	}
@@ -85,28 +86,28 @@
 // persistCancelRequest keeps the request in the state service, so that a new leader goes on with
 // it also if its user has given up asking.
 func (jm *jobManager) persistCancelRequest(j *state.Job) {
-	if j.CancelPersisted || j.CancelWriteInFlight || j.FinalWriteInFlight || j.DependencyCancelled || jm.now.Wall-j.CancelRequestedWall < persistCancelAfter || jm.now.Steady < j.CancelRetryAt {
+	if j.Cancellation.Persisted || j.Cancellation.WriteInFlight || j.FinalWriteInFlight || j.Dependencies.Cancelled || jm.now.Wall-j.Cancellation.RequestedWall < persistCancelAfter || jm.now.Steady < j.Cancellation.RetryAt {
 		return
 	}
 	ref := j.Spec.Ref
-	value := state.EncodeJob(j)
+	value := records.EncodeJob(j)
 	if len(value) > jm.store.limits.accepted.maxValueBytes {
 		// It was accepted under a larger limit. Its user was told nothing yet, and asks a
 		// new leader again.
-		j.CancelPersisted = true
+		j.Cancellation.Persisted = true
 		return
 	}
-	j.CancelWriteInFlight = true
-	when := []protocol.Condition{{Key: state.JobPrefix + ref, Revision: j.Revision}}
-	then := []protocol.Change{{Key: state.JobPrefix + ref, Value: value}}
+	j.Cancellation.WriteInFlight = true
+	when := []protocol.Condition{{Key: records.JobPrefix + ref, Revision: j.Revision}}
+	then := []protocol.Change{{Key: records.JobPrefix + ref, Value: value}}
 	jm.election.leaderTransaction(priorityUser, when, then, func(o txnOutcome, r protocol.TxnResult) {
-		j.CancelWriteInFlight = false
+		j.Cancellation.WriteInFlight = false
 		if o == txnCommitted {
-			j.Revision, j.CancelPersisted = r.Revision, true
+			j.Revision, j.Cancellation.Persisted = r.Revision, true
 			jm.completeCancellation(j)
 			return
 		}
-		j.CancelRetryAt = jm.now.Steady + 500*protocol.Millisecond
+		j.Cancellation.RetryAt = jm.now.Steady + 500*protocol.Millisecond
 		if o == txnUnknown || o == txnConflict {
 			jm.refreshJobRevision(j) // an earlier try may have been applied late
 		}
@@ -115,12 +116,12 @@
 
 // refreshJobRevision reads the stamp of a job's record after a write without an answer.
 func (jm *jobManager) refreshJobRevision(j *state.Job) {
-	j.CancelWriteInFlight = true
-	jm.store.getKey(priorityUser, state.JobPrefix+j.Spec.Ref, func(e protocol.Entry, found, ok bool) {
+	j.Cancellation.WriteInFlight = true
+	jm.store.getKey(priorityUser, records.JobPrefix+j.Spec.Ref, func(e protocol.Entry, found, ok bool) {
 		if jm.ended() {
 			return
 		}
-		j.CancelWriteInFlight = false
+		j.Cancellation.WriteInFlight = false
 		if found {
 			j.Revision = e.Revision
 		}
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -86,8 +87,8 @@
 		phase = protocol.PhaseCancelled
 	}
 	then := []protocol.Change{
-		{Key: state.JobPrefix + ref},
-		{Key: state.FinalPrefix + ref, Value: state.EncodeFinal(phase, len(j.Tasks))},
+		{Key: records.JobPrefix + ref},
+		{Key: records.FinalPrefix + ref, Value: records.EncodeFinal(phase, len(j.Tasks))},
 	}
 	jm.records.bookingShards.drop(ref, protocol.Forever)
 	chunks := make([]int, 0, len(j.ChunkRevisions))
@@ -103,7 +104,7 @@
 			rest = append(rest, key)
 		}
 	}
-	when := []protocol.Condition{{Key: state.JobPrefix + ref, Revision: j.Revision}}
+	when := []protocol.Condition{{Key: records.JobPrefix + ref, Revision: j.Revision}}
 	jm.election.leaderTransaction(priorityFinalRecord, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		jm.finals.finished(jm.now.Steady, since)
 		jm.writeQueuedFinals()
@@ -113,18 +114,18 @@
 			jm.onJobFinished(j, phase)
 		case txnConflict:
 			// Our own earlier try may have been applied late.
-			jm.store.getKey(priorityUrgent, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+			jm.store.getKey(priorityUrgent, records.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
 				if jm.ended() {
 					return
 				}
 				if found {
-					if p, _, err := state.DecodeFinal(e.Value); err == nil {
+					if p, _, err := records.DecodeFinal(e.Value); err == nil {
 						jm.onJobFinished(j, p)
 						return
 					}
 				}
 				// Or a write to the job's record was: its stamp is another.
-				jm.store.getKey(priorityUrgent, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+				jm.store.getKey(priorityUrgent, records.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
 					if jm.ended() {
 						return
 					}
@@ -155,7 +156,7 @@
 		}
 	} else if j.State == state.JobCancelledLegacy || j.State == state.JobCancelling {
 		j.SetState(state.JobClosed)
-		jm.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((jm.now.Wall-j.CancelRequestedWall)/protocol.Millisecond), "told", len(jm.pendingCancels[j.Spec.Ref]))
+		jm.log.Debug("cancelled", "ref", j.Spec.Ref, "asked_ms_ago", int64((jm.now.Wall-j.Cancellation.RequestedWall)/protocol.Millisecond), "told", len(jm.pendingCancels[j.Spec.Ref]))
 	}
 	delete(jm.dependencies.finalWritesInFlight, j)
 	for i := range j.Tasks {
--- a/internal/controller/job_directory.go
+++ b/internal/controller/job_directory.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -20,13 +21,13 @@
 // says nothing of what that one ended. What this node ended itself observeJobRecord knows.
 func (d *jobDirectory) findJob(prio uint8, ref string, done func(j *state.Job, f finishedJob, found, ok bool)) {
 	t := d.term
-	d.store.getKey(prio, state.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
+	d.store.getKey(prio, records.JobPrefix+ref, func(e protocol.Entry, found, ok bool) {
 		if !ok {
 			done(nil, finishedJob{}, false, false)
 			return
 		}
 		if found {
-			j, err := state.DecodeJob(e.Value)
+			j, err := records.DecodeJob(e.Value)
 			if err != nil {
 				d.logMalformed("state", err)
 				done(nil, finishedJob{}, false, false)
@@ -41,12 +42,12 @@
 			done(j, finishedJob{}, true, true)
 			return
 		}
-		d.store.getKey(prio, state.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
+		d.store.getKey(prio, records.FinalPrefix+ref, func(e protocol.Entry, found, ok bool) {
 			if !ok || !found {
 				done(nil, finishedJob{}, false, ok)
 				return
 			}
-			p, n, err := state.DecodeFinal(e.Value)
+			p, n, err := records.DecodeFinal(e.Value)
 			if err != nil {
 				d.logMalformed("state", err)
 				done(nil, finishedJob{}, false, false)
@@ -96,7 +97,7 @@
 
 // replyActiveJob answers for a job that is not over by its own records.
 func (d *jobDirectory) replyActiveJob(to ReplyAddress, j *state.Job) {
-	if mine := d.isTrackedByLeader(j); mine && !j.DependencyUncertain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
+	if mine := d.isTrackedByLeader(j); mine && !j.Dependencies.Uncertain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
 		d.reply(to, 200, d.activeJobStatus(j), 0)
 		return
 	}
@@ -133,10 +134,10 @@
 	phase := protocol.PhaseQueued
 	running := j.RunningTasks
 	switch {
-	case j.DependencyCancelled:
+	case j.Dependencies.Cancelled:
 		return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0)
 	case j.State == state.JobBlocked:
-		return protocol.WaitingJobStatusBody(j.Spec.Ref, j.UnmetDependencies)
+		return protocol.WaitingJobStatusBody(j.Spec.Ref, j.Dependencies.Unmet)
 	}
 	switch j.State {
 	case state.JobDone:
@@ -158,7 +159,7 @@
 // It is the same for a job that awaits others while one of their records is on its way, or
 // not read yet. A doomed job is cancelled whatever becomes of its own record.
 func isOutcomeUncertain(j *state.Job) bool {
-	return !j.DependencyCancelled && (j.State == state.JobFinishing || j.FinalWriteInFlight || j.DependencyUncertain)
+	return !j.Dependencies.Cancelled && (j.State == state.JobFinishing || j.FinalWriteInFlight || j.Dependencies.Uncertain)
 }
 
 // cacheFinishedJob keeps the last phase of a job that is durably over, and takes it to the jobs
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -38,7 +39,7 @@
 		if gone() {
 			return
 		}
-		jm.store.listPrefix(priorityUrgent, state.JobPrefix, take, func(rev uint64, ok bool) {
+		jm.store.listPrefix(priorityUrgent, records.JobPrefix, take, func(rev uint64, ok bool) {
 			switch {
 			case gone():
 			case ok:
@@ -48,19 +49,19 @@
 			}
 		})
 	}
-	jm.store.watchPrefix(priorityUrgent, state.JobPrefix, rev, gone, take, reread)
+	jm.store.watchPrefix(priorityUrgent, records.JobPrefix, rev, gone, take, reread)
 }
 
 // observeJobRecord takes a job's record into the book, unless it is there.
 func (jm *jobManager) observeJobRecord(e protocol.Entry) *state.Job {
-	ref := strings.TrimPrefix(e.Key, state.JobPrefix)
+	ref := strings.TrimPrefix(e.Key, records.JobPrefix)
 	if j := jm.cluster.Job(ref); j != nil {
 		return j
 	}
 	if _, over := jm.directory.finishedJobs.find(ref); over {
 		return nil
 	}
-	j, err := state.DecodeJob(e.Value)
+	j, err := records.DecodeJob(e.Value)
 	if err != nil || j.Spec.Ref != ref {
 		jm.logDamagedRecord(e, err)
 		return nil
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -5,7 +5,7 @@
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // id is what a node holds of leadership.
@@ -65,7 +65,7 @@
 		return
 	}
 	lease := el.lease.id
-	el.store.getKey(priorityLeadership, state.KeyLeader, func(e protocol.Entry, found, ok bool) {
+	el.store.getKey(priorityLeadership, records.KeyLeader, func(e protocol.Entry, found, ok bool) {
 		switch {
 		case !holdsLease(el.role) || el.lease.id != lease:
 		case !ok:
@@ -147,14 +147,14 @@
 // leaderTransaction is a leader's transaction: it applies only while the key is ours.
 func (el *election) leaderTransaction(prio uint8, when []protocol.Condition, then []protocol.Change, done func(o txnOutcome, r protocol.TxnResult)) {
 	term := el.term
-	when = append([]protocol.Condition{{Key: state.KeyLeader, Revision: el.lease.keyRevision}}, when...)
+	when = append([]protocol.Condition{{Key: records.KeyLeader, Revision: el.lease.keyRevision}}, when...)
 	el.store.compareAndSwap(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
 		if el.term != term {
 			return
 		}
 		if o == txnConflict {
 			for _, k := range r.Conflicts {
-				if k == state.KeyLeader {
+				if k == records.KeyLeader {
 					el.stepDownSuperseded("the leader key is another's")
 					return
 				}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -18,7 +18,7 @@
 	recordsLoadedAt    micros            // when the records had been read
 	recoveryStages     []SpanStage       // of the failover, for tracing
 	reconciled         bool              // every recorded host has reported or is proven empty
-	launchesUnrecorded bool              // earlier launches may be in no record, see state.EpochRecord
+	launchesUnrecorded bool              // earlier launches may be in no record, see records.Epoch
 	cycleNeeded        bool              // something changed that a scheduling cycle should look at
 	releasedHosts      map[string]micros // hosts that are certainly gone, and since when
 }
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -5,7 +5,7 @@
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // machineCatalog owns the machine types that the cloud rents.
@@ -31,7 +31,7 @@
 // applyMachineTypesRecord takes machine types from their record. That of the later form is not for
 // controllerNames that know of no levels: without machine types they accept nothing.
 func (mc *machineCatalog) applyMachineTypesRecord(value []byte) {
-	types, later, err := state.DecodeTypes(value)
+	types, later, err := records.DecodeMachineTypes(value)
 	if err == nil && later && mc.features.state == nil {
 		err = errLaterFormat
 	}
@@ -73,9 +73,9 @@
 // value. Those that don't are left out, since part of them would have jobs refused that fit
 // the others: then only the leader accepts.
 func (mc *machineCatalog) encodeMachineTypes(l featuregate.Level) (value []byte, fits bool) {
-	if value = state.EncodeTypes(mc.types, l); len(value) <= mc.store.limits.target.maxValueBytes {
+	if value = records.EncodeMachineTypes(mc.types, l); len(value) <= mc.store.limits.target.maxValueBytes {
 		return value, true
 	}
 	mc.log.Warn("machine types don't fit into a record: only the leader accepts jobs", "bytes", len(value))
-	return state.EncodeTypes(nil, l), false
+	return records.EncodeMachineTypes(nil, l), false
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -5,7 +5,7 @@
 
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // membership is what this controller knows of the others: when it was last in contact with
@@ -95,7 +95,7 @@
 		mb.leaderContactAt = mb.now.Steady
 		if e.Epoch > mb.election.leader.Epoch {
 			// The state service would say the same; it may refuse this node.
-			mb.election.leader = state.LeaderRecord{Controller: e.From, Epoch: e.Epoch, HeartbeatGrace: mb.election.leader.HeartbeatGrace}
+			mb.election.leader = records.Leader{Controller: e.From, Epoch: e.Epoch, HeartbeatGrace: mb.election.leader.HeartbeatGrace}
 			mb.election.leaderSuspectUntil = 0
 		}
 	}
--- a/internal/controller/objectives.go
+++ b/internal/controller/objectives.go
@@ -90,20 +90,20 @@
 // It is looked at with the sweep over all jobs. What was due before this node led is
 // not counted: nobody knows it.
 func (ot *objectiveTracker) countObjective(j *state.Job) {
-	if j.SLOCounted || j.State > state.JobActive && j.State != state.JobFinishing && j.State != state.JobDone {
+	if j.Objectives.Counted || j.State > state.JobActive && j.State != state.JobFinishing && j.State != state.JobDone {
 		return
 	}
 	at := ot.now.Steady
 	due, toEnd := ot.objectiveDue(j)
 	switch {
 	case due == 0 || due < ot.recordsLoadedAt || isOpportunistic(j):
-		j.SLOCounted = true
+		j.Objectives.Counted = true
 		return
 	case toEnd && j.CompletedTasks == len(j.Tasks), !toEnd && j.RunningTasks+j.CompletedTasks >= len(j.Tasks):
-		j.SLOCounted = true
+		j.Objectives.Counted = true
 		ot.addObjectiveOutcome(j, at <= due+protocol.Second)
 	case at > due:
-		j.SLOCounted = true
+		j.Objectives.Counted = true
 		ot.addObjectiveOutcome(j, false)
 	}
 }
@@ -128,12 +128,12 @@
 // countLargeJobStart counts a job that is among the largest of its class, of at least half as many
 // tasks as the largest one that this leader has seen, once it has begun or should have.
 func (ot *objectiveTracker) countLargeJobStart(j *state.Job) {
-	if j.StartSLOCounted || j.State != state.JobActive && j.State != state.JobFinishing {
+	if j.Objectives.StartCounted || j.State != state.JobActive && j.State != state.JobFinishing {
 		return
 	}
 	name := j.Spec.Class
 	if 2*j.Spec.Tasks < ot.workload.classStats(name).largestJob || isOpportunistic(j) || j.EligibleAt+largeJobStartObjective < ot.recordsLoadedAt {
-		j.StartSLOCounted = true
+		j.Objectives.StartCounted = true
 		return
 	}
 	wait := ot.now.Steady - j.EligibleAt
@@ -148,6 +148,6 @@
 		}
 		ot.log.Info("a large job has not begun", "ref", j.Spec.Ref, "class", name, "tasks", j.Spec.Tasks, "waits_ms", int64(wait/protocol.Millisecond), "placed", j.AttemptCount)
 	}
-	j.StartSLOCounted = true
+	j.Objectives.StartCounted = true
 	ot.addToWindow(slo.Largest, name, wait <= largeJobStartObjective)
 }
--- a/internal/controller/onezone_test.go
+++ b/internal/controller/onezone_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -24,10 +25,10 @@
 	c.term.jobs.addJob(j)
 	pin := func(host, zone string, index int, try uint64) *state.Attempt {
 		h := state.NewHost(c.now.Steady, host, "small", zone, false)
-		h.FromRecord = true
+		h.Record.FromEarlierEpoch = true
 		b.AddHost(h)
 		name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: try}
-		c.recovery.pinLaunch(recordedLaunch{state.Launch{Name: name, Host: host}, c.term.records.launchShards.addStored(protocol.Entry{Key: state.LaunchShardPrefix + host[len(host)-1:]})})
+		c.recovery.pinLaunch(recordedLaunch{records.Launch{Name: name, Host: host}, c.term.records.launchShards.addStored(protocol.Entry{Key: records.LaunchShardPrefix + host[len(host)-1:]})})
 		return j.Tasks[index].Current
 	}
 	pin("n-900002", "b", 1, 7)
--- a/internal/controller/pages_test.go
+++ b/internal/controller/pages_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // The write of a record of launches got no answer and may still be carried out. A task that
@@ -17,7 +17,7 @@
 func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
-	p := newRecordShards(state.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
+	p := newRecordShards(records.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
 	room := c.term.records.shardCapacity()
 	p.put("req-900001/0", room-100, room, c.now.Steady, true)
 	p.put("req-900002/0", room-100, room, c.now.Steady, true)
--- a/internal/controller/pass_test.go
+++ b/internal/controller/pass_test.go
@@ -80,7 +80,7 @@
 	for i := range machines {
 		typ := c.catalog.types[i%2]
 		h := state.NewHost(c.now.Steady, fmt.Sprintf("n-%06d", i+1), typ.Name, typ.Zones[i/2%len(typ.Zones)], i%5 == 0)
-		h.Type, h.Reconciled, h.LastContact, h.Recorded = typ, true, c.now.Steady, true
+		h.Type, h.Reconciled, h.Agent.LastContact, h.Record.Written = typ, true, c.now.Steady, true
 		h.SetState(state.HostReady)
 		t.cluster.AddHost(h)
 		for range 8 {
@@ -153,7 +153,7 @@
 	c.now.Steady += 2 * protocol.Second
 	c.now.Wall += 2 * protocol.Second
 	for _, h := range t.cluster.Hosts() {
-		h.LastContact = c.now.Steady
+		h.Agent.LastContact = c.now.Steady
 		for _, a := range h.Attempts() {
 			switch {
 			case a.StopRequested:
--- a/internal/controller/peer_monitor.go
+++ b/internal/controller/peer_monitor.go
@@ -90,8 +90,8 @@
 	pm.quiesced = true
 	pm.log.Info("no other controller answers workers", "epoch", pm.epoch)
 	for _, h := range pm.cluster.Hosts() {
-		if h.FromRecord && !h.Reconciled {
-			h.LeaseRenewedAt = min(h.LeaseRenewedAt, pm.now.Steady)
+		if h.Record.FromEarlierEpoch && !h.Reconciled {
+			h.Agent.LeaseRenewedAt = min(h.Agent.LeaseRenewedAt, pm.now.Steady)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 // answered it for that long.
 func (pm *peerMonitor) leaseExpired(h *state.Host) bool {
 	at, lease := pm.now.Steady, pm.platform.WorkerLease
-	answered := h.LeaseRenewedAt
+	answered := h.Agent.LeaseRenewedAt
 	for _, s := range pm.platform.Peers {
 		if !pm.membership.mayAnswerZone(s.Zone, h.Zone) {
 			continue
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -23,7 +23,7 @@
 func (sc *scheduler) prefersLocality(w *pendingJob) bool {
 	j := w.job
 	s := j.Spec
-	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || isOpportunistic(j) || j.Suspect || len(j.Bookings) > 0 || s.ImageSize == 0 {
+	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || isOpportunistic(j) || j.Failures.Suspect || len(j.Booking.Places) > 0 || s.ImageSize == 0 {
 		return false
 	}
 	var fetch micros
@@ -64,7 +64,7 @@
 	}
 	r := w.request
 	r.Limit = sc.quotaAllowance(p, j, p.heldForTeam[j.Spec.Team])
-	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Suspect {
+	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Failures.Suspect {
 		// Its team's limit leaves no room for all of its tasks at once.
 		// Without this, smaller jobs of the team would take what comes free,
 		// one task at a time, for as long as they last.
@@ -72,12 +72,12 @@
 	}
 	res := sc.slotTable.Next(r)
 	w.result = res
-	j.Bookings = j.Bookings[:0]
+	j.Booking.Places = j.Booking.Places[:0]
 	for _, b := range res.Booked {
-		j.Bookings = append(j.Bookings, state.Booking{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
+		j.Booking.Places = append(j.Booking.Places, state.BookedPlace{Machine: b.Machine.Name, Begin: b.Begin, Ready: b.Ready})
 	}
 	if res.Late {
-		j.BookingRetryAt = sc.now.Steady + bookingRetryDelay
+		j.Booking.RetryAt = sc.now.Steady + bookingRetryDelay
 	}
 	for i, pl := range res.Start {
 		sc.assignTask(w, w.tasks[i], pl)
@@ -86,7 +86,7 @@
 		sc.cycleNeeded = true // the rest of a long array comes with the next round
 	}
 	if len(res.Booked) > 0 {
-		j.BookedZone = res.Booked[0].Machine.Zone
+		j.Booking.Zone = res.Booked[0].Machine.Zone
 		sc.persistBooking(w, res)
 	}
 }
@@ -123,10 +123,10 @@
 	}
 	var number uint64
 	if j.Spec.Kind == protocol.Gang {
-		if j.GangAttempt == 0 {
-			j.GangAttempt = sc.nextAttemptNumber()
+		if j.Gang.Attempt == 0 {
+			j.Gang.Attempt = sc.nextAttemptNumber()
 		}
-		number = j.GangAttempt
+		number = j.Gang.Attempt
 	} else {
 		number = sc.nextAttemptNumber()
 	}
@@ -139,7 +139,7 @@
 	}
 	a := sc.cluster.Attach(sc.now.Steady, j, h, name)
 	a.ExpectedReady = p.Ready
-	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool { return m.Host == h })
+	j.Preemption.Reservations = slices.DeleteFunc(j.Preemption.Reservations, func(m state.Reservation) bool { return m.Host == h })
 	sc.cluster.SetAttemptState(sc.now.Steady, a, state.AttemptAssigned)
 	sc.agents.updateIdleSince(h)
 	sc.records.recordLaunch(a, sc.records.launchRecordDue(j.Spec))
@@ -158,9 +158,9 @@
 // cluster keeps a deadline job's booking.
 func (sc *scheduler) persistBooking(w *pendingJob, res slottable.Result) {
 	j := w.job
-	j.BookedStart = res.Booked[0].Begin
-	if j.Spec.Deadline > 0 && res.Viable && !j.BookingPersisted {
-		j.BookingPersisted = true
+	j.Booking.Start = res.Booked[0].Begin
+	if j.Spec.Deadline > 0 && res.Viable && !j.Booking.Persisted {
+		j.Booking.Persisted = true
 		sc.records.bookingShards.put(j.Spec.Ref, bookingRecordSize(j.Spec.Ref), sc.records.shardCapacity(), sc.now.Steady+bookingBatchDelay, false)
 	}
 }
--- a/internal/controller/placement_request.go
+++ b/internal/controller/placement_request.go
@@ -17,16 +17,16 @@
 	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
-	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.BackoffUntil {
+	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.Failures.BackoffUntil {
 		return false
 	}
-	if j.Suspect && sc.faults.isProven(j) {
+	if j.Failures.Suspect && sc.faults.isProven(j) {
 		sc.faults.confirmHealthy(j)
 	}
-	if j.Suspect && j.AttemptCount > 0 {
+	if j.Failures.Suspect && j.AttemptCount > 0 {
 		return false // what is being tried says whether it can run
 	}
-	if s.Kind == protocol.Gang && (j.GangStarted || sc.hasStoppingAttempt(j)) {
+	if s.Kind == protocol.Gang && (j.Gang.Started || sc.hasStoppingAttempt(j)) {
 		return false // what is left of the attempt has to end first
 	}
 	var used map[string]int
@@ -71,34 +71,34 @@
 	}
 	w.request = r
 	if r.Gang && s.SingleZone {
-		r.Stay = j.BookedZone
+		r.Stay = j.Booking.Zone
 	}
 	if s.SpreadZones {
 		r.ZoneCap = (s.Tasks + 1) / 2
 	}
 	if due := effectiveDeadline(j); due > 0 {
 		r.Deadline = due - sc.operator.DeadlineMargin
-		r.NoBooking = at < j.BookingRetryAt
+		r.NoBooking = at < j.Booking.RetryAt
 	}
-	if j.Suspect && s.Kind != protocol.Gang {
+	if j.Failures.Suspect && s.Kind != protocol.Gang {
 		w.tasks = w.tasks[:1]
 		r.Tasks = 1
 	}
-	if len(j.FailuresByHost) > 0 && !j.Suspect {
-		failures := j.FailuresByHost
+	if len(j.Failures.ByHost) > 0 && !j.Failures.Suspect {
+		failures := j.Failures.ByHost
 		r.Avoid = func(name string) bool { return failures[name] > 0 }
 	}
-	if len(j.Reservations) > 0 && !sc.applyReservations(w) {
+	if len(j.Preemption.Reservations) > 0 && !sc.applyReservations(w) {
 		return false
 	}
-	for _, b := range j.Bookings {
+	for _, b := range j.Booking.Places {
 		h := sc.cluster.Host(b.Machine)
 		if h == nil || sc.machines[h] == nil {
 			r.Kept = nil
 			break
 		}
 		begin := b.Begin
-		if at < j.ReservedUntil && len(j.Reservations) == 0 {
+		if at < j.Preemption.ReservedUntil && len(j.Preemption.Reservations) == 0 {
 			// What was stopped for it may take a little longer to end.
 			r.Hold = true
 			begin = max(begin, at+2*protocol.Second)
@@ -114,11 +114,11 @@
 // others, or room.
 func (sc *scheduler) applyReservations(w *pendingJob) bool {
 	j, r := w.job, w.request
-	j.Reservations = slices.DeleteFunc(j.Reservations, func(m state.Reservation) bool {
+	j.Preemption.Reservations = slices.DeleteFunc(j.Preemption.Reservations, func(m state.Reservation) bool {
 		return sc.now.Steady >= m.Until || sc.machines[m.Host] == nil || !sc.isSchedulable(m.Host)
 	})
 	waiting := 0
-	for _, m := range j.Reservations {
+	for _, m := range j.Preemption.Reservations {
 		row := sc.machines[m.Host]
 		r.Preferred = append(r.Preferred, row)
 		if !row.Free().Covers(r.Need) {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -64,7 +64,7 @@
 	at := sc.now.Steady
 	j := w.job
 	s := j.Spec
-	if j.Priority > protocol.PriorityHigh || j.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.PreemptionRetryAt {
+	if j.Priority > protocol.PriorityHigh || j.Failures.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.Preemption.RetryAt {
 		return
 	}
 	need := preemptionGoal{startObjective: sc.startObjective(s.Class), usedHosts: make(map[*state.Host]bool)}
@@ -92,7 +92,7 @@
 	}
 	if s.Kind == protocol.Gang && len(w.tasks) > 1 {
 		switch {
-		case at < j.ReservedUntil || w.request.Limit < len(w.tasks):
+		case at < j.Preemption.ReservedUntil || w.request.Limit < len(w.tasks):
 		case missing > 0:
 			sc.preemptForGang(p, w, need)
 		case len(cold) > 0 && sc.canWithdraw(w):
@@ -106,13 +106,13 @@
 		return
 	}
 	zones := tasksByZone(w)
-	for _, m := range j.Reservations {
+	for _, m := range j.Preemption.Reservations {
 		need.usedHosts[m.Host] = true
 		zones[m.Host.Zone]++
 	}
 	for ; missing > 0; missing-- {
 		if !sc.preemptForTask(p, w, &need, zones) {
-			j.PreemptionRetryAt = at + preemptionRetryDelay
+			j.Preemption.RetryAt = at + preemptionRetryDelay
 			break
 		}
 	}
@@ -125,7 +125,7 @@
 		need.readyWithout = w.result.Start[i].Ready
 		zones[a.Host.Zone]--
 		if !sc.preemptForTask(p, w, &need, zones) {
-			j.PreemptionRetryAt = at + preemptionRetryDelay
+			j.Preemption.RetryAt = at + preemptionRetryDelay
 			break
 		}
 		sc.agents.onAttemptLost(a) // no launch has left yet
@@ -216,8 +216,8 @@
 	delete(p.preemptible, h)
 	need.usedHosts[h] = true
 	zones[h.Zone]++
-	j.ReservedUntil = at + reservationTime
-	j.Reservations = append(j.Reservations, state.Reservation{Host: h, Until: j.ReservedUntil})
+	j.Preemption.ReservedUntil = at + reservationTime
+	j.Preemption.Reservations = append(j.Preemption.Reservations, state.Reservation{Host: h, Until: j.Preemption.ReservedUntil})
 	sc.preemptVictims(j, best, need.immediate)
 	return true
 }
--- a/internal/controller/prober.go
+++ b/internal/controller/prober.go
@@ -32,8 +32,8 @@
 // queueProbe asks a host what is on it, rather than waiting until its worker finds
 // this leader.
 func (p *prober) queueProbe(h *state.Host) {
-	if h.Addr != "" && !h.Probing {
-		h.Probing = true
+	if h.Addr != "" && !h.Probe.InFlight {
+		h.Probe.InFlight = true
 		p.queue = append(p.queue, h)
 	}
 }
@@ -51,11 +51,11 @@
 			rest = append(rest, h)
 			continue
 		}
-		if p.cluster.Host(h.Name) != h || h.Reconciled && at-h.LastContact < p.platform.HeartbeatInterval && !ignoresCommands(h) {
-			h.Probing = false // it has reported meanwhile
+		if p.cluster.Host(h.Name) != h || h.Reconciled && at-h.Agent.LastContact < p.platform.HeartbeatInterval && !ignoresCommands(h) {
+			h.Probe.InFlight = false // it has reported meanwhile
 			continue
 		}
-		p.sendProbe(h, max(1, h.AgentEpoch), 2)
+		p.sendProbe(h, max(1, h.Agent.Epoch), 2)
 	}
 	p.queue = rest
 }
@@ -75,20 +75,20 @@
 			return
 		}
 		if waiting--; waiting == 0 {
-			h.Probing = false
+			h.Probe.InFlight = false
 		}
 		if p.cluster.Host(h.Name) != h {
 			return
 		}
-		if waiting == 0 && failed && h.LastContact < asked && !p.isLagging(p.now.Steady-asked+protocol.Second) {
-			h.ProbeFailed = true
+		if waiting == 0 && failed && h.Agent.LastContact < asked && !p.isLagging(p.now.Steady-asked+protocol.Second) {
+			h.Probe.Failed = true
 		}
 		report := p.commands.parseCommandResponse(h, r)
 		if report == nil || !p.commands.applyCommandResponse(h, report) {
 			return
 		}
 		if tries > 1 && !h.Reconciled && report.AgentEpoch != session {
-			h.Probing = true
+			h.Probe.InFlight = true
 			p.sendProbe(h, report.AgentEpoch, tries-1)
 		}
 	}
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -33,14 +33,14 @@
 		}
 		s := j.Spec
 		sums[s.Team] = sums[s.Team].Add(s.TaskResources, int64(s.Tasks-j.CompletedTasks))
-		if j.QueuedTasks == 0 || at < j.BackoffUntil {
+		if j.QueuedTasks == 0 || at < j.Failures.BackoffUntil {
 			continue
 		}
 		if !sc.reconciled && sc.launchesUnrecorded && j.LeaderEpoch != sc.epoch {
 			continue // its tasks may be on hosts that have not reported yet
 		}
 		w := &pendingJob{job: j, withinGuarantee: fitsGuarantee(sc.guarantee(s.Team), sums[s.Team])}
-		w.deadlineMissed, w.hasReservation = sc.isDeadlineMissed(j), at < j.ReservedUntil
+		w.deadlineMissed, w.hasReservation = sc.isDeadlineMissed(j), at < j.Preemption.ReservedUntil
 		w.queueOrder = j.EligibleAt
 		if s.Kind == protocol.Array {
 			// Jobs count alike, so a large one lets small ones pass that come a
@@ -51,8 +51,8 @@
 	}
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
-		if x.job.Suspect != y.job.Suspect {
-			return y.job.Suspect
+		if x.job.Failures.Suspect != y.job.Failures.Suspect {
+			return y.job.Failures.Suspect
 		}
 		if x.job.Priority != y.job.Priority {
 			return x.job.Priority < y.job.Priority
@@ -88,8 +88,8 @@
 // overload each late job would make the next one late too.
 func (sc *scheduler) isDeadlineMissed(j *state.Job) bool {
 	due := sc.objectives.objectiveDeadline(j)
-	if j.InheritedDeadline > 0 && (due == 0 || j.InheritedDeadline < due) {
-		due = j.InheritedDeadline
+	if j.Dependencies.InheritedDeadline > 0 && (due == 0 || j.Dependencies.InheritedDeadline < due) {
+		due = j.Dependencies.InheritedDeadline
 	}
 	if due == 0 {
 		return false
--- a/internal/controller/record_store.go
+++ b/internal/controller/record_store.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -31,10 +32,10 @@
 
 func newRecordStore(tc *termContext) *recordStore {
 	rs := &recordStore{termContext: tc, launches: make(map[string]*state.Attempt)}
-	rs.hostShards = newRecordShards(state.HostShardPrefix, rs.encodeHosts)
-	rs.bookingShards = newRecordShards(state.BookingShardPrefix, rs.encodeBookings)
-	rs.completionShards = newRecordShards(state.CompletionShardPrefix, rs.encodeCompletions)
-	rs.launchShards = newRecordShards(state.LaunchShardPrefix, rs.encodeLaunches)
+	rs.hostShards = newRecordShards(records.HostShardPrefix, rs.encodeHosts)
+	rs.bookingShards = newRecordShards(records.BookingShardPrefix, rs.encodeBookings)
+	rs.completionShards = newRecordShards(records.CompletionShardPrefix, rs.encodeCompletions)
+	rs.launchShards = newRecordShards(records.LaunchShardPrefix, rs.encodeLaunches)
 	return rs
 }
 
@@ -65,7 +66,7 @@
 // encodeLaunches makes the record that some launches share. What is over falls
 // out of it.
 func (rs *recordStore) encodeLaunches(names []string) ([]byte, func()) {
-	var list []state.Launch
+	var list []records.Launch
 	var attempts []*state.Attempt
 	for _, name := range names {
 		a := rs.launches[name]
@@ -74,9 +75,9 @@
 			rs.launchShards.drop(name, protocol.Forever)
 			continue
 		}
-		list, attempts = append(list, state.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
+		list, attempts = append(list, records.Launch{Name: a.Name, Host: a.Host.Name}), append(attempts, a)
 	}
-	return state.EncodeLaunches(list), func() {
+	return records.EncodeLaunches(list), func() {
 		for _, a := range attempts {
 			if !a.Recorded {
 				a.Recorded = true
@@ -102,7 +103,7 @@
 // key asks for a host's record. Nothing is launched on a host before: a
 // successor must know where tasks may be.
 func (rs *recordStore) recordHost(h *state.Host) {
-	if !h.Recorded {
+	if !h.Record.Written {
 		rs.hostShards.put(h.Name, hostRecordSize(h), rs.hostShardCapacity(), rs.now.Steady, true)
 	}
 }
@@ -112,27 +113,27 @@
 	var hosts []*state.Host
 	for _, name := range names {
 		if h := rs.cluster.Host(name); h != nil {
-			if h.RecordedWall == 0 {
-				h.RecordedWall = rs.now.Wall
+			if h.Record.WrittenWall == 0 {
+				h.Record.WrittenWall = rs.now.Wall
 			}
-			h.ImagesUnrecorded = false
+			h.Record.ImagesStale = false
 			hosts = append(hosts, h)
 		}
 	}
-	value := state.EncodeHosts(hosts, true)
+	value := records.EncodeHosts(hosts, true)
 	if len(value) > rs.store.limits.target.maxValueBytes {
-		value = state.EncodeHosts(hosts, false)
+		value = records.EncodeHosts(hosts, false)
 	}
 	return value, func() {
 		for _, h := range hosts {
-			if !h.Recorded {
-				h.Recorded = true
+			if !h.Record.Written {
+				h.Record.Written = true
 				rs.cycleNeeded = true
 				rs.commands.queueCommands(h)
 			}
-			if h.LegacyRecord {
-				h.LegacyRecord = false
-				rs.orphanedKeys = append(rs.orphanedKeys, state.LegacyHostPrefix+h.Name)
+			if h.Record.Legacy {
+				h.Record.Legacy = false
+				rs.orphanedKeys = append(rs.orphanedKeys, records.LegacyHostPrefix+h.Name)
 			}
 		}
 	}
@@ -159,7 +160,7 @@
 	}
 	rs.nextImageRecord = rs.now.Steady + imageRecordDelay(len(rs.hostShards.shards), rs.store.writeRate())
 	for _, h := range rs.cluster.Hosts() {
-		if h.Recorded && h.ImagesUnrecorded && h.State == state.HostReady {
+		if h.Record.Written && h.Record.ImagesStale && h.State == state.HostReady {
 			rs.hostShards.put(h.Name, hostRecordSize(h), rs.hostShardCapacity(), rs.now.Steady, false)
 		}
 	}
@@ -167,9 +168,9 @@
 
 // encodeBookings makes the record that some bookings share.
 func (rs *recordStore) encodeBookings(refs []string) ([]byte, func()) {
-	return state.EncodeBookings(refs, func(ref string) micros {
+	return records.EncodeBookings(refs, func(ref string) micros {
 		if j := rs.cluster.Job(ref); j != nil {
-			return j.BookedStart - rs.now.Steady + rs.now.Wall
+			return j.Booking.Start - rs.now.Steady + rs.now.Wall
 		}
 		return 0
 	}), nil
@@ -187,7 +188,7 @@
 		}
 		jobs, tasks = append(jobs, j), append(tasks, j.CompletedNotDurable(0, len(j.Tasks)))
 	}
-	return state.EncodeCompletions(jobs), func() {
+	return records.EncodeCompletions(jobs), func() {
 		for i, j := range jobs {
 			for _, k := range tasks[i] {
 				j.Tasks[k].Durable = true
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -11,6 +11,7 @@
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/state"
 )
@@ -48,8 +49,8 @@
 	done := make(map[string][][]byte)
 	chunks := make(map[string][]protocol.Entry)
 	host := func(h *state.Host) {
-		h.LeaseRenewedAt = rc.election.lease.predecessorAnswersUntil
-		h.LastContact = rc.now.Steady
+		h.Agent.LeaseRenewedAt = rc.election.lease.predecessorAnswersUntil
+		h.Agent.LastContact = rc.now.Steady
 		if t.cluster.Host(h.Name) == nil {
 			t.cluster.AddHost(h)
 		}
@@ -58,24 +59,24 @@
 	damaged := rc.logDamagedRecord
 	refused := false
 	steps := []recordReader{
-		{state.KeyTypes, func(e protocol.Entry) {
-			if e.Key == state.KeyTypes {
+		{records.KeyMachineTypes, func(e protocol.Entry) {
+			if e.Key == records.KeyMachineTypes {
 				rc.catalog.applyMachineTypesRecord(e.Value)
 			}
 		}},
-		{state.KeyHandover, func(e protocol.Entry) {
-			if e.Key != state.KeyHandover {
+		{records.KeyHandover, func(e protocol.Entry) {
+			if e.Key != records.KeyHandover {
 				return
 			}
-			m, err := state.DecodeHandoverState(e.Value)
+			m, err := records.DecodeHandover(e.Value)
 			if err != nil {
 				damaged(e, err) // what it says is found out again
 				return
 			}
 			rc.membership.handover = leadership.Newest(rc.membership.handover, m)
 		}},
-		{state.HostShardPrefix, func(e protocol.Entry) {
-			hosts, err := state.DecodeHosts(rc.now.Steady, e.Value)
+		{records.HostShardPrefix, func(e protocol.Entry) {
+			hosts, err := records.DecodeHosts(rc.now.Steady, e.Value)
 			if err != nil {
 				// Tasks may be on its hosts, which nobody else names.
 				damaged(e, err)
@@ -88,18 +89,18 @@
 				t.records.hostShards.assignStored(g, h.Name, hostRecordSize(h))
 			}
 		}},
-		{state.LegacyHostPrefix, func(e protocol.Entry) {
-			h, err := state.DecodeLegacyHost(rc.now.Steady, strings.TrimPrefix(e.Key, state.LegacyHostPrefix), e.Value)
+		{records.LegacyHostPrefix, func(e protocol.Entry) {
+			h, err := records.DecodeLegacyHost(rc.now.Steady, strings.TrimPrefix(e.Key, records.LegacyHostPrefix), e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
 				return
 			}
-			h.LegacyRecord = true
+			h.Record.Legacy = true
 			host(h)
 		}},
-		{state.BookingShardPrefix, func(e protocol.Entry) {
-			at, err := state.DecodeBookings(e.Value)
+		{records.BookingShardPrefix, func(e protocol.Entry) {
+			at, err := records.DecodeBookings(e.Value)
 			if err != nil {
 				damaged(e, err) // a booking is found again by planning
 				t.records.bookingShards.reserveNumber(e.Key)
@@ -111,17 +112,17 @@
 				bookings[ref] = at
 			}
 		}},
-		{state.LegacyBookingPrefix, func(e protocol.Entry) {
+		{records.LegacyBookingPrefix, func(e protocol.Entry) {
 			t.records.orphanedKeys = append(t.records.orphanedKeys, e.Key)
 			at, err := strconv.ParseInt(string(e.Value), 10, 64)
 			if err != nil {
 				damaged(e, err)
 				return
 			}
-			bookings[strings.TrimPrefix(e.Key, state.LegacyBookingPrefix)] = micros(at)
+			bookings[strings.TrimPrefix(e.Key, records.LegacyBookingPrefix)] = micros(at)
 		}},
-		{state.CompletionShardPrefix, func(e protocol.Entry) {
-			list, err := state.DecodeCompletions(e.Value)
+		{records.CompletionShardPrefix, func(e protocol.Entry) {
+			list, err := records.DecodeCompletions(e.Value)
 			if err != nil {
 				damaged(e, err) // its tasks run again
 				t.records.completionShards.reserveNumber(e.Key)
@@ -133,8 +134,8 @@
 				done[ref] = append(done[ref], bits) // two records name it while one is divided
 			}
 		}},
-		{state.LaunchShardPrefix, func(e protocol.Entry) {
-			list, err := state.DecodeLaunches(e.Value)
+		{records.LaunchShardPrefix, func(e protocol.Entry) {
+			list, err := records.DecodeLaunches(e.Value)
 			if err != nil {
 				damaged(e, err)
 				refused = true
@@ -150,11 +151,11 @@
 				}
 			}
 		}},
-		{state.ChunkPrefix, func(e protocol.Entry) {
-			ref, _, _ := strings.Cut(strings.TrimPrefix(e.Key, state.ChunkPrefix), "/")
+		{records.ChunkPrefix, func(e protocol.Entry) {
+			ref, _, _ := strings.Cut(strings.TrimPrefix(e.Key, records.ChunkPrefix), "/")
 			chunks[ref] = append(chunks[ref], e)
 		}},
-		{state.JobPrefix, func(e protocol.Entry) { rc.term.jobs.observeJobRecord(e) }},
+		{records.JobPrefix, func(e protocol.Entry) { rc.term.jobs.observeJobRecord(e) }},
 	}
 	if rc.features.state != nil {
 		steps = append(steps, recordReader{featuregate.KeyLevel, rc.features.levelReader(&refused)})
@@ -196,7 +197,7 @@
 				return
 			}
 			t.recoveryStages = append(t.recoveryStages, SpanStage{"read " + s.prefix, began, rc.now.Steady})
-			if s.prefix == state.JobPrefix {
+			if s.prefix == records.JobPrefix {
 				jobsFrom = rev
 			}
 			if waiting--; waiting > 0 {
@@ -204,7 +205,7 @@
 			}
 			for ref, at := range bookings {
 				if j := t.cluster.Job(ref); j != nil {
-					j.BookedStart, j.BookingPersisted = rc.steadyTime(at), true
+					j.Booking.Start, j.Booking.Persisted = rc.steadyTime(at), true
 					t.records.bookingShards.put(ref, bookingRecordSize(ref), rc.term.records.shardCapacity(), protocol.Forever, false)
 				} else {
 					t.records.bookingShards.drop(ref, protocol.Forever)
@@ -217,7 +218,7 @@
 					continue
 				}
 				for _, b := range bits {
-					if err := state.ApplyChunk(j, 0, b); err != nil {
+					if err := records.ApplyChunk(j, 0, b); err != nil {
 						rc.log.Error("damaged record", "key", t.records.completionShards.shardOf[ref].key, "job", ref, "err", err)
 					}
 				}
@@ -231,7 +232,7 @@
 					k, err := strconv.Atoi(e.Key[strings.LastIndexByte(e.Key, '/')+1:])
 					if j != nil && err == nil {
 						j.SetChunkRevision(k, e.Revision)
-						err = state.ApplyChunk(j, k, e.Value)
+						err = records.ApplyChunk(j, k, e.Value)
 					}
 					if err != nil {
 						damaged(e, err)
@@ -252,7 +253,7 @@
 
 // recordedLaunch is a launch and the record that names it.
 type recordedLaunch struct {
-	state.Launch
+	records.Launch
 	shard *recordShard
 }
 
@@ -268,10 +269,10 @@
 	rc.term.dependencies.onTaskLaunched(j)
 	a := t.cluster.Attach(rc.now.Steady, j, h, l.Name)
 	a.Adopted, a.Recorded = true, true
-	j.StartSLOCounted = true // by an earlier leader, which knew whether it began in time
+	j.Objectives.StartCounted = true // by an earlier leader, which knew whether it began in time
 	t.cluster.SetAttemptState(rc.now.Steady, a, state.AttemptLaunched)
 	if j.Spec.Kind == protocol.Gang {
-		j.GangAttempt = max(j.GangAttempt, l.Name.Number)
+		j.Gang.Attempt = max(j.Gang.Attempt, l.Name.Number)
 	}
 	a.StopRequested = j.State != state.JobActive
 	// It stays in the record that names it for as long as it may be there.
@@ -287,7 +288,7 @@
 	rc.term.handover.applyHandover()
 	for _, h := range t.cluster.Hosts() {
 		h.Type = rc.catalog.byName[h.TypeName]
-		if h.LegacyRecord {
+		if h.Record.Legacy {
 			t.records.hostShards.put(h.Name, hostRecordSize(h), rc.term.records.hostShardCapacity(), rc.now.Steady, true)
 		}
 	}
@@ -327,8 +328,8 @@
 			return
 		}
 	}
-	value := state.EncodeEpoch(state.EpochRecord{Epoch: t.epoch, Transfers: t.transfer.recent, Level: rc.features.activeLevel()})
-	rc.election.leaderTransaction(priorityUrgent, rc.features.withLevelCondition(nil), []protocol.Change{{Key: state.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
+	value := records.EncodeEpoch(records.Epoch{Number: t.epoch, Transfers: t.transfer.recent, Level: rc.features.activeLevel()})
+	rc.election.leaderTransaction(priorityUrgent, rc.features.withLevelCondition(nil), []protocol.Change{{Key: records.KeyEpoch, Value: value}}, func(o txnOutcome, r protocol.TxnResult) {
 		rc.features.handleLevelConflict(o, r)
 		if o != txnCommitted {
 			rc.after(protocol.Second, func() { rc.confirmLaunchesRecorded(t) })
@@ -341,9 +342,9 @@
 // loadFinishedJobs reads which jobs are over, so that questions about them need no
 // lookup each: many users still ask when a leader is new.
 func (rc *recovery) loadFinishedJobs(t *leaderTerm) {
-	rc.store.listPrefix(priorityNormal, state.FinalPrefix, func(e protocol.Entry) {
-		if p, n, err := state.DecodeFinal(e.Value); err == nil && !rc.directory.finishedJobs.full() {
-			rc.directory.cacheFinishedJob(strings.TrimPrefix(e.Key, state.FinalPrefix), finishedJob{p, n})
+	rc.store.listPrefix(priorityNormal, records.FinalPrefix, func(e protocol.Entry) {
+		if p, n, err := records.DecodeFinal(e.Value); err == nil && !rc.directory.finishedJobs.full() {
+			rc.directory.cacheFinishedJob(strings.TrimPrefix(e.Key, records.FinalPrefix), finishedJob{p, n})
 		}
 	}, func(_ uint64, ok bool) {
 		if !ok && rc.term == t {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -66,7 +66,7 @@
 				if _, gone := as.releasedHosts[name]; as.cluster.Host(name) == nil && !gone {
 					h := state.NewHost(asked, name, k.machineType, k.zone, k.spot)
 					h.Type, h.Rented = as.catalog.byName[k.machineType], true
-					h.LastContact = at
+					h.Agent.LastContact = at
 					as.cluster.AddHost(h)
 				}
 			}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -177,7 +177,7 @@
 	p := &schedulingCycle{heldForTeam: make(map[string]protocol.Resources), preemptible: make(map[*state.Host]protocol.Resources), startedAt: sc.now.Steady}
 	if !sc.reconciled && sc.launchesUnrecorded {
 		for _, h := range sc.cluster.Hosts() {
-			if h.FromRecord && !h.Reconciled {
+			if h.Record.FromEarlierEpoch && !h.Reconciled {
 				if h.Type == nil {
 					p.unknownTypes = true
 				} else {
--- a/internal/controller/slot_table_sync.go
+++ b/internal/controller/slot_table_sync.go
@@ -22,7 +22,7 @@
 		}
 		m := sc.machines[h]
 		usable := sc.isSchedulable(h)
-		booting := h.State == state.HostBooting && !h.FromRecord
+		booting := h.State == state.HostBooting && !h.Record.FromEarlierEpoch
 		if m == nil {
 			typ := h.Type
 			m = &slottable.Machine{
@@ -62,8 +62,8 @@
 // isSchedulable reports whether tasks may be put on a host.
 func (sc *scheduler) isSchedulable(h *state.Host) bool {
 	at := sc.now.Steady
-	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interrupted && !ignoresCommands(h) && !sc.hosts.missesHeartbeats(h) && sc.config.drainOf(h) == configuration.NotDrained &&
-		at >= h.QuarantinedUntil && at >= h.FullUntil && at-h.LastContact < 2*sc.platform.HeartbeatInterval+protocol.Second
+	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interruption.Noticed && !ignoresCommands(h) && !sc.hosts.missesHeartbeats(h) && sc.config.drainOf(h) == configuration.NotDrained &&
+		at >= h.Quarantine.Until && at >= h.FullUntil && at-h.Agent.LastContact < 2*sc.platform.HeartbeatInterval+protocol.Second
 }
 
 // refreshMachine makes a host's row from what is known of it.
@@ -83,7 +83,7 @@
 	if h.RuntimeRatio > 1.8 {
 		m.Penalty = micros((h.RuntimeRatio - 1) * 10 * float64(protocol.Second))
 	}
-	if len(h.SuspectedBy) > 0 {
+	if len(h.Quarantine.SuspectedBy) > 0 {
 		m.Penalty += 10 * protocol.Second
 	}
 	m.Unheld = !h.Spot && !sc.hasRetainingWork(h)
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -62,7 +62,7 @@
 	s.Hosts, s.WaitingJobs, s.RunningTasks = make(map[string]int), make(map[string]int), make(map[string]int)
 	for _, h := range c.term.cluster.Hosts() {
 		s.Hosts[h.State.String()]++
-		if h.FromRecord && !h.Reconciled {
+		if h.Record.FromEarlierEpoch && !h.Reconciled {
 			s.UnreconciledHosts++
 		}
 	}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -20,7 +21,7 @@
 // submitWithoutLeader creates a job's record without the leader, which notices it.
 func (sb *submissions) submitWithoutLeader(to ReplyAddress, spec *protocol.JobSpec, over func()) {
 	if len(sb.catalog.types) == 0 {
-		sb.store.getKey(priorityUser, state.KeyTypes, func(e protocol.Entry, found, ok bool) {
+		sb.store.getKey(priorityUser, records.KeyMachineTypes, func(e protocol.Entry, found, ok bool) {
 			if found {
 				sb.catalog.applyMachineTypesRecord(e.Value)
 			}
@@ -134,7 +135,7 @@
 // take here it notices as those that other nodes write.
 func (sb *submissions) createJobRecord(to ReplyAddress, j *state.Job, phase protocol.Phase, write jobRecordWriter, refused func()) {
 	ref, t := j.Spec.Ref, sb.term
-	value := state.EncodeJob(j)
+	value := records.EncodeJob(j)
 	// An earlier submission of it may have been accepted under a larger limit.
 	tooLong := func() { sb.rejectUnlessAccepted(to, j.Spec, 400, "description too long") }
 	if len(value) > sb.store.limits.accepted.maxValueBytes {
@@ -143,8 +144,8 @@
 		tooLong()
 		return
 	}
-	when := []protocol.Condition{{Key: state.JobPrefix + ref}, {Key: state.FinalPrefix + ref}}
-	then := []protocol.Change{{Key: state.JobPrefix + ref, Value: value}}
+	when := []protocol.Condition{{Key: records.JobPrefix + ref}, {Key: records.FinalPrefix + ref}}
+	then := []protocol.Change{{Key: records.JobPrefix + ref, Value: value}}
 	write(when, then, func(o txnOutcome, r protocol.TxnResult) {
 		switch o {
 		case txnCommitted:
--- a/internal/controller/transfer_controller.go
+++ b/internal/controller/transfer_controller.go
@@ -3,7 +3,7 @@
 import (
 	"mapleslip/internal/leadership"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // transferController decides whether this leader hands leadership over to a controller that
@@ -70,8 +70,8 @@
 func (tr *transferController) transferLeadership(to string, heard map[string]int) {
 	tr.inFlight = true
 	y := protocol.LeadershipTransfer{From: tr.platform.ControllerName, To: to, Epoch: tr.epoch, At: tr.now.Wall, ReachableWorkers: heard}
-	rec := state.EpochRecord{Epoch: tr.epoch, LaunchesUnrecorded: tr.launchesUnrecorded, Transfers: leadership.RecentTransfers(append(tr.recent, y), tr.now.Wall), Level: tr.features.activeLevel()}
-	then := []protocol.Change{{Key: state.KeyEpoch, Value: state.EncodeEpoch(rec)}, {Key: state.KeyLeader}}
+	rec := records.Epoch{Number: tr.epoch, LaunchesUnrecorded: tr.launchesUnrecorded, Transfers: leadership.RecentTransfers(append(tr.recent, y), tr.now.Wall), Level: tr.features.activeLevel()}
+	then := []protocol.Change{{Key: records.KeyEpoch, Value: records.EncodeEpoch(rec)}, {Key: records.KeyLeader}}
 	tr.election.leaderTransaction(priorityLeadership, tr.features.withLevelCondition(nil), then, func(o txnOutcome, r protocol.TxnResult) {
 		if other := tr.features.handleLevelConflict(o, r); other || o.notExecuted() {
 			tr.inFlight, tr.cycleNeeded = false, true // nothing was done: it is looked at again
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -8,7 +8,7 @@
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // levelled is a controller that has just been started.
@@ -90,14 +90,14 @@
 	c.recovery.confirmLaunchesRecorded(term)
 	c.features.persistMachineTypes(term)
 	effects := c.flush()
-	for _, key := range []string{state.KeyEpoch, state.KeyTypes} {
+	for _, key := range []string{records.KeyEpoch, records.KeyMachineTypes} {
 		written := calls(effects, `"set":"`+key+`"`)
 		for _, w := range written {
 			if !strings.Contains(string(w.Body), underLevel) || !strings.Contains(string(w.Body), `{"form":3,`) {
 				t.Errorf("%s", w.Body)
 			}
 		}
-		if want := map[string]int{state.KeyEpoch: 2, state.KeyTypes: 1}[key]; len(written) != want {
+		if want := map[string]int{records.KeyEpoch: 2, records.KeyMachineTypes: 1}[key]; len(written) != want {
 			t.Errorf("%d writes of %s", len(written), key)
 		}
 	}
@@ -134,12 +134,12 @@
 	c, _ := levelled(t)
 	c.catalog.types = []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 8000, Memory: 64000}, FetchRate: 0.001, Price: 1, SpotPrice: 1, BootTime: protocol.Second, Zones: []string{"a"}}}
 	value, fits := c.catalog.encodeMachineTypes(1)
-	if types, later, err := state.DecodeTypes(value); err != nil || !later || !fits || len(types) != 1 {
+	if types, later, err := records.DecodeMachineTypes(value); err != nil || !later || !fits || len(types) != 1 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
 	c.store.limits.target.maxValueBytes = 100
 	value, fits = c.catalog.encodeMachineTypes(1)
-	if _, later, err := state.DecodeTypes(value); err == nil || !later || fits || len(value) > 100 {
+	if _, later, err := records.DecodeMachineTypes(value); err == nil || !later || fits || len(value) > 100 {
 		t.Errorf("%s, %v, %v", value, fits, err)
 	}
 	c.recovery.startRecovery()
--- a/internal/controller/worker_router.go
+++ b/internal/controller/worker_router.go
@@ -101,24 +101,24 @@
 		// worker still waits, so it is answered, but the book stays as it is.
 		// A worker's lease runs from when it sent what is answered, and that was before
 		// the newer message was heard: a copy that comes again and again proves no more.
-		if r.AgentEpoch == h.AgentEpoch {
-			h.LeaseRenewedAt = max(h.LeaseRenewedAt, h.LastContact)
+		if r.AgentEpoch == h.Agent.Epoch {
+			h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, h.Agent.LastContact)
 		}
 		wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, nil), 0)
 		return
 	}
 	if !e.Reply.Peer {
-		h.LeaderUnreachableAt, h.ForwardedAt = 0, 0
+		h.Agent.LeaderUnreachableAt, h.Agent.ForwardedAt = 0, 0
 	} else {
-		h.ForwardedAt = wr.now.Steady
+		h.Agent.ForwardedAt = wr.now.Steady
 		if e.ReturnedFromLeader {
-			h.LeaderUnreachableAt = wr.now.Steady
+			h.Agent.LeaderUnreachableAt = wr.now.Steady
 		}
 	}
 	wr.term.agents.applyHeartbeat(h, r, false)
 	cmds := wr.term.commands.heartbeatCommands(h)
-	h.LeaseRenewedAt = max(h.LeaseRenewedAt, wr.now.Steady)
-	h.RepliedAt = wr.now.Steady
+	h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, wr.now.Steady)
+	h.Agent.RepliedAt = wr.now.Steady
 	wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, cmds), 0)
 }
 
--- a/internal/featuregate/golden_test.go
+++ b/internal/featuregate/golden_test.go
@@ -10,7 +10,7 @@
 
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // written reads what the version in production wrote.
@@ -50,10 +50,10 @@
 		}
 	}
 	types := written(t, sample{name: "machine-types"})
-	if b := state.EncodeTypes(machineTypes(), 0); !bytes.Equal(b, types) {
+	if b := records.EncodeMachineTypes(machineTypes(), 0); !bytes.Equal(b, types) {
 		t.Errorf("machine types\nwritten as %q\nproduction %q", b, types)
 	}
-	if kept, later, err := state.DecodeTypes(types); err != nil || later || !bytes.Equal(protocol.AppendMachineTypes(nil, kept), types) {
+	if kept, later, err := records.DecodeMachineTypes(types); err != nil || later || !bytes.Equal(protocol.AppendMachineTypes(nil, kept), types) {
 		t.Errorf("machine types read as %v, later form %v: %v", kept, later, err)
 	}
 	files, err := filepath.Glob("testdata/level0/*")
@@ -66,33 +66,33 @@
 // refuses, by its own rules: it reads an epoch only of form 2, or that is a number, and
 // machine types only with a list of "flavors". This version reads both forms.
 func TestLaterForms(t *testing.T) {
-	e := state.EpochRecord{Epoch: 9, LaunchesUnrecorded: true, Level: 1, Transfers: []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 8, At: wall, ReachableWorkers: map[string]int{"a": 1}}}}
-	value := state.EncodeEpoch(e)
-	if got, err := state.DecodeEpoch(value); err != nil || got.Epoch != 9 || got.Level != 1 || !got.LaunchesUnrecorded || len(got.Transfers) != 1 {
+	e := records.Epoch{Number: 9, LaunchesUnrecorded: true, Level: 1, Transfers: []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 8, At: wall, ReachableWorkers: map[string]int{"a": 1}}}}
+	value := records.EncodeEpoch(e)
+	if got, err := records.DecodeEpoch(value); err != nil || got.Number != 9 || got.Level != 1 || !got.LaunchesUnrecorded || len(got.Transfers) != 1 {
 		t.Errorf("%s is read as %+v, %v", value, got, err)
 	}
 	if !bytes.HasPrefix(value, []byte(`{"form":3,"level":1,"epoch":9`)) {
 		t.Errorf("the epoch's record is %s", value)
 	}
 	for _, bad := range []string{`{"form":3,"epoch":9}`, `{"form":2,"level":1,"epoch":9}`, `{"form":4,"level":1,"epoch":9}`, `{"form":3,"level":1}`, `[]`, `"9"`} {
-		if got, err := state.DecodeEpoch([]byte(bad)); err == nil {
+		if got, err := records.DecodeEpoch([]byte(bad)); err == nil {
 			t.Errorf("%s is read as %+v", bad, got)
 		}
 	}
-	types := state.EncodeTypes(machineTypes(), 1)
+	types := records.EncodeMachineTypes(machineTypes(), 1)
 	for name, b := range map[string][]byte{"epoch.json": value, "machine-types.json": types} {
 		if kept, err := os.ReadFile("testdata/level1/" + name); err != nil || string(kept) != string(b)+"\n" {
 			t.Errorf("%s: %v\nwritten as %s\nnot as    %s", name, err, b, kept)
 		}
 	}
-	if got, later, err := state.DecodeTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendMachineTypes(nil, got), protocol.AppendMachineTypes(nil, machineTypes())) {
+	if got, later, err := records.DecodeMachineTypes(types); err != nil || !later || !bytes.Equal(protocol.AppendMachineTypes(nil, got), protocol.AppendMachineTypes(nil, machineTypes())) {
 		t.Errorf("%s is read as %v, %v, %v", types, got, later, err)
 	}
 	if got, err := protocol.ParseMachineTypes(types); err == nil {
 		t.Errorf("production's rule reads machine types of the later form as %v", got)
 	}
 	for _, bad := range []string{`{"form":4,"types":{"flavors":[]}}`, `{"form":3}`, `{"form":3,"types":{}}`} {
-		if got, _, err := state.DecodeTypes([]byte(bad)); err == nil {
+		if got, _, err := records.DecodeMachineTypes([]byte(bad)); err == nil {
 			t.Errorf("%s is read as %v", bad, got)
 		}
 	}
--- a/internal/featuregate/production_test.go
+++ b/internal/featuregate/production_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // This file, too, stands by itself. Put into the tree of the version in production beside
@@ -21,7 +21,7 @@
 		return
 	}
 	for name, read := range map[string]func([]byte) error{
-		"epoch.json":         func(b []byte) error { _, err := state.DecodeEpoch(b); return err },
+		"epoch.json":         func(b []byte) error { _, err := records.DecodeEpoch(b); return err },
 		"machine-types.json": func(b []byte) error { _, err := protocol.ParseMachineTypes(b); return err },
 	} {
 		b, err := os.ReadFile(filepath.Join(folder, name))
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -11,6 +11,7 @@
 
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/state"
 )
@@ -80,95 +81,95 @@
 	}
 	job := func(name string, j *state.Job) {
 		j.SubmittedWall, j.LeaderEpoch = wall, 7
-		add(name, state.EncodeJob(j), func(b []byte) ([]byte, error) {
-			j, err := state.DecodeJob(b)
+		add(name, records.EncodeJob(j), func(b []byte) ([]byte, error) {
+			j, err := records.DecodeJob(b)
 			if err != nil {
 				return nil, err
 			}
-			return state.EncodeJob(j), nil
+			return records.EncodeJob(j), nil
 		})
 	}
 	job("job-array", state.NewJob(jobSpec("req-000001", protocol.Array, 25)))
 	job("job-service", state.NewJob(jobSpec("req-000002", protocol.Service, 2)))
 	job("job-with-everything", state.NewJob(fullSpec()))
 	asked := state.NewJob(jobSpec("req-000003", protocol.Array, 1))
-	asked.State, asked.CancelRequestedWall = state.JobCancelling, wall+5
+	asked.State, asked.Cancellation.RequestedWall = state.JobCancelling, wall+5
 	job("job-being-cancelled", asked)
 	told := state.NewJob(jobSpec("req-000004", protocol.Array, 1))
-	told.State, told.CancelRequestedWall = state.JobCancelledLegacy, wall+6
+	told.State, told.Cancellation.RequestedWall = state.JobCancelledLegacy, wall+6
 	job("job-cancelled-by-an-earlier-version", told)
 	for _, p := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
-		add("final-"+string(p), state.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
-			p, n, err := state.DecodeFinal(b)
-			return state.EncodeFinal(p, n), err
+		add("final-"+string(p), records.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
+			p, n, err := records.DecodeFinal(b)
+			return records.EncodeFinal(p, n), err
 		})
 	}
 	yields := []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 6, At: wall, ReachableWorkers: map[string]int{"a": 3, "b": 0}}}
-	for name, e := range map[string]state.EpochRecord{"epoch": {Epoch: 7}, "epoch-unlisted": {Epoch: 8, LaunchesUnrecorded: true}, "epoch-with-yields": {Epoch: 9, Transfers: yields}} {
-		add(name, state.EncodeEpoch(e), func(b []byte) ([]byte, error) {
-			e, err := state.DecodeEpoch(b)
-			return state.EncodeEpoch(e), err
+	for name, e := range map[string]records.Epoch{"epoch": {Number: 7}, "epoch-unlisted": {Number: 8, LaunchesUnrecorded: true}, "epoch-with-yields": {Number: 9, Transfers: yields}} {
+		add(name, records.EncodeEpoch(e), func(b []byte) ([]byte, error) {
+			e, err := records.DecodeEpoch(b)
+			return records.EncodeEpoch(e), err
 		})
 	}
-	add("leader", state.EncodeLeader(state.LeaderRecord{Controller: "node-1", Epoch: 7, Lease: 12, HeartbeatGrace: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
-		l, err := state.DecodeLeader(b)
-		return state.EncodeLeader(l), err
+	add("leader", records.EncodeLeader(records.Leader{Controller: "node-1", Epoch: 7, Lease: 12, HeartbeatGrace: 9 * protocol.Second}), func(b []byte) ([]byte, error) {
+		l, err := records.DecodeLeader(b)
+		return records.EncodeLeader(l), err
 	})
 	add("machine-types", protocol.AppendMachineTypes(nil, machineTypes()), func(b []byte) ([]byte, error) {
 		types, err := protocol.ParseMachineTypes(b)
 		return protocol.AppendMachineTypes(nil, types), err
 	})
 	memory := protocol.HandoverState{Epoch: 7, At: wall, Partitions: []protocol.Partition{{Zone: "a", Since: wall - 9, LastSeen: wall - 1}}, SilentHosts: []protocol.SilentHost{{Host: "n-000009", Since: wall - 7}}}
-	add("memory", state.EncodeHandoverState(memory), func(b []byte) ([]byte, error) {
-		m, err := state.DecodeHandoverState(b)
-		return state.EncodeHandoverState(m), err
+	add("memory", records.EncodeHandover(memory), func(b []byte) ([]byte, error) {
+		m, err := records.DecodeHandover(b)
+		return records.EncodeHandover(m), err
 	})
 	hosts := func(images bool) []byte {
 		var list []*state.Host
 		for i, spot := range []bool{false, true} {
 			h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "big", "a", spot)
-			h.Addr, h.RecordedWall = fmt.Sprintf("10.0.0.%d:9000", i+1), wall
+			h.Addr, h.Record.WrittenWall = fmt.Sprintf("10.0.0.%d:9000", i+1), wall
 			h.Images["work:7"], h.Images["web:1"] = &state.Image{Size: 8250}, &state.Image{Size: 1000}
 			list = append(list, h)
 		}
-		return state.EncodeHosts(list, images)
+		return records.EncodeHosts(list, images)
 	}
 	for name, images := range map[string]bool{"hosts": true, "hosts-without-images": false} {
 		add(name, hosts(images), func(b []byte) ([]byte, error) {
-			list, err := state.DecodeHosts(0, b)
-			return state.EncodeHosts(list, images), err
+			list, err := records.DecodeHosts(0, b)
+			return records.EncodeHosts(list, images), err
 		})
 	}
 	refs := []string{"req-000001", "req-000405"}
-	add("bookings", state.EncodeBookings(refs, func(string) protocol.Micros { return wall }), func(b []byte) ([]byte, error) {
-		at, err := state.DecodeBookings(b)
-		return state.EncodeBookings(refs, func(ref string) protocol.Micros { return at[ref] }), err
+	add("bookings", records.EncodeBookings(refs, func(string) protocol.Micros { return wall }), func(b []byte) ([]byte, error) {
+		at, err := records.DecodeBookings(b)
+		return records.EncodeBookings(refs, func(ref string) protocol.Micros { return at[ref] }), err
 	})
 	array := func() *state.Job { return state.NewJob(jobSpec("req-000001", protocol.Array, 25)) }
 	done := array()
 	for _, i := range []int{0, 3, 24} {
 		done.Complete(i, false)
 	}
-	add("completions", state.EncodeCompletions([]*state.Job{done}), func(b []byte) ([]byte, error) {
-		list, err := state.DecodeCompletions(b)
+	add("completions", records.EncodeCompletions([]*state.Job{done}), func(b []byte) ([]byte, error) {
+		list, err := records.DecodeCompletions(b)
 		j := array()
 		if err == nil {
-			err = state.ApplyChunk(j, 0, list["req-000001"])
+			err = records.ApplyChunk(j, 0, list["req-000001"])
 		}
-		return state.EncodeCompletions([]*state.Job{j}), err
+		return records.EncodeCompletions([]*state.Job{j}), err
 	})
-	add("completions-of-a-large-array", state.EncodeChunk(done, 0), func(b []byte) ([]byte, error) {
+	add("completions-of-a-large-array", records.EncodeChunk(done, 0), func(b []byte) ([]byte, error) {
 		j := array()
-		err := state.ApplyChunk(j, 0, b)
-		return state.EncodeChunk(j, 0), err
+		err := records.ApplyChunk(j, 0, b)
+		return records.EncodeChunk(j, 0), err
 	})
-	launch := func(ref string, index int, host string, number uint64) state.Launch {
-		return state.Launch{Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, Host: host}
+	launch := func(ref string, index int, host string, number uint64) records.Launch {
+		return records.Launch{Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, Host: host}
 	}
-	add("launches", state.EncodeLaunches([]state.Launch{launch("req-000001", 0, "n-000001", 7<<24|1), launch("req-000001", 3, "n-000002", 7<<24|2), launch("req-000405", 1, "n-000001", 7<<24|3)}),
+	add("launches", records.EncodeLaunches([]records.Launch{launch("req-000001", 0, "n-000001", 7<<24|1), launch("req-000001", 3, "n-000002", 7<<24|2), launch("req-000405", 1, "n-000001", 7<<24|3)}),
 		func(b []byte) ([]byte, error) {
-			list, err := state.DecodeLaunches(b)
-			return state.EncodeLaunches(list), err
+			list, err := records.DecodeLaunches(b)
+			return records.EncodeLaunches(list), err
 		})
 	entry := configuration.Entry{Revision: 3, At: wall, Who: "ops", Why: `a "reason"`, ID: "c-1", Changes: []configuration.Change{{Key: "log/level", Old: `"info"`, New: `"debug"`}, {Key: "team/red/gpus_max", New: "4"}}}
 	head := configuration.Head{Revision: 3, Started: 1, FirstPage: 1, LastPage: 1, Document: configuration.Document{"log/level": `"debug"`, "team/red/gpus_max": "4"}, Log: []configuration.Entry{entry}}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -11,11 +11,11 @@
 // MachineType is what the cloud rents.
 type MachineType struct {
 	Name             string
-	Capacity            Resources
-	CacheSize            int64   // thousandths of a GB
+	Capacity         Resources
+	CacheSize        int64   // thousandths of a GB
 	FetchRate        float64 // thousandths of a GB per microsecond
 	Price, SpotPrice float64 // per hour
-	BootTime             Micros
+	BootTime         Micros
 	Zones            []string
 }
 
@@ -73,7 +73,7 @@
 	Age                    Micros
 }
 
-// CloudState is what the cloud says of a machine.
+// Listing.State is what the cloud says of a machine.
 type CloudState uint8
 
 // States of a machine in the cloud's list.
--- a/internal/state/awaits_test.go
+++ b/internal/records/dependencies_test.go
@@ -1,4 +1,4 @@
-package state
+package records
 
 import (
 	"fmt"
@@ -7,21 +7,22 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
 // A job that awaits others waits, also one that is read from its record.
 func TestAwaitingJobRecord(t *testing.T) {
-	j := NewJob(&protocol.JobSpec{Ref: "req-000001", Class: "c", Team: "red", Tasks: 2, Image: "img", DependsOn: []string{"req-000002", "req-000003"}})
-	if j.State != JobBlocked {
+	j := state.NewJob(&protocol.JobSpec{Ref: "req-000001", Class: "c", Team: "red", Tasks: 2, Image: "img", DependsOn: []string{"req-000002", "req-000003"}})
+	if j.State != state.JobBlocked {
 		t.Fatalf("it is %v", j.State)
 	}
 	got, err := DecodeJob(EncodeJob(j))
-	if err != nil || got.State != JobBlocked || !cmp.Equal(got.UnmetDependencies, j.Spec.DependsOn) || !cmp.Equal(got.Spec, j.Spec) {
+	if err != nil || got.State != state.JobBlocked || !cmp.Equal(got.Dependencies.Unmet, j.Spec.DependsOn) || !cmp.Equal(got.Spec, j.Spec) {
 		t.Errorf("%+v %v", got, err)
 	}
-	j.SetState(JobCancelling)
-	j.CancelRequestedWall = 55
-	if got, err = DecodeJob(EncodeJob(j)); err != nil || got.State != JobCancelling {
+	j.SetState(state.JobCancelling)
+	j.Cancellation.RequestedWall = 55
+	if got, err = DecodeJob(EncodeJob(j)); err != nil || got.State != state.JobCancelling {
 		t.Errorf("%+v %v", got, err)
 	}
 }
@@ -37,7 +38,7 @@
 	for i := range protocol.MaxDependencies {
 		s.DependsOn = append(s.DependsOn, fmt.Sprintf("req-%06d", i+2))
 	}
-	if b := EncodeJob(NewJob(s)); len(b) > 2048 {
+	if b := EncodeJob(state.NewJob(s)); len(b) > 2048 {
 		t.Errorf("%d bytes", len(b))
 	}
 }
--- a/internal/state/book_test.go
+++ b/internal/records/records_test.go
@@ -1,4 +1,4 @@
-package state
+package records
 
 import (
 	"strconv"
@@ -7,10 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/state"
 )
 
-func job(tasks int) *Job {
-	return NewJob(&protocol.JobSpec{
+func job(tasks int) *state.Job {
+	return state.NewJob(&protocol.JobSpec{
 		Ref: "req-000001", Class: "c", Team: "red", Tasks: tasks, TaskResources: protocol.Resources{CPU: 1000, GPU: 1000},
 		Image: "img", Deadline: 5 * protocol.Second,
 	})
@@ -18,16 +19,16 @@
 
 func TestJobRecord(t *testing.T) {
 	j := job(3)
-	j.SubmittedWall, j.LeaderEpoch, j.CancelRequestedWall = 1234567, 7, 2345678
+	j.SubmittedWall, j.LeaderEpoch, j.Cancellation.RequestedWall = 1234567, 7, 2345678
 	for _, cancelled := range []bool{false, true} {
 		if cancelled {
-			j.State = JobCancelledLegacy
+			j.State = state.JobCancelledLegacy
 		}
 		got, err := DecodeJob(EncodeJob(j))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(j.Spec, got.Spec); d != "" || got.LeaderEpoch != 7 || got.SubmittedWall != 1234567 || (got.State == JobCancelledLegacy) != cancelled || cancelled && got.CancelRequestedWall != 2345678 {
+		if d := cmp.Diff(j.Spec, got.Spec); d != "" || got.LeaderEpoch != 7 || got.SubmittedWall != 1234567 || (got.State == state.JobCancelledLegacy) != cancelled || cancelled && got.Cancellation.RequestedWall != 2345678 {
 			t.Errorf("%s %+v", d, got)
 		}
 	}
@@ -36,18 +37,18 @@
 // Hosts share a record. What it says of them is read back, and a record of
 // another form is refused rather than taken for an empty one.
 func TestHostPage(t *testing.T) {
-	h := NewHost(0, "n-1", "g8", "a", true)
-	h.Addr, h.RecordedWall = "10.0.0.1:9000", 99
+	h := state.NewHost(0, "n-1", "g8", "a", true)
+	h.Addr, h.Record.WrittenWall = "10.0.0.1:9000", 99
 	h.AddImage(5, "img-1", 2000)
-	plain := NewHost(0, "n-2", "g4", "b", false)
+	plain := state.NewHost(0, "n-2", "g4", "b", false)
 	plain.Addr = "10.0.0.2:9000"
 	for _, images := range []bool{true, false} {
-		got, err := DecodeHosts(0, EncodeHosts([]*Host{h, plain}, images))
+		got, err := DecodeHosts(0, EncodeHosts([]*state.Host{h, plain}, images))
 		if err != nil || len(got) != 2 {
 			t.Fatal(got, err)
 		}
 		g := got[0]
-		if g.Name != "n-1" || g.TypeName != "g8" || g.Zone != "a" || !g.Spot || g.Addr != h.Addr || g.RecordedWall != 99 || !g.Recorded || !g.FromRecord {
+		if g.Name != "n-1" || g.TypeName != "g8" || g.Zone != "a" || !g.Spot || g.Addr != h.Addr || g.Record.WrittenWall != 99 || !g.Record.Written || !g.Record.FromEarlierEpoch {
 			t.Errorf("%+v", g)
 		}
 		if im := g.Images["img-1"]; images != (im != nil) || images && im.Size != 2000 {
@@ -78,12 +79,12 @@
 	j := job(30)
 	j.Complete(3, false)
 	j.Complete(29, false)
-	bits, err := DecodeCompletions(EncodeCompletions([]*Job{j}))
+	bits, err := DecodeCompletions(EncodeCompletions([]*state.Job{j}))
 	again := job(30)
 	if err == nil {
 		err = ApplyChunk(again, 0, bits["req-000001"])
 	}
-	if err != nil || again.CompletedTasks != 2 || again.Tasks[3].State != TaskDone || !again.Tasks[29].Durable {
+	if err != nil || again.CompletedTasks != 2 || again.Tasks[3].State != state.TaskDone || !again.Tasks[29].Durable {
 		t.Errorf("%v %+v", err, again)
 	}
 	for _, bad := range []string{`{"form":3,"done":{}}`, `{"form":2,"done":{"req-000001":7}}`, `{"form":2,"at":{"req-000001":"x"}}`, `{"form":2}`, `7`} {
@@ -119,16 +120,16 @@
 // An epoch of the form before is read; a controller of that form can't read
 // ours and so can't lead without seeing the hosts that share a record.
 func TestEpochRecord(t *testing.T) {
-	for text, want := range map[string]uint64{"7": 7, string(EncodeEpoch(EpochRecord{Epoch: 8})): 8, string(EncodeEpoch(EpochRecord{Epoch: 9, LaunchesUnrecorded: true})): 9} {
-		if got, err := DecodeEpoch([]byte(text)); err != nil || got.Epoch != want || got.LaunchesUnrecorded != (want != 8) {
+	for text, want := range map[string]uint64{"7": 7, string(EncodeEpoch(Epoch{Number: 8})): 8, string(EncodeEpoch(Epoch{Number: 9, LaunchesUnrecorded: true})): 9} {
+		if got, err := DecodeEpoch([]byte(text)); err != nil || got.Number != want || got.LaunchesUnrecorded != (want != 8) {
 			t.Errorf("%s: %+v %v", text, got, err)
 		}
 	}
-	if _, err := strconv.ParseUint(string(EncodeEpoch(EpochRecord{Epoch: 8})), 10, 64); err == nil {
+	if _, err := strconv.ParseUint(string(EncodeEpoch(Epoch{Number: 8})), 10, 64); err == nil {
 		t.Error("the form before would read it")
 	}
 	yields := []protocol.LeadershipTransfer{{From: "n1", To: "n2", Epoch: 8, At: 77, ReachableWorkers: map[string]int{"a": 1, "b": 22}}, {From: "n2", Epoch: 9, At: 78, ReachableWorkers: map[string]int{}}}
-	text := EncodeEpoch(EpochRecord{Epoch: 9, Transfers: yields})
+	text := EncodeEpoch(Epoch{Number: 9, Transfers: yields})
 	if want := `{"form":2,"epoch":9,"yields":[{"node":"n1","to":"n2","epoch":8,"at":77,"heard":{"a":1,"b":22}},{"node":"n2","to":"","epoch":9,"at":78,"heard":{}}]}`; string(text) != want {
 		t.Errorf("%s", text)
 	}
@@ -161,7 +162,7 @@
 	}
 	var got []int
 	for i := range again.Tasks {
-		if again.Tasks[i].State == TaskDone && again.Tasks[i].Durable {
+		if again.Tasks[i].State == state.TaskDone && again.Tasks[i].Durable {
 			got = append(got, i)
 		}
 	}
@@ -170,68 +171,30 @@
 	}
 }
 
-// Whatever way an attempt takes, the counts end where they began.
-func TestAttemptCounts(t *testing.T) {
-	for _, path := range [][]AttemptState{
-		{AttemptAssigned, AttemptGone},
-		{AttemptAssigned, AttemptLaunched, AttemptGone},
-		{AttemptAssigned, AttemptLaunched, AttemptFetching, AttemptRunning, AttemptExited, AttemptGone},
-		{AttemptAssigned, AttemptLaunched, AttemptWaiting, AttemptRunning, AttemptCheckpointing, AttemptGone},
-		{AttemptRunning, AttemptExited, AttemptGone},
-		{AttemptExited, AttemptGone},
-	} {
-		b, j := NewCluster(), job(1)
-		h := NewHost(0, "n-1", "t", "a", false)
-		a := b.Attach(0, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref}, Number: 1})
-		for _, s := range path {
-			b.SetAttemptState(1, a, s)
-			if s.HoldsResources() && (b.UsedByTeam["red"] != j.Spec.TaskResources || h.Used() != j.Spec.TaskResources || j.QueuedTasks != 0 || j.AttemptCount != 1) {
-				t.Errorf("%v at %v: used %v, %d queued, %d attempts", path, s, b.UsedByTeam["red"], j.QueuedTasks, j.AttemptCount)
-			}
-		}
-		if b.UsedByTeam["red"] != (protocol.Resources{}) || j.QueuedTasks != 1 || j.AttemptCount != 0 || j.RunningTasks != 0 || j.Tasks[0].ActiveAttempts != 0 || len(h.Attempts()) != 0 || !h.Empty() {
-			t.Errorf("%v: used %v, job %+v", path, b.UsedByTeam["red"], j)
-		}
-	}
-}
-
-// The cache holds the most recently used images.
-func TestImageCache(t *testing.T) {
-	h := NewHost(0, "n-1", "t", "a", false)
-	h.Type = &protocol.MachineType{CacheSize: 10000}
-	h.AddImage(1, "a", 5000)
-	h.AddImage(2, "b", 4000)
-	h.AddImage(3, "a", 5000)
-	h.AddImage(4, "c", 3000)
-	if h.Images["a"] == nil || h.Images["b"] != nil || h.Images["c"] == nil {
-		t.Errorf("%v", h.Images)
-	}
-}
-
 // What leaders have seen, and that a user asked to cancel a job, come back as they were
 // written. A record of a job without the request is the one of before.
 func TestMemoryAndRequestRecords(t *testing.T) {
 	m := protocol.HandoverState{Epoch: 4, At: 99, Partitions: []protocol.Partition{{Zone: "b", Since: 5, LastSeen: 6}}, SilentHosts: []protocol.SilentHost{{Host: "n-000007", Since: 8}}}
-	text := EncodeHandoverState(m)
+	text := EncodeHandover(m)
 	if want := `{"form":2,"seen":4,"at":99,"cuts":{"b":[5,6]},"silent":{"n-000007":8}}`; string(text) != want {
 		t.Errorf("%s", text)
 	}
-	if got, err := DecodeHandoverState(text); err != nil || !cmp.Equal(got, m) {
+	if got, err := DecodeHandover(text); err != nil || !cmp.Equal(got, m) {
 		t.Errorf("%+v %v", got, err)
 	}
-	if got, err := DecodeHandoverState([]byte(`{"form":9}`)); err == nil {
+	if got, err := DecodeHandover([]byte(`{"form":9}`)); err == nil {
 		t.Errorf("%+v", got)
 	}
 	j := job(1)
 	j.SubmittedWall = 7
 	plain := EncodeJob(j)
-	j.SetState(JobCancelling)
-	j.CancelRequestedWall = 55
+	j.SetState(state.JobCancelling)
+	j.Cancellation.RequestedWall = 55
 	asked := EncodeJob(j)
-	j.State = JobCancelledLegacy // as an earlier version left it
-	for text, want := range map[string]JobState{string(plain): JobActive, string(asked): JobCancelling, string(EncodeJob(j)): JobCancelledLegacy} {
+	j.State = state.JobCancelledLegacy // as an earlier version left it
+	for text, want := range map[string]state.JobState{string(plain): state.JobActive, string(asked): state.JobCancelling, string(EncodeJob(j)): state.JobCancelledLegacy} {
 		got, err := DecodeJob([]byte(text))
-		if err != nil || got.State != want || want != JobActive && got.CancelRequestedWall != 55 || got.CancelPersisted != (want == JobCancelling) {
+		if err != nil || got.State != want || want != state.JobActive && got.Cancellation.RequestedWall != 55 || got.Cancellation.Persisted != (want == state.JobCancelling) {
 			t.Errorf("%s: %+v %v", text, got, err)
 		}
 	}
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -11,7 +11,7 @@
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // changes judges what is done about a configuration that changes, by what the state
@@ -91,12 +91,12 @@
 			w.committedHead(value)
 		case strings.HasPrefix(key, configuration.PagePrefix):
 			g.writes++
-		case strings.HasPrefix(key, state.JobPrefix):
-			j, err := state.DecodeJob(value)
+		case strings.HasPrefix(key, records.JobPrefix):
+			j, err := records.DecodeJob(value)
 			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.last].Teams[j.Spec.Team].Retired {
 				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.last)
 			}
-		case strings.HasPrefix(key, state.LaunchShardPrefix):
+		case strings.HasPrefix(key, records.LaunchShardPrefix):
 			w.committedLaunches(value)
 		}
 	}
@@ -132,7 +132,7 @@
 // newest revision there is.
 func (w *World) committedLaunches(value []byte) {
 	g := w.changes
-	list, err := state.DecodeLaunches(value)
+	list, err := records.DecodeLaunches(value)
 	if err != nil {
 		return
 	}
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // fallenLimits are those that the state service holds from some moment on, below what the
@@ -95,7 +95,7 @@
 		return nil
 	}
 	for _, key := range w.store.order {
-		if strings.HasPrefix(key, state.JobPrefix) {
+		if strings.HasPrefix(key, records.JobPrefix) {
 			continue // as their users wrote them
 		}
 		if n := len(w.store.keys[key].value); n > most {
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // limitScene is three teams, each at its limit with one job in zone b, and with a job in
@@ -144,7 +144,7 @@
 			if w.onMachines(cancelled) > 0 {
 				times[k].left = at
 			}
-			if times[k].final == 0 && w.store.keys[state.FinalPrefix+cancelled] != nil {
+			if times[k].final == 0 && w.store.keys[records.FinalPrefix+cancelled] != nil {
 				times[k].final = at
 			}
 			if times[k].began == 0 && w.onMachines(waits) == 4 {
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -13,7 +13,7 @@
 
 	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // Live serves the stand-ins of a World on real connections, on loopback: the state
@@ -236,11 +236,11 @@
 func (l *Live) Leader() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.w.store.keys[state.KeyLeader]
+	e := l.w.store.keys[records.KeyLeader]
 	if e == nil {
 		return ""
 	}
-	lead, err := state.DecodeLeader([]byte(e.value))
+	lead, err := records.DecodeLeader([]byte(e.value))
 	if err != nil {
 		return ""
 	}
--- a/internal/simulation/lostanswers.go
+++ b/internal/simulation/lostanswers.go
@@ -11,7 +11,7 @@
 
 	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // Calls to the state service that are carried out at once and of which only the answer is
@@ -205,7 +205,7 @@
 	}
 	for key, stamp := range w.lost.keys {
 		e := w.store.keys[key]
-		final := strings.HasPrefix(key, state.FinalPrefix) || key == state.KeyTypes
+		final := strings.HasPrefix(key, records.FinalPrefix) || key == records.KeyMachineTypes
 		if final && e == nil || !final && e != nil && e.stamp <= stamp {
 			return fmt.Errorf("%s is as it was when the answer was lost", key)
 		}
--- a/internal/simulation/recorded.go
+++ b/internal/simulation/recorded.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // Whatever may be on a machine is in a record before it leaves: the machine, and the launch
@@ -30,15 +30,15 @@
 	for _, change := range then {
 		key := string(change.GetStringBytes("set"))
 		switch {
-		case strings.HasPrefix(key, state.HostShardPrefix):
+		case strings.HasPrefix(key, records.HostShardPrefix):
 			p.hosts[key] = make(map[string]bool)
-			hosts, _ := state.DecodeHosts(0, change.Get("data").MarshalTo(nil))
+			hosts, _ := records.DecodeHosts(0, change.Get("data").MarshalTo(nil))
 			for _, h := range hosts {
 				p.hosts[key][h.Name] = true
 			}
-		case strings.HasPrefix(key, state.LaunchShardPrefix):
+		case strings.HasPrefix(key, records.LaunchShardPrefix):
 			p.launches[key] = make(map[protocol.AttemptName]string)
-			launches, _ := state.DecodeLaunches(change.Get("data").MarshalTo(nil))
+			launches, _ := records.DecodeLaunches(change.Get("data").MarshalTo(nil))
 			for _, l := range launches {
 				p.launches[key][l.Name] = l.Host
 			}
@@ -81,7 +81,7 @@
 		task := protocol.TaskName{Job: ref}
 		task.Index, _ = strconv.Atoi(index)
 		name := protocol.AttemptName{TaskName: task, Number: order.GetUint64("try")}
-		if !w.recorded.namesHost(m.name) && w.store.keys[state.LegacyHostPrefix+m.name] == nil {
+		if !w.recorded.namesHost(m.name) && w.store.keys[records.LegacyHostPrefix+m.name] == nil {
 			w.broken("not recorded: %s, on which %s is launched", m.name, task)
 		}
 		if !w.recorded.namesLaunch(name, m.name) {
--- a/internal/simulation/services.go
+++ b/internal/simulation/services.go
@@ -7,8 +7,8 @@
 
 	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/rollout"
-	"mapleslip/internal/state"
 )
 
 // behaviour is what the instances of an image do.
@@ -60,11 +60,11 @@
 	if j := w.described[ref]; j != nil {
 		return j
 	}
-	e := w.store.keys[state.JobPrefix+ref]
+	e := w.store.keys[records.JobPrefix+ref]
 	if e == nil {
 		return nil
 	}
-	k, err := state.DecodeJob([]byte(e.value))
+	k, err := records.DecodeJob([]byte(e.value))
 	if err != nil {
 		w.broken("damaged record of %s: %v", ref, err)
 		return nil
--- a/internal/simulation/singles_test.go
+++ b/internal/simulation/singles_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // singles are jobs of one task that come four a second for minutes, of which every fourth
@@ -48,7 +48,7 @@
 // wrote counts a change, and of the records of jobs those of the jobs that came meanwhile.
 func (s *singles) wrote(key string) {
 	prefix, ref, _ := strings.Cut(key, "/")
-	if prefix+"/" == state.JobPrefix || prefix+"/" == state.FinalPrefix {
+	if prefix+"/" == records.JobPrefix || prefix+"/" == records.FinalPrefix {
 		if _, one := s.submits[ref]; !one {
 			return
 		}
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/state"
 )
 
@@ -38,7 +39,7 @@
 // largeRecords is how many records that leaders write take more than a size.
 func (w *World) largeRecords(bytes int) (large, all int) {
 	for key, e := range w.store.keys {
-		if strings.HasPrefix(key, state.JobPrefix) {
+		if strings.HasPrefix(key, records.JobPrefix) {
 			continue
 		}
 		all++
@@ -186,22 +187,22 @@
 	t.Helper()
 	var b strings.Builder
 	add := func(key string, value []byte) {
-		if !strings.HasPrefix(key, "j/") && key != state.KeyEpoch && len(value) <= protocol.MinValueBytes {
+		if !strings.HasPrefix(key, "j/") && key != records.KeyEpoch && len(value) <= protocol.MinValueBytes {
 			t.Fatalf("%s takes %d bytes only", key, len(value))
 		}
 		fmt.Fprintf(&b, "record %s %s\n", key, value)
 	}
-	add(state.KeyEpoch, state.EncodeEpoch(state.EpochRecord{Epoch: 7}))
+	add(records.KeyEpoch, records.EncodeEpoch(records.Epoch{Number: 7}))
 	var hosts []*state.Host
 	for i := range 60 {
 		h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "large", "a", false)
-		h.Addr, h.RecordedWall = fmt.Sprintf("n-%06d:9000", i+1), 1
+		h.Addr, h.Record.WrittenWall = fmt.Sprintf("n-%06d:9000", i+1), 1
 		hosts = append(hosts, h)
 	}
-	add("hp/1", state.EncodeHosts(hosts, true))
+	add("hp/1", records.EncodeHosts(hosts, true))
 	var jobs []*state.Job
 	var refs []string
-	var launches []state.Launch
+	var launches []records.Launch
 	for i := range 60 {
 		spec := &protocol.JobSpec{
 			Ref: fmt.Sprintf("req-%06d", i+1), Class: "work", Team: "red", Kind: protocol.Array, Tasks: 100,
@@ -209,24 +210,24 @@
 		}
 		j := state.NewJob(spec)
 		j.SubmittedWall, j.LeaderEpoch = 1_700_000_000*protocol.Second, 7
-		add("j/"+spec.Ref, state.EncodeJob(j))
+		add("j/"+spec.Ref, records.EncodeJob(j))
 		for k := range 98 {
 			j.Complete(k, true)
 		}
 		for k := range 2 {
-			launches = append(launches, state.Launch{
+			launches = append(launches, records.Launch{
 				Host: hosts[(2*i+k)%60].Name,
 				Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: spec.Ref, Index: 98 + k}, Number: 7<<24 + uint64(2*i+k)},
 			})
 		}
 		jobs, refs = append(jobs, j), append(refs, spec.Ref)
 	}
-	add("lp/1", state.EncodeLaunches(launches))
-	add("dp/1", state.EncodeCompletions(jobs))
+	add("lp/1", records.EncodeLaunches(launches))
+	add("dp/1", records.EncodeCompletions(jobs))
 	for len(refs) < 90 { // of jobs that are over
 		refs = append(refs, fmt.Sprintf("req-%06d", 1+len(refs)))
 	}
-	add("bp/1", state.EncodeBookings(refs, func(string) protocol.Micros { return 1_700_000_100 * protocol.Second }))
+	add("bp/1", records.EncodeBookings(refs, func(string) protocol.Micros { return 1_700_000_100 * protocol.Second }))
 	return b.String()
 }
 
@@ -261,13 +262,13 @@
 	j := state.NewJob(spec)
 	j.SubmittedWall, j.LeaderEpoch = 1_700_000_000*protocol.Second, 7
 	text := fmt.Sprintf("nodes 1\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nfleet 2 large a\nrecord epoch %s\nrecord j/req-000001 %s\n",
-		state.EncodeEpoch(state.EpochRecord{Epoch: 7}), state.EncodeJob(j))
+		records.EncodeEpoch(records.Epoch{Number: 7}), records.EncodeJob(j))
 	j.Complete(0, true)
-	text += fmt.Sprintf("record dp/2 %s\n", state.EncodeCompletions([]*state.Job{j}))
+	text += fmt.Sprintf("record dp/2 %s\n", records.EncodeCompletions([]*state.Job{j}))
 	for k := range 6 {
 		j.Complete(k, true)
 	}
-	text += fmt.Sprintf("record dp/10 %s\nat 20 expect starts 2\nat 20 expect kept f/req-000001 yes\n", state.EncodeCompletions([]*state.Job{j}))
+	text += fmt.Sprintf("record dp/10 %s\nat 20 expect starts 2\nat 20 expect kept f/req-000001 yes\n", records.EncodeCompletions([]*state.Job{j}))
 	if w, err := playTrace(text, nil); err != nil {
 		t.Errorf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -10,9 +10,9 @@
 	"mapleslip/internal/controller"
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/records"
 	"mapleslip/internal/rollout"
 	"mapleslip/internal/slo"
-	"mapleslip/internal/state"
 )
 
 // A trace is a text that people read: what a deployment has, what happens to
@@ -125,8 +125,8 @@
 	case "type":
 		o := options(words[2:])
 		w.Types = append(w.Types, &protocol.MachineType{
-			Name:  words[1],
-			Capacity: protocol.Resources{CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Memory: thousandths(number(o, "mem", 64))},
+			Name:      words[1],
+			Capacity:  protocol.Resources{CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Memory: thousandths(number(o, "mem", 64))},
 			CacheSize: thousandths(number(o, "cache", 100)), FetchRate: number(o, "fetch", 1) / 1000, Price: number(o, "price", 1), SpotPrice: number(o, "price", 1) / 2,
 			BootTime: protocol.FromSeconds(number(o, "boot", 10)), Zones: strings.Split(o["zones"], ","),
 		})
@@ -407,14 +407,14 @@
 	case "heal-zone":
 		w.heal()
 	case "forget-launches": // the records become those of form 1: an epoch that is a number, no launches
-		epoch, err := state.DecodeEpoch([]byte(w.store.keys[state.KeyEpoch].value))
+		epoch, err := records.DecodeEpoch([]byte(w.store.keys[records.KeyEpoch].value))
 		if err != nil {
 			return err
 		}
-		w.store.keys[state.KeyEpoch].value = strconv.FormatUint(epoch.Epoch, 10)
+		w.store.keys[records.KeyEpoch].value = strconv.FormatUint(epoch.Number, 10)
 		w.versions.active = 0
 		for _, key := range slices.Clone(w.store.order) {
-			if strings.HasPrefix(key, state.LaunchShardPrefix) || key == featuregate.KeyLevel {
+			if strings.HasPrefix(key, records.LaunchShardPrefix) || key == featuregate.KeyLevel {
 				w.store.drop(key)
 			}
 		}
@@ -531,8 +531,8 @@
 	run := protocol.FromSeconds(number(o, "run", 10))
 	s := &protocol.JobSpec{
 		Ref: words[1], Class: text("class", "work"), Team: text("team", "red"), Kind: kind, Priority: rank, Tasks: int(number(o, "tasks", 1)),
-		TaskResources:  protocol.Resources{CPU: thousandths(number(o, "cpus", 1)), GPU: thousandths(number(o, "gpus", 1)), Memory: thousandths(number(o, "mem", 1))},
-		Image: text("image", "img-1"), ImageSize: thousandths(number(o, "size", 2)), Zone: o["zone"], SingleZone: has("one-zone"), SpreadZones: has("spread"), AllowSpot: has("spot"),
+		TaskResources: protocol.Resources{CPU: thousandths(number(o, "cpus", 1)), GPU: thousandths(number(o, "gpus", 1)), Memory: thousandths(number(o, "mem", 1))},
+		Image:         text("image", "img-1"), ImageSize: thousandths(number(o, "size", 2)), Zone: o["zone"], SingleZone: has("one-zone"), SpreadZones: has("spread"), AllowSpot: has("spot"),
 		EstimatedRuntime: protocol.FromSeconds(number(o, "estimate", run.Seconds())), CheckpointInterval: protocol.FromSeconds(number(o, "checkpoint", 0)),
 		Deadline: protocol.FromSeconds(number(o, "deadline", 0)),
 	}
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -10,7 +10,7 @@
 	"mapleslip/internal/controller"
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
+	"mapleslip/internal/records"
 )
 
 // Controllers of two versions side by side. That in production is played by a controller
@@ -114,16 +114,16 @@
 	for _, c := range then {
 		value := c.Get("data")
 		key := string(c.GetStringBytes("set"))
-		if strings.HasPrefix(key, state.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < featuregate.ChainedJobs.From {
+		if strings.HasPrefix(key, records.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < featuregate.ChainedJobs.From {
 			w.broken("%s awaits others at feature level %d", key, v.active)
 		}
 		switch key {
-		case state.KeyEpoch:
-			if e, err := state.DecodeEpoch(value.MarshalTo(nil)); err != nil || e.Level != v.active {
+		case records.KeyEpoch:
+			if e, err := records.DecodeEpoch(value.MarshalTo(nil)); err != nil || e.Level != v.active {
 				w.broken("the epoch's record is %s at feature level %d", value, v.active)
 			}
-		case state.KeyTypes:
-			if _, later, err := state.DecodeTypes(value.MarshalTo(nil)); err != nil || later != (v.active > 0) {
+		case records.KeyMachineTypes:
+			if _, later, err := records.DecodeMachineTypes(value.MarshalTo(nil)); err != nil || later != (v.active > 0) {
 				w.broken("the machine types are %s at feature level %d", value, v.active)
 			}
 		}
@@ -149,7 +149,7 @@
 		w.broken("%s sends a transaction that was refused", n.name)
 	}
 	if n.runs.serves() < w.versions.active && c.Target == controller.ToState && c.Path == "/commit" &&
-		(strings.Contains(string(c.Body), `"set":"`+state.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+state.KeyLeader)) {
+		(strings.Contains(string(c.Body), `"set":"`+records.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+records.KeyLeader)) {
 		w.broken("%s serves up to %d and writes at feature level %d: %s", n.name, n.runs.serves(), w.versions.active, c.Body)
 	}
 }
--- a/internal/state/host.go
+++ b/internal/state/host.go
@@ -8,7 +8,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// HostState is where a machine is in its life.
+// HostState is where a host is in its life.
 type HostState uint8
 
 // States of a host.
@@ -31,67 +31,110 @@
 	HostReleasing: {HostGone},
 }
 
-// Image is a machine's image as far as known.
+// Image is an image in a host's cache, as far as known.
 type Image struct {
-	Size int64
+	Size     int64
 	LastUsed micros
 }
 
-// Host is a rented machine.
+// Host is a machine that the cloud rents to the deployment, with its worker (the agent).
 type Host struct {
-	Name, Addr   string
-	Type         *protocol.MachineType
-	TypeName     string
-	Zone         string
-	Spot         bool
-	State        HostState
-	Recorded     bool   // in the state service; nothing is launched before
-	LegacyRecord    bool   // its record is of form 1, to be moved
-	RecordedWall micros // time of day of its record
-	FromRecord   bool   // recorded under an earlier epoch: may hold tasks unseen
-	Unverified        bool   // known by a report of another epoch alone, which may be a late copy
-	Rented       bool   // by this leader, which knows since when
-	RepliedAt      micros // when this leader last answered a report
-	HeartbeatAt     micros // when a report last came under this leader, other than the answer to a direct command
-	IneffectiveMessages     int    // answers and calls in a row that showed no effect, see deaf
-	Reconciled       bool   // has reported under this epoch, or its tasks are gone
-	AgentEpoch      uint64
-	Sequence         uint64
-	EndedAgentEpoch         uint64 // a session that has certainly ended, by time
-	LastContact        micros // last report
-	LeaseRenewedAt     micros // latest time at which anyone may have answered it
-	ForwardedAt     micros // when another node last passed a report on, 0: it comes by itself
-	LeaderUnreachableAt    micros // it can't reach the leader: when another node last passed a report on, 0: it can
-	KnownSince        micros // rented, or first known
-	Listed       bool
-	CloudState  protocol.CloudState
-	UnlistedSince  micros
-	Interrupted      bool
-	InterruptedAt      micros
-	attempts     []*Attempt // in order; replaced, not changed, when one comes or goes
-	used         protocol.Resources
-	holdingAttempts     int    // attempts that may take room
-	Stale      bool   // since the planner looked at it
-	HeartbeatCount      uint64 // taken so far
-	Images       map[string]*Image
-	ImagesUnrecorded    bool // the record does not have them all
-	IdleSince    micros
-	CommandInFlight      bool   // a direct command is on its way
-	CommandQueued   bool   // commands wait for it
-	Probing      bool   // it is being asked, or will be
-	CommandRetryAt      micros // no direct commands before
-	NextProbe      micros // when a silent host is asked again
-	ProbeFailed  bool   // it did not answer the last time
-	FaultCount       int
-	SuspectedBy       []string // jobs that failed here, while it is not known whose fault it is
-	QuarantinedOnSuspicion   bool     // left alone only because of those
-	QuarantinedUntil   micros
-	FullUntil    micros
-	RuntimeRatio     float64 // run time against others of the class, 1 is usual
-	ReleaseReason   string
-}
-
-// NewHost makes a host.
+	Name, Addr string
+	Type       *protocol.MachineType // nil: the type is not known yet
+	TypeName   string
+	Zone       string
+	Spot       bool
+
+	State      HostState
+	Rented     bool   // by this leader, which knows since when
+	Unverified bool   // known by a heartbeat of another epoch alone, which may be a late copy
+	Reconciled bool   // has reported under this epoch, or its tasks are gone
+	KnownSince micros // when it was rented, or first known
+	IdleSince  micros
+	FullUntil  micros // it refused a start for want of room: nothing is placed there before
+
+	Agent        Agent
+	Commands     CommandState
+	Probe        ProbeState
+	Quarantine   Quarantine
+	Listing      CloudListing
+	Interruption Interruption
+	Record       HostRecord
+
+	Images        map[string]*Image
+	RuntimeRatio  float64 // run time of tasks against others of their class, 1 is usual
+	ReleaseReason string
+
+	// Stale: the host has changed since the scheduler took it into its slot table.
+	Stale bool
+
+	attempts        []*Attempt // in order; replaced, not changed, when one comes or goes
+	used            protocol.Resources
+	holdingAttempts int // attempts that may hold resources
+}
+
+// Agent is what is known of a host's worker by its heartbeats.
+type Agent struct {
+	Epoch      uint64 // raised each time the agent's lease expires
+	Sequence   uint64 // of its messages within an epoch
+	EndedEpoch uint64 // an epoch that has certainly ended, by time
+
+	LastContact    micros // the last message of any kind
+	HeartbeatAt    micros // the last heartbeat under this leader, other than the answer to a command
+	HeartbeatCount uint64 // heartbeats and answers taken so far
+	RepliedAt      micros // when this leader last answered a heartbeat
+	LeaseRenewedAt micros // the latest time at which anyone may have renewed its lease
+
+	ForwardedAt         micros // when another controller last forwarded a heartbeat, 0: they come directly
+	LeaderUnreachableAt micros // when it last showed that it can't reach the leader, 0: it can
+}
+
+// CommandState is how direct commands to a host stand.
+type CommandState struct {
+	Queued      bool
+	InFlight    bool
+	RetryAt     micros // none is sent before
+	Ineffective int    // answers and commands in a row that showed no effect
+}
+
+// ProbeState is how probes of a host stand.
+type ProbeState struct {
+	InFlight bool   // it is being probed, or will be
+	Failed   bool   // it did not answer the last time
+	NextAt   micros // when a silent host is probed again
+}
+
+// Quarantine is the state of a host that is suspected to be faulty.
+type Quarantine struct {
+	Count       int      // how often it was quarantined
+	Until       micros   // no tasks are placed there before
+	SuspectedBy []string // jobs that failed here, while it is not known whose fault it is
+	OnSuspicion bool     // quarantined because of those alone
+}
+
+// CloudListing is what the cloud's machine list says of a host.
+type CloudListing struct {
+	Listed      bool
+	State       protocol.CloudState
+	AbsentSince micros // since when it is not listed, 0: it is
+}
+
+// Interruption is the notice that a spot machine is taken back.
+type Interruption struct {
+	Noticed bool
+	At      micros
+}
+
+// HostRecord is how a host's record in the state service stands.
+type HostRecord struct {
+	Written          bool   // nothing is launched on the host before
+	Legacy           bool   // it is of format 1, to be moved
+	FromEarlierEpoch bool   // written under an earlier epoch: the host may hold tasks unseen
+	WrittenWall      micros // time of day
+	ImagesStale      bool   // the record does not have all images
+}
+
+// NewHost makes a host that is booting.
 func NewHost(now micros, name, typeName, zone string, spot bool) *Host {
 	return &Host{
 		Name: name, TypeName: typeName, Zone: zone, Spot: spot, KnownSince: now, IdleSince: now, RuntimeRatio: 1,
@@ -104,24 +147,21 @@
 	if h.State == s {
 		return
 	}
-	for _, ok := range hostTransitions[h.State] {
-		if ok == s {
-			h.State, h.Stale = s, true
-			return
-		}
+	if !slices.Contains(hostTransitions[h.State], s) {
+		panic(fmt.Sprintf("host %s: no transition from %v to %v", h.Name, h.State, s))
 	}
-	panic(fmt.Sprintf("host %s: no way from %v to %v", h.Name, h.State, s))
+	h.State, h.Stale = s, true
 }
 
-// IsStale reports whether what a report says is older than what is known. One of a session
-// that has ended by time was held up on the way: its tasks are gone, and may have been
-// started elsewhere since.
+// IsStale reports whether a heartbeat is older than what is known of the host. One of an
+// agent epoch that has ended by time was delayed on the way: its tasks are gone, and may have
+// been started elsewhere since.
 func (h *Host) IsStale(r *protocol.Heartbeat) bool {
-	return r.AgentEpoch <= h.EndedAgentEpoch || h.AgentEpoch > 0 && !r.NewerThan(h.AgentEpoch, h.Sequence)
+	return r.AgentEpoch <= h.Agent.EndedEpoch || h.Agent.Epoch > 0 && !r.NewerThan(h.Agent.Epoch, h.Agent.Sequence)
 }
 
-// AttemptCount lists the attempts on a host in their order. The list stays as it
-// is when attempts come and go.
+// Attempts lists the attempts on a host in their order. The list stays as it is when attempts
+// come and go.
 func (h *Host) Attempts() []*Attempt { return h.attempts }
 
 // Find finds an attempt on a host, or nil.
@@ -156,40 +196,53 @@
 	h.Stale = true
 }
 
-// UsedByTeam is what the attempts take.
+// Used is what the attempts of known jobs take.
 func (h *Host) Used() protocol.Resources { return h.used }
 
-// Empty reports whether no attempt may take room.
+// Free is what the attempts of known jobs leave. The host's type has to be known.
+func (h *Host) Free() protocol.Resources { return h.Type.Capacity.Add(h.used, -1) }
+
+// Empty reports whether no attempt may take resources.
 func (h *Host) Empty() bool { return h.holdingAttempts == 0 }
 
 // ImageNames lists the host's images in order.
 func (h *Host) ImageNames() []string { return slices.Sorted(maps.Keys(h.Images)) }
 
-// AddImage notes that the host has an image, and forgets the least recently
-// used ones that its cache cannot hold beside it.
+// AddImage notes that the host has an image, and forgets the least recently used ones that its
+// cache cannot hold beside it.
 func (h *Host) AddImage(now micros, name string, size int64) {
-	im := h.Images[name]
-	if im == nil {
-		im = &Image{Size: size}
-		h.Images[name] = im
-		h.ImagesUnrecorded, h.Stale = true, true
+	image := h.Images[name]
+	if image == nil {
+		image = &Image{Size: size}
+		h.Images[name] = image
+		h.Record.ImagesStale, h.Stale = true, true
 	}
-	im.LastUsed = now
+	image.LastUsed = now
 	if h.Type == nil {
 		return
 	}
 	for {
-		var sum int64
-		oldest := ""
-		for n, i := range h.Images {
-			sum += i.Size
-			if n != name && (oldest == "" || i.LastUsed < h.Images[oldest].LastUsed || (i.LastUsed == h.Images[oldest].LastUsed && n < oldest)) {
-				oldest = n
-			}
-		}
-		if sum <= h.Type.CacheSize || oldest == "" {
+		total, oldest := h.imagesBeside(name)
+		if total <= h.Type.CacheSize || oldest == "" {
 			return
 		}
 		delete(h.Images, oldest)
 	}
 }
+
+// imagesBeside returns the size of all images, and the least recently used one besides name.
+func (h *Host) imagesBeside(name string) (total int64, oldest string) {
+	for other, image := range h.Images {
+		total += image.Size
+		if other != name && (oldest == "" || h.usedBefore(other, oldest)) {
+			oldest = other
+		}
+	}
+	return total, oldest
+}
+
+// usedBefore orders two images by their last use, those used together by their names.
+func (h *Host) usedBefore(a, b string) bool {
+	x, y := h.Images[a].LastUsed, h.Images[b].LastUsed
+	return x < y || x == y && a < b
+}
