--- a/internal/controller/rollout_checks.go
+++ b/internal/controller/rollout_checks.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"strconv"
 
 	"mapleslip/internal/protocol"
@@ -10,95 +11,119 @@
 // checkBackoff is how long a controller makes no checks after one was disputed.
 const checkBackoff = 20 * protocol.Second
 
-// statusNoAnswer is the status of an instance that gives none; the body says why. 0 is that
-// of a check that this node could not make.
-const statusNoAnswer = 599
+// Statuses of checks that got none. They are part of the protocol among controllers.
+const (
+	// statusNotChecked is that of a check that this controller could not make.
+	statusNotChecked = 0
+	// statusNoAnswer is that of an instance that gives none; the body says why.
+	statusNoAnswer = 599
+)
+
+// maxCheckReason bounds the reason for a failed check, in bytes.
+const maxCheckReason = 80
+
+// Outcomes of checks, as labels of a metric.
+const (
+	checkPassed  = "passed"
+	checkFailed  = "failed"
+	checkNotMade = "unmade"
+)
 
-// checkInstance has an instance checked. The leader is asked last: its turns are for
-// what nobody else can do, and a check by another node costs it a frame.
+// checkInstance has an instance checked. The leader checks last: its time is for what nobody
+// else can do, and a check by another controller costs it a frame.
 func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
-	end := func(made, ok bool, by, why string) {
-		outcome := "unmade"
-		switch {
-		case made && ok:
-			outcome = "passed"
-		case made:
-			outcome = "failed"
-		}
-		rd.stats.Checks[outcome]++
-		if rd.term == t {
-			rd.stepRollouts(rollout.Checked{ID: e.ID, Made: made, OK: ok, By: by, Why: why})
-		}
+	excluded := make(map[string]bool, len(e.Not))
+	for _, name := range e.Not {
+		excluded[name] = true
 	}
-	judge := func(by string, status int, body []byte) {
-		switch {
-		case status == 0:
-			end(false, false, by, "") // it could not be made: nothing was learnt
-		case status >= 200 && status < 300:
-			end(true, true, by, "")
-		case status == statusNoAnswer:
-			end(true, false, by, string(body[:min(len(body), 80)]))
-		default:
-			end(true, false, by, "status "+strconv.Itoa(status))
-		}
+	self := rd.platform.ControllerName
+	if rd.delegateCheck(t, e, excluded, false) {
+		return
+	}
+	if !excluded[self] {
+		rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { rd.onChecked(t, e.ID, self, status, body) })
+		return
 	}
-	at := rd.now.Steady
-	not := make(map[string]bool, len(e.Not))
-	for _, n := range e.Not {
-		not[n] = true
+	// Those whose checks others disputed come after the leader.
+	if !rd.delegateCheck(t, e, excluded, true) {
+		rd.after(0, func() { rd.finishCheck(t, rollout.Checked{ID: e.ID}) })
 	}
-	siblings := rd.platform.Peers
-	for _, bold := range []bool{false, true} { // those that others disputed come after this node
-		if bold && !not[rd.platform.ControllerName] {
-			break
+}
+
+// delegateCheck has another controller make a check, those whose checks were disputed only if
+// asked to. It reports whether there is one.
+func (rd *rolloutDriver) delegateCheck(t *leaderTerm, e rollout.Check, excluded map[string]bool, disputed bool) bool {
+	now := rd.now.Steady
+	peers := rd.platform.Peers
+	for i := range peers {
+		p := peers[(t.rollouts.nextChecker+i)%len(peers)]
+		if excluded[p.Name] || !t.peers.statuses[p.Name].isFresh(now) || !disputed && now < t.rollouts.checkBackoffUntil[p.Name] {
+			continue
 		}
-		for i := range siblings {
-			s := siblings[(t.rollouts.nextChecker+i)%len(siblings)]
-			if o := t.peers.statuses[s.Name]; not[s.Name] || o.statusAt == 0 || at-o.statusAt > peerStatusLifetime || !bold && at < t.rollouts.checkBackoffUntil[s.Name] {
-				continue
+		t.rollouts.nextChecker += i + 1
+		m := &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout}
+		rd.sendPeer(p.Address, m, e.Timeout+protocol.Second, func(r CallResult) {
+			status, body := statusNotChecked, []byte(nil)
+			if response, ok := rd.membership.parsePeerResponse(r); ok {
+				status, body = int(response.Status), response.Body
 			}
-			t.rollouts.nextChecker += i + 1
-			frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHealthCheck, Check: e.Kind, Addr: e.Addr, Path: e.Path, Timeout: e.Timeout})
-			rd.callAddress(ToPeer, "", s.Address, "", frame, e.Timeout+protocol.Second, func(d CallResult) {
-				if m := rd.membership.parsePeerResponse(d); m != nil {
-					judge(s.Name, int(m.Status), m.Body)
-					return
-				}
-				judge(s.Name, 0, nil)
-			})
-			return
-		}
+			rd.onChecked(t, e.ID, p.Name, status, body)
+		})
+		return true
 	}
-	if not[rd.platform.ControllerName] {
-		rd.after(0, func() { end(false, false, "", "") })
-		return
+	return false
+}
+
+// onChecked takes the result of a check that a controller made.
+func (rd *rolloutDriver) onChecked(t *leaderTerm, id uint64, by string, status int, body []byte) {
+	result := rollout.Checked{ID: id, By: by}
+	switch {
+	case status == statusNotChecked:
+	case status >= http.StatusOK && status < http.StatusMultipleChoices:
+		result.Made, result.OK = true, true
+	case status == statusNoAnswer:
+		result.Made, result.Why = true, string(body[:min(len(body), maxCheckReason)])
+	default:
+		result.Made, result.Why = true, "status "+strconv.Itoa(status)
+	}
+	rd.finishCheck(t, result)
+}
+
+func (rd *rolloutDriver) finishCheck(t *leaderTerm, result rollout.Checked) {
+	outcome := checkNotMade
+	switch {
+	case result.Made && result.OK:
+		outcome = checkPassed
+	case result.Made:
+		outcome = checkFailed
+	}
+	rd.stats.Checks[outcome]++
+	if rd.term == t {
+		rd.step(result)
 	}
-	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { judge(rd.platform.ControllerName, status, body) })
 }
 
-// sendCheck makes a check from this node.
+// sendCheck makes a check from this controller.
 func (rd *rolloutDriver) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
-	method := "GET"
+	call := Call{Target: ToInstance, Method: http.MethodGet, Addr: addr, Path: path, Timeout: timeout}
 	if kind == protocol.CheckTCP {
-		method = "" // a connection, and nothing more
+		call.Method = "" // a connection, and nothing more
 	}
-	rd.callAddress(ToInstance, method, addr, path, nil, timeout, func(d CallResult) {
+	rd.send(call, func(r CallResult) {
 		switch {
-		case d.ConnectionRefused:
+		case r.ConnectionRefused:
 			done(statusNoAnswer, []byte("no connection"))
-		case d.NotSent:
-			done(0, nil)
-		case d.Status == 0:
+		case r.NotSent:
+			done(statusNotChecked, nil)
+		case r.Status == 0:
 			done(statusNoAnswer, []byte("time-out, or no sound answer"))
 		default:
-			done(d.Status, nil)
+			done(r.Status, nil)
 		}
 	})
 }
 
 // onHealthCheckRequest makes a check for the leader.
 func (rd *rolloutDriver) onHealthCheckRequest(e HealthCheckRequest) {
-	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) {
-		rd.reply(e.Reply, status, body, 0)
-	})
+	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { rd.reply(e.Reply, status, body) })
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 
 	"mapleslip/internal/configuration"
 	"mapleslip/internal/protocol"
@@ -14,7 +15,7 @@
 	spot              bool
 }
 
-// claimLeadership is one rental request, repeated under its name until it is answered.
+// rentRequest is a request for machines, repeated under its name until it is answered.
 type rentRequest struct {
 	name  string
 	kind  machineKind
@@ -22,111 +23,156 @@
 	tries int
 }
 
-// rentTimeout is how long the cloud has to answer a request for machines.
-const rentTimeout = 5 * protocol.Second
+const (
+	// rentTimeout is how long the cloud has to answer a request for machines.
+	rentTimeout = 5 * protocol.Second
+	// maxMachinesPerRequest is how many machines one request to the cloud may ask for.
+	maxMachinesPerRequest = 50
 
-// maxMachinesPerRequest is how many machines one request to the cloud may ask for.
-const maxMachinesPerRequest = 50
+	maxRentTries   = 10
+	rentRetryDelay = protocol.Second
+
+	// How long a kind of machine is not asked for after a request was not served in full.
+	partialRentalPause    = 10 * protocol.Second
+	minNoCapacityPause    = 8 * protocol.Second
+	maxNoCapacityPause    = 40 * protocol.Second
+	malformedRentalPause  = 60 * protocol.Second
+	unansweredRentalPause = 20 * protocol.Second
+)
 
 // scaleOut asks the cloud for machines. The name of a request is never used again.
 func (as *autoscaler) scaleOut(k machineKind, count int) {
-	if count = min(count, as.rentalAllowance(k, 0)); count == 0 {
+	count = min(count, as.rentalAllowance(k, 0))
+	if count == 0 {
 		return // the offers of a type, spot and not, share a ceiling
 	}
 	as.rentRequestSeq++
-	cl := &rentRequest{name: fmt.Sprintf("r-%d-%d", as.epoch, as.rentRequestSeq), kind: k, count: min(count, maxMachinesPerRequest)}
-	as.requested[k] += cl.count
-	as.sendRentRequest(cl)
+	r := &rentRequest{name: fmt.Sprintf("r-%d-%d", as.epoch, as.rentRequestSeq), kind: k, count: min(count, maxMachinesPerRequest)}
+	as.requested[k] += r.count
+	as.sendRentRequest(r)
 }
 
-func (as *autoscaler) sendRentRequest(cl *rentRequest) {
-	cl.tries++
-	k := cl.kind
-	body := protocol.AppendRentRequest(nil, cl.name, k.machineType, k.zone, k.spot, cl.count)
-	asked := as.now.Steady
-	as.call(ToCloud, priorityUrgent, "POST", "/machines", body, rentTimeout, 0, func(res CallResult) {
+func (as *autoscaler) sendRentRequest(r *rentRequest) {
+	r.tries++
+	sentAt := as.now.Steady
+	body := protocol.AppendRentRequest(nil, r.name, r.kind.machineType, r.kind.zone, r.kind.spot, r.count)
+	call := Call{Target: ToCloud, Priority: priorityUrgent, Method: http.MethodPost, Path: "/machines", Body: body, Timeout: rentTimeout}
+	as.send(call, func(result CallResult) {
 		if as.ended() {
 			return
 		}
-		at := as.now.Steady
-		switch res.Status {
-		case 200:
-			names, err := protocol.ParseMachineNames(res.Body)
+		switch result.Status {
+		case http.StatusOK:
+			names, err := protocol.ParseMachineNames(result.Body)
 			if err != nil {
 				as.logMalformed("cloud", err)
-				break
-			}
-			as.requested[k] -= cl.count
-			as.backoff[k] = 0
-			as.log.Info("rented", "claim", cl.name, "type", k.machineType, "zone", k.zone, "spot", k.spot, "asked", cl.count, "got", len(names))
-			if len(names) < cl.count {
-				as.refusedUntil[k] = at + 10*protocol.Second
-			}
-			for _, name := range names {
-				if _, gone := as.releasedHosts[name]; as.cluster.Host(name) == nil && !gone {
-					h := state.NewHost(asked, name, k.machineType, k.zone, k.spot)
-					h.Type, h.Rented = as.catalog.byName[k.machineType], true
-					h.Agent.LastContact = at
-					as.cluster.AddHost(h)
-				}
+				as.retryRentRequest(r)
+				return
 			}
-			as.cycleNeeded = true
-			return
-		case 503:
-			as.requested[k] -= cl.count
-			as.backoff[k] = min(max(2*as.backoff[k], 8*protocol.Second), 40*protocol.Second)
-			as.refusedUntil[k] = at + as.backoff[k]
-			as.nextPlan = at // another kind may have some
-			as.cycleNeeded = true
-			as.log.Debug("rental refused", "claim", cl.name, "type", k.machineType, "zone", k.zone, "spot", k.spot)
-			return
-		case 400:
-			as.requested[k] -= cl.count
-			as.refusedUntil[k] = at + 60*protocol.Second
-			as.log.Error("rental refused as malformed", "claim", cl.name, "body", string(body))
-			return
+			as.onRented(r, names, sentAt)
+		case http.StatusServiceUnavailable:
+			as.onNoCapacity(r)
+		case http.StatusBadRequest:
+			as.log.Error("rental refused as malformed", "claim", r.name, "body", string(body))
+			as.abandonRentRequest(r, malformedRentalPause)
+		default:
+			as.retryRentRequest(r)
 		}
-		// Not answered: repeated under the same name, it rents nothing twice.
-		if cl.tries >= 10 {
-			as.requested[k] -= cl.count
-			as.refusedUntil[k] = at + 20*protocol.Second
-			return
+	})
+}
+
+// onRented adds the machines that the cloud has rented.
+func (as *autoscaler) onRented(r *rentRequest, names []string, sentAt micros) {
+	k := r.kind
+	as.requested[k] -= r.count
+	as.backoff[k] = 0
+	as.log.Info("rented", "claim", r.name, "type", k.machineType, "zone", k.zone, "spot", k.spot, "asked", r.count, "got", len(names))
+	if len(names) < r.count {
+		as.refusedUntil[k] = as.now.Steady + partialRentalPause
+	}
+	for _, name := range names {
+		if _, released := as.releasedHosts[name]; released || as.cluster.Host(name) != nil {
+			continue
+		}
+		h := state.NewHost(sentAt, name, k.machineType, k.zone, k.spot)
+		h.Type, h.Rented = as.catalog.byName[k.machineType], true
+		h.Agent.LastContact = as.now.Steady
+		as.cluster.AddHost(h)
+	}
+	as.cycleNeeded = true
+}
+
+// onNoCapacity notes that the cloud has no machines of a kind.
+func (as *autoscaler) onNoCapacity(r *rentRequest) {
+	k := r.kind
+	as.backoff[k] = min(max(2*as.backoff[k], minNoCapacityPause), maxNoCapacityPause)
+	as.abandonRentRequest(r, as.backoff[k])
+	as.nextPlan = as.now.Steady // another kind may have some
+	as.cycleNeeded = true
+	as.log.Debug("rental refused", "claim", r.name, "type", k.machineType, "zone", k.zone, "spot", k.spot)
+}
+
+// abandonRentRequest gives a request up, and asks for no such machines for a while.
+func (as *autoscaler) abandonRentRequest(r *rentRequest, pause micros) {
+	as.requested[r.kind] -= r.count
+	as.refusedUntil[r.kind] = as.now.Steady + pause
+}
+
+// retryRentRequest repeats a request that was not answered. Under the same name it rents
+// nothing twice.
+func (as *autoscaler) retryRentRequest(r *rentRequest) {
+	if r.tries >= maxRentTries {
+		as.abandonRentRequest(r, unansweredRentalPause)
+		return
+	}
+	as.after(rentRetryDelay, func() {
+		switch {
+		case as.ended():
+		case as.rentalAllowance(r.kind, r.count) < r.count: // its ceiling was lowered
+			as.abandonRentRequest(r, unansweredRentalPause)
+		default:
+			as.sendRentRequest(r)
 		}
-		as.after(protocol.Second, func() {
-			switch {
-			case as.ended():
-			case as.rentalAllowance(k, cl.count) < cl.count: // its ceiling was lowered
-				as.requested[k] -= cl.count
-				as.refusedUntil[k] = as.now.Steady + 20*protocol.Second
-			default:
-				as.sendRentRequest(cl)
-			}
-		})
 	})
 }
 
 // rentalAllowance bounds how many machines of a kind may be asked for, by the ceiling of their
-// type and zone, spot or not. mine are those that a request which is repeated has asked
-// for already.
-func (as *autoscaler) rentalAllowance(k machineKind, mine int) int {
+// type and zone, spot or not. alreadyRequested are those that a request which is repeated has
+// asked for.
+func (as *autoscaler) rentalAllowance(k machineKind, alreadyRequested int) int {
 	if as.config.state == nil {
 		return maxMachinesPerRequest
 	}
-	if as.config.state.settings.Zones[k.zone] != configuration.NotDrained {
+	settings := as.config.state.settings
+	if settings.Zones[k.zone] != configuration.NotDrained {
 		return 0
 	}
-	ceiling, ok := as.config.state.settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
+	ceiling, ok := settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
 	if !ok {
 		return maxMachinesPerRequest
 	}
-	if mine == 0 && as.epoch > 1 && (!as.cloud.listAnswering || as.now.Steady-as.startedAt < rentTimeout+2*as.platform.MachineListLag) {
-		return 0 // what an earlier leader asked for may not be listed yet
+	if alreadyRequested == 0 && !as.knowsEarlierRentals() {
+		return 0
 	}
-	there := as.requested[machineKind{k.machineType, k.zone, false}] + as.requested[machineKind{k.machineType, k.zone, true}] - mine
+	count := as.countMachines(k.machineType, k.zone) - alreadyRequested
+	return max(0, min(maxMachinesPerRequest, ceiling-count))
+}
+
+// knowsEarlierRentals reports whether what an earlier leader asked for is certainly listed.
+func (as *autoscaler) knowsEarlierRentals() bool {
+	if as.epoch <= 1 {
+		return true
+	}
+	return as.cloud.listAnswering && as.now.Steady-as.startedAt >= rentTimeout+2*as.platform.MachineListLag
+}
+
+// countMachines counts the machines of a type in a zone, with those that were asked for.
+func (as *autoscaler) countMachines(machineType, zone string) int {
+	count := as.requested[machineKind{machineType, zone, false}] + as.requested[machineKind{machineType, zone, true}]
 	for _, h := range as.cluster.Hosts() {
-		if h.TypeName == k.machineType && h.Zone == k.zone && h.State != state.HostGone {
-			there++
+		if h.TypeName == machineType && h.Zone == zone && h.State != state.HostGone {
+			count++
 		}
 	}
-	return max(0, min(maxMachinesPerRequest, ceiling-there))
+	return count
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -84,6 +84,14 @@
 	return int(240_000 * max(0.1, min(1, sc.platform.CPUShare)))
 }
 
+// runIfDue runs a scheduling step if one is under way or due.
+func (sc *scheduler) runIfDue() {
+	since := sc.now.Steady - sc.lastCycle
+	if sc.cycle != nil || since >= sc.operator.MaxCycleInterval || sc.cycleNeeded && since >= sc.operator.MinCycleInterval {
+		sc.runSchedulingStep()
+	}
+}
+
 // round plans: it assigns what can start now, keeps bookings, makes room by
 // preemption, and finds what to rent.
 func (sc *scheduler) runSchedulingStep() {
--- a/internal/controller/service_health.go
+++ b/internal/controller/service_health.go
@@ -2,76 +2,87 @@
 
 import (
 	"bytes"
+	"net/http"
 
 	"mapleslip/internal/protocol"
 )
 
-// ServiceState is whether a service outside answers.
+// ServiceState is whether an outside service answers.
 type ServiceState uint8
 
-// States of a service outside.
+// States of an outside service.
 const (
 	ServiceAnswering   ServiceState = iota
 	ServiceFailing                  // the last calls failed, for too short a time to say so
-	ServiceUnreachable              // told in the log
+	ServiceUnreachable              // logged as unreachable
 )
 
-func (r ServiceState) String() string { return [...]string{"answering", "failing", "unreachable"}[r] }
+func (s ServiceState) String() string { return [...]string{"answering", "failing", "unreachable"}[s] }
 
-// serviceHealth is what is known of a service outside.
+// serviceHealth is what is known of an outside service.
 type serviceHealth struct {
 	name        string
 	state       ServiceState
 	since       micros
 	failedCalls int
+	isAnswer    func(r CallResult) bool // whether a 503 is an answer all the same, nil: none is
 }
 
-// A service counts as unreachable after that many calls have failed in a row,
-// over at least that time: single answers are lost now and then.
+// A service counts as unreachable after that many calls have failed in a row, over at least
+// that time: single answers are lost now and then.
 const (
 	unreachableAfterCalls = 3
 	unreachableAfter      = protocol.Second
 )
 
-// redirectedEpoch is the one place where what is known of a service changes its state.
-func (r *serviceHealth) setState(s ServiceState, at micros) {
-	r.state, r.since, r.failedCalls = s, at, 0
+// setState is the one place where what is known of a service changes its state.
+func (h *serviceHealth) setState(s ServiceState, since micros) {
+	h.state, h.since, h.failedCalls = s, since, 0
 }
 
-// observeServiceCall takes the end of a call. A call that this node did not send says nothing.
-func (env *environment) observeServiceCall(r *serviceHealth, d CallResult) {
-	at := env.now.Steady
-	if d.notAttempted() {
+// observeServiceCall takes the result of a call. A call that was not sent from here says
+// nothing.
+func (env *environment) observeServiceCall(h *serviceHealth, r CallResult) {
+	if r.notAttempted() {
 		return
 	}
-	why := ""
-	switch {
-	case d.ConnectionRefused:
-		why = "refused"
-	case d.Status == 0:
-		why = "no answer"
-	case d.Status == 503:
-		why = "503"
-	}
-	if why == "" || why == "503" && r == &env.cloudHealth && isNoCapacity(d.Body) {
-		if r.state == ServiceUnreachable {
-			env.log.Info(r.name+" answers again", "after_ms", int64((at-r.since)/protocol.Millisecond))
+	at := env.now.Steady
+	failure := callFailure(r)
+	if failure == "" || h.isAnswer != nil && h.isAnswer(r) {
+		if h.state == ServiceUnreachable {
+			env.log.Info(h.name+" answers again", "after_ms", int64((at-h.since)/protocol.Millisecond))
 		}
-		r.setState(ServiceAnswering, at)
+		h.setState(ServiceAnswering, at)
 		return
 	}
-	switch r.state {
+	switch h.state {
 	case ServiceAnswering:
-		r.setState(ServiceFailing, at)
-		r.failedCalls = 1
+		h.setState(ServiceFailing, at)
+		h.failedCalls = 1
 	case ServiceFailing:
-		if r.failedCalls++; r.failedCalls >= unreachableAfterCalls && at-r.since >= unreachableAfter {
-			since := r.since
-			r.setState(ServiceUnreachable, since)
-			env.log.Warn(r.name+" can't be reached", "why", why, "calls", unreachableAfterCalls)
+		h.failedCalls++
+		if h.failedCalls >= unreachableAfterCalls && at-h.since >= unreachableAfter {
+			h.setState(ServiceUnreachable, h.since)
+			env.log.Warn(h.name+" is unreachable", "err", failure, "calls", unreachableAfterCalls)
 		}
+	case ServiceUnreachable:
 	}
 }
 
-// isNoCapacity is the cloud's answer that it has no such machines left: it answers.
-func isNoCapacity(body []byte) bool { return bytes.Contains(body, []byte("no capacity")) }
+// callFailure says how a call failed, "" if it did not.
+func callFailure(r CallResult) string {
+	switch {
+	case r.ConnectionRefused:
+		return "connection refused"
+	case r.Status == 0:
+		return "no answer"
+	case r.Status == http.StatusServiceUnavailable:
+		return "service unavailable"
+	}
+	return ""
+}
+
+// isNoCapacity reports whether the cloud answered that it has no such machines left.
+func isNoCapacity(r CallResult) bool {
+	return r.Status == http.StatusServiceUnavailable && !r.ConnectionRefused && bytes.Contains(r.Body, []byte("no capacity"))
+}
--- a/internal/controller/shard_writer.go
+++ b/internal/controller/shard_writer.go
@@ -1,210 +1,230 @@
 package controller
 
 import (
-	"maps"
-	"slices"
-	"strconv"
+	"errors"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/statestore"
 )
 
-// maxTxnBytes is how much of a transaction records may take; its limit is 64 KiB.
-const maxTxnBytes = 56 << 10
-
-// maxDeferredShards is how many records a transaction carries that nothing waits for: each is
-// kept from being written again for as long as that takes, which is long while others wait.
-const maxDeferredShards = 3
-
-// maxDeferral is how long records that nothing waits for are held back by those that
-// something waits for.
-const maxDeferral = 2 * protocol.Second
+const (
+	// maxTxnBytes is how much of a transaction records may take; its limit is 64 KiB.
+	maxTxnBytes       = 56 << 10
+	txnBytesPerRecord = 100 // besides the value
+	// maxDeferredShards is how many records a transaction carries that nothing waits for: each
+	// is kept from being written again for as long as that takes, which is long while others
+	// wait.
+	maxDeferredShards = 3
+	// maxDeferral is how long records that nothing waits for are held back by those that
+	// something waits for.
+	maxDeferral     = 2 * protocol.Second
+	shardWriteRetry = 300 * protocol.Millisecond
+	// unwritableRetry is how long a record is left alone that can't be written: the state
+	// service refuses it for another reason than its limits, or one entry alone is too long.
+	unwritableRetry = 60 * protocol.Second
+)
 
 // writeDueShards writes the records that are due: those that work waits for, as many as one
-// transaction takes, and besides some of those that it doesn't, if there are no others.
-// Together they had machines that had just come up wait for seven seconds to be recorded,
-// and the urgent tasks that were put on them with it, until the images of all others were.
-func (rs *recordStore) writeDueShards(p *recordShards) {
-	at := rs.now.Steady
-	if p.readingRevision {
+// transaction takes, and besides some of those that nothing waits for. Together these would
+// have hosts that have just come up wait to be recorded until the images of all others were.
+func (rs *recordStore) writeDueShards(s *recordShards) {
+	now := rs.now.Steady
+	if s.readingRevision {
 		return
 	}
-	// Before any is taken for the transaction: what was taken when a lost one was come
-	// upon counted as being written for ever. After a single transaction without an answer
-	// that carried two records, launches in the first were not recorded any more, so they
-	// never left. Nor is any written before the lost one's stamp is known: carried out after
-	// another that names the same task, it would be the newer of the two to a new leader.
-	urgent, later := false, false
-	for _, g := range p.shards {
-		if g.due > at || g.writeState != shardIdle {
+	// No record is written before an unknown revision is known: carried out after another that
+	// names the same task, the uncertain write would be the newer of the two to a new leader.
+	urgent, deferred := false, false
+	for _, shard := range s.shards {
+		if !shard.isDue(now) {
 			continue
 		}
-		if g.revisionUnknown {
-			if at >= p.notBefore[shardWritingUrgent] {
-				rs.refreshShardRevision(p, g)
+		if shard.revisionUnknown {
+			if now >= s.notBefore[shardWritingUrgent] {
+				rs.refreshShardRevision(s, shard)
 			}
 			return
 		}
-		urgent, later = urgent || g.urgent, later || !g.urgent
+		urgent, deferred = urgent || shard.urgent, deferred || !shard.urgent
 	}
-	if !later || !urgent || p.inFlight[shardWritingDeferred] {
-		p.deferredSince = at
+	if !deferred || !urgent || s.inFlight[shardWritingDeferred] {
+		s.deferredSince = now
 	}
-	if urgent && !p.inFlight[shardWritingUrgent] && at >= p.notBefore[shardWritingUrgent] {
-		rs.writeShards(p, shardWritingUrgent)
+	mayWrite := func(how shardWriteState) bool { return !s.inFlight[how] && now >= s.notBefore[how] }
+	if urgent && mayWrite(shardWritingUrgent) {
+		rs.writeShards(s, shardWritingUrgent)
 	}
 	// Where something is urgent all the time the others get their turn now and then.
-	if later && (!urgent || at-p.deferredSince >= maxDeferral) && !p.inFlight[shardWritingDeferred] && at >= p.notBefore[shardWritingDeferred] {
-		rs.writeShards(p, shardWritingDeferred)
+	if deferred && (!urgent || now-s.deferredSince >= maxDeferral) && mayWrite(shardWritingDeferred) {
+		rs.writeShards(s, shardWritingDeferred)
 	}
 }
 
-// writeShards writes records that are due and of that urgency, in one transaction.
-func (rs *recordStore) writeShards(p *recordShards, how shardWriteState) {
-	at := rs.now.Steady
-	prio, most := priorityUrgent, rs.store.limits.target.maxChanges
+// shardBatch is the records of one transaction.
+type shardBatch struct {
+	how      shardWriteState
+	shards   []*recordShard
+	when     []protocol.Condition
+	then     []protocol.Change
+	sizes    []int    // of the records
+	onCommit []func() // of the records, may be nil
+}
+
+func (b *shardBatch) add(shard *recordShard, value []byte, onCommit func()) {
+	b.shards = append(b.shards, shard)
+	b.when = append(b.when, protocol.Condition{Key: shard.key, Revision: shard.revision})
+	b.then = append(b.then, protocol.Change{Key: shard.key, Value: value})
+	b.sizes = append(b.sizes, len(value))
+	b.onCommit = append(b.onCommit, onCommit)
+	shard.writeState, shard.due, shard.urgent = b.how, protocol.Forever, false
+}
+
+// collectBatch takes the records that are due and of an urgency, as many as one transaction
+// carries. Those that come out too long are split.
+func (rs *recordStore) collectBatch(s *recordShards, how shardWriteState) *shardBatch {
+	limit := rs.store.Target().MaxChanges
 	if how == shardWritingDeferred {
-		prio, most = priorityNormal, min(maxDeferredShards, most)
+		limit = min(maxDeferredShards, limit)
 	}
-	if p.isSplitting() {
-		most = rs.store.limits.accepted.maxChanges // a record and its parts go together if they can
+	if s.isSplitting() {
+		limit = rs.store.Accepted().MaxChanges // a record and its parts go together if they can
 	}
-	var when []protocol.Condition
-	var then []protocol.Change
-	var batch []*recordShard
-	var applied []func()
-	var sizes []int
+	b := &shardBatch{how: how}
 	size := 0
-	for _, g := range p.shards {
-		if g.due > at || g.writeState != shardIdle || g.urgent != (how == shardWritingUrgent) {
+	for _, shard := range s.shards {
+		if !shard.isDue(rs.now.Steady) || shard.urgent != (how == shardWritingUrgent) {
 			continue
 		}
-		if len(g.entries) == 0 && g.revision == 0 {
-			g.due = protocol.Forever
+		if len(shard.entries) == 0 && shard.revision == 0 {
+			shard.due = protocol.Forever
 			continue
 		}
-		if !g.replacementsWritten(batch) || g.writeAlone && len(then) > 0 {
+		if !shard.replacementsWritten(b.shards) || shard.writeAlone && len(b.shards) > 0 {
 			continue
 		}
-		// A record of which nothing is left is emptied and not dropped: a late copy of
-		// the write that made it, which depends on there being none, would bring it back
-		// as the newest of all.
-		ch := protocol.Change{Key: g.key}
-		var done func()
-		ch.Value, done = p.encode(slices.Sorted(maps.Keys(g.entries)))
-		if len(ch.Value) > rs.store.limits.target.maxValueBytes {
-			rs.splitShard(p, g, len(ch.Value))
+		// A record of which nothing is left is emptied and not deleted: a late copy of the write
+		// that made it, which depends on there being none, would bring it back as the newest.
+		value, onCommit := s.encode(shard.names())
+		if len(value) > rs.store.Target().MaxValueBytes {
+			rs.splitShard(s, shard, len(value))
 			continue
 		}
-		if size += len(ch.Value) + 100; size > maxTxnBytes && len(then) > 0 {
+		if size += len(value) + txnBytesPerRecord; size > maxTxnBytes && len(b.shards) > 0 {
 			break
 		}
-		when = append(when, protocol.Condition{Key: g.key, Revision: g.revision})
-		then = append(then, ch)
-		batch, applied = append(batch, g), append(applied, done)
-		g.writeState, g.due, g.urgent = how, protocol.Forever, false
-		sizes = append(sizes, len(ch.Value))
-		if len(then) == most || g.writeAlone {
+		b.add(shard, value, onCommit)
+		if len(b.shards) == limit || shard.writeAlone {
 			break
 		}
 	}
-	if len(then) == 0 {
+	return b
+}
+
+// writeShards writes records that are due and of an urgency, in one transaction.
+func (rs *recordStore) writeShards(s *recordShards, how shardWriteState) {
+	b := rs.collectBatch(s, how)
+	if len(b.shards) == 0 {
 		return
 	}
-	p.inFlight[how] = true
-	if p == rs.launchShards {
-		when = rs.config.withRevisionCondition(when)
-		rs.launchesWrittenAt = at
-	}
-	rs.election.leaderTransaction(prio, when, then, func(o txnOutcome, r protocol.TxnResult) {
-		p.inFlight[how] = false
-		rs.config.handleRevisionConflict(o, r)
-		for i, g := range batch {
-			g.writeState = shardIdle
-			if o == txnCommitted {
-				g.revision, g.storedBytes, g.replacements, g.writeAlone = r.Revision, sizes[i], nil, false
-				if applied[i] != nil {
-					applied[i]()
-				}
-				continue
-			}
-			g.due, g.urgent = rs.now.Steady, g.urgent || how == shardWritingUrgent
-			g.writeAlone = g.writeAlone || o == txnMalformed
-			g.revisionUnknown = g.revisionUnknown || o == txnUnknown || o == txnConflict && slices.Contains(r.Conflicts, g.key)
-		}
-		if o == txnMalformed && len(batch) == 1 {
-			batch[0].due = rs.now.Steady + unwritableRetry // it is told of, and holds up no others
+	priority := priorityUrgent
+	if how == shardWritingDeferred {
+		priority = priorityNormal
+	}
+	s.inFlight[how] = true
+	if s == rs.launchShards {
+		b.when = rs.config.withRevisionCondition(b.when)
+		rs.launchesWrittenAt = rs.now.Steady
+	}
+	rs.election.transaction(priority, b.when, b.then, func(revision uint64, err error) {
+		s.inFlight[how] = false
+		rs.config.handleRevisionConflict(err)
+		if err == nil {
+			b.onCommitted(revision)
 			return
 		}
-		if o != txnCommitted {
-			p.notBefore[how] = rs.now.Steady + 300*protocol.Millisecond
+		b.onFailed(err, rs.now.Steady)
+		if errors.Is(err, statestore.ErrMalformed) && len(b.shards) == 1 {
+			b.shards[0].due = rs.now.Steady + unwritableRetry // it is logged, and holds up no others
+			return
 		}
+		s.notBefore[how] = rs.now.Steady + shardWriteRetry
 	})
 }
 
-// unwritableRetry is how long a record is left alone that the state service refuses for
-// another reason than its limits.
-const unwritableRetry = 60 * protocol.Second
+// onCommitted notes that the records are durable.
+func (b *shardBatch) onCommitted(revision uint64) {
+	for i, shard := range b.shards {
+		shard.writeState = shardIdle
+		shard.revision, shard.storedBytes = revision, b.sizes[i]
+		shard.replacements, shard.writeAlone = nil, false
+		if b.onCommit[i] != nil {
+			b.onCommit[i]()
+		}
+	}
+}
+
+// onFailed has the records written again.
+func (b *shardBatch) onFailed(err error, now micros) {
+	for _, shard := range b.shards {
+		shard.writeState = shardIdle
+		shard.due, shard.urgent = now, shard.urgent || b.how == shardWritingUrgent
+		shard.writeAlone = shard.writeAlone || errors.Is(err, statestore.ErrMalformed)
+		shard.revisionUnknown = shard.revisionUnknown || errors.Is(err, statestore.ErrOutcomeUnknown) || statestore.ConflictsOn(err, shard.key)
+	}
+}
 
-// refreshShardRevision finds out which stamp a record has after a write without an answer.
-func (rs *recordStore) refreshShardRevision(p *recordShards, g *recordShard) {
-	p.readingRevision = true
-	rs.store.getKey(priorityUrgent, g.key, func(e protocol.Entry, found, ok bool) {
+// refreshShardRevision reads the revision of a record after a write without an answer.
+func (rs *recordStore) refreshShardRevision(s *recordShards, shard *recordShard) {
+	s.readingRevision = true
+	rs.store.Get(priorityUrgent, shard.key, func(e protocol.Entry, err error) {
 		if rs.ended() {
 			return
 		}
-		p.readingRevision = false
-		if !ok {
-			p.notBefore[shardWritingUrgent] = rs.now.Steady + 300*protocol.Millisecond
+		s.readingRevision = false
+		if errors.Is(err, statestore.ErrUnavailable) {
+			s.notBefore[shardWritingUrgent] = rs.now.Steady + shardWriteRetry
 			return
 		}
-		g.revisionUnknown, g.revision = false, e.Revision // 0 where there is none
+		shard.revisionUnknown, shard.revision = false, e.Revision // 0 if there is none
 	})
 }
 
-// splitLargeShards brings records that are stored above what is written now under it, one of
-// each kind at a time and after everything else, so that nothing has to be divided when
-// the state service takes no larger ones any more.
+// splitShard splits a record that came out too long.
+func (rs *recordStore) splitShard(s *recordShards, shard *recordShard, size int) {
+	if !s.split(shard, rs.now.Steady) {
+		rs.log.Error("record too long", "key", shard.key, "bytes", size)
+		shard.due = rs.now.Steady + unwritableRetry
+	}
+}
+
+// splitLargeShards has records that are stored above what is written now written again, and
+// split by that: one of each kind at a time and after everything else, so that nothing has to
+// be split when the state service takes no larger ones any more.
 func (rs *recordStore) splitLargeShards() {
-	for _, p := range []*recordShards{rs.launchShards, rs.hostShards, rs.completionShards, rs.bookingShards} {
-		var large *recordShard
-		left := 0
-		for _, g := range p.shards {
-			if g.storedBytes <= rs.store.limits.target.maxValueBytes {
-				continue
-			}
-			if left++; g.due < protocol.Forever || g.writeState != shardIdle || len(g.replacements) > 0 {
-				large = nil
-				break
-			}
-			if large == nil {
-				large = g
-			}
-		}
+	maxBytes := rs.store.Target().MaxValueBytes
+	for _, s := range []*recordShards{rs.launchShards, rs.hostShards, rs.completionShards, rs.bookingShards} {
+		large, count := s.nextLarge(maxBytes)
 		if large != nil {
 			large.due = rs.now.Steady
-			rs.log.Info("dividing a record", "key", large.key, "bytes", large.storedBytes, "most", rs.store.limits.target.maxValueBytes, "left", left)
+			rs.log.Info("splitting a record", "key", large.key, "bytes", large.storedBytes, "max_bytes", maxBytes, "left", count)
 		}
 	}
 }
 
-// split moves half of a record that came out too long to another one. Both are
-// written; the one that takes them first, in case only one gets through.
-func (rs *recordStore) splitShard(p *recordShards, g *recordShard, size int) {
-	names := slices.Sorted(maps.Keys(g.entries))
-	if len(names) < 2 {
-		rs.log.Error("record too long", "key", g.key, "bytes", size)
-		g.due = rs.now.Steady + 60*protocol.Second
-		return
+// nextLarge is the first record that is stored above a size, and how many there are; nil while
+// one of them is being written.
+func (s *recordShards) nextLarge(maxBytes int) (next *recordShard, count int) {
+	for _, shard := range s.shards {
+		if shard.storedBytes <= maxBytes {
+			continue
+		}
+		count++
+		if shard.due < protocol.Forever || shard.writeState != shardIdle || len(shard.replacements) > 0 {
+			return nil, count
+		}
+		if next == nil {
+			next = shard
+		}
 	}
-	p.lastNumber++
-	o := &recordShard{key: p.prefix + strconv.Itoa(p.lastNumber), entries: make(map[string]int), due: rs.now.Steady, urgent: g.urgent}
-	p.shards = append([]*recordShard{o}, p.shards...)
-	g.replacements = append(g.replacements, o)
-	for _, name := range names[len(names)/2:] {
-		size := g.entries[name]
-		g.size -= size
-		delete(g.entries, name)
-		p.assign(o, name, size)
-	}
-	g.due = rs.now.Steady // in the same transaction, or later
+	return next, count
 }
--- a/internal/controller/pages_test.go
+++ b/internal/controller/shard_writer_test.go
@@ -7,6 +7,7 @@
 
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/records"
+	"mapleslip/internal/statestore"
 )
 
 // The write of a record of launches got no answer and may still be carried out. A task that
@@ -14,7 +15,7 @@
 // late write would be the newer of the two, and a new leader would look for the task on the
 // machine where it was before. So the stamp of the lost record is read before anything else
 // of its kind is written, and the lost one goes with the next.
-func TestNothingIsWrittenBeforeALostRecord(t *testing.T) {
+func TestUncertainWriteIsResolvedFirst(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
 	p := newRecordShards(records.LaunchShardPrefix, func(names []string) ([]byte, func()) { return []byte(`"` + names[0] + `"`), nil })
@@ -49,6 +50,12 @@
 	}
 }
 
+// useStateLimits has a controller write under other limits of the state service.
+func useStateLimits(c *Controller, maxValueBytes, maxChanges int) {
+	p := &protocol.Platform{MaxValueBytes: maxValueBytes, MaxTxnChanges: maxChanges, StateWriteRate: c.platform.StateWriteRate}
+	*c.store = *statestore.New(p, storeEnvironment{c.environment}, storeObserver{c}, c.log)
+}
+
 // stateCalls are the calls to the state service that a controller has made since it was
 // last asked.
 func stateCalls(c *Controller) (made []Call) {
@@ -64,11 +71,10 @@
 // of it would fit, but is not written before that half is, in parts, in the same
 // transaction or another. Else its entries were in no record for a while, and a successor
 // would not know where tasks are.
-func TestWhatIsTakenOutIsWrittenFirst(t *testing.T) {
+func TestSplitShardIsWrittenAfterItsReplacement(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+protocol.Second
-	c.store.limits.target = transactionLimits{maxValueBytes: 2048, maxChanges: 4}
-	c.store.limits.accepted = c.store.limits.target
+	useStateLimits(c, 2048, 4)
 	bytes := map[string]int{"a": 100, "b": 100, "c": 100, "d": 1500, "e": 1500, "f": 1500}
 	p := newRecordShards("xp/", func(names []string) ([]byte, func()) {
 		n := 2
@@ -109,7 +115,7 @@
 
 // The entries of a round take as few changes as can be: many records have a little room,
 // and those that are new come into one of them as long as it has.
-func TestNewEntriesComeTogether(t *testing.T) {
+func TestNewEntriesShareShard(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	p := newRecordShards("xp/", func([]string) ([]byte, func()) { return nil, nil })
 	for i := range 10 {
@@ -132,7 +138,7 @@
 }
 
 // Images are recorded as often as their part of the rate of changes allows, at most.
-func TestImagesTakeTheirPartOfTheRate(t *testing.T) {
+func TestImageRecordDelay(t *testing.T) {
 	for _, c := range []struct {
 		records int
 		rate    float64
--- a/internal/controller/spans.go
+++ b/internal/controller/spans.go
@@ -19,5 +19,3 @@
 	Name  string
 	Value int64
 }
-
-func (Span) effect() {}
--- a/internal/controller/stats_test.go
+++ b/internal/controller/stats_test.go
@@ -9,8 +9,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// sentToPeers makes a controller that follows, and what it logs.
-func told() (*Controller, *bytes.Buffer) {
+// newLoggedController makes a follower, and the buffer that it logs to.
+func newLoggedController() (*Controller, *bytes.Buffer) {
 	var log bytes.Buffer
 	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
 	return New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(&log, nil))), &log
@@ -20,35 +20,35 @@
 // when it ends, however long it lasts. The log once said nothing of it. An answer
 // lost now and then is no reason, nor is a cloud that has no machines left: its 503
 // is an answer, and was taken for an outage at first.
-func TestUnreachableIsToldOnce(t *testing.T) {
-	c, log := told()
+func TestUnreachableServiceIsLoggedOnce(t *testing.T) {
+	c, log := newLoggedController()
 	end := func(r *serviceHealth, after micros, d CallResult) {
 		c.now.Steady += after
 		c.observeServiceCall(r, d)
 	}
 	for range 5 {
-		end(&c.store.health, protocol.Second, CallResult{})
-		end(&c.store.health, protocol.Second, CallResult{Status: 200})
-		end(&c.cloudHealth, protocol.Second, CallResult{Status: 503, Body: []byte(`{"error":"no capacity"}`)})
-		end(&c.store.health, 0, CallResult{NotSent: true}) // of its rate: says nothing
+		end(&c.membership.stateServiceHealth, protocol.Second, CallResult{})
+		end(&c.membership.stateServiceHealth, protocol.Second, CallResult{Status: 200})
+		end(&c.membership.cloudHealth, protocol.Second, CallResult{Status: 503, Body: []byte(`{"error":"no capacity"}`)})
+		end(&c.membership.stateServiceHealth, 0, CallResult{NotSent: true}) // of its rate: says nothing
 	}
 	// Many failures at one moment are one lost connection, not an outage.
 	for range 10 {
-		end(&c.store.health, 0, CallResult{})
+		end(&c.membership.stateServiceHealth, 0, CallResult{})
 	}
 	if log.Len() > 0 {
-		t.Errorf("told of nothing: %s", log)
+		t.Errorf("logged without reason: %s", log)
 	}
-	end(&c.store.health, 0, CallResult{Status: 404})
+	end(&c.membership.stateServiceHealth, 0, CallResult{Status: 404})
 	for range 100 {
-		end(&c.store.health, protocol.Second/2, CallResult{Status: 503})
-		end(&c.cloudHealth, protocol.Second/2, CallResult{ConnectionRefused: true, NotSent: true})
+		end(&c.membership.stateServiceHealth, protocol.Second/2, CallResult{Status: 503})
+		end(&c.membership.cloudHealth, protocol.Second/2, CallResult{ConnectionRefused: true, NotSent: true})
 	}
-	end(&c.store.health, 0, CallResult{Status: 200})
-	end(&c.cloudHealth, 0, CallResult{Status: 200})
+	end(&c.membership.stateServiceHealth, 0, CallResult{Status: 200})
+	end(&c.membership.cloudHealth, 0, CallResult{Status: 200})
 	text := log.String()
 	for _, line := range []string{
-		`level=WARN msg="the state service can't be reached" why=503`, `level=WARN msg="the cloud can't be reached" why=refused`,
+		`level=WARN msg="the state service is unreachable" err="service unavailable"`, `level=WARN msg="the cloud is unreachable" err="connection refused"`,
 		`level=INFO msg="the state service answers again" after_ms=`, `level=INFO msg="the cloud answers again" after_ms=`,
 	} {
 		if strings.Count(text, line) != 1 {
@@ -63,7 +63,7 @@
 // What is refused is answered at once, counted by reason, and told of every few
 // seconds while there is any.
 func TestRefusalsAreCounted(t *testing.T) {
-	c, log := told()
+	c, log := newLoggedController()
 	c.Start(instant{})
 	body := []byte(`{"ref":"req-000001","jobclass":"x","owner":"t","shape":"array","rank":"high","shards":1,"cores":1,"gpus":0,"memoryGb":1,"bundle":"i","sizeGb":1,` +
 		`"flavors":null,"region":null,"samePlace":false,"apart":false,"reclaimable":false,"expectS":5,"snapshotEveryS":0,"snapshotS":0,"dueS":null}`)
@@ -88,12 +88,12 @@
 		note(c.Step(instant{Steady: protocol.Second + micros(i)}, UserRequest{Op: protocol.OpCancel, Ref: "req-000002"}))
 	}
 	s := c.Snapshot()
-	if answered != 6 || s.Refused[refusalMachineTypes] != 3 || s.Refused[refusalNoLeader] != 3 || s.Hosts != nil {
+	if answered != 6 || s.Refused[string(refusalMachineTypes)] != 3 || s.Refused[string(refusalNoLeader)] != 3 || s.Hosts != nil {
 		t.Errorf("%d answered, %v", answered, s.Refused)
 	}
 	c.Step(instant{Steady: 2 * protocol.Second}, Tick{})
 	c.Step(instant{Steady: 30 * protocol.Second}, Tick{})
-	if n := strings.Count(log.String(), "refused for now"); n != 2 {
-		t.Errorf("told %d times:\n%s", n, log)
+	if n := strings.Count(log.String(), "requests refused"); n != 2 {
+		t.Errorf("logged %d times:\n%s", n, log)
 	}
 }
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -2,40 +2,51 @@
 
 import "container/heap"
 
+// timer is a function that runs at an instant.
 type timer struct {
 	at  micros
 	seq uint64
-	fn  func()
+	run func()
 }
 
-// timers is a heap by time.
-type timers []timer
+// timerHeap orders timers by their instants, those of one instant by when they were set.
+type timerHeap []timer
 
-func (h timers) Len() int { return len(h) }
+func (h timerHeap) Len() int { return len(h) }
 
-func (h timers) Less(a, b int) bool {
+func (h timerHeap) Less(a, b int) bool {
 	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].seq < h[b].seq
 }
 
-func (h timers) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h timerHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (h *timers) Push(x any) { *h = append(*h, x.(timer)) }
+// Push is part of heap.Interface.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-func (h *timers) Pop() any {
+// Pop is part of heap.Interface.
+func (h *timerHeap) Pop() any {
 	old := *h
-	t := old[len(old)-1]
+	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	return t
+	return last
 }
 
-// after runs fn once the time has come, within the resolution of ticks.
-func (env *environment) after(d micros, fn func()) {
+// timerQueue is the timers that have not run yet.
+type timerQueue struct {
+	timers   timerHeap
+	timerSeq uint64
+}
+
+// after runs a function once a while has passed, within the resolution of ticks.
+func (env *environment) after(delay micros, run func()) {
 	env.timerSeq++
-	heap.Push(&env.timers, timer{env.now.Steady + d, env.timerSeq, fn})
+	heap.Push(&env.timers, timer{env.now.Steady + delay, env.timerSeq, run})
 }
 
+// runTimers runs the timers that are due. Those that they set run with a later event.
 func (env *environment) runTimers() {
-	for last := env.timerSeq; len(env.timers) > 0 && env.timers[0].at <= env.now.Steady && env.timers[0].seq <= last; {
-		heap.Pop(&env.timers).(timer).fn()
+	last := env.timerSeq
+	for len(env.timers) > 0 && env.timers[0].at <= env.now.Steady && env.timers[0].seq <= last {
+		heap.Pop(&env.timers).(timer).run()
 	}
 }
--- a/internal/controller/user_gateway.go
+++ b/internal/controller/user_gateway.go
@@ -1,12 +1,15 @@
 package controller
 
 import (
+	"net/http"
+
 	"mapleslip/internal/featuregate"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/statestore"
 )
 
-// userGateway takes users' and operators' requests: it serves them as the leader, forwards
-// them to it, or serves them from the state service alone.
+// userGateway takes users' and operators' requests: it serves them as the leader, forwards them
+// to it, or serves them from the state service alone.
 type userGateway struct {
 	*environment
 	config      *configManager
@@ -15,7 +18,7 @@
 	features    *featureManager
 	membership  *membership
 	rollouts    *rolloutDriver
-	store       *stateStore
+	store       *statestore.Client
 	submissions *submissions
 
 	forwardedSubmits int // submissions on their way to the leader, of those that can wait
@@ -24,95 +27,118 @@
 	leaderLookups    int // lookups that this leader makes for users
 }
 
-// onUserRequest handles a user's call, wherever it came in.
+const (
+	// maxDirectDelay is how long a request may wait for the state service's rate.
+	maxDirectDelay    = 400 * protocol.Millisecond
+	minDirectRequests = 2
+	minLeaderLookups  = 4
+	// userRateShare is the part of the request rate that users' queries may take.
+	userRateShare = 0.5
+)
+
+// onUserRequest handles a user's or an operator's request, wherever it came in.
 func (g *userGateway) onUserRequest(e UserRequest) {
-	if e.Op >= protocol.OpConfig {
+	switch {
+	case e.Op >= protocol.OpConfig:
 		g.config.onConfigRequest(e)
-		return
-	}
-	if e.Op >= protocol.OpRollout {
+	case e.Op >= protocol.OpRollout:
 		g.rollouts.onRolloutRequest(e)
-		return
-	}
-	var spec *protocol.JobSpec
-	if e.Op == protocol.OpSubmit {
-		var err error
-		if spec, err = protocol.ParseJob(e.Body); err != nil {
-			g.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
-			return
-		}
-		e.Ref = spec.Ref
-		if len(spec.DependsOn) > 0 && !g.features.featureEnabled(featuregate.ChainedJobs) {
-			g.replyUnavailable(e.Reply, refusalFeatureDisabled)
-			return
-		}
-	} else if !protocol.ValidRef(e.Ref) {
+	case e.Op == protocol.OpSubmit:
+		g.onSubmit(e)
+	case !protocol.ValidRef(e.Ref):
 		// No such id can ever have been accepted.
-		g.reply(e.Reply, 404, protocol.ErrorBody("no such job"), 0)
+		g.replyError(e.Reply, http.StatusNotFound, noSuchJob)
+	default:
+		g.route(e, nil)
+	}
+}
+
+// onSubmit checks a submission.
+func (g *userGateway) onSubmit(e UserRequest) {
+	spec, err := protocol.ParseJob(e.Body)
+	if err != nil {
+		g.replyError(e.Reply, http.StatusBadRequest, err.Error())
 		return
 	}
-	if f, ok := g.directory.finishedJobs.find(e.Ref); ok {
-		g.directory.replyFinishedJob(e.Reply, e.Ref, f)
+	if len(spec.DependsOn) > 0 && !g.features.isEnabled(featuregate.ChainedJobs) {
+		g.refuse(e.Reply, refusalFeatureDisabled)
 		return
 	}
-	if g.election.mayActAsLeader() {
-		switch e.Op {
-		case protocol.OpSubmit:
-			g.submissions.submitJob(e.Reply, spec)
-		case protocol.OpQuery:
-			g.queryJob(e.Reply, e.Ref)
-		case protocol.OpCancel:
-			g.term.jobs.cancelJob(e.Reply, e.Ref)
-		}
+	e.Ref = spec.Ref
+	g.route(e, spec)
+}
+
+// route serves a request about a job as the leader, or forwards it. spec is that of a
+// submission, nil otherwise.
+func (g *userGateway) route(e UserRequest, spec *protocol.JobSpec) {
+	if f, finished := g.directory.finishedJobs.find(e.Ref); finished {
+		g.directory.replyFinishedJob(e.Reply, e.Ref, f)
 		return
 	}
-	if g.election.role == RoleLeaseUncertain && e.Op == protocol.OpCancel && g.term.cluster.Job(e.Ref) != nil {
+	switch {
+	case g.election.mayActAsLeader():
+		g.serveAsLeader(e, spec)
+	case g.election.role == RoleLeaseUncertain && e.Op == protocol.OpCancel && g.term.cluster.Job(e.Ref) != nil:
 		// Nobody can be told now, but the tasks can end: a stop can do no harm.
 		g.term.jobs.cancelJob(e.Reply, e.Ref)
-		return
+	case e.Reply.Peer:
+		g.replyNotLeader(e.Reply)
+	default:
+		g.forwardToLeader(e, spec, g.now.Steady)
 	}
-	if e.Reply.Peer {
-		g.reply(e.Reply, 0, nil, 0)
-		return
+}
+
+func (g *userGateway) serveAsLeader(e UserRequest, spec *protocol.JobSpec) {
+	switch e.Op {
+	case protocol.OpSubmit:
+		g.submissions.submit(e.Reply, spec)
+	case protocol.OpQuery:
+		g.queryJob(e.Reply, e.Ref)
+	case protocol.OpCancel:
+		g.term.jobs.cancelJob(e.Reply, e.Ref)
+	default: // of other components
 	}
-	g.forwardToLeader(e, spec)
 }
 
-// serveWithoutLeader serves a call from the state service alone. What its rate has no
-// room for is refused at once: waiting in line would only make the others late.
+// serveWithoutLeader serves a request from the state service alone. What its rate has no room
+// for is refused at once: waiting in line would only make the others late.
 func (g *userGateway) serveWithoutLeader(e UserRequest, spec *protocol.JobSpec) {
-	nodes := len(g.platform.Peers) + 1
-	room, under := g.platform.StateRequestRate*ReadShare(nodes, false)/2, g.directQueries
-	if e.Op == protocol.OpSubmit {
-		room, under = g.store.limits.writeRate*WriteShare(nodes, false), g.directSubmits
-	}
-	if e.Op != protocol.OpCancel && float64(under) >= max(2, room*maxDirectDelay.Seconds()) {
-		g.replyUnavailable(e.Reply, refusalNoLeader)
-		return
-	}
 	switch e.Op {
-	case protocol.OpCancel:
-		// Only the leader can stop tasks; the user comes again.
-		g.replyUnavailable(e.Reply, refusalNoLeader)
 	case protocol.OpQuery:
+		rate := g.platform.StateRequestRate * ReadShare(g.controllers(), false) * userRateShare
+		if !hasRoom(g.directQueries, minDirectRequests, rate) {
+			g.refuse(e.Reply, refusalNoLeader)
+			return
+		}
 		g.directQueries++
 		g.directory.replyFromStateService(e.Reply, e.Ref, func() { g.directQueries-- })
 	case protocol.OpSubmit:
+		rate := g.store.WriteRate() * WriteShare(g.controllers(), false)
+		if !hasRoom(g.directSubmits, minDirectRequests, rate) {
+			g.refuse(e.Reply, refusalNoLeader)
+			return
+		}
 		g.directSubmits++
-		g.submissions.submitWithoutLeader(e.Reply, spec, func() { g.directSubmits-- })
+		g.submissions.submitWithoutLeader(submission{e.Reply, spec, func() { g.directSubmits-- }})
+	default:
+		// Only the leader can stop tasks; the user asks again.
+		g.refuse(e.Reply, refusalNoLeader)
 	}
 }
 
-// maxDirectDelay is how long a call may wait for the state service's rate.
-const maxDirectDelay = 400 * protocol.Millisecond
+// hasRoom reports whether a rate has room for another request within maxDirectDelay.
+func hasRoom(inFlight, minInFlight int, rate float64) bool {
+	return float64(inFlight) < max(float64(minInFlight), rate*maxDirectDelay.Seconds())
+}
 
+// queryJob answers a query as the leader.
 func (g *userGateway) queryJob(to ReplyAddress, ref string) {
 	if j := g.term.cluster.Job(ref); j != nil && !isOutcomeUncertain(j) {
-		g.reply(to, 200, g.directory.jobStatusBody(j), 0)
+		g.reply(to, http.StatusOK, g.directory.trackedJobStatus(j))
 		return
 	}
 	if g.lookupLimitReached() {
-		g.replyUnavailable(to, refusalLookupLimit)
+		g.refuse(to, refusalLookupLimit)
 		return
 	}
 	g.leaderLookups++
@@ -120,8 +146,9 @@
 }
 
 // lookupLimitReached reports whether this leader looks up as much for users as it may. Lookups
-// come second to what the leader has to write and read itself: a storm of questions about
-// jobs that nobody knows would use up the rate.
+// come second to what the leader has to write and read itself: a storm of queries for jobs that
+// nobody knows would use up the rate.
 func (g *userGateway) lookupLimitReached() bool {
-	return float64(g.leaderLookups) >= max(4, g.platform.StateRequestRate*ReadShare(len(g.platform.Peers)+1, true)/2*maxDirectDelay.Seconds())
+	rate := g.platform.StateRequestRate * ReadShare(g.controllers(), true) * userRateShare
+	return !hasRoom(g.leaderLookups, minLeaderLookups, rate)
 }
--- a/internal/controller/worker_router.go
+++ b/internal/controller/worker_router.go
@@ -1,15 +1,20 @@
 package controller
 
 import (
+	"net/http"
+
 	"mapleslip/internal/protocol"
-	"mapleslip/internal/state"
 )
 
-// workerRouter sends workers to the leader while another controller leads, and forwards the
-// heartbeats of those that can't reach it.
+// workerRouter takes workers' heartbeats. The leader's are handled by its agents; while another
+// controller leads, workers are redirected to it.
+//
+// Some workers can't get there, though the leader is well: a link or a filter is between them
+// and it. Sent back and forth, such a worker would lose its lease and all that runs on it. So
+// the heartbeat of a worker that can't reach the leader is forwarded, and the leader's own
+// answer goes back. Only who carries the message changes: nobody but the leader answers.
 type workerRouter struct {
 	*environment
-	catalog    *machineCatalog
 	election   *election
 	membership *membership
 
@@ -18,208 +23,175 @@
 	forwardingPausedUntil micros                      // the leader did not answer one
 }
 
-// redirectedWorker is a worker that came here while another node led.
+// redirectedWorker is a worker that came here while another controller led.
 type redirectedWorker struct {
-	lastSeen            micros // when it last came
-	redirectedAt        micros // when it was last sent to the leader, of epoch to
+	lastSeen            micros
+	zone                string
+	redirectedAt        micros // when it was last sent to the leader of redirectedEpoch
 	redirectedEpoch     uint64
-	forwardUntil        micros // until then its reports are passed on without asking it to try
-	leaderUnreachableAt micros // when it last showed that it can't reach the leader of epoch
+	forwardUntil        micros // until then its heartbeats are forwarded without redirecting it first
+	leaderUnreachableAt micros // when it last showed that it can't reach the leader of unreachableEpoch
 	unreachableEpoch    uint64
-	zone                string
-	// The newest report of it that came here.
+
+	// The newest of its heartbeats that came here.
 	agentEpoch, sequence uint64
 }
 
-// Spans of that. A worker that can't reach the leader comes back within
-// redirectReturnWindow: after half a second and two tries that nobody answers.
 const (
+	// redirectReturnWindow is how soon a worker that can't reach the leader comes back: after
+	// half a second and two tries that nobody answers.
 	redirectReturnWindow    = 15 * protocol.Second
 	heartbeatForwardTimeout = 1500 * protocol.Millisecond
-	forwardingPause         = 3 * protocol.Second
+	forwardingPause         = 3 * protocol.Second // after the leader did not answer
 	maxForwardedHeartbeats  = 24
+	forwardLeases           = 2 // for how many leases the heartbeats of such a worker are forwarded
 )
 
-// onHeartbeat handles a worker's report. Only the leader answers with 200: a
-// worker that gets a 200 it has to drop stays while its lease runs out.
+// onHeartbeat handles a worker's heartbeat. Only the leader answers with 200: a worker that
+// gets a 200 which it has to drop stays here while its lease runs out.
 func (wr *workerRouter) onHeartbeat(e WorkerHeartbeat) {
 	r, err := protocol.ParseHeartbeat(e.Body)
 	if err != nil {
 		wr.logMalformed("worker", err)
-		wr.reply(e.Reply, 400, protocol.ErrorBody(err.Error()), 0)
+		wr.replyError(e.Reply, http.StatusBadRequest, err.Error())
 		return
 	}
 	switch wr.election.role {
-	case RoleRecovering:
-		// The epoch is ours already. The records are not read yet, so there
-		// are no commands; the worker's lease is renewed and its next report
-		// comes under the new epoch.
-		if r.Token <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
-			wr.reply(e.Reply, 200, protocol.AppendCommands(nil, wr.election.lease.epoch, 0, nil), 0)
-			return
-		}
-		wr.replyUnavailable(e.Reply, refusalRecovering)
-		return
 	case RoleLeader, RoleLeaseUncertain:
-	default:
-		if e.Reply.Peer {
-			wr.reply(e.Reply, 0, nil, 0) // this node does not lead
-			return
-		}
-		if wr.membership.isIsolatedFromQuorum() && (r.Zone == wr.platform.Zone || !wr.membership.leaderExpectsOwnZoneOnly && wr.membership.mayAnswerZone(wr.platform.Zone, r.Zone)) && r.Token > 0 {
-			// Cut off together with the worker: under the token that it knows its
-			// tasks go on. It gets no commands.
+		wr.term.agents.onHeartbeat(e, r)
+	case RoleRecovering:
+		wr.answerWhileRecovering(e, r)
+	case RoleFollower, RoleAcquiringLease, RoleClaiming:
+		switch {
+		case e.Reply.Peer:
+			wr.replyNotLeader(e.Reply)
+		case wr.mayKeepAlive(r):
+			// The tasks go on under the token that the worker knows. It gets no commands.
 			wr.membership.workerAnsweredAt = wr.now.Steady
-			wr.reply(e.Reply, 200, protocol.AppendCommands(nil, r.Token, 0, nil), 0)
-			return
+			wr.replyCommands(e.Reply, r.Token, nil)
+		default:
+			wr.redirectOrForward(e, r)
 		}
-		wr.redirectOrForward(e, r)
-		return
-	}
-	t := wr.term
-	if r.Token > t.epoch {
-		wr.election.stepDownSuperseded("a worker has seen a newer epoch")
-		wr.reply(e.Reply, 421, protocol.LeaderBody(""), 0)
-		return
-	}
-	if _, gone := t.releasedHosts[r.Host]; gone {
-		wr.replyUnavailable(e.Reply, refusalHostReleased)
-		return
-	}
-	h := t.cluster.Host(r.Host)
-	if h == nil {
-		h = state.NewHost(wr.now.Steady, r.Host, r.Type, r.Zone, r.Spot)
-		h.Type = wr.catalog.byName[r.Type]
-		h.Unverified, h.Addr = r.Token != t.epoch, r.Addr
-		t.cluster.AddHost(h)
-		wr.term.prober.queueProbe(h)
-		wr.log.Debug("machine reports that was not rented in this term", "host", r.Host)
 	}
-	if h.IsStale(r) {
-		// What it says is older than what is known: it was held up on the way,
-		// or crossed the answer to a direct command. In the second case the
-		// worker still waits, so it is answered, but the book stays as it is.
-		// A worker's lease runs from when it sent what is answered, and that was before
-		// the newer message was heard: a copy that comes again and again proves no more.
-		if r.AgentEpoch == h.Agent.Epoch {
-			h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, h.Agent.LastContact)
-		}
-		wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, nil), 0)
+}
+
+// answerWhileRecovering answers a heartbeat to a leader that has not read the records yet. It
+// has no commands; the worker's lease is renewed, and its next heartbeat comes under the new
+// epoch.
+func (wr *workerRouter) answerWhileRecovering(e WorkerHeartbeat, r *protocol.Heartbeat) {
+	if r.Token <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
+		wr.replyCommands(e.Reply, wr.election.lease.epoch, nil)
 		return
 	}
-	if !e.Reply.Peer {
-		h.Agent.LeaderUnreachableAt, h.Agent.ForwardedAt = 0, 0
-	} else {
-		h.Agent.ForwardedAt = wr.now.Steady
-		if e.ReturnedFromLeader {
-			h.Agent.LeaderUnreachableAt = wr.now.Steady
-		}
+	wr.refuse(e.Reply, refusalRecovering)
+}
+
+// mayKeepAlive reports whether this controller and a worker are cut off together.
+func (wr *workerRouter) mayKeepAlive(r *protocol.Heartbeat) bool {
+	if !wr.membership.isIsolatedFromQuorum() || r.Token == 0 {
+		return false
 	}
-	wr.term.agents.applyHeartbeat(h, r, false)
-	cmds := wr.term.commands.heartbeatCommands(h)
-	h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, wr.now.Steady)
-	h.Agent.RepliedAt = wr.now.Steady
-	wr.reply(e.Reply, 200, protocol.AppendCommands(nil, t.epoch, 0, cmds), 0)
+	own := wr.platform.Zone
+	return r.Zone == own || !wr.membership.leaderExpectsOwnZoneOnly && wr.membership.mayAnswerZone(own, r.Zone)
 }
 
-// cannotReachLeader reports whether a worker seems unable to reach the leader: it was
-// sent there and came back, or it has served under this leader before and tries
-// other nodes now.
-func (wr *workerRouter) cannotReachLeader(r *protocol.Heartbeat) (yes, returned bool) {
-	at := wr.now.Steady
-	k, known := wr.workers[r.Host]
+// cannotReachLeader reports whether a worker seems unable to reach the leader: it was sent
+// there and came back, or it has served under this leader before and tries other controllers
+// now.
+func (wr *workerRouter) cannotReachLeader(r *protocol.Heartbeat) (unreachable, returned bool) {
+	now, epoch := wr.now.Steady, wr.election.leader.Epoch
+	w, known := wr.workers[r.Host]
 	switch {
-	case k.redirectedEpoch > 0 && k.redirectedEpoch != wr.election.leader.Epoch:
-		// It was sent to another leader, and not to this one yet. Workers that had been sent to one that
-		// had ended counted as out of reach of the next, which gave its lease back for that.
-	case k.redirectedAt > 0 && at-k.redirectedAt < redirectReturnWindow && r.Token <= wr.election.leader.Epoch:
+	case w.redirectedEpoch > 0 && w.redirectedEpoch != epoch:
+		// It was sent to another leader, and not to this one yet. Counted as a return, workers
+		// that were sent to a leader that has ended make the next one give its lease back.
+	case w.redirectedAt > 0 && now-w.redirectedAt < redirectReturnWindow && r.Token <= epoch:
 		returned = true
-		k.forwardUntil = at + 2*wr.platform.WorkerLease
-	case at < k.forwardUntil:
+		w.forwardUntil = now + forwardLeases*wr.platform.WorkerLease
+	case now < w.forwardUntil:
 		returned = true
 	}
-	first := !known || at-k.lastSeen >= redirectReturnWindow
-	yes = returned || first && r.Token > 0 && r.Token == wr.election.leader.Epoch
-	k.lastSeen, k.redirectedAt, k.zone, k.agentEpoch, k.sequence = at, 0, r.Zone, r.AgentEpoch, r.Sequence
-	if yes {
-		k.leaderUnreachableAt, k.unreachableEpoch = at, wr.election.leader.Epoch
+	first := !known || now-w.lastSeen >= redirectReturnWindow
+	unreachable = returned || first && r.Token > 0 && r.Token == epoch
+	w.lastSeen, w.redirectedAt, w.zone, w.agentEpoch, w.sequence = now, 0, r.Zone, r.AgentEpoch, r.Sequence
+	if unreachable {
+		w.leaderUnreachableAt, w.unreachableEpoch = now, epoch
 	}
-	wr.workers[r.Host] = k
-	return yes, returned
+	wr.workers[r.Host] = w
+	return unreachable, returned
 }
 
-// redirectOrForward sends a worker to the leader, or its report where the worker can't go.
+// redirectOrForward sends a worker to the leader, or its heartbeat where the worker can't go.
 func (wr *workerRouter) redirectOrForward(e WorkerHeartbeat, r *protocol.Heartbeat) {
-	if k, known := wr.workers[r.Host]; known && !r.NewerThan(k.agentEpoch, k.sequence) {
-		// A late copy: it shows nothing of whom the worker reaches now. Counted as the
-		// worker's coming back it was passed on, and the leader counted as out of reach.
+	if w, known := wr.workers[r.Host]; known && !r.NewerThan(w.agentEpoch, w.sequence) {
+		// A late copy: it says nothing of whom the worker reaches now.
 		wr.replyLeader(e)
 		return
 	}
-	yes, returned := wr.cannotReachLeader(r)
+	unreachable, returned := wr.cannotReachLeader(r)
 	addr := wr.membership.peerAddress(wr.election.leader.Controller)
-	if !yes || addr == "" || wr.now.Steady < wr.forwardingPausedUntil || wr.forwardedHeartbeats >= maxForwardedHeartbeats {
-		wr.redirectWorker(e, r.Host)
+	if !unreachable || addr == "" || wr.now.Steady < wr.forwardingPausedUntil || wr.forwardedHeartbeats >= maxForwardedHeartbeats {
+		wr.redirect(e, r.Host)
 		return
 	}
 	wr.forwardedHeartbeats++
-	frame := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerHeartbeat, ReturnedFromLeader: returned, Body: e.Body})
-	wr.callAddress(ToPeer, "", addr, "", frame, heartbeatForwardTimeout, func(d CallResult) {
+	m := &protocol.PeerMessage{Kind: protocol.PeerHeartbeat, ReturnedFromLeader: returned, Body: e.Body}
+	wr.sendPeer(addr, m, heartbeatForwardTimeout, func(result CallResult) {
 		wr.forwardedHeartbeats--
-		if m := wr.membership.parsePeerResponse(d); m != nil && m.Status != 0 {
-			wr.reply(e.Reply, int(m.Status), m.Body, m.RetryAfter)
+		if m, ok := wr.membership.parsePeerResponse(result); ok {
+			wr.replyAfter(e.Reply, int(m.Status), m.Body, m.RetryAfter)
 			return
 		}
 		// It does not lead any more, or can't be reached from here either.
 		wr.forwardingPausedUntil = wr.now.Steady + forwardingPause
 		wr.election.recheckLeader()
-		wr.redirectWorker(e, r.Host)
+		wr.redirect(e, r.Host)
 	})
 }
 
-// redirectWorker sends a worker to whoever leads.
-func (wr *workerRouter) redirectWorker(e WorkerHeartbeat, host string) {
-	k := wr.workers[host]
-	k.lastSeen, k.redirectedAt, k.redirectedEpoch = wr.now.Steady, wr.now.Steady, wr.election.leader.Epoch
-	wr.workers[host] = k
+// redirect sends a worker to whoever leads.
+func (wr *workerRouter) redirect(e WorkerHeartbeat, host string) {
+	w := wr.workers[host]
+	w.lastSeen, w.redirectedAt, w.redirectedEpoch = wr.now.Steady, wr.now.Steady, wr.election.leader.Epoch
+	wr.workers[host] = w
 	wr.replyLeader(e)
 }
 
-// replyLeader answers a report with who leads, as far as known.
+// replyLeader answers a heartbeat with who leads, as far as known.
 func (wr *workerRouter) replyLeader(e WorkerHeartbeat) {
 	leader := wr.election.leader.Controller
 	if leader == wr.platform.ControllerName {
 		leader = ""
 	}
-	wr.reply(e.Reply, 421, protocol.LeaderBody(leader), 0)
+	wr.reply(e.Reply, http.StatusMisdirectedRequest, protocol.LeaderBody(leader))
 }
 
-// summarizeRedirectedWorkers counts the workers that came here lately, and forgets the others. The
-// body tells, zone by zone, how many of them can't reach the leader: workers that come
-// by and are sent on to it are no sign that it can't be reached. After the end of all
-// controllers each worker comes by, so that a leader which missed a zone behind a cut
-// took all the others for out of its reach.
-func (wr *workerRouter) summarizeRedirectedWorkers() (uint32, []byte) {
-	n := uint32(0)
-	astray := make(map[string]int)
-	for host, k := range wr.workers {
-		switch age := wr.now.Steady - k.lastSeen; {
-		case age <= redirectReturnWindow:
-			n++
-			if k.leaderUnreachableAt > 0 && wr.now.Steady-k.leaderUnreachableAt <= redirectReturnWindow && k.unreachableEpoch == wr.election.leader.Epoch {
-				astray[k.zone]++
+// summarizeRedirectedWorkers counts the workers that came here lately, and forgets the others.
+// The body tells, zone by zone, how many of them can't reach the leader: workers that come by
+// and are redirected are no sign of that. After a restart of all controllers each worker comes
+// by.
+func (wr *workerRouter) summarizeRedirectedWorkers() (count uint32, body []byte) {
+	now := wr.now.Steady
+	unreachable := make(map[string]int)
+	for host, w := range wr.workers {
+		switch {
+		case now-w.lastSeen <= redirectReturnWindow:
+			count++
+			lately := w.leaderUnreachableAt > 0 && now-w.leaderUnreachableAt <= redirectReturnWindow
+			if lately && w.unreachableEpoch == wr.election.leader.Epoch {
+				unreachable[w.zone]++
 			}
-		case wr.now.Steady >= k.forwardUntil:
+		case now >= w.forwardUntil:
 			delete(wr.workers, host)
 		}
 	}
-	return n, protocol.AppendReachability(nil, astray)
+	return count, protocol.AppendReachability(nil, unreachable)
 }
 
-// onWorkerProbe makes a call to a worker for the leader. Whether the command has
-// any effect is for the worker to say, by the token and session that it names.
+// onWorkerProbe sends a command to a worker for the leader. Whether the command has any effect
+// is for the worker to say, by the fencing token and agent epoch that it names.
 func (wr *workerRouter) onWorkerProbe(e WorkerProbe) {
-	wr.callAddress(ToWorker, "POST", e.Addr, "/commands", e.Body, commandTimeout*3/4, func(r CallResult) {
-		wr.reply(e.Reply, r.Status, r.Body, 0)
+	wr.sendToWorker(e.Addr, e.Body, commandTimeout*3/4, func(r CallResult) {
+		wr.reply(e.Reply, r.Status, r.Body)
 	})
 }
--- a/internal/controller/workload.go
+++ b/internal/controller/workload.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
+	"maps"
 	"math"
-	"sort"
+	"slices"
 
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
@@ -14,6 +15,7 @@
 	classes map[string]*classStats
 }
 
+// classStats is what was learned of a class, which is empty at first.
 func (wl *workload) classStats(name string) *classStats {
 	k := wl.classes[name]
 	if k == nil {
@@ -23,77 +25,89 @@
 	return k
 }
 
-func (wl *workload) classNames() []string {
-	names := make([]string, 0, len(wl.classes))
-	for n := range wl.classes {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	return names
-}
+func (wl *workload) classNames() []string { return slices.Sorted(maps.Keys(wl.classes)) }
 
 // classStats is what was learned of a class of jobs.
 type classStats struct {
-	largestJob      int // tasks of the largest job that was seen
-	arrivals        []micros
-	lastSpec        *protocol.JobSpec
-	logRuntimeRatio float64 // of run times to estimates
+	largestJob int // tasks of the largest job that was seen
+	arrivals   []micros
+	lastSpec   *protocol.JobSpec
+	// logRuntimeRatio is the logarithm of run times over their estimates, averaged over
+	// observations of some weight.
+	logRuntimeRatio float64
 	weight          float64
 }
 
-// arrivalWindow is the span over which arrivals are counted.
-const arrivalWindow = 180 * protocol.Second
+const (
+	// arrivalWindow is the span over which arrivals are counted, and minArrivalSpan the shortest
+	// one from which a rate is made.
+	arrivalWindow  = 180 * protocol.Second
+	minArrivalSpan = 60 * protocol.Second
+	// newArrivalAge is how old a job may be that counts as arriving: others were submitted to an
+	// earlier leader.
+	newArrivalAge = 5 * protocol.Second
+
+	// maxLogRatio bounds an observed logRuntimeRatio, and maxRatioWeight the weight of those
+	// before it.
+	maxLogRatio    = 2
+	maxRatioWeight = 20
+	// priorWeight is the weight of the estimate that users give.
+	priorWeight = 3
+
+	minEstimatedRuntime = protocol.Second
+	minRemainingRuntime = 2 * protocol.Second
+)
 
-func (k *classStats) onArrival(at micros, j *state.Job) {
+// onArrival learns from a job that has arrived.
+func (k *classStats) onArrival(now micros, j *state.Job) {
 	k.lastSpec, k.largestJob = j.Spec, max(k.largestJob, j.Spec.Tasks)
-	if at-j.EligibleAt < 5*protocol.Second {
-		k.arrivals = append(k.arrivals, at)
+	if now-j.EligibleAt < newArrivalAge {
+		k.arrivals = append(k.arrivals, now)
 	}
-	for len(k.arrivals) > 0 && at-k.arrivals[0] > arrivalWindow {
+	for len(k.arrivals) > 0 && now-k.arrivals[0] > arrivalWindow {
 		k.arrivals = k.arrivals[1:]
 	}
 }
 
-// during estimates how many jobs of the class arrive in a span.
-func (k *classStats) expectedArrivals(at, term, span micros) float64 {
-	n := 0
-	for _, t := range k.arrivals {
-		if at-t <= arrivalWindow {
-			n++
+// expectedArrivals estimates how many jobs of the class arrive in a span, as the leader of a
+// term that began at an instant.
+func (k *classStats) expectedArrivals(now, termStart, span micros) float64 {
+	count := 0
+	for _, at := range k.arrivals {
+		if now-at <= arrivalWindow {
+			count++
 		}
 	}
-	seen := min(max(at-term, 60*protocol.Second), arrivalWindow)
-	return float64(n) * float64(span) / float64(seen)
+	observed := min(max(now-termStart, minArrivalSpan), arrivalWindow)
+	return float64(count) * float64(span) / float64(observed)
 }
 
-// ran learns from a completed task.
+// onTaskCompleted learns from a completed task.
 func (k *classStats) onTaskCompleted(j *state.Job, took micros) {
 	if j.Spec.EstimatedRuntime <= 0 || took <= 0 || j.FirstStart == 0 {
 		return
 	}
-	r := math.Log(float64(took) / float64(j.Spec.EstimatedRuntime))
-	r = max(-2, min(2, r))
-	w := 1 / min(k.weight+1, 20)
-	k.logRuntimeRatio += (r - k.logRuntimeRatio) * w
+	ratio := math.Log(float64(took) / float64(j.Spec.EstimatedRuntime))
+	ratio = max(-maxLogRatio, min(maxLogRatio, ratio))
+	k.logRuntimeRatio += (ratio - k.logRuntimeRatio) * (1 / min(k.weight+1, maxRatioWeight))
 	k.weight++
 }
 
-// estimatedRuntime is the corrected estimate of a task's run time.
+// estimatedRuntime is the corrected estimate of a task's run time. A few observations say
+// little: they correct it by their number.
 func (k *classStats) estimatedRuntime(s *protocol.JobSpec) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
-	// A few observations say little: they pull the factor by their number.
-	pull := k.weight / (k.weight + 3)
-	return max(protocol.Second, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRuntimeRatio*pull)))
+	confidence := k.weight / (k.weight + priorWeight)
+	return max(minEstimatedRuntime, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRuntimeRatio*confidence)))
 }
 
-// remaining estimates what is left of an attempt that runs. One that has
+// remainingRuntime estimates what is left of an attempt that has run for a while. One that has
 // overrun its estimate is pushed forward.
 func (k *classStats) remainingRuntime(s *protocol.JobSpec, ran micros) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
-	length := k.estimatedRuntime(s)
-	return max(length-ran, ran/4, 2*protocol.Second)
+	return max(k.estimatedRuntime(s)-ran, ran/4, minRemainingRuntime)
 }
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -23,6 +23,12 @@
 	Guarantee, Limit Resources
 }
 
+// Kinds of objectives, as the platform's file names them.
+const (
+	ObjectiveWait     = "wait"     // on the time until all tasks of a job have started
+	ObjectiveFinished = "finished" // on the time until a job is done
+)
+
 // Objective repeats one aim on starting or finishing.
 type Objective struct {
 	Kind, Class string
