--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -25,7 +25,7 @@
 
 // ended reports whether this controller no longer leads in this term. Callbacks check it
 // before they change anything.
-func (tc *termContext) ended() bool { return tc.environment.term != tc.owner }
+func (tc *termContext) ended() bool { return tc.term != tc.owner }
 
 // leaderTerm is what a leader holds during one epoch. It is dropped when leadership is lost.
 type leaderTerm struct {
--- a/internal/controller/placement_request.go
+++ b/internal/controller/placement_request.go
@@ -8,16 +8,48 @@
 	"mapleslip/internal/state"
 )
 
-// maxTasksPerCycle is how many tasks of a job one pass looks for places for.
-const maxTasksPerCycle = 256
+const (
+	// maxTasksPerCycle is how many tasks of a job one cycle looks for places for.
+	maxTasksPerCycle = 256
+	// heldBookingDelay is how much longer what was preempted for a booking may take to end.
+	heldBookingDelay = 2 * protocol.Second
+)
 
-// buildRequest makes a job's request, in its turn. It reports whether there is
+// buildRequest makes a job's request to the slot table, in its turn. It reports whether there is
 // something to place.
 func (sc *scheduler) buildRequest(w *pendingJob) bool {
-	at := sc.now.Steady
 	j := w.job
-	s := j.Spec
-	if j.State != state.JobActive || j.QueuedTasks == 0 || at < j.Failures.BackoffUntil {
+	if !sc.checkPlaceable(j) {
+		return false
+	}
+	zones := zonesInUse(j)
+	if j.Spec.SingleZone && len(zones) > 1 {
+		// A record names where a task was before, in another zone: its job has started anew
+		// since, and the leader before this one ended before all launches were recorded. Until
+		// one of the two is proven gone, either zone may be the wrong one.
+		return false
+	}
+	w.tasks = sc.queuedTasks(j)
+	if len(w.tasks) == 0 || j.Spec.Kind == protocol.Gang && len(w.tasks) != j.QueuedTasks {
+		return false
+	}
+	w.request = sc.newRequest(j, len(w.tasks), zones)
+	if j.Failures.Suspect && j.Spec.Kind != protocol.Gang {
+		w.tasks = w.tasks[:1]
+		w.request.Tasks = 1
+	}
+	if len(j.Preemption.Reservations) > 0 && !sc.applyReservations(w) {
+		return false
+	}
+	sc.keepBooking(w)
+	w.request.Patient = sc.objectives.startDeadline(j)
+	return true
+}
+
+// checkPlaceable reports whether tasks of a job may be placed now. A suspect job of which
+// something shows that it can run is suspect no more.
+func (sc *scheduler) checkPlaceable(j *state.Job) bool {
+	if j.State != state.JobActive || j.QueuedTasks == 0 || sc.now.Steady < j.Failures.BackoffUntil {
 		return false
 	}
 	if j.Failures.Suspect && sc.faults.isProven(j) {
@@ -26,50 +58,61 @@
 	if j.Failures.Suspect && j.AttemptCount > 0 {
 		return false // what is being tried says whether it can run
 	}
-	if s.Kind == protocol.Gang && (j.Gang.Started || sc.hasStoppingAttempt(j)) {
-		return false // what is left of the attempt has to end first
+	// What is left of a gang's attempt has to end before the next one.
+	return j.Spec.Kind != protocol.Gang || !j.Gang.Started && !sc.hasStoppingAttempt(j)
+}
+
+// zonesInUse counts a job's placed tasks by zone, nil if zones are of no matter to it.
+func zonesInUse(j *state.Job) map[string]int {
+	if !j.Spec.SpreadZones && !j.Spec.SingleZone {
+		return nil
 	}
-	var used map[string]int
-	if s.SpreadZones || s.SingleZone {
-		used = make(map[string]int)
-		for _, a := range j.ActiveAttempts() {
-			if task := a.Task(); task != nil && task.Current == a {
-				used[a.Host.Zone]++
-			}
+	zones := make(map[string]int)
+	for _, a := range j.ActiveAttempts() {
+		if isCurrent(a) {
+			zones[a.Host.Zone]++
 		}
 	}
-	if s.SingleZone && len(used) > 1 {
-		// A record names where a task was before, in another zone: its job has begun anew
-		// since, and the leader before this one ended before all launches were recorded.
-		// Until one of the two is proven gone, either zone may be the wrong one.
-		return false
-	}
-	first := -1
-	w.tasks = make([]int, 0, min(j.QueuedTasks, maxTasksPerCycle))
-	for i := j.FirstQueuedTask; i < len(j.Tasks) && len(w.tasks) < maxTasksPerCycle; i++ {
+	return zones
+}
+
+// isCurrent reports whether an attempt is the newest of its task.
+func isCurrent(a *state.Attempt) bool {
+	task := a.Task()
+	return task != nil && task.Current == a
+}
+
+// queuedTasks are the indices of a job's tasks that can be placed now, as many as one cycle
+// looks at.
+func (sc *scheduler) queuedTasks(j *state.Job) []int {
+	firstQueued := -1
+	tasks := make([]int, 0, min(j.QueuedTasks, maxTasksPerCycle))
+	for i := j.FirstQueuedTask; i < len(j.Tasks) && len(tasks) < maxTasksPerCycle; i++ {
 		task := &j.Tasks[i]
 		if task.State != state.TaskQueued {
 			continue
 		}
-		if first < 0 {
-			first = i
+		if firstQueued < 0 {
+			firstQueued = i
 		}
-		if task.ActiveAttempts == 0 && at >= task.NotBefore {
-			w.tasks = append(w.tasks, i)
+		if task.ActiveAttempts == 0 && sc.now.Steady >= task.NotBefore {
+			tasks = append(tasks, i)
 		}
 	}
-	if first >= 0 {
-		j.FirstQueuedTask = first
-	}
-	if len(w.tasks) == 0 || s.Kind == protocol.Gang && len(w.tasks) != j.QueuedTasks {
-		return false
+	if firstQueued >= 0 {
+		j.FirstQueuedTask = firstQueued
 	}
+	return tasks
+}
+
+// newRequest makes a request for some tasks of a job, of which others are in some zones.
+func (sc *scheduler) newRequest(j *state.Job, tasks int, zones map[string]int) *slottable.Request {
+	s := j.Spec
 	r := &slottable.Request{
-		Tasks: len(w.tasks), Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: used, Spot: s.AllowSpot, Length: sc.workload.classStats(s.Class).estimatedRuntime(s),
-		Guest: isOpportunistic(j), Frugal: sc.usesSpareCapacityOnly(j),
+		Tasks: tasks, Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
+		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: zones, Spot: s.AllowSpot,
+		Length: sc.workload.classStats(s.Class).estimatedRuntime(s), Guest: isOpportunistic(j), Frugal: sc.usesSpareCapacityOnly(j),
 	}
-	w.request = r
 	if r.Gang && s.SingleZone {
 		r.Stay = j.Booking.Zone
 	}
@@ -78,50 +121,46 @@
 	}
 	if due := effectiveDeadline(j); due > 0 {
 		r.Deadline = due - sc.operator.DeadlineMargin
-		r.NoBooking = at < j.Booking.RetryAt
-	}
-	if j.Failures.Suspect && s.Kind != protocol.Gang {
-		w.tasks = w.tasks[:1]
-		r.Tasks = 1
+		r.NoBooking = sc.now.Steady < j.Booking.RetryAt
 	}
 	if len(j.Failures.ByHost) > 0 && !j.Failures.Suspect {
 		failures := j.Failures.ByHost
-		r.Avoid = func(name string) bool { return failures[name] > 0 }
-	}
-	if len(j.Preemption.Reservations) > 0 && !sc.applyReservations(w) {
-		return false
+		r.Avoid = func(host string) bool { return failures[host] > 0 }
 	}
+	return r
+}
+
+// keepBooking has a request keep the job's booking of the last cycle, if all its hosts are still
+// there.
+func (sc *scheduler) keepBooking(w *pendingJob) {
+	j, r, now := w.job, w.request, sc.now.Steady
 	for _, b := range j.Booking.Places {
 		h := sc.cluster.Host(b.Machine)
 		if h == nil || sc.machines[h] == nil {
 			r.Kept = nil
-			break
+			return
 		}
 		begin := b.Begin
-		if at < j.Preemption.ReservedUntil && len(j.Preemption.Reservations) == 0 {
-			// What was stopped for it may take a little longer to end.
+		if now < j.Preemption.ReservedUntil && len(j.Preemption.Reservations) == 0 {
 			r.Hold = true
-			begin = max(begin, at+2*protocol.Second)
+			begin = max(begin, now+heldBookingDelay)
 		}
 		r.Kept = append(r.Kept, slottable.Place{Machine: sc.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
 	}
-	r.Patient = sc.objectives.startDeadline(j)
-	return true
 }
 
-// applyReservations lets tasks wait for the room that was made for them, rather than
-// fetch elsewhere, and prefer it once it is free. It reports whether there are
-// others, or room.
+// applyReservations lets tasks wait for the room that was made for them, rather than fetch
+// elsewhere, and prefer it once it is free. It reports whether there are other tasks, or room.
 func (sc *scheduler) applyReservations(w *pendingJob) bool {
 	j, r := w.job, w.request
-	j.Preemption.Reservations = slices.DeleteFunc(j.Preemption.Reservations, func(m state.Reservation) bool {
-		return sc.now.Steady >= m.Until || sc.machines[m.Host] == nil || !sc.isSchedulable(m.Host)
+	j.Preemption.Reservations = slices.DeleteFunc(j.Preemption.Reservations, func(reserved state.Reservation) bool {
+		return sc.now.Steady >= reserved.Until || sc.machines[reserved.Host] == nil || !sc.isSchedulable(reserved.Host)
 	})
 	waiting := 0
-	for _, m := range j.Preemption.Reservations {
-		row := sc.machines[m.Host]
-		r.Preferred = append(r.Preferred, row)
-		if !row.Free().Covers(r.Need) {
+	for _, reserved := range j.Preemption.Reservations {
+		m := sc.machines[reserved.Host]
+		r.Preferred = append(r.Preferred, m)
+		if !m.Free().Covers(r.Need) {
 			waiting++
 		}
 	}
@@ -132,10 +171,5 @@
 
 // hasStoppingAttempt reports whether an attempt of a job is being stopped.
 func (sc *scheduler) hasStoppingAttempt(j *state.Job) bool {
-	for _, a := range j.ActiveAttempts() {
-		if task := a.Task(); a.StopRequested && task != nil && task.Current == a {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(j.ActiveAttempts(), func(a *state.Attempt) bool { return a.StopRequested && isCurrent(a) })
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -1,249 +1,289 @@
 package controller
 
 import (
-	"slices"
+	"maps"
 
 	"mapleslip/internal/controller/slottable"
 	"mapleslip/internal/protocol"
 	"mapleslip/internal/state"
 )
 
-// maxVictimHosts bounds the hosts of a zone on which a job looks for work to stop.
-// Those that have its image come first.
-const maxVictimHosts = 12
+const (
+	// maxVictimHosts bounds the hosts on which a job looks for work to stop. Those that have its
+	// image come first.
+	maxVictimHosts = 12
+	// preemptionRetryDelay is how long a job for which no room could be made is left alone.
+	preemptionRetryDelay = 500 * protocol.Millisecond
+	// reservationTime is how long room that was made is kept for a job.
+	reservationTime = 10 * protocol.Second
+	// preemptionDelay is how long it takes until a preempted task's room is free, beside what
+	// the task needs to save its progress.
+	preemptionDelay = protocol.Second
 
-// unschedulable is a job for which no room could be made: too little may give way. In
-// the same pass it is no better for one that asks for as much, and may take no
-// more from others.
-type unschedulableShape struct {
-	taskResources         protocol.Resources
-	tasks                 int
-	priority              protocol.Priority
-	zone                  string
-	machineTypes          []string
-	singleZone, allowSpot bool
-}
-
-func (h *unschedulableShape) covers(j *state.Job, tasks int) bool {
-	s := j.Spec
-	return s.TaskResources.Covers(h.taskResources) && tasks >= h.tasks && j.Priority >= h.priority && (h.zone == "" || h.zone == s.Zone) &&
-		(!h.singleZone || s.SingleZone || tasks == 1) && (h.allowSpot || !s.AllowSpot) && slices.Equal(h.machineTypes, s.MachineTypes)
-}
+	// A job waits for places that come free by themselves before others are preempted for it:
+	// for maxPreemptionWait, or a part of its class's objective on starting.
+	maxPreemptionWait     = 2 * protocol.Second
+	preemptionWaitDivisor = 16
+	// What a preemption has to gain at least: maxRequiredGain, or a part of the objective.
+	maxRequiredGain     = 5 * protocol.Second
+	requiredGainDivisor = 4
+	// noPlaceDelay is how long a job without a place counts as waiting for one.
+	noPlaceDelay = 10 * protocol.Second
 
-// markUnschedulable remembers that no room can be made for some tasks of a job.
-func (p *schedulingCycle) markUnschedulable(j *state.Job, tasks int) {
-	s := j.Spec
-	if len(p.unschedulable) < 64 {
-		p.unschedulable = append(p.unschedulable, unschedulableShape{s.TaskResources, tasks, j.Priority, s.Zone, s.MachineTypes, s.SingleZone && tasks > 1, s.AllowSpot})
-	}
-}
+	// chooseVictimsWork is what it costs to choose victims on a host, in rows of the slot table.
+	chooseVictimsWork = 16
+)
 
-func (p *schedulingCycle) isUnschedulable(j *state.Job, tasks int) bool {
-	return slices.ContainsFunc(p.unschedulable, func(h unschedulableShape) bool { return h.covers(j, tasks) })
-}
+// preemption makes room for a job of high priority by stopping work of lower priority.
+type preemption struct {
+	*scheduler
+	*pendingJob
+	cycle *schedulingCycle
 
-// preemptionGoal is what room has to be like.
-type preemptionGoal struct {
 	startObjective micros // time that the class has to start
-	readyWithout   micros // what the job has without it
-	deadline       micros // latest time of use, 0: any
-	immediate      bool
+	readyWithout   micros // when the job is ready without preemption
+	deadline       micros // latest time at which room is of use, 0: any
+	immediate      bool   // victims get no time to save their progress
 	usedHosts      map[*state.Host]bool
+	tasksByZone    map[string]int
 }
 
-// preemptionRetryDelay is how long a job for which no room could be made is left alone.
-const preemptionRetryDelay = 500 * protocol.Millisecond
-
-// minGain is how much sooner room has to be ready: stopping work for a place that
-// is ready hardly sooner than the one the job has anyway only loses work.
-func (m *preemptionGoal) minGain() micros { return min(5*protocol.Second, m.startObjective/4) }
-
-// preempt makes room for a job of higher rank, where no place comes free soon:
-// shardOf the hosts that could give it those where the least work is lost.
-func (sc *scheduler) preempt(p *schedulingCycle, w *pendingJob) {
-	at := sc.now.Steady
-	j := w.job
-	s := j.Spec
-	if j.Priority > protocol.PriorityHigh || j.Failures.Suspect || w.request == nil || w.request.Limit < 1 || j.State != state.JobActive || at < j.Preemption.RetryAt {
+// preempt makes room for a job of high priority where no place comes free soon: of the hosts
+// that could give it, on those where the least work is lost.
+func (sc *scheduler) preempt(c *schedulingCycle, w *pendingJob) {
+	j, now := w.job, sc.now.Steady
+	if j.Priority > protocol.PriorityHigh || j.Failures.Suspect || j.State != state.JobActive || now < j.Preemption.RetryAt {
 		return
 	}
-	need := preemptionGoal{startObjective: sc.startObjective(s.Class), usedHosts: make(map[*state.Host]bool)}
-	if need.startObjective == 0 {
-		need.startObjective = protocol.Forever
-	}
-	// A class that has to start at once can't wait for others to save.
-	need.immediate = need.startObjective < latencyCriticalWithin
-	due := protocol.End(j.EligibleAt, need.startObjective)
-	// A place that is free but has to fetch the image first may be too late,
-	// where one with the image would not be.
-	var cold []int
-	for i, pl := range w.result.Start {
-		if at < due && pl.Ready > due {
-			cold = append(cold, i)
-		}
-	}
-	missing := min(len(w.tasks), w.request.Limit) - len(w.result.Start)
-	if at < j.EligibleAt+min(2*protocol.Second, need.startObjective/16) {
-		missing = 0
+	if w.request == nil || w.request.Limit < 1 {
+		return
 	}
-	need.readyWithout = at + 10*protocol.Second + sc.workload.classStats(s.Class).estimatedRuntime(s)
-	if n := len(w.result.Booked); n > 0 {
-		need.readyWithout = w.result.Booked[n-1].Ready
-	}
-	if s.Kind == protocol.Gang && len(w.tasks) > 1 {
-		switch {
-		case at < j.Preemption.ReservedUntil || w.request.Limit < len(w.tasks):
-		case missing > 0:
-			sc.preemptForGang(p, w, need)
-		case len(cold) > 0 && sc.canWithdraw(w):
-			need.readyWithout = due
-			if sc.preemptForGang(p, w, need) {
-				for i := range w.result.Start {
-					sc.agents.onAttemptLost(j.Tasks[w.tasks[i]].Current)
-				}
-			}
-		}
+	p := sc.newPreemption(c, w)
+	due := protocol.End(j.EligibleAt, p.startObjective)
+	if j.Spec.Kind == protocol.Gang && len(w.tasks) > 1 {
+		p.preemptForWholeGang(due)
 		return
 	}
-	zones := tasksByZone(w)
-	for _, m := range j.Preemption.Reservations {
-		need.usedHosts[m.Host] = true
-		zones[m.Host.Zone]++
+	for _, reserved := range j.Preemption.Reservations {
+		p.usedHosts[reserved.Host] = true
+		p.tasksByZone[reserved.Host.Zone]++
 	}
-	for ; missing > 0; missing-- {
-		if !sc.preemptForTask(p, w, &need, zones) {
-			j.Preemption.RetryAt = at + preemptionRetryDelay
-			break
-		}
+	p.preemptForMissing()
+	p.preemptForLate(due)
+}
+
+func (sc *scheduler) newPreemption(c *schedulingCycle, w *pendingJob) *preemption {
+	s := w.job.Spec
+	p := &preemption{
+		scheduler: sc, pendingJob: w, cycle: c, startObjective: sc.startObjective(s.Class),
+		usedHosts: make(map[*state.Host]bool), tasksByZone: w.tasksByZone(),
 	}
-	need.deadline = due
-	for _, i := range cold {
-		a := j.Tasks[w.tasks[i]].Current
-		if a == nil || a.State != state.AttemptAssigned {
-			continue
-		}
-		need.readyWithout = w.result.Start[i].Ready
-		zones[a.Host.Zone]--
-		if !sc.preemptForTask(p, w, &need, zones) {
-			j.Preemption.RetryAt = at + preemptionRetryDelay
-			break
-		}
-		sc.agents.onAttemptLost(a) // no launch has left yet
+	if p.startObjective == 0 {
+		p.startObjective = protocol.Forever
+	}
+	// A class that has to start at once can't wait for others to save their progress.
+	p.immediate = p.startObjective < latencyCriticalWithin
+	p.readyWithout = sc.now.Steady + noPlaceDelay + sc.workload.classStats(s.Class).estimatedRuntime(s)
+	if n := len(w.result.Booked); n > 0 {
+		p.readyWithout = w.result.Booked[n-1].Ready
 	}
+	return p
 }
 
-// tasksByZone counts a job's tasks by zone, with those that this pass placed.
-func tasksByZone(w *pendingJob) map[string]int {
+// tasksByZone counts a job's tasks by zone, with those that this cycle placed.
+func (w *pendingJob) tasksByZone() map[string]int {
 	zones := make(map[string]int)
-	for name, n := range w.request.ZoneUsed {
-		zones[name] = n
-	}
-	for _, pl := range w.result.Start {
-		zones[pl.Machine.Zone]++
+	maps.Copy(zones, w.request.ZoneUsed)
+	for _, place := range w.result.Start {
+		zones[place.Machine.Zone]++
 	}
 	return zones
 }
 
-// canWithdraw reports whether no launch of what a pass placed has left yet.
-func (sc *scheduler) canWithdraw(w *pendingJob) bool {
-	for i := range w.result.Start {
-		if a := w.job.Tasks[w.tasks[i]].Current; a == nil || a.State != state.AttemptAssigned {
-			return false
+// missingTasks is how many of the job's tasks have no place yet and may be preempted for.
+func (p *preemption) missingTasks() int {
+	wait := min(maxPreemptionWait, p.startObjective/preemptionWaitDivisor)
+	if p.now.Steady < p.job.EligibleAt+wait {
+		return 0
+	}
+	return min(len(p.tasks), p.request.Limit) - len(p.result.Start)
+}
+
+// latePlaces are the indices of places that are ready only after the job is due. A place that is
+// free but has to fetch the image first may be too late, where one with the image would not be.
+func (p *preemption) latePlaces(due micros) []int {
+	if p.now.Steady >= due {
+		return nil
+	}
+	var late []int
+	for i, place := range p.result.Start {
+		if place.Ready > due {
+			late = append(late, i)
 		}
 	}
-	return true
+	return late
 }
 
-// reservationTime is how long room that was made is kept for a job.
-const reservationTime = 10 * protocol.Second
+// preemptForMissing makes room for the tasks that have no place.
+func (p *preemption) preemptForMissing() {
+	for missing := p.missingTasks(); missing > 0; missing-- {
+		if !p.preemptForTask() {
+			p.job.Preemption.RetryAt = p.now.Steady + preemptionRetryDelay
+			return
+		}
+	}
+}
+
+// preemptForLate makes room for the tasks whose places are ready only after the job is due.
+func (p *preemption) preemptForLate(due micros) {
+	p.deadline = due
+	for _, i := range p.latePlaces(due) {
+		a := p.job.Tasks[p.tasks[i]].Current
+		if a == nil || a.State != state.AttemptAssigned {
+			continue
+		}
+		p.readyWithout = p.result.Start[i].Ready
+		p.tasksByZone[a.Host.Zone]--
+		if !p.preemptForTask() {
+			p.job.Preemption.RetryAt = p.now.Steady + preemptionRetryDelay
+			return
+		}
+		p.agents.onAttemptLost(a) // no launch has left yet
+	}
+}
+
+// isTooLate reports whether room that is ready at a time is of no use. Stopping work for a place
+// that is ready hardly sooner than the one that the job has anyway only loses work.
+func (p *preemption) isTooLate(ready micros) bool {
+	requiredGain := min(maxRequiredGain, p.startObjective/requiredGainDivisor)
+	return ready+requiredGain > p.readyWithout || p.deadline > 0 && ready > p.deadline
+}
 
 // preemptForTask makes room for one task. It reports whether there was some.
-func (sc *scheduler) preemptForTask(p *schedulingCycle, w *pendingJob, need *preemptionGoal, zones map[string]int) bool {
-	at := sc.now.Steady
-	j := w.job
-	s := j.Spec
-	var best []*state.Attempt
-	var bestLoss float64
-	if p.isUnschedulable(j, 1) {
+func (p *preemption) preemptForTask() bool {
+	j := p.job
+	if p.cycle.isUnschedulable(j, 1) {
 		return false
 	}
-	some := false
-	sc.slotTable.Making(w.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
-		h := sc.cluster.Host(m.Name)
-		if h == nil || need.usedHosts[h] || !sc.couldHost(h, s) {
-			some = some || h != nil && need.usedHosts[h]
-			return false
-		}
-		if s.SpreadZones && zones[h.Zone] >= w.request.ZoneCap || s.SingleZone && len(w.request.ZoneUsed) > 0 && w.request.ZoneUsed[h.Zone] == 0 {
-			some = true
+	var best *victimSet
+	possible := false
+	p.slotTable.Making(p.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
+		h := p.cluster.Host(m.Name)
+		fits, wouldFit := p.couldTakeTask(h)
+		possible = possible || wouldFit
+		if !fits {
 			return false
 		}
-		if !h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(p, h), 1).Covers(s.TaskResources) {
+		ready := p.readyOn(h)
+		if p.isTooLate(ready) {
 			return false
 		}
-		some = true
-		ready := at + protocol.Second
-		if _, ok := h.Images[s.Image]; !ok {
-			ready += sc.estimates.fetchTime(h.Type, s.ImageSize)
-		}
-		if ready+need.minGain() > need.readyWithout || need.deadline > 0 && ready > need.deadline {
-			return false
-		}
-		sc.slotTable.Work += 16
-		victims, loss := sc.chooseVictims(h, j, 1)
-		saved := ready
-		for _, a := range victims {
-			if a.Job.Spec.CanCheckpoint() && !need.immediate {
-				saved = max(saved, ready+a.Job.Spec.CheckpointDuration)
-			}
-		}
-		if saved+need.minGain() > need.readyWithout || need.deadline > 0 && saved > need.deadline {
+		p.slotTable.Work += chooseVictimsWork
+		victims := p.chooseVictims(h, j, 1)
+		ready += p.saveTime(victims.attempts)
+		if p.isTooLate(ready) {
 			return true
 		}
-		loss += (saved - at).Seconds()
-		if victims != nil && (best == nil || loss < bestLoss) {
-			best, bestLoss = victims, loss
+		victims.lostSeconds += (ready - p.now.Steady).Seconds()
+		if victims.attempts != nil && (best == nil || victims.lostSeconds < best.lostSeconds) {
+			best = &victims
 		}
 		return true
 	})
 	if best == nil {
-		if !some {
-			p.markUnschedulable(j, 1)
+		if !possible {
+			p.cycle.markUnschedulable(j, 1)
 		}
 		return false
 	}
-	h := best[0].Host
-	delete(p.preemptible, h)
-	need.usedHosts[h] = true
-	zones[h.Zone]++
-	j.Preemption.ReservedUntil = at + reservationTime
-	j.Preemption.Reservations = append(j.Preemption.Reservations, state.Reservation{Host: h, Until: j.Preemption.ReservedUntil})
-	sc.preemptVictims(j, best, need.immediate)
+	p.reserveHost(best)
 	return true
 }
 
+// couldTakeTask reports whether preemption could make room for a task on a host. wouldFit
+// reports whether it could but for what this job has on hosts and in zones already.
+func (p *preemption) couldTakeTask(h *state.Host) (fits, wouldFit bool) {
+	switch {
+	case h == nil:
+		return false, false
+	case p.usedHosts[h]:
+		return false, true
+	case !p.couldHost(h, p.job.Spec):
+		return false, false
+	case p.isZoneExcluded(h.Zone):
+		return false, true
+	}
+	fits = p.roomAfterPreemption(p.cycle, h).Covers(p.job.Spec.TaskResources)
+	return fits, fits
+}
+
+// isZoneExcluded reports whether the job may have no further tasks in a zone.
+func (p *preemption) isZoneExcluded(zone string) bool {
+	s, used := p.job.Spec, p.request.ZoneUsed
+	return s.SpreadZones && p.tasksByZone[zone] >= p.request.ZoneCap || s.SingleZone && len(used) > 0 && used[zone] == 0
+}
+
+// readyOn is when a task of the job would be ready on a host, if nothing there had to save its
+// progress.
+func (p *preemption) readyOn(h *state.Host) micros {
+	ready := p.now.Steady + preemptionDelay
+	if _, ok := h.Images[p.job.Spec.Image]; !ok {
+		ready += p.estimates.fetchTime(h.Type, p.job.Spec.ImageSize)
+	}
+	return ready
+}
+
+// saveTime is how long victims need to save their progress, as far as they get the time for it.
+func (p *preemption) saveTime(victims []*state.Attempt) micros {
+	var longest micros
+	for _, a := range victims {
+		if a.Job.Spec.CanCheckpoint() && !p.immediate {
+			longest = max(longest, a.Job.Spec.CheckpointDuration)
+		}
+	}
+	return longest
+}
+
+// reserveHost preempts victims, and keeps the room for the job.
+func (p *preemption) reserveHost(victims *victimSet) {
+	h := victims.attempts[0].Host
+	delete(p.cycle.preemptible, h)
+	p.usedHosts[h] = true
+	p.tasksByZone[h.Zone]++
+	j := p.job
+	j.Preemption.ReservedUntil = p.now.Steady + reservationTime
+	j.Preemption.Reservations = append(j.Preemption.Reservations, state.Reservation{Host: h, Until: j.Preemption.ReservedUntil})
+	p.stopVictims(victims.attempts)
+}
+
 // couldHost reports whether a job's task could be on a host, were it empty.
 func (sc *scheduler) couldHost(h *state.Host, s *protocol.JobSpec) bool {
-	return sc.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) && h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
-}
-
-// transferInFlight is what a host's work of lower rank takes, and what is being
-// stopped.
-func (sc *scheduler) preemptibleResources(p *schedulingCycle, h *state.Host) protocol.Resources {
-	sum, ok := p.preemptible[h]
-	if !ok {
-		for _, a := range h.Attempts() {
-			if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || sc.isPreemptible(a.Job)) {
-				sum = sum.Add(a.Job.Spec.TaskResources, 1)
-			}
+	return sc.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) &&
+		h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
+}
+
+// roomAfterPreemption is what a host would have free if all gave way that may.
+func (sc *scheduler) roomAfterPreemption(c *schedulingCycle, h *state.Host) protocol.Resources {
+	return h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(c, h), 1)
+}
+
+// preemptibleResources is what a host's preemptible work takes, and what is being stopped.
+func (sc *scheduler) preemptibleResources(c *schedulingCycle, h *state.Host) protocol.Resources {
+	sum, ok := c.preemptible[h]
+	if ok {
+		return sum
+	}
+	for _, a := range h.Attempts() {
+		if a.State.HoldsResources() && a.Job != nil && (a.StopRequested || sc.isPreemptible(a.Job)) {
+			sum = sum.Add(a.Job.Spec.TaskResources, 1)
 		}
-		p.preemptible[h] = sum
 	}
+	c.preemptible[h] = sum
 	return sum
 }
 
-// transfers reports whether a job's tasks may be stopped for one of the two upper
-// ranks.
+// isPreemptible reports whether a job's tasks may be stopped for one of the two higher
+// priorities.
 func (sc *scheduler) isPreemptible(j *state.Job) bool {
 	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
--- a/internal/controller/preemption_victims.go
+++ b/internal/controller/preemption_victims.go
@@ -7,78 +7,88 @@
 	"mapleslip/internal/state"
 )
 
-// preemptVictims stops the work of others for a job.
-func (sc *scheduler) preemptVictims(j *state.Job, victims []*state.Attempt, hurry bool) {
+// restartSeconds is what a victim loses beside the work that it has to do again.
+const restartSeconds = 2
+
+// victim is an attempt that could be stopped, and the seconds that it would lose.
+type victim struct {
+	attempt     *state.Attempt
+	lostSeconds float64
+}
+
+// victimSet is attempts to be stopped together, and the seconds that are lost by it.
+type victimSet struct {
+	attempts    []*state.Attempt
+	lostSeconds float64
+}
+
+// stopVictims stops the work of others for the job.
+func (p *preemption) stopVictims(victims []*state.Attempt) {
 	for _, a := range victims {
-		grace := micros(0)
-		if a.Job.Spec.CanCheckpoint() && !hurry {
-			grace = a.Job.Spec.CheckpointDuration + protocol.Second
+		p.log.Debug("preempted", "task", a.Name.String(), "host", a.Host.Name, "for", p.job.Spec.Ref)
+		if p.immediate {
+			p.commands.requestStop(a, 0)
+		} else {
+			p.commands.requestCheckpointedStop(a)
 		}
-		sc.log.Debug("preempted", "task", a.Name.TaskName.String(), "host", a.Host.Name, "for", j.Spec.Ref)
-		sc.commands.requestStop(a, grace)
 	}
 }
 
-// chooseVictims finds attempts of lower rank on a host whose end makes room for n
-// tasks of a job, those that lose least first.
-func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, n int) ([]*state.Attempt, float64) {
-	at := sc.now.Steady
-	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(n))
+// chooseVictims finds attempts of lower priority on a host whose end makes room for some tasks
+// of a job, those that lose least.
+func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, tasks int) victimSet {
 	free := h.Type.Capacity.Add(h.Used(), -1)
-	var list []victim
+	var candidates []victim
 	for _, a := range h.Attempts() {
-		if !a.State.HoldsResources() || a.Job == nil {
-			continue
-		}
-		if a.StopRequested {
+		switch {
+		case !a.State.HoldsResources() || a.Job == nil:
+		case a.StopRequested:
 			free = free.Add(a.Job.Spec.TaskResources, 1)
-			continue
-		}
-		s := a.Job.Spec
-		if a.Job.Priority <= j.Priority || !sc.isPreemptible(a.Job) {
-			continue
-		}
-		ran := micros(0)
-		if a.StartedAt > 0 {
-			ran = at - a.StartedAt
-			if s.CanCheckpoint() {
-				ran = min(ran, s.CheckpointDuration)
-			}
+		case a.Job.Priority > j.Priority && sc.isPreemptible(a.Job):
+			candidates = append(candidates, victim{a, sc.lostWork(a, a.Job.Spec.CheckpointDuration).Seconds() + restartSeconds})
 		}
-		list = append(list, victim{a, ran.Seconds() + 2})
 	}
-	var victims []*state.Attempt
-	var loss float64
-	for _, v := range minimalVictims(list, free, need) {
-		victims = append(victims, v.attempt)
-		loss += v.lostSeconds
+	need := protocol.Resources{}.Add(j.Spec.TaskResources, int64(tasks))
+	var chosen victimSet
+	for _, v := range minimalVictims(candidates, free, need) {
+		chosen.attempts = append(chosen.attempts, v.attempt)
+		chosen.lostSeconds += v.lostSeconds
 	}
-	return victims, loss
+	return chosen
 }
 
-// victim is an attempt that could be stopped, and the seconds that it would lose.
-type victim struct {
-	attempt     *state.Attempt
-	lostSeconds float64
+// lostWork is how much work an attempt loses that is stopped: all of it, or at most so much if
+// it can save its progress.
+func (sc *scheduler) lostWork(a *state.Attempt, sinceCheckpoint micros) micros {
+	if a.StartedAt == 0 {
+		return 0
+	}
+	ran := sc.now.Steady - a.StartedAt
+	if a.Job.Spec.CanCheckpoint() {
+		return min(ran, sinceCheckpoint)
+	}
+	return ran
 }
 
-// fewest chooses attempts whose end makes need free, those that lose least. One
-// that loses little may free nothing that is short: it is left out. There are
-// none if nothing is in the way, or if all together are not enough.
-func minimalVictims(list []victim, free, need protocol.Resources) (chosen []victim) {
-	sort.SliceStable(list, func(a, b int) bool { return list[a].lostSeconds < list[b].lostSeconds })
-	most := 0
-	for ; most < len(list) && !free.Covers(need); most++ {
-		free = free.Add(list[most].attempt.Job.Spec.TaskResources, 1)
+// minimalVictims chooses attempts whose end makes need free, those that lose least. One that
+// loses little may free nothing that is short: it is left out. There are none if nothing is in
+// the way, or if all together are not enough.
+func minimalVictims(candidates []victim, free, need protocol.Resources) (chosen []victim) {
+	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].lostSeconds < candidates[b].lostSeconds })
+	count := 0
+	for count < len(candidates) && !free.Covers(need) {
+		free = free.Add(candidates[count].attempt.Job.Spec.TaskResources, 1)
+		count++
 	}
 	if !free.Covers(need) {
 		return nil
 	}
-	for i := most - 1; i >= 0; i-- {
-		if rest := free.Add(list[i].attempt.Job.Spec.TaskResources, -1); rest.Covers(need) {
+	for i := count - 1; i >= 0; i-- {
+		rest := free.Add(candidates[i].attempt.Job.Spec.TaskResources, -1)
+		if rest.Covers(need) {
 			free = rest
 		} else {
-			chosen = append(chosen, list[i])
+			chosen = append(chosen, candidates[i])
 		}
 	}
 	return chosen
--- a/internal/controller/slot_table_sync.go
+++ b/internal/controller/slot_table_sync.go
@@ -7,42 +7,65 @@
 	"mapleslip/internal/state"
 )
 
-// refreshSlotTable brings the rows up to date whose machine changed, or whose
-// estimates ran out.
+const (
+	// A host that is slower than estimated by more than slowHostRatio is avoided: it counts as
+	// ready later, by slowHostPenaltySeconds for each further time of the estimate.
+	slowHostRatio          = 1.8
+	slowHostPenaltySeconds = 10
+	// suspectPenalty is how much later a host counts as ready on which jobs have failed.
+	suspectPenalty = 10 * protocol.Second
+	// heartbeatTolerance is how late a second heartbeat may be for a host to take tasks.
+	heartbeatTolerance = protocol.Second
+	// stopDelay is how long a stop takes beside half of its grace.
+	stopDelay = protocol.Second
+	// minFetchLeft is how long a fetch under way lasts at least.
+	minFetchLeft = protocol.Second
+)
+
+// refreshSlotTable brings the rows up to date of hosts that have changed, or of which estimates
+// have run out.
 func (sc *scheduler) refreshSlotTable() {
-	at := sc.now.Steady
-	sc.slotTable.Now = at
+	sc.slotTable.Now = sc.now.Steady
 	for _, h := range sc.cluster.Hosts() {
-		if h.Type == nil || h.State == state.HostGone || h.State == state.HostReleasing {
-			if sc.machines[h] != nil {
-				sc.withdrawAssignments(h)
-				sc.removeMachine(h)
-			}
-			continue
-		}
-		m := sc.machines[h]
-		usable := sc.isSchedulable(h)
-		booting := h.State == state.HostBooting && !h.Record.FromEarlierEpoch
-		if m == nil {
-			typ := h.Type
-			m = &slottable.Machine{
-				Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: typ.Capacity,
-				Fetch: func(size int64) micros { return sc.estimates.fetchTime(typ, size) },
-			}
-			sc.machines[h] = m
-			sc.slotTable.Add(m)
-			h.Stale = true
-		}
-		if !usable && !m.Blocked {
+		if h.Type != nil && h.State != state.HostGone && h.State != state.HostReleasing {
+			sc.refreshHost(h)
+		} else if sc.machines[h] != nil {
 			sc.withdrawAssignments(h)
-		}
-		if h.Stale || booting || m.Blocked == usable || m.NextEnd() <= at {
-			sc.refreshMachine(h, m, usable, booting)
+			sc.removeMachine(h)
 		}
 	}
 }
 
-// removeMachine takes a host's row out of the table.
+// refreshHost brings a host's row up to date, if that is needed.
+func (sc *scheduler) refreshHost(h *state.Host) {
+	m := sc.machines[h]
+	if m == nil {
+		m = sc.addMachine(h)
+	}
+	schedulable := sc.isSchedulable(h)
+	booting := h.State == state.HostBooting && !h.Record.FromEarlierEpoch
+	if !schedulable && !m.Blocked {
+		sc.withdrawAssignments(h)
+	}
+	if h.Stale || booting || m.Blocked == schedulable || m.NextEnd() <= sc.now.Steady {
+		sc.refreshMachine(h, m, schedulable, booting)
+	}
+}
+
+// addMachine adds a host's row to the slot table.
+func (sc *scheduler) addMachine(h *state.Host) *slottable.Machine {
+	t := h.Type
+	m := &slottable.Machine{
+		Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: t.Capacity,
+		Fetch: func(size int64) micros { return sc.estimates.fetchTime(t, size) },
+	}
+	sc.machines[h] = m
+	sc.slotTable.Add(m)
+	h.Stale = true
+	return m
+}
+
+// removeMachine takes a host's row out of the slot table.
 func (sc *scheduler) removeMachine(h *state.Host) {
 	if m := sc.machines[h]; m != nil {
 		sc.slotTable.Remove(m)
@@ -59,67 +82,93 @@
 	}
 }
 
-// isSchedulable reports whether tasks may be put on a host.
+// isSchedulable reports whether tasks may be placed on a host.
 func (sc *scheduler) isSchedulable(h *state.Host) bool {
-	at := sc.now.Steady
-	return h.State == state.HostReady && h.Reconciled && h.Type != nil && !h.Interruption.Noticed && !ignoresCommands(h) && !sc.hosts.missesHeartbeats(h) && sc.config.drainOf(h) == configuration.NotDrained &&
-		at >= h.Quarantine.Until && at >= h.FullUntil && at-h.Agent.LastContact < 2*sc.platform.HeartbeatInterval+protocol.Second
+	now := sc.now.Steady
+	switch {
+	case h.State != state.HostReady || !h.Reconciled || h.Type == nil || h.Interruption.Noticed:
+		return false
+	case ignoresCommands(h) || sc.hosts.missesHeartbeats(h):
+		return false
+	case sc.config.drainOf(h) != configuration.NotDrained:
+		return false
+	}
+	return now >= h.Quarantine.Until && now >= h.FullUntil &&
+		now-h.Agent.LastContact < 2*sc.platform.HeartbeatInterval+heartbeatTolerance
 }
 
 // refreshMachine makes a host's row from what is known of it.
-func (sc *scheduler) refreshMachine(h *state.Host, m *slottable.Machine, usable, booting bool) {
-	at := sc.now.Steady
-	table := &sc.slotTable
+func (sc *scheduler) refreshMachine(h *state.Host, m *slottable.Machine, schedulable, booting bool) {
 	h.Stale = false
 	m.Reset()
-	m.From = at
+	m.From = sc.now.Steady
 	switch {
-	case usable:
+	case schedulable:
 	case booting && sc.config.drainOf(h) == configuration.NotDrained:
 		m.From = sc.estimates.expectedBootEnd(h)
 	default:
 		m.Blocked = true
 	}
-	if h.RuntimeRatio > 1.8 {
-		m.Penalty = micros((h.RuntimeRatio - 1) * 10 * float64(protocol.Second))
-	}
-	if len(h.Quarantine.SuspectedBy) > 0 {
-		m.Penalty += 10 * protocol.Second
-	}
+	m.Penalty = hostPenalty(h)
 	m.Unheld = !h.Spot && !sc.hasRetainingWork(h)
-	for name := range h.Images {
-		table.AddImage(m, name, 0)
+	for image := range h.Images {
+		sc.slotTable.AddImage(m, image, 0)
 	}
-	var gives protocol.Resources
+	var preemptible protocol.Resources
 	for _, a := range h.Attempts() {
 		if !a.State.HoldsResources() || a.Job == nil {
 			continue
 		}
-		s := a.Job.Spec
-		k := sc.workload.classStats(s.Class)
-		till := protocol.Forever
-		switch {
-		case a.StopRequested:
-			till = at + a.StopGrace/2 + protocol.Second
-		case a.State == state.AttemptRunning:
-			if r := k.remainingRuntime(s, at-a.StartedAt); r < protocol.Forever {
-				till = at + r
-			}
-		case s.Kind != protocol.Service:
-			till = max(at, a.ExpectedReady) + k.estimatedRuntime(s)
-		}
-		m.Occupy(slottable.Span{From: at, To: till, Need: s.TaskResources, Guest: isOpportunistic(a.Job)})
+		sc.addAttempt(m, a)
 		if a.StopRequested || sc.isPreemptible(a.Job) {
-			gives = gives.Add(s.TaskResources, 1)
+			preemptible = preemptible.Add(a.Job.Spec.TaskResources, 1)
 		}
-		if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched || a.State == state.AttemptFetching {
-			if !table.HasImage(m, s.Image) {
-				table.AddImage(m, s.Image, max(a.ExpectedReady, at+protocol.Second))
-			}
+	}
+	if schedulable {
+		m.Makes = h.Type.Capacity.Add(h.Used(), -1).Add(preemptible, 1)
+	}
+	sc.slotTable.Update(m)
+}
+
+// hostPenalty is how much later a host counts as ready than it is, because it is slow or may be
+// faulty.
+func hostPenalty(h *state.Host) micros {
+	var penalty micros
+	if h.RuntimeRatio > slowHostRatio {
+		penalty = micros((h.RuntimeRatio - 1) * slowHostPenaltySeconds * float64(protocol.Second))
+	}
+	if len(h.Quarantine.SuspectedBy) > 0 {
+		penalty += suspectPenalty
+	}
+	return penalty
+}
+
+// addAttempt adds what an attempt takes of its host, and the image that it brings.
+func (sc *scheduler) addAttempt(m *slottable.Machine, a *state.Attempt) {
+	now, s := sc.now.Steady, a.Job.Spec
+	m.Occupy(slottable.Span{From: now, To: sc.expectedEnd(a), Need: s.TaskResources, Guest: isOpportunistic(a.Job)})
+	switch a.State {
+	case state.AttemptAssigned, state.AttemptLaunched, state.AttemptFetching:
+		if !sc.slotTable.HasImage(m, s.Image) {
+			sc.slotTable.AddImage(m, s.Image, max(a.ExpectedReady, now+minFetchLeft))
 		}
+	default: // its image is among the host's
 	}
-	if usable {
-		m.Makes = h.Type.Capacity.Add(h.Used(), -1).Add(gives, 1)
+}
+
+// expectedEnd is when an attempt is expected to end.
+func (sc *scheduler) expectedEnd(a *state.Attempt) micros {
+	now, s := sc.now.Steady, a.Job.Spec
+	class := sc.workload.classStats(s.Class)
+	switch {
+	case a.StopRequested:
+		return now + a.StopGrace/2 + stopDelay
+	case a.State == state.AttemptRunning:
+		if remaining := class.remainingRuntime(s, now-a.StartedAt); remaining < protocol.Forever {
+			return now + remaining
+		}
+	case s.Kind != protocol.Service:
+		return max(now, a.ExpectedReady) + class.estimatedRuntime(s)
 	}
-	table.Update(m)
+	return protocol.Forever
 }
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -7,35 +7,38 @@
 	"mapleslip/internal/state"
 )
 
-// Stats is what a controller has counted since it began, and how it stands. The
-// maps' keys are of fixed sets, or classes of jobs.
+// stageCount is the number of a scheduling cycle's stages.
+const stageCount = int(stageScaling) + 1
+
+// Stats is what a controller has counted since it began, and how it stands. The maps' keys are
+// of fixed sets, or classes of jobs.
 type Stats struct {
 	Role             Role
 	Epoch            uint64
 	SchedulingSteps  uint64
 	SchedulingCycles uint64
-	RowsByStage      [4]uint64 // looked at, by stage of a pass
-	CutStepsByStage  [4]uint64 // rounds that reached their bound, by stage
-	Refused          map[string]uint64
-	Malformed        uint64
+	RowsByStage      [stageCount]uint64 // of the slot table that were looked at, by stage of a cycle
+	CutStepsByStage  [stageCount]uint64 // scheduling steps that reached their limit, by stage
+	Refused          map[string]uint64  // requests, by reason
+	Malformed        uint64             // messages that did not follow the protocol
 	Failovers        uint64
-	LostTasks        uint64            // tasks that ended with their machine
-	Checks           map[string]uint64 // of instances, by what became of them: passed, failed, unmade
+	LostTasks        uint64            // tasks that ended with their host
+	Checks           map[string]uint64 // of instances, by outcome
 	DisputedChecks   uint64            // checks that failed where another controller saw nothing wrong
 
 	ConfigChanges  uint64        // revisions made
-	ConfigOutdated uint64        // transactions refused because the head was another one
+	ConfigOutdated uint64        // transactions refused because the head had changed
 	Config         *ConfigStats  // nil: the configuration does not change while this runs
 	Features       *FeatureStats // nil: this controller behaves as one that knows of no levels
 
-	// What a leader knows. Nothing else has them.
+	// What only a leader knows.
 	Hosts             map[string]int                    // by state
 	WaitingJobs       map[string]int                    // jobs with tasks that wait for a place, by class
-	RunningTasks      map[string]int                    // tasks, by class
-	Objectives        map[slo.Kind]map[string]slo.Count // jobs that had what is asked of their class, or were too late, by class and by team
-	LongestStartWait  map[string]micros                 // for which a largest job of a class has waited to begin, by class
-	BlockedJobs       int                               // jobs that await others
-	UnreconciledHosts int                               // recorded hosts that have not been heard of in this epoch
+	RunningTasks      map[string]int                    // by class
+	Objectives        map[slo.Kind]map[string]slo.Count // jobs that met their objectives or did not, by class and by team
+	LongestStartWait  map[string]micros                 // for which a largest job of a class has waited to start, by class
+	BlockedJobs       int                               // jobs that wait for others
+	UnreconciledHosts int                               // recorded hosts that have not been heard of in this term
 	Rollouts          map[string]int                    // by state; nil where they are off
 }
 
@@ -49,24 +52,39 @@
 	s.Config = c.config.configStats()
 	s.Features = c.features.featureStats()
 	s.Refused, s.Checks = maps.Clone(c.stats.Refused), maps.Clone(c.stats.Checks)
-	if c.term == nil {
-		return s
+	if c.term != nil {
+		c.term.addTo(&s)
 	}
-	if g := c.term.rollouts.manager; g != nil {
-		s.Rollouts = g.States()
+	return s
+}
+
+// addTo adds what a leader knows.
+func (t *leaderTerm) addTo(s *Stats) {
+	if t.rollouts.manager != nil {
+		s.Rollouts = t.rollouts.manager.States()
 	}
-	s.Objectives, s.LongestStartWait = make(map[slo.Kind]map[string]slo.Count), maps.Clone(c.term.objectives.longestStartWait)
+	s.LongestStartWait = maps.Clone(t.objectives.longestStartWait)
+	s.Objectives = make(map[slo.Kind]map[string]slo.Count)
 	for _, k := range slo.Kinds() {
-		s.Objectives[k] = c.term.objectives.window.Counts(k)
+		s.Objectives[k] = t.objectives.window.Counts(k)
 	}
-	s.Hosts, s.WaitingJobs, s.RunningTasks = make(map[string]int), make(map[string]int), make(map[string]int)
-	for _, h := range c.term.cluster.Hosts() {
+	t.addHosts(s)
+	t.addJobs(s)
+}
+
+func (t *leaderTerm) addHosts(s *Stats) {
+	s.Hosts = make(map[string]int)
+	for _, h := range t.cluster.Hosts() {
 		s.Hosts[h.State.String()]++
 		if h.Record.FromEarlierEpoch && !h.Reconciled {
 			s.UnreconciledHosts++
 		}
 	}
-	for _, j := range c.term.cluster.Jobs() {
+}
+
+func (t *leaderTerm) addJobs(s *Stats) {
+	s.WaitingJobs, s.RunningTasks = make(map[string]int), make(map[string]int)
+	for _, j := range t.cluster.Jobs() {
 		if j.State == state.JobBlocked {
 			s.BlockedJobs++
 		}
@@ -78,5 +96,4 @@
 		}
 		s.RunningTasks[j.Spec.Class] += j.RunningTasks
 	}
-	return s
 }
