--- a/cmd/mapleslip/sockets.go
+++ b/cmd/mapleslip/sockets.go
@@ -14,7 +14,7 @@
 // way, however many there are; what is kept beyond that only saves it a handshake.
 const (
 	stateCalls = 64
-	cloudCalls = 24                   // of seconds each, at a few a second
+	cloudCalls = 24                      // of seconds each, at a few a second
 	peerCalls  = controller.MaxPeerCalls // to each other controller: users' calls and reports that are passed on
 	checkCalls = 64
 	sparePart  = 20 // one in so many is held back
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -50,7 +50,7 @@
 
 // Admit reports whether the record of a job can be written now. Otherwise wait is after how
 // long its turn comes. maxRate is the write rate of which a part may be had.
-func (l *Limiter) Admit(now micros, ref string, maxRate float64) (wait micros, ok bool) {
+func (l *Limiter) Admit(now micros, ref string, maxRate float64) (wait protocol.Micros, ok bool) {
 	interval := protocol.FromSeconds(1 / l.rate(now, maxRate))
 	backlog := l.backlog(now, maxRate)
 	l.nextTurn = max(l.nextTurn, now+backlog)
@@ -73,7 +73,7 @@
 }
 
 // Reserve gives a job the next turn, and returns after how long that comes.
-func (l *Limiter) Reserve(now micros, ref string, maxRate float64) micros {
+func (l *Limiter) Reserve(now micros, ref string, maxRate float64) protocol.Micros {
 	interval := protocol.FromSeconds(1 / l.rate(now, maxRate))
 	l.nextTurn = max(l.nextTurn, now+l.backlog(now, maxRate))
 	if l.nextTurn-now > userRetryPeriod {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -1,22 +1,16 @@
 package admission
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/rapidtest"
 )
 
-func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.checks", "40")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { rapidtest.Main(m, 40) }
 
 // user is one who submits a job, and comes again when told to.
 type user struct {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -106,8 +106,8 @@
 	}
 	return &slottable.Offer{
 		Type: k.machineType, Zone: k.zone, Spot: k.spot, Resources: t.Capacity, Price: price,
-		Boot:  as.estimates.bootTime(t) + protocol.Second,
-		Fetch: func(size int64) micros { return as.estimates.fetchTime(t, size) }, Most: limit,
+		BootTime:  as.estimates.bootTime(t) + protocol.Second,
+		FetchTime: func(size int64) micros { return as.estimates.fetchTime(t, size) }, Limit: limit,
 	}
 }
 
@@ -148,7 +148,7 @@
 func (as *autoscaler) unservedRequest(w *pendingJob, offers []*slottable.Offer) *slottable.Request {
 	now := as.now.Steady
 	r := *w.request
-	r.Kept = nil
+	r.Booking = nil
 	// A job that has waited shows that plans come out too early: more work arrives before its
 	// turn, tasks are lost, estimates err. Half of the time that it has waited already is taken
 	// off what a machine rented now would be ready at. Without this, in a burst that never lets
@@ -161,7 +161,7 @@
 	soonest := protocol.Forever
 	for _, o := range offers {
 		if o.Suits(&r) {
-			soonest = min(soonest, now+o.Boot+o.Fetch(r.ImageSize)+minRentalGain)
+			soonest = min(soonest, now+o.BootTime+o.FetchTime(r.ImageSize)+minRentalGain)
 		}
 	}
 	for _, b := range w.result.Booked {
--- a/internal/controller/gang_preemption.go
+++ b/internal/controller/gang_preemption.go
@@ -72,7 +72,7 @@
 	rooms, tooLate := p.findGangRooms()
 	best := p.cheapestGangRooms(rooms)
 	if best == nil {
-		if !tooLate && len(p.request.ZoneUsed) == 0 {
+		if !tooLate && len(p.request.TasksByZone) == 0 {
 			p.cycle.markUnschedulable(j, len(p.tasks))
 		}
 		j.Preemption.RetryAt = p.now.Steady + bookingRetryDelay // there is nothing, for a while
@@ -97,12 +97,12 @@
 	}
 }
 
-// findGangRooms finds hosts on which preemption makes room for tasks of a gang, by zone. tooLate
+// findGangRooms finds hosts on which preemption makes room for tasks of a gang, by zone. stopAtLimit
 // reports whether some would have room too late.
 func (p *preemption) findGangRooms() (rooms map[string][]gangRoom, tooLate bool) {
 	rooms = make(map[string][]gangRoom)
 	s := p.job.Spec
-	p.slotTable.Making(p.request, 1, maxVictimHosts+2*len(p.tasks), func(m *slottable.Machine) bool {
+	p.slotTable.VisitPreemptible(p.request, 1, maxVictimHosts+2*len(p.tasks), func(m *slottable.Machine) bool {
 		h := p.cluster.Host(m.Name)
 		if h == nil || !p.couldHost(h, s) {
 			return false
@@ -140,7 +140,7 @@
 func (p *preemption) cheapestGangRooms(rooms map[string][]gangRoom) []gangRoom {
 	var best []gangRoom
 	var bestCost float64
-	used := p.request.ZoneUsed
+	used := p.request.TasksByZone
 	for _, zone := range slices.Sorted(maps.Keys(rooms)) {
 		if p.job.Spec.SingleZone && len(used) > 0 && used[zone] == 0 {
 			continue
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -47,7 +47,7 @@
 	}
 	r := w.request
 	r.Limit = sc.quotaAllowance(c, w.job, c.heldForTeam[w.job.Spec.Team])
-	r.HotOnly = true
+	r.ImageLocalOnly = true
 	if r.Limit <= 0 {
 		return
 	}
--- a/internal/controller/placement_request.go
+++ b/internal/controller/placement_request.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	sc.keepBooking(w)
-	w.request.Patient = sc.objectives.startDeadline(j)
+	w.request.ReadyBy = sc.objectives.startDeadline(j)
 	return true
 }
 
@@ -109,15 +109,15 @@
 func (sc *scheduler) newRequest(j *state.Job, tasks int, zones map[string]int) *slottable.Request {
 	s := j.Spec
 	r := &slottable.Request{
-		Tasks: tasks, Need: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.MachineTypes, Zone: s.Zone, OneZone: s.SingleZone, ZoneUsed: zones, Spot: s.AllowSpot,
-		Length: sc.workload.classStats(s.Class).estimatedRuntime(s), Guest: isOpportunistic(j), Frugal: sc.usesSpareCapacityOnly(j),
+		Tasks: tasks, Resources: s.TaskResources, Gang: s.Kind == protocol.Gang, Image: s.Image, ImageSize: s.ImageSize,
+		Types: s.MachineTypes, Zone: s.Zone, SingleZone: s.SingleZone, TasksByZone: zones, AllowSpot: s.AllowSpot,
+		Runtime: sc.workload.classStats(s.Class).estimatedRuntime(s), Opportunistic: isOpportunistic(j), SpareCapacityOnly: sc.usesSpareCapacityOnly(j),
 	}
 	if r.Gang && s.SingleZone {
-		r.Stay = j.Booking.Zone
+		r.PreferredZone = j.Booking.Zone
 	}
 	if s.SpreadZones {
-		r.ZoneCap = (s.Tasks + 1) / 2
+		r.MaxPerZone = (s.Tasks + 1) / 2
 	}
 	if due := effectiveDeadline(j); due > 0 {
 		r.Deadline = due - sc.operator.DeadlineMargin
@@ -137,15 +137,15 @@
 	for _, b := range j.Booking.Places {
 		h := sc.cluster.Host(b.Machine)
 		if h == nil || sc.machines[h] == nil {
-			r.Kept = nil
+			r.Booking = nil
 			return
 		}
 		begin := b.Begin
 		if now < j.Preemption.ReservedUntil && len(j.Preemption.Reservations) == 0 {
-			r.Hold = true
+			r.KeepBooking = true
 			begin = max(begin, now+heldBookingDelay)
 		}
-		r.Kept = append(r.Kept, slottable.Place{Machine: sc.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
+		r.Booking = append(r.Booking, slottable.Place{Machine: sc.machines[h], Begin: begin, Ready: max(b.Ready, begin)})
 	}
 }
 
@@ -160,7 +160,7 @@
 	for _, reserved := range j.Preemption.Reservations {
 		m := sc.machines[reserved.Host]
 		r.Preferred = append(r.Preferred, m)
-		if !m.Free().Covers(r.Need) {
+		if !m.Free().Covers(r.Resources) {
 			waiting++
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -93,7 +93,7 @@
 // tasksByZone counts a job's tasks by zone, with those that this cycle placed.
 func (w *pendingJob) tasksByZone() map[string]int {
 	zones := make(map[string]int)
-	maps.Copy(zones, w.request.ZoneUsed)
+	maps.Copy(zones, w.request.TasksByZone)
 	for _, place := range w.result.Start {
 		zones[place.Machine.Zone]++
 	}
@@ -167,7 +167,7 @@
 	}
 	var best *victimSet
 	possible := false
-	p.slotTable.Making(p.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
+	p.slotTable.VisitPreemptible(p.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
 		h := p.cluster.Host(m.Name)
 		fits, wouldFit := p.couldTakeTask(h)
 		possible = possible || wouldFit
@@ -219,8 +219,8 @@
 
 // isZoneExcluded reports whether the job may have no further tasks in a zone.
 func (p *preemption) isZoneExcluded(zone string) bool {
-	s, used := p.job.Spec, p.request.ZoneUsed
-	return s.SpreadZones && p.tasksByZone[zone] >= p.request.ZoneCap || s.SingleZone && len(used) > 0 && used[zone] == 0
+	s, used := p.job.Spec, p.request.TasksByZone
+	return s.SpreadZones && p.tasksByZone[zone] >= p.request.MaxPerZone || s.SingleZone && len(used) > 0 && used[zone] == 0
 }
 
 // readyOn is when a task of the job would be ready on a host, if nothing there had to save its
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -35,10 +35,10 @@
 	stale := pin("n-900001", "a", 3, 4)
 	w := &pendingJob{job: j}
 	if c.term.scheduler.buildRequest(w) {
-		t.Fatalf("tasks %v are placed while some are pinned in two zones: %v", w.tasks, w.request.ZoneUsed)
+		t.Fatalf("tasks %v are placed while some are pinned in two zones: %v", w.tasks, w.request.TasksByZone)
 	}
 	c.term.agents.onAttemptLost(stale) // its machine has reported without it
-	if !c.term.scheduler.buildRequest(w) || len(w.tasks) != 3 || len(w.request.ZoneUsed) != 1 || w.request.ZoneUsed["b"] != 1 {
+	if !c.term.scheduler.buildRequest(w) || len(w.tasks) != 3 || len(w.request.TasksByZone) != 1 || w.request.TasksByZone["b"] != 1 {
 		t.Fatalf("tasks %v, zones %+v", w.tasks, w.request)
 	}
 }
--- a/internal/controller/slot_table_sync.go
+++ b/internal/controller/slot_table_sync.go
@@ -56,8 +56,8 @@
 func (sc *scheduler) addMachine(h *state.Host) *slottable.Machine {
 	t := h.Type
 	m := &slottable.Machine{
-		Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Offer: t.Capacity,
-		Fetch: func(size int64) micros { return sc.estimates.fetchTime(t, size) },
+		Name: h.Name, Type: h.TypeName, Zone: h.Zone, Spot: h.Spot, Capacity: t.Capacity,
+		FetchTime: func(size int64) micros { return sc.estimates.fetchTime(t, size) },
 	}
 	sc.machines[h] = m
 	sc.slotTable.Add(m)
@@ -101,16 +101,16 @@
 func (sc *scheduler) refreshMachine(h *state.Host, m *slottable.Machine, schedulable, booting bool) {
 	h.Stale = false
 	m.Reset()
-	m.From = sc.now.Steady
+	m.AvailableFrom = sc.now.Steady
 	switch {
 	case schedulable:
 	case booting && sc.config.drainOf(h) == configuration.NotDrained:
-		m.From = sc.estimates.expectedBootEnd(h)
+		m.AvailableFrom = sc.estimates.expectedBootEnd(h)
 	default:
 		m.Blocked = true
 	}
 	m.Penalty = hostPenalty(h)
-	m.Unheld = !h.Spot && !sc.hasRetainingWork(h)
+	m.OnlyOpportunistic = !h.Spot && !sc.hasRetainingWork(h)
 	for image := range h.Images {
 		sc.slotTable.AddImage(m, image, 0)
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	if schedulable {
-		m.Makes = h.Type.Capacity.Add(h.Used(), -1).Add(preemptible, 1)
+		m.FreeAfterPreemption = h.Type.Capacity.Add(h.Used(), -1).Add(preemptible, 1)
 	}
 	sc.slotTable.Update(m)
 }
@@ -146,7 +146,7 @@
 // addAttempt adds what an attempt takes of its host, and the image that it brings.
 func (sc *scheduler) addAttempt(m *slottable.Machine, a *state.Attempt) {
 	now, s := sc.now.Steady, a.Job.Spec
-	m.Occupy(slottable.Span{From: now, To: sc.expectedEnd(a), Need: s.TaskResources, Guest: isOpportunistic(a.Job)})
+	m.Occupy(slottable.Span{From: now, To: sc.expectedEnd(a), Resources: s.TaskResources, Opportunistic: isOpportunistic(a.Job)})
 	switch a.State {
 	case state.AttemptAssigned, state.AttemptLaunched, state.AttemptFetching:
 		if !sc.slotTable.HasImage(m, s.Image) {
--- a/internal/controller/slottable/profile.go
+++ b/internal/controller/slottable/profile.go
@@ -6,20 +6,20 @@
 	"mapleslip/internal/protocol"
 )
 
-// step is what a row has free from a time on, until the next step.
-type step struct {
+// profileStep is what a row has free from a time on, until the next step.
+type profileStep struct {
 	at   micros
 	free resources
 }
 
 // profile is a row's free room against time: what is on the machine and what is
-// planned for it, guests not counted. It has a step at every time at which that
+// planned for it, opportunistic tasks not counted. It has a step at every time at which that
 // changes, the first one at the beginning of time. With it the earliest room is
 // found in one sweep.
-type profile []step
+type profile []profileStep
 
 // reset is a row on which nothing is.
-func (p profile) reset(offer resources) profile { return append(p[:0], step{0, offer}) }
+func (p profile) reset(offer resources) profile { return append(p[:0], profileStep{0, offer}) }
 
 // cut makes a step begin at a time, and returns its index.
 func (p profile) cut(at micros) (profile, int) {
@@ -27,9 +27,9 @@
 	if i < len(p) && p[i].at == at {
 		return p, i
 	}
-	p = append(p, step{})
+	p = append(p, profileStep{})
 	copy(p[i+1:], p[i:])
-	p[i] = step{at, p[i-1].free}
+	p[i] = profileStep{at, p[i-1].free}
 	return p, i
 }
 
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -1,28 +1,17 @@
 package slottable
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/rapidtest"
 )
 
-// TestMain draws the same tables at every run: a verdict must not hang on luck.
-// Others are drawn with -rapid.seed=N, more with -rapid.checks=N.
-func TestMain(m *testing.M) {
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": "4000", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	flag.Parse() // what the command line says comes after, and wins
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { rapidtest.MainWithSeed(m, 20261201, 4000) }
 
 // drawnRow is a row of a random table, of which each side makes its own.
 type drawnRow struct {
@@ -40,9 +29,9 @@
 
 func (d drawnRow) make(i int) *Machine {
 	m := &Machine{
-		Name: fmt.Sprintf("n-%03d", i), Type: d.typ, Zone: d.zone, Spot: d.spot, Offer: d.offer, From: d.from,
-		Penalty: d.penalty, Blocked: d.blocked, Unheld: d.unheld, FetchDone: d.fetchDone,
-		Fetch: func(size int64) micros { return micros(size*d.rate) * sec / 1000 },
+		Name: fmt.Sprintf("n-%03d", i), Type: d.typ, Zone: d.zone, Spot: d.spot, Capacity: d.offer, AvailableFrom: d.from,
+		Penalty: d.penalty, Blocked: d.blocked, OnlyOpportunistic: d.unheld, FetchDone: d.fetchDone,
+		FetchTime: func(size int64) micros { return micros(size*d.rate) * sec / 1000 },
 	}
 	for _, s := range d.spans {
 		m.Occupy(s)
@@ -90,8 +79,8 @@
 			need.GPU = 0
 		}
 		s := Span{
-			From: drawnNow, To: drawnNow + micros(rapid.IntRange(1, 200).Draw(rt, "to"))*sec, Need: need,
-			Guest: rapid.IntRange(0, 5).Draw(rt, "guest") == 0,
+			From: drawnNow, To: drawnNow + micros(rapid.IntRange(1, 200).Draw(rt, "to"))*sec, Resources: need,
+			Opportunistic: rapid.IntRange(0, 5).Draw(rt, "guest") == 0,
 		}
 		if rapid.IntRange(0, 9).Draw(rt, "service") == 0 {
 			s.To = protocol.Forever
@@ -108,26 +97,26 @@
 func drawRequest(rt *rapid.T) Request {
 	r := Request{
 		Tasks: rapid.IntRange(1, 8).Draw(rt, "tasks"),
-		Need: resources{
+		Resources: resources{
 			CPU: int64(rapid.IntRange(1, 30).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 8).Draw(rt, "gpu")) * 500,
 			Memory: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000,
 		},
 		Image: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "image"), ImageSize: int64(rapid.SampledFrom([]int{0, 1000, 8000, 20_000}).Draw(rt, "size")),
-		Gang: rapid.Bool().Draw(rt, "gang"), OneZone: rapid.Bool().Draw(rt, "one"), Spot: rapid.Bool().Draw(rt, "spot"),
-		Length: micros(rapid.SampledFrom([]int{5, 35, 90, 400}).Draw(rt, "length")) * sec,
+		Gang: rapid.Bool().Draw(rt, "gang"), SingleZone: rapid.Bool().Draw(rt, "one"), AllowSpot: rapid.Bool().Draw(rt, "spot"),
+		Runtime: micros(rapid.SampledFrom([]int{5, 35, 90, 400}).Draw(rt, "length")) * sec,
 	}
 	r.Limit = r.Tasks
 	switch rapid.IntRange(0, 9).Draw(rt, "kind") {
 	case 0:
-		r.Guest, r.Frugal = true, rapid.Bool().Draw(rt, "frugal")
+		r.Opportunistic, r.SpareCapacityOnly = true, rapid.Bool().Draw(rt, "frugal")
 	case 1:
 		r.Zone = "b"
 	case 2:
 		r.Types = []string{"large"}
 	case 3:
-		r.ZoneCap, r.Gang = (r.Tasks+1)/2, false
+		r.MaxPerZone, r.Gang = (r.Tasks+1)/2, false
 	case 4:
-		r.ZoneUsed, r.OneZone = map[string]int{"a": 1}, true
+		r.TasksByZone, r.SingleZone = map[string]int{"a": 1}, true
 	case 5:
 		r.Avoid = func(name string) bool { return name[len(name)-1] == '3' }
 	}
@@ -168,8 +157,8 @@
 			}
 		}
 		offers := []*Offer{
-			{Type: "small", Zone: "a", Resources: drawnTypes[0].offer, Price: 4, Boot: 25 * sec, Fetch: func(size int64) micros { return micros(size) * sec / 1000 }, Most: 3},
-			{Type: "large", Zone: "b", Spot: true, Resources: drawnTypes[1].offer, Price: 5, Boot: 35 * sec, Fetch: func(size int64) micros { return micros(2*size) * sec / 1000 }, Most: 3},
+			{Type: "small", Zone: "a", Resources: drawnTypes[0].offer, Price: 4, BootTime: 25 * sec, FetchTime: func(size int64) micros { return micros(size) * sec / 1000 }, Limit: 3},
+			{Type: "large", Zone: "b", Spot: true, Resources: drawnTypes[1].offer, Price: 5, BootTime: 35 * sec, FetchTime: func(size int64) micros { return micros(2*size) * sec / 1000 }, Limit: 3},
 		}
 		for pass := range rapid.IntRange(1, 2).Draw(rt, "passes") {
 			table.Begin()
@@ -218,8 +207,8 @@
 		var e entry
 		t.describe(m, &e)
 		have := m.entry
-		for _, h := range have.held {
-			if h.at > have.at[1] || !slices.Contains(t.holders[h.image], slot{h.at, m}) {
+		for _, h := range have.images {
+			if h.at > have.at[1] || !slices.Contains(t.imageHolders[h.image], indexedRow{h.at, m}) {
 				rt.Fatalf("the holders of %d have %s at %d, it is free at %d", h.image, m.Name, h.at, have.at[1])
 			}
 		}
@@ -228,11 +217,28 @@
 				rt.Fatalf("the index has level %d of %s free from %d on, it is from %d on", l, m.Name, have.at[l], e.at[l])
 			}
 		}
-		if have.shelf < e.shelf || !m.behind() && (have.shelf != e.shelf || have.free != e.free) || have.made != e.made || have.group != e.group {
+		if have.shelf < e.shelf || !m.behind() && (have.shelf != e.shelf || have.free != e.free) || have.preemptibleShelf != e.preemptibleShelf || have.group != e.group {
 			rt.Fatalf("the index has %s as %+v, it is %+v", m.Name, have, e)
 		}
 	}
-	if len(t.rented) > 0 || len(t.undo) > 0 {
-		rt.Fatalf("%d rented rows, %d marks left", len(t.rented), len(t.undo))
+	for _, g := range t.groupList {
+		checkRowsAreKnown(rt, t, g)
+	}
+	if len(t.trialMarks) > 0 {
+		rt.Fatalf("%d marks left", len(t.trialMarks))
+	}
+}
+
+// checkRowsAreKnown checks that a group has only rows of the table: those of machines that a
+// plan would rent must not stay.
+func checkRowsAreKnown(rt *rapid.T, t *Table, g *group) {
+	var lists [][]indexedRow
+	for level := range g.shelves {
+		lists = append(lists, g.shelves[level].rows, g.preemptibleShelves[level].rows, g.laterByLevel[level])
+	}
+	for _, row := range slices.Concat(lists...) {
+		if !slices.Contains(t.machines, row.machine) {
+			rt.Fatalf("the index has %s, which is not in the table", row.machine.Name)
+		}
 	}
 }
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -12,17 +12,20 @@
 type scan struct {
 	Table
 	open     []*Machine
+	rented   []*Machine
 	now, any candidates
 }
 
-func (t *scan) laterOnScan(r *Request, m *Machine) (candidate, bool) { return t.laterOn(r, m, t.Now) }
+func (t *scan) laterOnScan(r *Request, m *Machine) (candidate, bool) {
+	return t.placeLater(r, m, t.Now)
+}
 
 // start begins a pass over rows that nothing has marked.
 func (t *scan) start() {
 	t.Begin()
 	t.open = t.open[:0]
 	for _, m := range t.machines {
-		if !m.Blocked && m.From <= t.Now && (m.free.GPU > 0 || m.Offer.GPU == 0) && m.free.CPU > 0 {
+		if !m.Blocked && m.AvailableFrom <= t.Now && (m.free.GPU > 0 || m.Capacity.GPU == 0) && m.free.CPU > 0 {
 			t.open = append(t.open, m)
 		}
 	}
@@ -48,18 +51,18 @@
 
 // gather collects the places that tasks of a request could have at once, in
 // one zone or in all.
-func (t *scan) gather(r *Request, z *zones, zone string) {
+func (t *scan) gather(r *Request, z *zoneCounter, zone string) {
 	t.now = t.now[:0]
 	rows := t.open
-	if r.Need.GPU == 0 {
+	if r.Resources.GPU == 0 {
 		rows = t.machines // those whose GPUs are all in use have room for it
 	}
-	t.Work += workLook * len(rows)
+	t.Work += lookWork * len(rows)
 	for _, m := range rows {
-		if !m.freeFor(r).Covers(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
+		if !m.freeFor(r).Covers(r.Resources) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
 		}
-		if c, ok := t.nowOn(r, m); ok {
+		if c, ok := t.placeNow(r, m); ok {
 			t.now = append(t.now, c)
 		}
 	}
@@ -68,7 +71,7 @@
 
 // gatherLater collects the earliest places, at whatever time. With image it
 // looks only at machines that have the image or fetch it.
-func (t *scan) gatherLater(r *Request, z *zones, zone string, image bool) {
+func (t *scan) gatherLater(r *Request, z *zoneCounter, zone string, image bool) {
 	t.any = t.any[:0]
 	for i := range len(t.machines) + len(t.rented) {
 		var m *Machine
@@ -77,16 +80,16 @@
 		} else {
 			m = t.rented[i-len(t.machines)]
 		}
-		if m.Blocked || !m.Offer.Covers(r.Need) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
+		if m.Blocked || !m.Capacity.Covers(r.Resources) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
 		}
 		if image {
-			t.Work += workLook
+			t.Work += lookWork
 			if _, ok := m.readyAt(r.image); !ok {
 				continue
 			}
 		}
-		t.Work += workRoom
+		t.Work += roomWork
 		if c, ok := t.laterOnScan(r, m); ok {
 			t.any = append(t.any, c)
 		}
@@ -95,7 +98,7 @@
 }
 
 // top is the best candidate whose zone still allows a task.
-func (c *candidates) top(z *zones) (candidate, bool) {
+func (c *candidates) top(z *zoneCounter) (candidate, bool) {
 	for len(*c) > 0 {
 		if z.allows((*c)[0].place.Machine.Zone) {
 			return (*c)[0], true
@@ -130,12 +133,12 @@
 		return t.tryGang(r, book)
 	}
 	res := Result{Request: r, Viable: true}
-	z := newZones(r)
+	z := newZoneCounter(r)
 	n := min(r.Tasks, r.Limit, maxStarted)
 	t.gather(r, z, "")
 	t.any = t.any[:0]
 	searched, searchedImage := false, false
-	kept := r.Kept
+	kept := r.Booking
 	for i := 0; i < n; i++ {
 		now, okNow := t.now.top(z)
 		switch {
@@ -143,7 +146,7 @@
 		case !okNow:
 			t.gatherLater(r, z, "", false)
 			searched = true
-		case now.place.Ready > t.Now+patience && !searchedImage:
+		case now.place.Ready > t.Now+fetchTolerance && !searchedImage:
 			// Where a machine is free, a busy one is worth waiting for only if
 			// it has the image.
 			t.gatherLater(r, z, "", true)
@@ -152,7 +155,7 @@
 		var p Place
 		later, okLater := t.any.top(z)
 		switch {
-		case okNow && (!okLater || now.place.Ready <= later.place.Ready+patience):
+		case okNow && (!okLater || now.place.Ready <= later.place.Ready+fetchTolerance):
 			p = now.place
 		case okLater && book && i < maxBooked:
 			p = later.place
@@ -161,7 +164,7 @@
 			p = kept[0]
 			kept = kept[1:]
 			if p.Begin <= t.Now || p.Machine.Blocked || !z.allows(p.Machine.Zone) || !r.allows(p.Machine) ||
-				!p.Machine.fits(r, p.Begin, protocol.End(p.Ready, r.Length)) {
+				!p.Machine.fits(r, p.Begin, protocol.End(p.Ready, r.Runtime)) {
 				kept = nil
 				i--
 				continue
@@ -175,9 +178,9 @@
 			res.Start = append(res.Start, p)
 		}
 		z.add(p.Machine.Zone)
-		till := protocol.End(p.Ready, r.Length)
+		till := protocol.End(p.Ready, r.Runtime)
 		t.mark(r, p, till)
-		t.again(&t.now, r, p.Machine, t.nowOn)
+		t.again(&t.now, r, p.Machine, t.placeNow)
 		t.again(&t.any, r, p.Machine, t.laterOnScan)
 		if r.Deadline > 0 && till > r.Deadline {
 			res.Viable = false
@@ -197,9 +200,9 @@
 		var places []Place
 		var start micros
 		t.try(func() bool {
-			z := newZones(r)
+			z := newZoneCounter(r)
 			if zone != "" {
-				z.one = zone
+				z.only = zone
 			}
 			for i := 0; i < r.Tasks; i++ {
 				c, ok := list.top(z)
@@ -207,7 +210,7 @@
 					return false
 				}
 				p := c.place
-				t.mark(r, p, r.holdsTill(p))
+				t.mark(r, p, r.occupiedUntil(p))
 				z.add(p.Machine.Zone)
 				start = max(start, p.Ready)
 				places = append(places, p)
@@ -222,7 +225,7 @@
 		}
 	}
 	each := func(do func(zone string)) {
-		if one := newZones(r).one; !r.OneZone || r.Tasks == 1 {
+		if one := newZoneCounter(r).only; !r.SingleZone || r.Tasks == 1 {
 			do("")
 		} else if one != "" {
 			do(one)
@@ -235,33 +238,33 @@
 		}
 	}
 	each(func(zone string) {
-		t.gather(r, newZones(r), zone)
+		t.gather(r, newZoneCounter(r), zone)
 		if len(t.now) > 0 {
-			choose(zone, &t.now, t.nowOn)
+			choose(zone, &t.now, t.placeNow)
 		}
 	})
-	if best != nil && r.Tasks == 1 && bestStart > t.Now+patience {
+	if best != nil && r.Tasks == 1 && bestStart > t.Now+fetchTolerance {
 		// It has to fetch: a machine that is busy but has the image may be
 		// ready sooner.
 		now, nowStart := best, bestStart
 		best = nil
-		t.gatherLater(r, newZones(r), "", true)
+		t.gatherLater(r, newZoneCounter(r), "", true)
 		choose("", &t.any, t.laterOnScan)
-		if best == nil || nowStart <= bestStart+patience {
+		if best == nil || nowStart <= bestStart+fetchTolerance {
 			best, bestStart = now, nowStart
 		} else if !book {
 			return res
 		}
 	}
-	if best == nil && (book || r.Hold) {
-		if t.holds(r, r.Kept) {
-			best = r.Kept
+	if best == nil && (book || r.KeepBooking) {
+		if t.bookingHolds(r) {
+			best = r.Booking
 			for _, p := range best {
 				bestStart = max(bestStart, p.Ready)
 			}
 		} else if book {
 			each(func(zone string) {
-				t.gatherLater(r, newZones(r), zone, false)
+				t.gatherLater(r, newZoneCounter(r), zone, false)
 				choose(zone, &t.any, t.laterOnScan)
 			})
 		}
@@ -273,7 +276,7 @@
 	for _, p := range best {
 		now = now && p.Begin <= t.Now
 	}
-	till := protocol.End(bestStart, r.Length)
+	till := protocol.End(bestStart, r.Runtime)
 	if r.Deadline > 0 && till > r.Deadline {
 		res.Viable = false
 	}
@@ -336,9 +339,9 @@
 		}
 	} else {
 		// A guest needs no booking: no other plan sees it, so none could move it.
-		res = t.Try(r, !t.blocked && !r.Guest)
+		res = t.Try(r, !t.blocked && !r.Opportunistic)
 	}
-	if len(res.Booked) > 0 && (r.Deadline == 0 || !res.Viable) && !r.Hold {
+	if len(res.Booked) > 0 && (r.Deadline == 0 || !res.Viable) && !r.KeepBooking {
 		t.blocked = true
 	}
 	return res
@@ -360,7 +363,7 @@
 			}
 			work -= t.Work - before
 		}
-		needed = append(needed, t.undo...)
+		needed = append(needed, t.trialMarks...)
 		return false
 	})
 	t.rented = t.rented[:0]
@@ -369,11 +372,11 @@
 
 // rentFor plans one request, and returns how many machines it would rent.
 func (t *scan) rentFor(r *Request, offers []*Offer, slack micros, most int, rent map[int]int) int {
-	if r.Guest && !slices.ContainsFunc(offers, func(o *Offer) bool { return o.Suits(r) }) {
+	if r.Opportunistic && !slices.ContainsFunc(offers, func(o *Offer) bool { return o.Suits(r) }) {
 		return 0 // nothing to find out: it keeps no machine either
 	}
 	r.image = t.Image(r.Image)
-	z := newZones(r)
+	z := newZoneCounter(r)
 	t.gatherLater(r, z, "", false)
 	total := 0
 	n := min(r.Tasks, r.Limit, maxBooked)
@@ -385,17 +388,17 @@
 		var bestReady micros
 		if total < most {
 			for oi, o := range offers {
-				if rent[oi] >= o.Most || !o.Suits(r) || !z.allows(o.Zone) {
+				if rent[oi] >= o.Limit || !o.Suits(r) || !z.allows(o.Zone) {
 					continue
 				}
-				ready := t.Now + o.Boot + o.Fetch(r.ImageSize)
-				if ok && !r.Spare && p.Ready <= max(ready+slack, r.Patient) {
+				ready := t.Now + o.BootTime + o.FetchTime(r.ImageSize)
+				if ok && !r.Spare && p.Ready <= max(ready+slack, r.ReadyBy) {
 					continue
 				}
-				if ok && r.Spare && (p.Begin <= t.Now+slack || p.Ready <= r.Patient) {
+				if ok && r.Spare && (p.Begin <= t.Now+slack || p.Ready <= r.ReadyBy) {
 					continue
 				}
-				fit := max(1, min(o.Resources.MaxCopies(r.Need), int64(n-i)))
+				fit := max(1, min(o.Resources.MaxCopies(r.Resources), int64(n-i)))
 				cost := o.Price / float64(fit)
 				// Between equal prices the zone with fewer of the job's tasks.
 				cost *= 1 + 0.001*float64(z.count[o.Zone]) + 0.0005*float64(rent[oi])
@@ -407,19 +410,19 @@
 		if best >= 0 {
 			o := offers[best]
 			m := &Machine{
-				Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Offer: o.Resources,
-				From: t.Now + o.Boot, Fetch: o.Fetch, order: 1_000_000 + len(t.rented),
+				Name: "+" + o.Type, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Capacity: o.Resources,
+				AvailableFrom: t.Now + o.BootTime, FetchTime: o.FetchTime, order: 1_000_000 + len(t.rented),
 			}
-			m.settle(t.Now)
+			m.recompute(t.Now)
 			t.rented = append(t.rented, m)
 			rent[best]++
 			total++
-			p = Place{m, m.From, bestReady}
+			p = Place{m, m.AvailableFrom, bestReady}
 		} else if !ok {
 			break
 		}
 		z.add(p.Machine.Zone)
-		t.mark(r, p, r.holdsTill(p))
+		t.mark(r, p, r.occupiedUntil(p))
 		if best >= 0 {
 			if c, ok := t.laterOnScan(r, p.Machine); ok {
 				heap.Push(&t.any, c)
--- a/internal/controller/spare_capacity.go
+++ b/internal/controller/spare_capacity.go
@@ -39,7 +39,7 @@
 		}
 		for i, n := range counts {
 			spares[i] = max(spares[i], n)
-			as.nextSpareRental[class] = max(as.nextSpareRental[class], as.now.Steady+offers[i].Boot/sparePacing)
+			as.nextSpareRental[class] = max(as.nextSpareRental[class], as.now.Steady+offers[i].BootTime/sparePacing)
 		}
 	}
 	return spares
@@ -60,11 +60,11 @@
 	}
 	tasks = min(tasks, maxSpareTasks)
 	return &slottable.Request{
-		Tasks: tasks, Limit: tasks, Need: s.TaskResources, Image: s.Image, ImageSize: s.ImageSize,
-		Types: s.MachineTypes, Spot: s.AllowSpot, Length: spareRuntime, Spare: true,
+		Tasks: tasks, Limit: tasks, Resources: s.TaskResources, Image: s.Image, ImageSize: s.ImageSize,
+		Types: s.MachineTypes, AllowSpot: s.AllowSpot, Runtime: spareRuntime, Spare: true,
 		// Capacity is missing only if a job that came now would start too late: a machine that
 		// is soon free does as well as an empty one.
-		Patient: as.now.Steady + objective*spareStartPercent/100,
+		ReadyBy: as.now.Steady + objective*spareStartPercent/100,
 	}
 }
 
--- a/internal/featuregate/decide.go
+++ b/internal/featuregate/decide.go
@@ -9,7 +9,7 @@
 type StoredEntry struct {
 	Entry
 	Revision uint64
-	Err   error // it can't be read
+	Err      error // it can't be read
 }
 
 // Reason says why a level waits for a controller.
@@ -34,12 +34,12 @@
 // Blocker is a controller for which a level waits, and why.
 type Blocker struct {
 	Controller string
-	Reason  Reason
+	Reason     Reason
 }
 
 // Decision is what the leader does about the active level.
 type Decision struct {
-	Next  Level  // the level that every controller has: to be made active if it is above the active one
+	Next     Level     // the level that every controller has: to be made active if it is above the active one
 	Blockers []Blocker // for whom the highest level that the leader serves waits, in the order of the settings
 }
 
--- a/internal/featuregate/record.go
+++ b/internal/featuregate/record.go
@@ -12,7 +12,7 @@
 
 // Keys of the state service.
 const (
-	KeyLevel     = "level"   // the active level; there is none at level 0
+	KeyLevel       = "level"   // the active level; there is none at level 0
 	RegistryPrefix = "roster/" // what each controller runs, by its name
 )
 
@@ -26,9 +26,9 @@
 
 // Entry is what a controller runs. It is written when its process starts.
 type Entry struct {
-	Controller   string
-	Levels Range
-	Build  string // its version, for people
+	Controller string
+	Levels     Range
+	Build      string // its version, for people
 }
 
 // EncodeEntry writes an entry of the roster.
--- a/internal/leadership/memory.go
+++ b/internal/leadership/memory.go
@@ -24,8 +24,8 @@
 
 // InheritedState is what a new leader knows of machines that it has not heard yet.
 type InheritedState struct {
-	silent map[string]micros
-	partitions   map[string]protocol.Partition
+	silent     map[string]micros
+	partitions map[string]protocol.Partition
 }
 
 // Inherit makes it from a memory.
--- a/internal/leadership/yield.go
+++ b/internal/leadership/yield.go
@@ -40,12 +40,12 @@
 
 // Verdicts. The first that applies is given.
 const (
-	KeepHearsMost   Decision = iota // less than half of the workers are missed
-	KeepNobodyHearsMore                // those that it misses come to no other controller either
-	KeepNoImprovement                // the one before it gave the lease back and heard as many: it is not the leader
-	KeepTransferLimit                    // the lease was given back often enough
-	KeepNoSuccessor                   // whoever hears them has given the lease back itself
-	Transfer                     // another controller hears them
+	KeepHearsMost       Decision = iota // less than half of the workers are missed
+	KeepNobodyHearsMore                 // those that it misses come to no other controller either
+	KeepNoImprovement                   // the one before it gave the lease back and heard as many: it is not the leader
+	KeepTransferLimit                   // the lease was given back often enough
+	KeepNoSuccessor                     // whoever hears them has given the lease back itself
+	Transfer                            // another controller hears them
 )
 
 func (v Decision) String() string {
@@ -57,8 +57,8 @@
 // that leads in another's place and hears no more than that one did keeps the
 // lease, because then the link of neither is what is lost.
 const (
-	MaxTransfers   = 2
-	TransferWindow  = 10 * 60 * protocol.Second
+	MaxTransfers     = 2
+	TransferWindow   = 10 * 60 * protocol.Second
 	minMissedWorkers = 3
 )
 
--- a/internal/protocol/files_test.go
+++ b/internal/protocol/files_test.go
@@ -120,8 +120,8 @@
 	p := &Platform{
 		ControllerName: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
 		Peers: []Peer{{"n-1", "b", "127.0.0.1:5"}}, Zones: []string{"a", "b"}, MaxClockOffset: 250 * Millisecond,
-		Teams:       map[string]Team{"red": {Name: "red", Guarantee: Resources{GPU: 8000}, Limit: Resources{CPU: 1000, GPU: 9000}}},
-		Objectives:  []Objective{{"wait", "urgent", 2700 * Millisecond, 0.95}},
+		Teams:             map[string]Team{"red": {Name: "red", Guarantee: Resources{GPU: 8000}, Limit: Resources{CPU: 1000, GPU: 9000}}},
+		Objectives:        []Objective{{"wait", "urgent", 2700 * Millisecond, 0.95}},
 		HeartbeatInterval: Second, WorkerLease: 10 * Second, GangWaitTimeout: 20 * Second, GangPeerTimeout: 5 * Second, CancelTimeout: 21 * Second,
 		StateRequestRate: 500, StateWriteRate: 200, MaxValueBytes: 8192, MaxTxnChanges: 12, CloudRate: 20, MachineListLag: Second, CPUShare: 1, MemoryBytes: 512e6, MaxConnections: 99,
 		AnnouncedStateLimits: &StateLimits{WriteRate: 24.5, MaxValueBytes: 2560, MaxTxnChanges: 4},
--- a/internal/protocol/hearing.go
+++ b/internal/protocol/hearing.go
@@ -12,39 +12,39 @@
 // the rest of the frame and leave the body alone. A body begins with its version.
 const (
 	reachabilityVersion = 1
-	handoverVersion  = 1
+	handoverVersion     = 1
 )
 
 // Most of each that a body may hold.
 const (
 	MaxReachabilityZones = 256
-	MaxSilentHosts     = 2000
+	MaxSilentHosts       = 2000
 )
 
 var errPeerBody = errors.New("malformed body of a frame")
 
 // LeadershipTransfer is a lease that was given back so that another controller leads.
 type LeadershipTransfer struct {
-	From  string // who gave it back
-	To    string // who is to go first
-	Epoch uint64
-	At    Micros         // time of day
+	From             string // who gave it back
+	To               string // who is to go first
+	Epoch            uint64
+	At               Micros         // time of day
 	ReachableWorkers map[string]int // workers that Node heard by itself, by zone
 }
 
 // HandoverState is what a leader has seen that its successors must know.
 type HandoverState struct {
-	Epoch  uint64 // under which it was made
-	At     Micros // time of day
-	Partitions   []Partition
+	Epoch       uint64 // under which it was made
+	At          Micros // time of day
+	Partitions  []Partition
 	SilentHosts []SilentHost // machines, without those of zones that are cut off
 }
 
 // Partition is a zone that looks cut off.
 type Partition struct {
-	Zone  string
-	Since Micros // when its first silent machine was last heard, time of day
-	LastSeen  Micros // when it last looked so
+	Zone     string
+	Since    Micros // when its first silent machine was last heard, time of day
+	LastSeen Micros // when it last looked so
 }
 
 // SilentHost is a machine that says nothing.
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -11,7 +11,7 @@
 // few entries, and the largest that are not shared, completions of 8,192 tasks, take
 // 1,368 bytes.
 const (
-	MinTxnChanges     = 4
+	MinTxnChanges = 4
 	MinValueBytes = 2048
 	MinWriteRate  = 2
 )
@@ -19,7 +19,7 @@
 // StateLimits are limits of the state service that are announced: from some moment on it
 // holds them, without notice. What is stored stays readable.
 type StateLimits struct {
-	WriteRate          float64 // changes a second
+	WriteRate                    float64 // changes a second
 	MaxValueBytes, MaxTxnChanges int
 }
 
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -20,15 +20,15 @@
 const (
 	PeerUserRequest PeerKind = 1 + iota
 	PeerResponse
-	PeerStatusRequest    // a leader asks whether another node answers workers
-	PeerStatus  // the answer
-	PeerHeartbeat // a worker's report, passed to the leader; a PeerResponse comes back
-	PeerWorkerProbe  // a leader's call to a worker, to be made by another node; so too
-	PeerHealthCheck  // a leader's check of an instance, to be made by another node; so too
-	PeerConfigGrant  // a leader says which revision of the configuration it goes by
-	PeerConfigAck // the answer: which one the other node does
+	PeerStatusRequest  // a leader asks whether another node answers workers
+	PeerStatus         // the answer
+	PeerHeartbeat      // a worker's report, passed to the leader; a PeerResponse comes back
+	PeerWorkerProbe    // a leader's call to a worker, to be made by another node; so too
+	PeerHealthCheck    // a leader's check of an instance, to be made by another node; so too
+	PeerConfigGrant    // a leader says which revision of the configuration it goes by
+	PeerConfigAck      // the answer: which one the other node does
 	PeerFeatureRequest // a leader asks which feature levels another node serves
-	PeerFeatureRange // the answer; a version without levels answers a PeerResponse of status 0
+	PeerFeatureRange   // the answer; a version without levels answers a PeerResponse of status 0
 )
 
 // UserOp is what a user asks.
@@ -68,9 +68,9 @@
 	Epoch uint64
 	// Its answer: whether the node answers workers, and how long ago it last did,
 	// Forever: never since it was started.
-	AnswersWorkers bool
-	AnsweredAgo     Micros
-	RedirectedWorkers   uint32 // workers that it lately sent to the leader
+	AnswersWorkers    bool
+	AnsweredAgo       Micros
+	RedirectedWorkers uint32 // workers that it lately sent to the leader
 	// A report: the worker was sent to the leader and came back.
 	ReturnedFromLeader bool
 	// A call to a worker: its address. A check: the instance's, and how it is made.
@@ -83,7 +83,7 @@
 	// clock. The answer has those of the node itself. The body is the
 	// document, where the other side doesn't have it.
 	Revision, Incarnation uint64
-	At             Micros
+	At                    Micros
 	// The feature levels that a node serves.
 	MinLevel, MaxLevel uint64
 	// The body of a call, a report or an answer.
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -24,26 +24,26 @@
 
 // HealthCheck says how an instance of a service is checked.
 type HealthCheck struct {
-	Kind         CheckKind
-	AddressTemplate           string // template of the address, IP:port
-	Path         string // template of the path, of an HTTP check
-	Interval        Micros // between two checks of an instance
-	Timeout      Micros // of one, from the connection on; then it has failed
+	Kind                               CheckKind
+	AddressTemplate                    string // template of the address, IP:port
+	Path                               string // template of the path, of an HTTP check
+	Interval                           Micros // between two checks of an instance
+	Timeout                            Micros // of one, from the connection on; then it has failed
 	SuccessThreshold, FailureThreshold int    // in a row
 }
 
 // RolloutSpec is what a roll-out is asked to do. Job has neither ref nor tasks.
 type RolloutSpec struct {
-	ID, Service         string
-	Job                 *JobSpec
+	ID, Service                 string
+	Job                         *JobSpec
 	Count, MinHealthy, MaxSurge int
-	Stages              []int // instances of the new version at the end of each, rising up to Count
-	Check               HealthCheck
-	SoakTime                Micros   // all new instances of a stage have to stay healthy for that long
-	StartTimeout         Micros   // an instance that got no place by then pauses the roll-out
-	HealthTimeout       Micros   // an instance that runs and has not passed by then is faulty
-	MaxFaulty              int      // new instances that may be faulty before all are taken back
-	AdoptJobs               []string // jobs that are the version before, where no roll-out made them
+	Stages                      []int // instances of the new version at the end of each, rising up to Count
+	Check                       HealthCheck
+	SoakTime                    Micros   // all new instances of a stage have to stay healthy for that long
+	StartTimeout                Micros   // an instance that got no place by then pauses the roll-out
+	HealthTimeout               Micros   // an instance that runs and has not passed by then is faulty
+	MaxFaulty                   int      // new instances that may be faulty before all are taken back
+	AdoptJobs                   []string // jobs that are the version before, where no roll-out made them
 }
 
 // Limits of a roll-out.
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -38,25 +38,25 @@
 
 // Platform is the file that the platform hands over, checked and converted.
 type Platform struct {
-	ControllerName, Zone                  string
+	ControllerName, Zone        string
 	ClientListen, ClusterListen string
-	Peers                    []Peer
+	Peers                       []Peer
 	CloudAddr, StateAddr        string
 	Zones                       []string
-	MaxClockOffset                    Micros
+	MaxClockOffset              Micros
 	Teams                       map[string]Team
 	Objectives                  []Objective
 
-	HeartbeatInterval, WorkerLease   Micros
+	HeartbeatInterval, WorkerLease                  Micros
 	GangWaitTimeout, GangPeerTimeout, CancelTimeout Micros
-	StateRequestRate, StateWriteRate  float64
-	MaxValueBytes, MaxTxnChanges         int
-	AnnouncedStateLimits                  *StateLimits // announced; nil: nothing is
-	CloudRate                  float64
-	MachineListLag                    Micros
-	CPUShare                   float64
-	MemoryBytes                int64
-	MaxConnections             int
+	StateRequestRate, StateWriteRate                float64
+	MaxValueBytes, MaxTxnChanges                    int
+	AnnouncedStateLimits                            *StateLimits // announced; nil: nothing is
+	CloudRate                                       float64
+	MachineListLag                                  Micros
+	CPUShare                                        float64
+	MemoryBytes                                     int64
+	MaxConnections                                  int
 }
 
 type peerFile struct {
@@ -87,10 +87,10 @@
 }
 
 type platformFile struct {
-	NodeName      string        `toml:"node_name"`
-	Area          string        `toml:"area"`
-	ClientListen  string        `toml:"client_listen"`
-	ClusterListen string        `toml:"cluster_listen"`
+	NodeName      string     `toml:"node_name"`
+	Area          string     `toml:"area"`
+	ClientListen  string     `toml:"client_listen"`
+	ClusterListen string     `toml:"cluster_listen"`
 	Siblings      []peerFile `toml:"siblings"`
 	Services      struct {
 		Cloud string `toml:"cloud"`
@@ -160,7 +160,7 @@
 		ControllerName: f.NodeName, Zone: f.Area, ClientListen: f.ClientListen, ClusterListen: f.ClusterListen,
 		CloudAddr: f.Services.Cloud, StateAddr: f.Services.State, Zones: f.Facts.Zones,
 		MaxClockOffset:    FromSeconds(f.Facts.ClockOffMS / 1000),
-		Teams:       make(map[string]Team),
+		Teams:             make(map[string]Team),
 		HeartbeatInterval: FromSeconds(f.Facts.Workers.ReportS), WorkerLease: FromSeconds(f.Facts.Workers.LeaseS),
 		GangWaitTimeout: FromSeconds(f.Facts.Workers.GangWaitS), GangPeerTimeout: FromSeconds(f.Facts.Workers.GangPeerS),
 		CancelTimeout:    FromSeconds(f.Facts.Workers.CancelS),
@@ -285,15 +285,15 @@
 
 // OperatorSettings holds the operators' own settings, all optional.
 type OperatorSettings struct {
-	LeaderLease    Micros  // time the leader's lease lasts without renewal
-	MaxCycleInterval     Micros  // longest time between planning rounds
-	MinCycleInterval       Micros  // shortest time between planning rounds
-	DeadlineMargin Micros  // kept between a booked end and its deadline
-	HeartbeatGrace       Micros  // how long workers are answered after the lease may have ended
-	SilentReleaseDelay  Micros  // silence after which a machine is released as a fence
-	IdleScaleInDelay     Micros  // idle time after which a machine goes back
-	PartitionRetention        Micros  // how long the machines of a zone that is cut off are kept; 0: eight leases
-	WarmSpare      float64 // arrivals per class for which room is kept, in units of what comes during a boot
+	LeaderLease        Micros  // time the leader's lease lasts without renewal
+	MaxCycleInterval   Micros  // longest time between planning rounds
+	MinCycleInterval   Micros  // shortest time between planning rounds
+	DeadlineMargin     Micros  // kept between a booked end and its deadline
+	HeartbeatGrace     Micros  // how long workers are answered after the lease may have ended
+	SilentReleaseDelay Micros  // silence after which a machine is released as a fence
+	IdleScaleInDelay   Micros  // idle time after which a machine goes back
+	PartitionRetention Micros  // how long the machines of a zone that is cut off are kept; 0: eight leases
+	WarmSpare          float64 // arrivals per class for which room is kept, in units of what comes during a boot
 
 	SourceAddress netip.Addr // local address of outbound connections; the zero value: the system's choice
 }
@@ -321,7 +321,9 @@
 }
 
 // LoadOperatorSettings reads the operators' file; an unknown key is an error.
-func LoadOperatorSettings(path string) (OperatorSettings, error) { return LoadFile(path, ParseOperatorSettings) }
+func LoadOperatorSettings(path string) (OperatorSettings, error) {
+	return LoadFile(path, ParseOperatorSettings)
+}
 
 // ParseOperatorSettings checks the text of the operators' file.
 func ParseOperatorSettings(text []byte) (OperatorSettings, error) {
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -9,14 +9,14 @@
 
 // Entry is one key of the state service.
 type Entry struct {
-	Key   string
-	Value []byte // JSON
+	Key      string
+	Value    []byte // JSON
 	Revision uint64
 }
 
 // Condition asks that a key has a stamp (0: that it does not exist).
 type Condition struct {
-	Key   string
+	Key      string
 	Revision uint64
 }
 
--- a/internal/protocol/user.go
+++ b/internal/protocol/user.go
@@ -15,8 +15,8 @@
 // Kinds of jobs.
 const (
 	Array   JobKind = iota // independent tasks
-	Gang                // all tasks run at the same time
-	Service             // replicas run until cancelled
+	Gang                   // all tasks run at the same time
+	Service                // replicas run until cancelled
 )
 
 // Priority is a job's priority; a lower value goes first.
@@ -31,7 +31,7 @@
 )
 
 var (
-	kindNames = []string{"array", "ensemble", "daemon"}
+	kindNames     = []string{"array", "ensemble", "daemon"}
 	priorityNames = []string{"critical", "high", "standard", "low"}
 )
 
@@ -44,20 +44,20 @@
 
 // JobSpec is what a user submits.
 type JobSpec struct {
-	Ref, Class, Team       string
-	Kind                   JobKind
-	Priority                   Priority
-	Tasks                  int
-	TaskResources                   Resources
-	Image                  string
-	ImageSize              int64    // thousandths of a GB
-	MachineTypes                  []string // nil: any
-	Zone                   string   // "": any
-	SingleZone, SpreadZones, AllowSpot  bool
-	EstimatedRuntime               Micros
+	Ref, Class, Team                       string
+	Kind                                   JobKind
+	Priority                               Priority
+	Tasks                                  int
+	TaskResources                          Resources
+	Image                                  string
+	ImageSize                              int64    // thousandths of a GB
+	MachineTypes                           []string // nil: any
+	Zone                                   string   // "": any
+	SingleZone, SpreadZones, AllowSpot     bool
+	EstimatedRuntime                       Micros
 	CheckpointInterval, CheckpointDuration Micros   // 0: never saves
-	Deadline               Micros   // from submission; 0: none
-	DependsOn                 []string // jobs that have to be done before any task starts, each once
+	Deadline                               Micros   // from submission; 0: none
+	DependsOn                              []string // jobs that have to be done before any task starts, each once
 }
 
 // Durable reports whether tasks can save progress.
@@ -230,9 +230,9 @@
 		},
 		Image: f.text("bundle"), ImageSize: needThousandths(f.number("sizeGb")),
 		SingleZone: f.flag("samePlace"), SpreadZones: f.flag("apart"), AllowSpot: f.flag("reclaimable"),
-		EstimatedRuntime:        FromSeconds(f.number("expectS")),
+		EstimatedRuntime:   FromSeconds(f.number("expectS")),
 		CheckpointInterval: FromSeconds(f.number("snapshotEveryS")),
-		CheckpointDuration:           FromSeconds(f.number("snapshotS")),
+		CheckpointDuration: FromSeconds(f.number("snapshotS")),
 	}
 	if f.err == nil && !ValidRef(s.Ref) {
 		f.fail("ref", "invalid")
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -52,19 +52,19 @@
 // TaskStatus is one task of a report.
 type TaskStatus struct {
 	AttemptName
-	State  TaskState
-	Reason ExitReason
-	Checkpointed  bool
+	State        TaskState
+	Reason       ExitReason
+	Checkpointed bool
 }
 
 // Heartbeat is what a worker says of its machine.
 type Heartbeat struct {
-	Host, Addr, Type, Zone string
-	Spot                   bool
-	AgentEpoch, Sequence, Token   uint64
-	Interrupted                bool
-	InterruptedIn                 Micros
-	Tasks                  []TaskStatus
+	Host, Addr, Type, Zone      string
+	Spot                        bool
+	AgentEpoch, Sequence, Token uint64
+	Interrupted                 bool
+	InterruptedIn               Micros
+	Tasks                       []TaskStatus
 }
 
 // NewerThan reports whether r is newer than the message (session, tick).
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -1,10 +1,8 @@
 package rollout
 
 import (
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"strings"
 	"testing"
@@ -14,20 +12,12 @@
 	"pgregory.net/rapid"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/rapidtest"
 )
 
 const second = protocol.Second
 
-// The same roll-outs are drawn at every run, unless others are asked for:
-//
-//	go test ./internal/rollout -args -rapid.seed=7 -rapid.checks=10000
-func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.checks", "300")
-	flag.Set("rapid.nofailfile", "true")
-	flag.Parse()
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { rapidtest.Main(m, 300) }
 
 // world is a cluster as a roll-out sees it, in simulated time.
 type world struct {
--- a/internal/scale/checker/trace_test.go
+++ b/internal/scale/checker/trace_test.go
@@ -49,7 +49,7 @@
 // testHub has two teams, two types and a cancel_s of 20.
 func testHub(send func(string, *wire.Message)) *Hub {
 	p := &protocol.Platform{
-		Teams:  map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
+		Teams:         map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
 		CancelTimeout: 20 * protocol.Second, GangPeerTimeout: 6 * protocol.Second,
 	}
 	types := []*protocol.MachineType{{Name: "big", Capacity: protocol.Resources{CPU: 64000, GPU: 8000, Memory: 256000}}, {Name: "small", Capacity: protocol.Resources{CPU: 8000, Memory: 32000}}}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -312,7 +312,7 @@
 func (f *File) platform() protocol.Platform {
 	s := protocol.FromSeconds
 	p := protocol.Platform{
-		Teams:       make(map[string]protocol.Team),
+		Teams:             make(map[string]protocol.Team),
 		HeartbeatInterval: s(f.Workers.ReportS), WorkerLease: s(f.Workers.LeaseS), GangWaitTimeout: s(f.Workers.GangWaitS), GangPeerTimeout: s(f.Workers.GangPeerS), CancelTimeout: s(f.Workers.CancelS),
 		StateRequestRate: f.State.RPS, StateWriteRate: f.State.WriteRPS, MaxValueBytes: int(f.State.ValueKB * 1024), MaxTxnChanges: f.State.TxnOps,
 		CloudRate: f.Cloud.RPS, MachineListLag: s(f.Cloud.ListLagS), MaxClockOffset: s(f.Controllers.ClockOffMS / 1000),
--- a/internal/scale/users/main_test.go
+++ b/internal/scale/users/main_test.go
@@ -1,16 +1,9 @@
 package users
 
 import (
-	"flag"
-	"os"
 	"testing"
+
+	"mapleslip/internal/rapidtest"
 )
 
-// The same ones are drawn at every run, unless others are asked for:
-//
-//	go test ./internal/scale/users -args -rapid.seed=7 -rapid.checks=10000
-func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { rapidtest.Main(m, rapidtest.DefaultChecks) }
--- a/internal/scale/users/mix.go
+++ b/internal/scale/users/mix.go
@@ -235,9 +235,9 @@
 	thousandths := func(v float64) int64 { return int64(math.Round(v * 1000)) }
 	s := &protocol.JobSpec{
 		Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Priority: ranks[c.Rank],
-		Tasks: int(math.Round(c.Tasks.draw(d.r))),
-		TaskResources:  protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Memory: thousandths(c.MemoryGB)},
-		Image: fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), MachineTypes: c.Types,
+		Tasks:         int(math.Round(c.Tasks.draw(d.r))),
+		TaskResources: protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Memory: thousandths(c.MemoryGB)},
+		Image:         fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), MachineTypes: c.Types,
 		SingleZone: c.OneZone, SpreadZones: c.Spread, AllowSpot: c.Spot,
 		CheckpointInterval: protocol.FromSeconds(c.CheckpointS), CheckpointDuration: protocol.FromSeconds(c.SaveS),
 	}
--- a/internal/simulation/overlap_test.go
+++ b/internal/simulation/overlap_test.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"testing"
 
+	"mapleslip/internal/rapidtest"
+
 	"pgregory.net/rapid"
 )
 
@@ -16,9 +18,7 @@
 //
 //	go test ./internal/simulation -run Overlap -args -rapid.seed=7 -rapid.checks=5000
 func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.checks", strconv.Itoa(defaultChecks))
-	flag.Set("rapid.nofailfile", "true")
+	rapidtest.SetFlags(defaultChecks)
 	code := m.Run()
 	if err := writeDigests(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -96,9 +96,9 @@
 	r := start(t, s)
 	st := controller.Stats{
 		Role: controller.RoleLeader, Epoch: 7, SchedulingSteps: 5, RowsByStage: [4]uint64{100, 5, 20, 3}, CutStepsByStage: [4]uint64{2, 0, 0, 1},
-		Refused: map[string]uint64{"no leader can be reached": 4},
-		Features:  &controller.FeatureStats{Active: 1, Highest: 2, Blockers: map[string]string{"n1": "no entry in the roster"}},
-		Hosts:   map[string]int{"ready": 9, "booting": 2}, WaitingJobs: map[string]int{}, RunningTasks: map[string]int{"a": 1},
+		Refused:  map[string]uint64{"no leader can be reached": 4},
+		Features: &controller.FeatureStats{Active: 1, Highest: 2, Blockers: map[string]string{"n1": "no entry in the roster"}},
+		Hosts:    map[string]int{"ready": 9, "booting": 2}, WaitingJobs: map[string]int{}, RunningTasks: map[string]int{"a": 1},
 	}
 	teams := make(map[string]slo.Count)
 	for i := range 50 {
--- a/internal/transport/fair_test.go
+++ b/internal/transport/fair_test.go
@@ -1,23 +1,15 @@
 package transport
 
 import (
-	"flag"
-	"os"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/rapidtest"
 )
 
-// The same histories are drawn at every run, unless others are asked for, see package
-// rehearsal.
-func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.checks", "200")
-	flag.Set("rapid.nofailfile", "true")
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { rapidtest.Main(m, 200) }
 
 // drawn is a meter with classes that always have calls with changes waiting, and what was
 // sent of each.
