--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,120 @@
+// Package docs_test checks that the documentation names what exists.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var (
+	codeSpan = regexp.MustCompile("`([^`\n]+)`")
+	pathName = regexp.MustCompile(`^(cmd|internal|docs|deploy)(/[\w.-]+)+$`)
+	memberOf = regexp.MustCompile(`^[A-Za-z]\w*\.[A-Za-z]\w*$`)
+	typeName = regexp.MustCompile(`^(Controller|leaderTerm)$`)
+)
+
+// declarations are the names that the code declares: Type.Method, package.Name and Type.
+func declarations(t *testing.T) map[string]bool {
+	t.Helper()
+	names := make(map[string]bool)
+	for _, root := range []string{"../cmd", "../internal"} {
+		err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
+			if err != nil || e.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			for _, d := range file.Decls {
+				addDeclaration(names, file.Name.Name, d)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return names
+}
+
+func addDeclaration(names map[string]bool, pkg string, d ast.Decl) {
+	switch d := d.(type) {
+	case *ast.FuncDecl:
+		if d.Recv == nil {
+			names[pkg+"."+d.Name.Name] = true
+			return
+		}
+		receiver := d.Recv.List[0].Type
+		if star, ok := receiver.(*ast.StarExpr); ok {
+			receiver = star.X
+		}
+		if id, ok := receiver.(*ast.Ident); ok {
+			names[id.Name+"."+d.Name.Name] = true
+		}
+	case *ast.GenDecl:
+		for _, s := range d.Specs {
+			if s, ok := s.(*ast.TypeSpec); ok {
+				names[s.Name.Name] = true
+				names[pkg+"."+s.Name.Name] = true
+			}
+		}
+	}
+}
+
+func TestArchitectureNamesWhatExists(t *testing.T) {
+	names := declarations(t)
+	for _, page := range []string{"ARCHITECTURE.md", "glossary.md"} {
+		t.Run(page, func(t *testing.T) {
+			text, err := os.ReadFile(page)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checked := 0
+			for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+				name := span[1]
+				switch {
+				case pathName.MatchString(name):
+					if _, err := os.Stat(filepath.Join("..", name)); err != nil {
+						t.Errorf("%s: there is no such file or package", name)
+					}
+				case memberOf.MatchString(name), typeName.MatchString(name):
+					if !names[name] {
+						t.Errorf("%s: the code declares no such thing", name)
+					}
+				default:
+					continue
+				}
+				checked++
+			}
+			if checked < 20 {
+				t.Errorf("only %d names were checked", checked)
+			}
+		})
+	}
+}
+
+// The names that the packages' drawing shows exist as well.
+func TestArchitectureDrawsExistingPackages(t *testing.T) {
+	text, err := os.ReadFile("ARCHITECTURE.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	drawn := regexp.MustCompile(`(?m)^    .*?\b((?:cmd|internal)/[\w/]+)`)
+	found := drawn.FindAllStringSubmatch(string(text), -1)
+	if len(found) < 15 {
+		t.Errorf("only %d packages are drawn", len(found))
+	}
+	for _, m := range found {
+		if _, err := os.Stat(filepath.Join("..", m[1])); err != nil {
+			t.Errorf("%s: there is no such package", m[1])
+		}
+	}
+}
