--- a/internal/leadership/yield.go
+++ b/internal/leadership/transfer.go
@@ -1,6 +1,6 @@
-// Package leadership decides when a leader gives its lease back, and keeps what
-// outlives a leader: which workers it heard, which zones looked cut off, which
-// machines were silent since when. It does no I/O and owns no clock.
+// Package leadership decides when a leader transfers leadership, and keeps what outlives a leader:
+// which workers it heard, which zones looked cut off, which hosts were silent since when. It does
+// no I/O and has no clock.
 //
 // All instants are microseconds of the time of day, since they go from one
 // controller to the next; those differ by as much as the settings say.
@@ -35,10 +35,10 @@
 	return n
 }
 
-// Decision says why a leader keeps its lease, or that it yields.
+// Decision says why a leader keeps its lease, or that it transfers leadership.
 type Decision uint8
 
-// Verdicts. The first that applies is given.
+// Decisions. The first that applies is made.
 const (
 	KeepHearsMost       Decision = iota // less than half of the workers are missed
 	KeepNobodyHearsMore                 // those that it misses come to no other controller either
@@ -48,14 +48,14 @@
 	Transfer                            // another controller hears them
 )
 
-func (v Decision) String() string {
-	return [...]string{"hears most", "nobody hears more", "hears no more than the one before", "settled", "none left", "yields"}[v]
+// String is the decision's name in the log.
+func (d Decision) String() string {
+	return [...]string{"hears most", "nobody hears more", "hears no more than the one before", "settled", "none left", "yields"}[d]
 }
 
-// The law. Troubles that stand still make the leader change at most MaxTransfers
-// times, because so many yields within TransferWindow are all there are; and one
-// that leads in another's place and hears no more than that one did keeps the
-// lease, because then the link of neither is what is lost.
+// Limits on transfers. A fault that does not change makes the leader change at most MaxTransfers
+// times within TransferWindow; and one that leads in another's place and hears no more than that
+// one did keeps the lease, because then the link of neither is what is lost.
 const (
 	MaxTransfers     = 2
 	TransferWindow   = 10 * 60 * protocol.Second
@@ -66,9 +66,9 @@
 // MaxTransfers. A time of day that was put back counts as recent.
 func RecentTransfers(past []protocol.LeadershipTransfer, now micros) []protocol.LeadershipTransfer {
 	var list []protocol.LeadershipTransfer
-	for _, y := range past {
-		if now-y.At < TransferWindow {
-			list = append(list, y)
+	for _, t := range past {
+		if now-t.At < TransferWindow {
+			list = append(list, t)
 		}
 	}
 	return list[max(0, len(list)-MaxTransfers):]
@@ -78,9 +78,9 @@
 // workers are silent to it or heard through others only, and the others hear them.
 //
 // Zone by zone, what others hear counts only as far as it is missed here: workers
-// that came to another controller and were sent to this one are no reason to yield
-// for those behind a cut, whom nobody hears.
-func Decide(now micros, own map[string]ZoneWorkers, others map[string]Reachability, past []protocol.LeadershipTransfer) (to string, v Decision) {
+// that came to another controller and were redirected to this one are no reason to transfer
+// leadership for those behind a partition, whom nobody hears.
+func Decide(now micros, own map[string]ZoneWorkers, others map[string]Reachability, past []protocol.LeadershipTransfer) (to string, d Decision) {
 	all, missed, heard := 0, 0, 0
 	for _, z := range own {
 		all += z.All
@@ -116,8 +116,8 @@
 	}
 	best := 0
 	for _, name := range slices.Sorted(maps.Keys(others)) {
-		gave := slices.ContainsFunc(past, func(y protocol.LeadershipTransfer) bool { return y.From == name })
-		if n := others[name].Total(); n > best && !gave {
+		gaveUp := slices.ContainsFunc(past, func(t protocol.LeadershipTransfer) bool { return t.From == name })
+		if n := others[name].Total(); n > best && !gaveUp {
 			to, best = name, n
 		}
 	}
@@ -127,7 +127,7 @@
 	return to, Transfer
 }
 
-// ReachableByZone is what a leader hears by itself, for the record of its yield.
+// ReachableByZone is what a leader hears by itself, for the record of its transfer.
 func ReachableByZone(own map[string]ZoneWorkers) map[string]int {
 	h := make(map[string]int, len(own))
 	for zone, z := range own {
@@ -140,12 +140,16 @@
 // back for.
 const DeferralTime = 700 * protocol.Millisecond
 
-// ShouldDefer reports whether a controller lets another one go first: the newest yield
-// is of the last epoch, names that other one, and is fresh.
+// maxDeferralAge is how old a transfer may be for others to let its controller go first.
+const maxDeferralAge = 3 * protocol.Second
+
+// ShouldDefer reports whether a controller lets another one go first: the newest transfer is of
+// the last epoch, names that other one, and is recent.
 func ShouldDefer(self string, epoch uint64, now micros, past []protocol.LeadershipTransfer) bool {
 	if len(past) == 0 {
 		return false
 	}
-	y := past[len(past)-1]
-	return y.Epoch == epoch && y.To != "" && y.To != self && now-y.At >= -protocol.Second && now-y.At < 3*protocol.Second
+	t := past[len(past)-1]
+	age := now - t.At
+	return t.Epoch == epoch && t.To != "" && t.To != self && age >= -protocol.Second && age < maxDeferralAge
 }
--- a/internal/leadership/yield_test.go
+++ b/internal/leadership/transfer_test.go
@@ -11,7 +11,7 @@
 
 const sec = protocol.Second
 
-func TestJudge(t *testing.T) {
+func TestDecide(t *testing.T) {
 	cut := map[string]ZoneWorkers{"a": {All: 300}, "b": {All: 600, Silent: 600}, "c": {All: 200, Silent: 3}}
 	deaf := map[string]ZoneWorkers{"a": {All: 30, Silent: 30}, "b": {All: 60, Silent: 50, Relayed: 10}}
 	gave := func(node string, epoch uint64, heard int) protocol.LeadershipTransfer {
@@ -55,7 +55,7 @@
 // stays; what a controller tells of the workers that come to it is drawn too, since it
 // may be old or wrong. Whoever leads first, the lease is given back MaxTransfers times at
 // the most, and never by one that hears no more than the one before it.
-func TestTheLeaderSettles(t *testing.T) {
+func TestTransfersSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 7).Draw(t, "nodes")
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestFirstTurn(t *testing.T) {
+func TestShouldDefer(t *testing.T) {
 	past := []protocol.LeadershipTransfer{{From: "n0", To: "n1", Epoch: 7, At: 50 * sec}}
 	for _, c := range []struct {
 		self  string
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestMemory(t *testing.T) {
+func TestHandoverState(t *testing.T) {
 	older := protocol.HandoverState{Epoch: 3, At: 9 * sec, SilentHosts: []protocol.SilentHost{{Host: "n-000002", Since: 1 * sec}}}
 	newer := protocol.HandoverState{
 		Epoch: 4, At: 8 * sec, Partitions: []protocol.Partition{{Zone: "b", Since: 2 * sec, LastSeen: 7 * sec}},
--- a/internal/protocol/hearing.go
+++ b/internal/protocol/handover.go
@@ -8,7 +8,7 @@
 )
 
 // What controllers tell each other of the workers they hear goes in the bodies of
-// a leader's question and of its answer. Controllers that don't know them read
+// a leader's status request and of its answer. Controllers that don't know them read
 // the rest of the frame and leave the body alone. A body begins with its version.
 const (
 	reachabilityVersion = 1
@@ -29,7 +29,7 @@
 	To               string // who is to go first
 	Epoch            uint64
 	At               Micros         // time of day
-	ReachableWorkers map[string]int // workers that Node heard by itself, by zone
+	ReachableWorkers map[string]int // workers that From heard by itself, by zone
 }
 
 // HandoverState is what a leader has seen that its successors must know.
@@ -47,7 +47,7 @@
 	LastSeen Micros // when it last looked so
 }
 
-// SilentHost is a machine that says nothing.
+// SilentHost is a host that sends no heartbeats.
 type SilentHost struct {
 	Host  string
 	Since Micros // when it was last heard, time of day
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -20,14 +20,14 @@
 const (
 	PeerUserRequest PeerKind = 1 + iota
 	PeerResponse
-	PeerStatusRequest  // a leader asks whether another node answers workers
+	PeerStatusRequest  // a leader asks whether another controller answers workers
 	PeerStatus         // the answer
-	PeerHeartbeat      // a worker's report, passed to the leader; a PeerResponse comes back
-	PeerWorkerProbe    // a leader's call to a worker, to be made by another node; so too
-	PeerHealthCheck    // a leader's check of an instance, to be made by another node; so too
+	PeerHeartbeat      // a worker's heartbeat, forwarded to the leader; a PeerResponse comes back
+	PeerWorkerProbe    // a leader's call to a worker, to be made by another controller; so too
+	PeerHealthCheck    // a leader's check of an instance, to be made by another controller; so too
 	PeerConfigGrant    // a leader says which revision of the configuration it goes by
-	PeerConfigAck      // the answer: which one the other node does
-	PeerFeatureRequest // a leader asks which feature levels another node serves
+	PeerConfigAck      // the answer: which one the other controller does
+	PeerFeatureRequest // a leader asks which feature levels another controller serves
 	PeerFeatureRange   // the answer; a version without levels answers a PeerResponse of status 0
 )
 
