--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -95,9 +95,9 @@
 		}
 		h.Commands.InFlight = false
 		cs.inFlight--
-		if report := cs.parseCommandResponse(h, r); report != nil {
-			settleLaunches(launched, report)
-			cs.applyCommandResponse(h, report)
+		if heartbeat := cs.parseCommandResponse(h, r); heartbeat != nil {
+			settleLaunches(launched, heartbeat)
+			cs.applyCommandResponse(h, heartbeat)
 			return
 		}
 		cs.onUnansweredCommands(h, r, launched)
@@ -106,10 +106,10 @@
 
 // settleLaunches notes that launches were answered: any later message must show what came of
 // them.
-func settleLaunches(launched []*state.Attempt, report *protocol.Heartbeat) {
+func settleLaunches(launched []*state.Attempt, heartbeat *protocol.Heartbeat) {
 	for _, a := range launched {
 		a.LaunchUncertain = false
-		a.LaunchAgentEpoch, a.LaunchSequence = report.AgentEpoch, report.Sequence-1
+		a.LaunchAgentEpoch, a.LaunchSequence = heartbeat.AgentEpoch, heartbeat.Sequence-1
 	}
 }
 
@@ -137,23 +137,23 @@
 	if r.Status != http.StatusOK && r.Status != http.StatusConflict {
 		return nil
 	}
-	report, err := protocol.ParseHeartbeat(r.Body)
-	if err != nil || report.Host != h.Name {
+	heartbeat, err := protocol.ParseHeartbeat(r.Body)
+	if err != nil || heartbeat.Host != h.Name {
 		cs.logMalformed("worker", err)
 		return nil
 	}
-	return report
+	return heartbeat
 }
 
 // applyCommandResponse takes the heartbeat that answered a command, unless a newer one came
 // first. It reports whether this controller still leads.
-func (cs *commandSender) applyCommandResponse(h *state.Host, report *protocol.Heartbeat) bool {
-	if report.Token > cs.epoch {
+func (cs *commandSender) applyCommandResponse(h *state.Host, heartbeat *protocol.Heartbeat) bool {
+	if heartbeat.Token > cs.epoch {
 		cs.election.stepDownSuperseded("a worker has seen a newer epoch")
 		return false
 	}
-	if cs.cluster.Host(h.Name) == h && !h.IsStale(report) {
-		cs.agents.applyHeartbeat(h, report, true)
+	if cs.cluster.Host(h.Name) == h && !h.IsStale(heartbeat) {
+		cs.agents.applyHeartbeat(h, heartbeat, true)
 	}
 	return true
 }
