--- a/cmd/mapleslip/dev.go
+++ b/cmd/mapleslip/dev.go
@@ -166,13 +166,26 @@
 	if d.live, err = simulation.StartLive(ctx, simulation.LiveSettings{State: addr(0), Cloud: addr(1), Names: d.names, Clients: d.clients, Network: d.network.Prefix, Platform: p, Types: devTypes()}); err != nil {
 		return nil, err
 	}
+	if err := d.writeSettings(p, addr(0), addr(1), cluster); err != nil {
+		return nil, err
+	}
+	for n := range d.names {
+		if err := d.start(n); err != nil {
+			return nil, err
+		}
+	}
+	return d, nil
+}
+
+// writeSettings writes the files that the controllers are started with.
+func (d *dev) writeSettings(p protocol.Platform, stateAddr, cloudAddr string, cluster []string) error {
 	d.rollout = filepath.Join(d.dir, "rollout.toml")
 	operator := filepath.Join(d.dir, "operator.toml")
 	d.configuration = filepath.Join(d.dir, "configuration.toml")
 	files := map[string]string{d.configuration: "history_pages = 16\n", d.rollout: "checks_per_s = 200.0\n", operator: "idle_return_s = 120.0\n"}
 	for n, name := range d.names {
 		q := p
-		q.ControllerName, q.Zone, q.ClientListen, q.ClusterListen, q.StateAddr, q.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], addr(0), addr(1)
+		q.ControllerName, q.Zone, q.ClientListen, q.ClusterListen, q.StateAddr, q.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], stateAddr, cloudAddr
 		for k := range d.names {
 			if k != n {
 				q.Peers = append(q.Peers, protocol.Peer{Name: d.names[k], Zone: p.Zones[k], Address: cluster[k]})
@@ -180,7 +193,7 @@
 		}
 		text, err := protocol.SettingsFile(&q)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		file := filepath.Join(d.dir, name+".toml")
 		files[file] = string(text)
@@ -188,15 +201,10 @@
 	}
 	for name, text := range files {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	for n := range d.names {
-		if err := d.start(n); err != nil {
-			return nil, err
-		}
-	}
-	return d, nil
+	return nil
 }
 
 // start starts a controller.
--- a/cmd/mapleslip/main.go
+++ b/cmd/mapleslip/main.go
@@ -31,8 +31,60 @@
 	}
 }
 
+// settingsFiles are the files that a controller is started with.
+type settingsFiles struct {
+	platform, operator, telemetry, rollouts, configuration string
+}
+
+// settings are what the files say.
+type settings struct {
+	platform *protocol.Platform
+	operator protocol.OperatorSettings
+	features features
+}
+
+// load reads the files. Those that are not named leave what they are for off, or as it is.
+func (f *settingsFiles) load() (s settings, err error) {
+	if f.platform == "" {
+		return s, errors.New("--config: missing")
+	}
+	if s.platform, err = protocol.LoadPlatform(f.platform); err != nil {
+		return s, err
+	}
+	s.operator = protocol.DefaultOperatorSettings()
+	if f.operator != "" {
+		if s.operator, err = protocol.LoadOperatorSettings(f.operator); err != nil {
+			return s, err
+		}
+	}
+	if s.features.telemetry, err = loadOptional(f.telemetry, telemetry.Load); err != nil {
+		return s, err
+	}
+	if s.features.configuration, err = loadOptional(f.configuration, configuration.LoadOptions); err != nil {
+		return s, err
+	}
+	s.features.rollouts, err = loadOptional(f.rollouts, rollout.LoadSettings)
+	return s, err
+}
+
+// loadOptional loads a file, nil if none is named.
+func loadOptional[T any](file string, load func(string) (T, error)) (*T, error) {
+	if file == "" {
+		return nil, nil
+	}
+	loaded, err := load(file)
+	if err != nil {
+		return nil, err
+	}
+	return &loaded, nil
+}
+
+// memoryLimitPercent is the part of its memory quota above which the process collects garbage
+// all the time.
+const memoryLimitPercent = 60
+
 func command() *cobra.Command {
-	var config, operator, shown, rolls, changes string
+	var files settingsFiles
 	var check bool
 	cmd := &cobra.Command{
 		Use:   "mapleslip --config FILE",
@@ -44,61 +96,28 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if config == "" {
-				return fmt.Errorf("--config: missing")
-			}
-			platform, err := protocol.LoadPlatform(config)
+			s, err := files.load()
 			if err != nil {
 				return err
 			}
-			own := protocol.DefaultOperatorSettings()
-			if operator != "" {
-				if own, err = protocol.LoadOperatorSettings(operator); err != nil {
-					return err
-				}
-			}
-			var tele *telemetry.Settings
-			if shown != "" {
-				t, err := telemetry.Load(shown)
-				if err != nil {
-					return err
-				}
-				tele = &t
-			}
-			var changing *configuration.Options
-			if changes != "" {
-				o, err := configuration.LoadOptions(changes)
-				if err != nil {
-					return err
-				}
-				changing = &o
-			}
-			var rollouts *rollout.Settings
-			if rolls != "" {
-				r, err := rollout.LoadSettings(rolls)
-				if err != nil {
-					return err
-				}
-				rollouts = &r
-			}
 			if check {
 				fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
 				return nil
 			}
 			log, level := logger(os.Getenv("LOG_LEVEL"))
 			slog.SetDefault(log)
-			// One goroutine owns the state and the share is part of one core:
-			// more threads would only take turns.
+			// One goroutine owns the state and the share is part of one core: more threads would
+			// only take turns.
 			runtime.GOMAXPROCS(1)
-			debug.SetMemoryLimit(platform.MemoryBytes * 6 / 10)
-			return serve(platform, own, features{tele, rollouts, changing}, log, level)
+			debug.SetMemoryLimit(s.platform.MemoryBytes * memoryLimitPercent / 100)
+			return serve(s.platform, s.operator, s.features, log, level)
 		},
 	}
-	cmd.Flags().StringVar(&config, "config", "", "the platform's settings `FILE`")
-	cmd.Flags().StringVar(&operator, "operator", "", "the operators' own settings `FILE`")
-	cmd.Flags().StringVar(&shown, "telemetry", "", "serve metrics and send spans as the settings `FILE` says")
-	cmd.Flags().StringVar(&rolls, "rollout", "", "serve roll-outs, as the settings `FILE` says")
-	cmd.Flags().StringVar(&changes, "configuration", "", "let the configuration change while it runs, as the settings `FILE` says")
+	cmd.Flags().StringVar(&files.platform, "config", "", "the platform's settings `FILE`")
+	cmd.Flags().StringVar(&files.operator, "operator", "", "the operators' own settings `FILE`")
+	cmd.Flags().StringVar(&files.telemetry, "telemetry", "", "serve metrics and send spans as the settings `FILE` says")
+	cmd.Flags().StringVar(&files.rollouts, "rollout", "", "serve roll-outs, as the settings `FILE` says")
+	cmd.Flags().StringVar(&files.configuration, "configuration", "", "let the configuration change while it runs, as the settings `FILE` says")
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	cmd.AddCommand((&users{}).commands()...)
 	cmd.AddCommand(devCommand(), scaleCommand())
--- a/cmd/mapleslip/scale.go
+++ b/cmd/mapleslip/scale.go
@@ -140,12 +140,70 @@
 	return cmd
 }
 
+// slopesFlags are those of a command that runs several sizes.
+type slopesFlags struct {
+	scaleFlags
+	parts   []float64
+	repeats int
+	by      string
+	from    []string
+}
+
+const maxRepeats = 100
+
+// reports reads the reports of earlier runs, or makes runs.
+func (s *slopesFlags) reports(ctx context.Context, cmd *cobra.Command, args []string) (reports []*scale.Report, err error) {
+	for _, path := range s.from {
+		r, err := scale.ReadReport(path)
+		if err != nil {
+			return nil, err
+		}
+		reports = append(reports, r)
+	}
+	if len(s.from) > 0 {
+		return reports, nil
+	}
+	if len(args) != 1 {
+		return nil, errors.New("FILE is missing")
+	}
+	if s.repeats < 1 || s.repeats > maxRepeats {
+		return nil, fmt.Errorf("--repeats: must be from 1 to %d", maxRepeats)
+	}
+	f, err := s.load(args[0])
+	if err != nil {
+		return nil, err
+	}
+	first := f.Seed
+	if s.seed != 0 {
+		first = s.seed
+	}
+	for n := range s.repeats {
+		for _, part := range s.parts {
+			r, err := s.runPart(ctx, cmd, f, part, first+uint64(n))
+			if err != nil {
+				return nil, err
+			}
+			reports = append(reports, r)
+		}
+	}
+	return reports, nil
+}
+
+// runPart makes a run of one size.
+func (s *slopesFlags) runPart(ctx context.Context, cmd *cobra.Command, f *scale.File, part float64, seed uint64) (*scale.Report, error) {
+	if ctx.Err() != nil {
+		return nil, errors.New("interrupted")
+	}
+	out := ""
+	if s.out != "" {
+		out = filepath.Join(s.out, fmt.Sprintf("%s-%g-%d", f.Name, part, seed))
+	}
+	fmt.Fprintf(cmd.ErrOrStderr(), "%s, part %g, seed %d\n", f.Name, part, seed)
+	return s.run(ctx, cmd, f, part, seed, out)
+}
+
 func scaleSlopesCommand() *cobra.Command {
-	s := scaleFlags{}
-	var parts []float64
-	var repeats int
-	var by string
-	var from []string
+	s := slopesFlags{}
 	cmd := &cobra.Command{
 		Use:   "slopes FILE --parts 0.1,0.25,0.5",
 		Short: "Runs of several sizes, and how each figure grows, as a table in Markdown",
@@ -156,49 +214,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			var reports []*scale.Report
-			for _, path := range from {
-				r, err := scale.ReadReport(path)
-				if err != nil {
-					return err
-				}
-				reports = append(reports, r)
-			}
-			if len(from) == 0 {
-				if len(args) != 1 {
-					return errors.New("FILE is missing")
-				}
-				if repeats < 1 || repeats > 100 {
-					return errors.New("--repeats: must be from 1 to 100")
-				}
-				f, err := s.load(args[0])
-				if err != nil {
-					return err
-				}
-				first := f.Seed
-				if s.seed != 0 {
-					first = s.seed
-				}
-				for n := range repeats {
-					for _, part := range parts {
-						if ctx.Err() != nil {
-							return errors.New("interrupted")
-						}
-						seed := first + uint64(n)
-						out := ""
-						if s.out != "" {
-							out = filepath.Join(s.out, fmt.Sprintf("%s-%g-%d", f.Name, part, seed))
-						}
-						fmt.Fprintf(cmd.ErrOrStderr(), "%s, part %g, seed %d\n", f.Name, part, seed)
-						r, err := s.run(ctx, cmd, f, part, seed, out)
-						if err != nil {
-							return err
-						}
-						reports = append(reports, r)
-					}
-				}
+			reports, err := s.reports(ctx, cmd, args)
+			if err != nil {
+				return err
 			}
-			slopes, err := scale.Slopes(reports, by)
+			slopes, err := scale.Slopes(reports, s.by)
 			if s.json {
 				enc := json.NewEncoder(cmd.OutOrStdout())
 				enc.SetIndent("", " ")
@@ -207,15 +227,15 @@
 				}
 				return err
 			}
-			scale.PrintSlopes(cmd.OutOrStdout(), reports, slopes, by)
+			scale.PrintSlopes(cmd.OutOrStdout(), reports, slopes, s.by)
 			return err
 		},
 	}
 	s.add(cmd)
-	cmd.Flags().Float64SliceVar(&parts, "parts", []float64{0.1, 0.25, 0.5}, "`SHARES` of the file's size")
-	cmd.Flags().IntVar(&repeats, "repeats", 1, "`NUMBER` of runs of each size")
-	cmd.Flags().StringVar(&by, "by", "", "`ROW` that is the size, instead of the number of workers")
-	cmd.Flags().StringSliceVar(&from, "from", nil, "`FOLDERS` of earlier runs' reports: none is made")
+	cmd.Flags().Float64SliceVar(&s.parts, "parts", []float64{0.1, 0.25, 0.5}, "`SHARES` of the file's size")
+	cmd.Flags().IntVar(&s.repeats, "repeats", 1, "`NUMBER` of runs of each size")
+	cmd.Flags().StringVar(&s.by, "by", "", "`ROW` that is the size, instead of the number of workers")
+	cmd.Flags().StringSliceVar(&s.from, "from", nil, "`FOLDERS` of earlier runs' reports: none is made")
 	cmd.Flags().StringVar(&s.out, "out", "", "`FOLDER` under which each run has one (target/scale)")
 	cmd.Flags().BoolVar(&s.json, "json", false, "print the slopes as JSON")
 	return cmd
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -55,18 +55,28 @@
 	configuration *configuration.Options
 }
 
-func serve(p *protocol.Platform, o protocol.OperatorSettings, f features, log *slog.Logger, level *slog.LevelVar) error {
-	t, r := f.telemetry, f.rollouts
+// checkAddresses checks that the addresses of a controller can be bound.
+func checkAddresses(p *protocol.Platform, o protocol.OperatorSettings) error {
 	for _, l := range []struct{ key, address string }{{"client_listen", p.ClientListen}, {"cluster_listen", p.ClusterListen}} {
 		if err := transport.CanListen(l.address, bindWait); err != nil {
 			return fmt.Errorf("%s: %w", l.key, err)
 		}
 	}
-	if o.SourceAddress.IsValid() {
-		if err := transport.CanListen(netip.AddrPortFrom(o.SourceAddress, 0).String(), 0); err != nil {
-			return fmt.Errorf("source_address: %w", err)
-		}
+	if !o.SourceAddress.IsValid() {
+		return nil
+	}
+	if err := transport.CanListen(netip.AddrPortFrom(o.SourceAddress, 0).String(), 0); err != nil {
+		return fmt.Errorf("source_address: %w", err)
+	}
+	return nil
+}
+
+// serve runs a controller until the process is killed. It returns only if that can't begin.
+func serve(p *protocol.Platform, o protocol.OperatorSettings, f features, log *slog.Logger, level *slog.LevelVar) error {
+	if err := checkAddresses(p, o); err != nil {
+		return err
 	}
+	t, r := f.telemetry, f.rollouts
 	seed := rand.Uint64()
 	d := &driver{
 		log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -104,29 +104,9 @@
 	case part[0] == "team" && len(part) == 3:
 		return b.checkTeam(key, part[1], part[2], value)
 	case part[0] == "drain" && len(part) >= 3 && part[2] != "":
-		switch {
-		case part[1] == "zone" && len(part) == 3:
-			if !slices.Contains(b.Zones, part[2]) {
-				return keyErrorf(key, "unknown zone: the platform's file has %s", strings.Join(b.Zones, ", "))
-			}
-		case part[1] == "machine" && len(part) == 3:
-		case part[1] == "net" && len(part) == 4:
-			if p, err := netip.ParsePrefix(part[2] + "/" + part[3]); err != nil || p != p.Masked() {
-				return keyErrorf(key, "must be a range of addresses, as in drain/net/10.1.4.0/24")
-			}
-		default:
-			return keyErrorf(key, "unknown key")
-		}
-		return oneOf(key, value, wordFinish, wordStop)
+		return b.checkDrain(key, part, value)
 	case part[0] == "rent" && len(part) == 3 && part[1] != "":
-		if !slices.Contains(b.Zones, part[2]) {
-			return keyErrorf(key, "unknown zone: the platform's file has %s", strings.Join(b.Zones, ", "))
-		}
-		n, err := number(key, value, 0, 1e6)
-		if err == nil && n != math.Trunc(n) {
-			return keyErrorf(key, "must be a whole number")
-		}
-		return err
+		return b.checkCeiling(key, part[2], value)
 	case part[0] == "operator" && len(part) == 2 && part[1] == "warm_spare":
 		_, err := number(key, value, 0, 100)
 		return err
@@ -142,6 +122,47 @@
 	return keyErrorf(key, "unknown key")
 }
 
+// checkZone says that a zone is unknown.
+func (b *Bounds) checkZone(key, zone string) error {
+	if slices.Contains(b.Zones, zone) {
+		return nil
+	}
+	return keyErrorf(key, "unknown zone: the platform's file has %s", strings.Join(b.Zones, ", "))
+}
+
+// checkDrain checks a drain of a zone, a machine or a network.
+func (b *Bounds) checkDrain(key string, part []string, value string) error {
+	switch {
+	case part[1] == "zone" && len(part) == 3:
+		if err := b.checkZone(key, part[2]); err != nil {
+			return err
+		}
+	case part[1] == "machine" && len(part) == 3:
+	case part[1] == "net" && len(part) == 4:
+		if p, err := netip.ParsePrefix(part[2] + "/" + part[3]); err != nil || p != p.Masked() {
+			return keyErrorf(key, "must be a range of addresses, as in drain/net/10.1.4.0/24")
+		}
+	default:
+		return keyErrorf(key, "unknown key")
+	}
+	return oneOf(key, value, wordFinish, wordStop)
+}
+
+// maxCeiling is the highest ceiling of rental.
+const maxCeiling = 1e6
+
+// checkCeiling checks a ceiling of rental in a zone.
+func (b *Bounds) checkCeiling(key, zone, value string) error {
+	if err := b.checkZone(key, zone); err != nil {
+		return err
+	}
+	n, err := number(key, value, 0, maxCeiling)
+	if err == nil && n != math.Trunc(n) {
+		return keyErrorf(key, "must be a whole number")
+	}
+	return err
+}
+
 // amounts are what of a team may be said in numbers, and where it is.
 var amounts = map[string]func(*protocol.Team) (amount *int64, limit *int64){
 	"cpus":     func(t *protocol.Team) (*int64, *int64) { return &t.Guarantee.CPU, &t.Limit.CPU },
--- a/internal/configuration/request.go
+++ b/internal/configuration/request.go
@@ -41,92 +41,121 @@
 	return list
 }
 
-// ParseRequest reads a request's body. An unknown key, one that is there twice, and a
-// value of the wrong kind are errors that name it.
+// Errors of a request's body as a whole.
+var (
+	errNotJSON   = errors.New("not JSON")
+	errNotObject = errors.New("not an object")
+)
+
+// ParseRequest reads a request's body. An unknown key, one that is there twice, and a value of
+// the wrong kind are errors that name it.
 func ParseRequest(body []byte, rollback bool) (*Request, error) {
 	if err := fastjson.ValidateBytes(body); err != nil {
-		return nil, errors.New("not JSON")
+		return nil, errNotJSON
 	}
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(body)
 	if err != nil {
-		return nil, errors.New("not JSON")
+		return nil, errNotJSON
 	}
 	o, err := v.Object()
 	if err != nil {
-		return nil, errors.New("not an object")
+		return nil, errNotObject
 	}
-	r := &Request{Rollback: rollback}
-	seen := make(map[string]bool)
-	fail := func(key, format string, args ...any) {
-		if err == nil {
-			err = keyErrorf(key, format, args...)
-		}
+	r := requestReader{Request: &Request{Rollback: rollback}, seen: make(map[string]bool)}
+	o.Visit(r.readField)
+	r.checkComplete()
+	if r.err != nil {
+		return nil, r.err
 	}
-	text := func(key string, v *fastjson.Value, most int) string {
-		s := string(v.GetStringBytes())
-		if v.Type() != fastjson.TypeString || len(s) > most || strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == '\x7f' || r == '\uFFFD' }) {
-			fail(key, "must be a text of at most %d bytes in one line", most)
-		}
-		return s
+	return r.Request, nil
+}
+
+// requestReader reads the fields of a request, and keeps the first error.
+type requestReader struct {
+	*Request
+	seen map[string]bool
+	err  error
+}
+
+func (r *requestReader) fail(key, format string, args ...any) {
+	if r.err == nil {
+		r.err = keyErrorf(key, format, args...)
 	}
-	count := func(key string, v *fastjson.Value) uint64 {
-		n, e := v.Uint64()
-		if v.Type() != fastjson.TypeNumber || e != nil {
-			fail(key, "must be a revision's number")
-		}
-		return n
+}
+
+func (r *requestReader) readField(name []byte, v *fastjson.Value) {
+	key := string(name)
+	if r.seen[key] {
+		r.fail(key, "is there twice")
 	}
-	o.Visit(func(name []byte, v *fastjson.Value) {
-		key := string(name)
-		if seen[key] {
-			fail(key, "is there twice")
-		}
-		seen[key] = true
-		switch {
-		case key == "expected":
-			r.Expected = count(key, v)
-		case key == "who":
-			r.Who = text(key, v, mostWho)
-		case key == "why":
-			r.Why = text(key, v, mostWhy)
-		case key == "id":
-			r.ID = text(key, v, mostID)
-		case key == "to" && rollback:
-			r.To = count(key, v)
-		case key == "mend" && !rollback:
-			if r.Mend = v.Type() == fastjson.TypeTrue; !r.Mend && v.Type() != fastjson.TypeFalse {
-				fail(key, "must be true or false")
-			}
-		case key == "set" && !rollback:
-			r.Set = make(map[string]string)
-			if e := flatten(r.Set, "", v); e != nil && err == nil {
-				err = e
-			}
-		default:
-			fail(key, "unknown key")
+	r.seen[key] = true
+	switch {
+	case key == "expected":
+		r.Expected = r.count(key, v)
+	case key == "who":
+		r.Who = r.text(key, v, mostWho)
+	case key == "why":
+		r.Why = r.text(key, v, mostWhy)
+	case key == "id":
+		r.ID = r.text(key, v, mostID)
+	case key == "to" && r.Rollback:
+		r.To = r.count(key, v)
+	case key == "mend" && !r.Rollback:
+		r.Mend = r.flag(key, v)
+	case key == "set" && !r.Rollback:
+		r.Set = make(map[string]string)
+		if err := flatten(r.Set, "", v); err != nil && r.err == nil {
+			r.err = err
 		}
-	})
-	for _, key := range []string{"expected", "who", "id"} {
-		if !seen[key] {
-			fail(key, "missing")
+	default:
+		r.fail(key, "unknown key")
+	}
+}
+
+func (r *requestReader) text(key string, v *fastjson.Value, maxBytes int) string {
+	s := string(v.GetStringBytes())
+	isControl := func(c rune) bool { return c < ' ' || c == '\x7f' || c == '\uFFFD' }
+	if v.Type() != fastjson.TypeString || len(s) > maxBytes || strings.ContainsFunc(s, isControl) {
+		r.fail(key, "must be a text of at most %d bytes in one line", maxBytes)
+	}
+	return s
+}
+
+func (r *requestReader) count(key string, v *fastjson.Value) uint64 {
+	n, err := v.Uint64()
+	if v.Type() != fastjson.TypeNumber || err != nil {
+		r.fail(key, "must be a revision's number")
+	}
+	return n
+}
+
+func (r *requestReader) flag(key string, v *fastjson.Value) bool {
+	set := v.Type() == fastjson.TypeTrue
+	if !set && v.Type() != fastjson.TypeFalse {
+		r.fail(key, "must be true or false")
+	}
+	return set
+}
+
+// checkComplete checks that nothing is missing.
+func (r *requestReader) checkComplete() {
+	required := []string{"expected", "who", "id", "set"}
+	if r.Rollback {
+		required[3] = "to"
+	}
+	for _, key := range required {
+		if !r.seen[key] {
+			r.fail(key, "missing")
 		}
 	}
-	switch {
-	case rollback && !seen["to"]:
-		fail("to", "missing")
-	case !rollback && !seen["set"]:
-		fail("set", "missing")
-	case err == nil && r.Who == "":
-		fail("who", "missing")
-	case err == nil && r.ID == "":
-		fail("id", "missing")
+	if r.Who == "" {
+		r.fail("who", "missing")
 	}
-	if err != nil {
-		return nil, err
+	if r.ID == "" {
+		r.fail("id", "missing")
 	}
-	return r, nil
 }
 
 // flatten takes the values of an object, and of the objects in it, by their paths:
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -53,44 +53,56 @@
 	OpConfigStatus
 )
 
-// PeerMessage is a user's call or a worker's report passed to the leader, a
-// leader's question, or the answer to one of them.
+// PeerMessage is a message between controllers: a request, or the answer to one. Which fields it
+// has depends on its kind.
 type PeerMessage struct {
 	Kind PeerKind
-	// A call; a question has From too.
+
+	// PeerUserRequest.
 	Op   UserOp
 	Ref  string
-	From string
-	// An answer. Status 0: the node called does not lead.
+	From string // the controller that sends it; of PeerStatusRequest and others as well
+
+	// PeerResponse. Status 0: the controller that was asked does not lead.
 	Status     uint16
 	RetryAfter Micros
-	// A question: the epoch under which it is asked.
+
+	// PeerStatusRequest: the epoch under which it is asked.
 	Epoch uint64
-	// Its answer: whether the node answers workers, and how long ago it last did,
-	// Forever: never since it was started.
+
+	// PeerStatus: whether the controller answers workers, and how long ago it last did, Forever:
+	// never since it was started.
 	AnswersWorkers    bool
 	AnsweredAgo       Micros
-	RedirectedWorkers uint32 // workers that it lately sent to the leader
-	// A report: the worker was sent to the leader and came back.
+	RedirectedWorkers uint32 // workers that it redirected to the leader lately
+
+	// PeerHeartbeat: the worker was redirected to the leader and came back.
 	ReturnedFromLeader bool
-	// A call to a worker: its address. A check: the instance's, and how it is made.
+
+	// PeerWorkerProbe: the worker's address. PeerHealthCheck: the instance's, and how it is
+	// checked.
 	Addr    string
 	Check   CheckKind
 	Path    string
 	Timeout Micros
-	// A grant has the leader's revision of the configuration, and of the last answer it
-	// has heard of the other node the life of its process and the time by its steady
-	// clock. The answer has those of the node itself. The body is the
-	// document, where the other side doesn't have it.
+
+	// PeerConfigGrant: the leader's revision of the configuration, and of the last answer that it
+	// has from the other controller the incarnation of that process and its steady clock.
+	// PeerConfigAck: those of the controller itself. The body is the document, where the other
+	// side does not have it.
 	Revision, Incarnation uint64
 	At                    Micros
-	// The feature levels that a node serves.
+
+	// PeerFeatureRange: the feature levels that the controller serves.
 	MinLevel, MaxLevel uint64
-	// The body of a call, a report or an answer.
+
 	Body []byte
 }
 
-var errFrame = errors.New("malformed frame")
+var (
+	errFrame        = errors.New("malformed frame")
+	errFrameVersion = errors.New("unknown version of a frame")
+)
 
 // AppendPeer writes a frame.
 func AppendPeer(b []byte, m *PeerMessage) []byte {
@@ -173,67 +185,67 @@
 func ParsePeer(frame []byte) (*PeerMessage, error) {
 	r := peerReader{b: frame}
 	if r.byte() != peerVersion {
-		return nil, errors.New("unknown version of a frame")
+		return nil, errFrameVersion
 	}
 	m := &PeerMessage{Kind: PeerKind(r.byte())}
+	if !r.readFields(m) {
+		return nil, errFrame
+	}
+	m.Body = append([]byte(nil), r.take(int(r.uint(4)))...)
+	if r.bad || len(r.b) != 0 || len(m.Body) > MaxPeerBody {
+		return nil, errFrame
+	}
+	return m, nil
+}
+
+// maxCheckTimeout is the longest time that a check of an instance may take.
+const maxCheckTimeout = 60 * Second
+
+// readFields reads the fields of a message's kind. It reports whether they can be.
+func (r *peerReader) readFields(m *PeerMessage) bool {
 	switch m.Kind {
 	case PeerUserRequest:
-		m.Op = UserOp(r.byte())
-		m.Ref = string(r.take(int(r.uint(2))))
-		m.From = string(r.take(int(r.uint(2))))
-		if m.Op < OpSubmit || m.Op > OpConfigStatus {
-			return nil, errFrame
-		}
+		m.Op, m.Ref, m.From = UserOp(r.byte()), r.text(), r.text()
+		return m.Op >= OpSubmit && m.Op <= OpConfigStatus
 	case PeerResponse:
-		m.Status = uint16(r.uint(2))
-		m.RetryAfter = Micros(r.uint(8))
-		if m.RetryAfter < 0 {
-			return nil, errFrame
-		}
+		m.Status, m.RetryAfter = uint16(r.uint(2)), Micros(r.uint(8))
+		return m.RetryAfter >= 0
 	case PeerStatusRequest:
-		m.Epoch = r.uint(8)
-		m.From = string(r.take(int(r.uint(2))))
+		m.Epoch, m.From = r.uint(8), r.text()
 	case PeerStatus:
 		m.AnswersWorkers, m.AnsweredAgo, m.RedirectedWorkers = r.flag(), Micros(r.uint(8)), uint32(r.uint(4))
-		if m.AnsweredAgo < 0 {
-			return nil, errFrame
-		}
+		return m.AnsweredAgo >= 0
 	case PeerHeartbeat:
 		m.ReturnedFromLeader = r.flag()
-	case PeerConfigGrant, PeerConfigAck:
-		if m.Kind == PeerConfigGrant {
-			m.Epoch = r.uint(8)
-			m.From = string(r.take(int(r.uint(2))))
-		}
-		m.Revision, m.Incarnation, m.At = r.uint(8), r.uint(8), Micros(r.uint(8))
-		if m.At < 0 {
-			return nil, errFrame
-		}
+	case PeerConfigGrant:
+		m.Epoch, m.From = r.uint(8), r.text()
+		return r.readRevision(m)
+	case PeerConfigAck:
+		return r.readRevision(m)
 	case PeerFeatureRequest:
-		m.From = string(r.take(int(r.uint(2))))
+		m.From = r.text()
 	case PeerFeatureRange:
-		if m.MinLevel, m.MaxLevel = r.uint(8), r.uint(8); m.MinLevel > m.MaxLevel {
-			return nil, errFrame
-		}
+		m.MinLevel, m.MaxLevel = r.uint(8), r.uint(8)
+		return m.MinLevel <= m.MaxLevel
 	case PeerWorkerProbe:
-		m.Addr = string(r.take(int(r.uint(2))))
+		m.Addr = r.text()
 	case PeerHealthCheck:
-		m.Check = CheckKind(r.byte())
-		m.Addr = string(r.take(int(r.uint(2))))
-		m.Path = string(r.take(int(r.uint(2))))
-		if m.Timeout = Micros(r.uint(8)); m.Check > CheckTCP || m.Timeout <= 0 || m.Timeout > 60*Second {
-			return nil, errFrame
-		}
+		m.Check, m.Addr, m.Path, m.Timeout = CheckKind(r.byte()), r.text(), r.text(), Micros(r.uint(8))
+		return m.Check <= CheckTCP && m.Timeout > 0 && m.Timeout <= maxCheckTimeout
 	default:
-		return nil, errFrame
+		return false
 	}
-	m.Body = append([]byte(nil), r.take(int(r.uint(4)))...)
-	if r.bad || len(r.b) != 0 || len(m.Body) > MaxPeerBody {
-		return nil, errFrame
-	}
-	return m, nil
+	return true
 }
 
+func (r *peerReader) readRevision(m *PeerMessage) bool {
+	m.Revision, m.Incarnation, m.At = r.uint(8), r.uint(8), Micros(r.uint(8))
+	return m.At >= 0
+}
+
+// text reads a text with its length.
+func (r *peerReader) text() string { return string(r.take(int(r.uint(2)))) }
+
 // MaxPeerBody is the largest body in a frame.
 const MaxPeerBody = 64 << 10
 
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -82,80 +82,30 @@
 func RolloutFromJSON(v *fastjson.Value) (*RolloutSpec, error) {
 	f := &fields{obj: v}
 	s := &RolloutSpec{ID: f.text("id"), Service: f.text("service")}
-	for _, n := range []struct{ key, v string }{{"id", s.ID}, {"service", s.Service}} {
-		if f.err == nil && !ValidService(n.v) {
+	for _, n := range []struct{ key, value string }{{"id", s.ID}, {"service", s.Service}} {
+		if f.err == nil && !ValidService(n.value) {
 			f.fail(n.key, "must be up to 40 of a-z, 0-9 and inner hyphens")
 		}
 	}
 	if job := f.get("job", fastjson.TypeObject); job != nil {
-		var a fastjson.Arena
-		job.Set("ref", a.NewString("req-000000"))
-		job.Set("shape", a.NewString(kindNames[Service]))
-		job.Set("shards", a.NewNumberInt(1))
-		for _, none := range []string{"expectS", "snapshotEveryS", "snapshotS"} {
-			job.Set(none, a.NewNumberInt(0))
-		}
-		job.Del("dueS")
-		spec, err := JobFromJSON(job)
-		if err != nil {
-			f.fail("job", err.Error())
-		} else {
-			spec.Ref, spec.Tasks = "", 0
-			s.Job = spec
-		}
+		s.Job = f.rolloutJob(job)
 	}
-	within := func(name string, n uint64, low, high int) int {
-		if f.err == nil && (n < uint64(low) || n > uint64(high)) {
-			f.fail(name, fmt.Sprintf("must be from %d to %d", low, high))
-		}
-		return int(min(n, uint64(math.MaxInt32)))
-	}
-	s.Count = within("count", f.count("count"), 1, MaxInstances)
-	s.MinHealthy = within("floor", f.count("floor"), 0, MaxInstances)
-	s.MaxSurge = within("surge", f.count("surge"), 0, MaxInstances)
-	s.MaxFaulty = within("faulty", f.count("faulty"), 0, MaxInstances)
+	s.Count = f.instances("count", 1)
+	s.MinHealthy = f.instances("floor", 0)
+	s.MaxSurge = f.instances("surge", 0)
+	s.MaxFaulty = f.instances("faulty", 0)
 	if list := f.get("stages", fastjson.TypeArray); list != nil {
 		s.Stages = f.stages(list.GetArray(), s.Count)
 	}
-	span := func(f *fields, name string, low, high float64) Micros {
-		n := f.number(name)
-		if f.err == nil && (n < low || n > high) {
-			f.fail(name, fmt.Sprintf("must be from %g to %g", low, high))
-		}
-		return FromSeconds(n)
-	}
-	s.SoakTime = span(f, "soakS", 0, 86400)
-	s.StartTimeout = span(f, "startS", 1, 86400)
-	s.HealthTimeout = span(f, "healthyS", 1, 86400)
+	s.SoakTime = f.secondsWithin("soakS", 0, 86400)
+	s.StartTimeout = f.secondsWithin("startS", 1, 86400)
+	s.HealthTimeout = f.secondsWithin("healthyS", 1, 86400)
 	if list := f.optional("adopt"); list != nil {
-		refs, err := list.Array()
-		if err != nil || len(refs) > maxAdopted {
-			f.fail("adopt", fmt.Sprintf("must be a list of at most %d jobs", maxAdopted))
-		}
-		for _, r := range refs {
-			ref := string(r.GetStringBytes())
-			if !ValidRef(ref) {
-				f.fail("adopt", fmt.Sprintf("%q is no job", ref))
-				break
-			}
-			s.AdoptJobs = append(s.AdoptJobs, ref)
-		}
+		s.AdoptJobs = f.adoptedJobs(list)
 	}
 	if check := f.get("check", fastjson.TypeObject); check != nil {
 		g := &fields{obj: check}
-		s.Check = HealthCheck{Kind: CheckKind(g.choice("how", checkNames)), AddressTemplate: g.text("at"), Interval: span(g, "everyS", 0.2, 3600), Timeout: span(g, "timeoutS", 0.05, 60)}
-		if s.Check.Kind == CheckHTTP {
-			s.Check.Path = g.text("path")
-		}
-		s.Check.SuccessThreshold, s.Check.FailureThreshold = int(g.count("passes")), int(g.count("fails"))
-		for _, n := range []struct {
-			key string
-			v   int
-		}{{"passes", s.Check.SuccessThreshold}, {"fails", s.Check.FailureThreshold}} {
-			if g.err == nil && (n.v < 1 || n.v > 100) {
-				g.fail(n.key, "must be from 1 to 100")
-			}
-		}
+		s.Check = g.healthCheck()
 		if g.err != nil {
 			f.fail("check", g.err.Error())
 		}
@@ -163,6 +113,85 @@
 	return s, f.err
 }
 
+// rolloutJob reads the job of a roll-out, which has neither ref nor tasks, nor what a service
+// has none of.
+func (f *fields) rolloutJob(job *fastjson.Value) *JobSpec {
+	var a fastjson.Arena
+	job.Set("ref", a.NewString("req-000000"))
+	job.Set("shape", a.NewString(kindNames[Service]))
+	job.Set("shards", a.NewNumberInt(1))
+	for _, none := range []string{"expectS", "snapshotEveryS", "snapshotS"} {
+		job.Set(none, a.NewNumberInt(0))
+	}
+	job.Del("dueS")
+	spec, err := JobFromJSON(job)
+	if err != nil {
+		f.fail("job", err.Error())
+		return nil
+	}
+	spec.Ref, spec.Tasks = "", 0
+	return spec
+}
+
+// instances reads a number of instances.
+func (f *fields) instances(name string, low int) int {
+	n := f.count(name)
+	if f.err == nil && (n < uint64(low) || n > MaxInstances) {
+		f.fail(name, fmt.Sprintf("must be from %d to %d", low, MaxInstances))
+	}
+	return int(min(n, uint64(math.MaxInt32)))
+}
+
+// secondsWithin reads a time.
+func (f *fields) secondsWithin(name string, low, high float64) Micros {
+	n := f.number(name)
+	if f.err == nil && (n < low || n > high) {
+		f.fail(name, fmt.Sprintf("must be from %g to %g", low, high))
+	}
+	return FromSeconds(n)
+}
+
+// adoptedJobs reads the jobs of a service that a roll-out takes over.
+func (f *fields) adoptedJobs(list *fastjson.Value) (adopted []string) {
+	refs, err := list.Array()
+	if err != nil || len(refs) > maxAdopted {
+		f.fail("adopt", fmt.Sprintf("must be a list of at most %d jobs", maxAdopted))
+	}
+	for _, r := range refs {
+		ref := string(r.GetStringBytes())
+		if !ValidRef(ref) {
+			f.fail("adopt", fmt.Sprintf("%q is no job", ref))
+			break
+		}
+		adopted = append(adopted, ref)
+	}
+	return adopted
+}
+
+// healthCheck reads how instances are checked.
+func (f *fields) healthCheck() HealthCheck {
+	check := HealthCheck{
+		Kind: CheckKind(f.choice("how", checkNames)), AddressTemplate: f.text("at"),
+		Interval: f.secondsWithin("everyS", 0.2, 3600), Timeout: f.secondsWithin("timeoutS", 0.05, 60),
+	}
+	if check.Kind == CheckHTTP {
+		check.Path = f.text("path")
+	}
+	check.SuccessThreshold, check.FailureThreshold = int(f.count("passes")), int(f.count("fails"))
+	for _, n := range []struct {
+		key   string
+		value int
+	}{{"passes", check.SuccessThreshold}, {"fails", check.FailureThreshold}} {
+		if f.err == nil && (n.value < 1 || n.value > maxThreshold) {
+			f.fail(n.key, fmt.Sprintf("must be from 1 to %d", maxThreshold))
+		}
+	}
+	return check
+}
+
+// maxThreshold is how many checks in a row a threshold may ask for.
+const maxThreshold = 100
+
 // stages reads how many instances the new version has at the end of each stage:
 // a number, or a text with a percentage of all.
 func (f *fields) stages(list []*fastjson.Value, count int) (stages []int) {
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -189,40 +189,56 @@
 	return p, p.check(&f)
 }
 
+// check returns an error that names the first key which can't work.
 func (p *Platform) check(f *platformFile) error {
-	texts := []struct{ key, v string }{{"node_name", p.ControllerName}, {"area", p.Zone}}
-	for _, t := range texts {
-		if t.v == "" {
+	for _, check := range []func(*platformFile) error{p.checkAddresses, p.checkNumbers, p.checkNeeds, p.checkTeams} {
+		if err := check(f); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAddresses checks names, addresses and zones.
+func (p *Platform) checkAddresses(*platformFile) error {
+	type setting struct{ key, value string }
+	for _, t := range []setting{{"node_name", p.ControllerName}, {"area", p.Zone}} {
+		if t.value == "" {
 			return &KeyError{t.key, "missing"}
 		}
 	}
-	addrs := []struct{ key, v string }{
+	addresses := []setting{
 		{"client_listen", p.ClientListen},
 		{"cluster_listen", p.ClusterListen},
 		{"services.cloud", p.CloudAddr},
 		{"services.state", p.StateAddr},
 	}
-	for i, s := range p.Peers {
-		if s.Name == "" {
+	for i, peer := range p.Peers {
+		if peer.Name == "" {
 			return &KeyError{fmt.Sprintf("siblings[%d].node_name", i), "missing"}
 		}
-		addrs = append(addrs, struct{ key, v string }{fmt.Sprintf("siblings[%d].address", i), s.Address})
+		addresses = append(addresses, setting{fmt.Sprintf("siblings[%d].address", i), peer.Address})
 	}
-	for _, a := range addrs {
-		if a.v == "" {
+	for _, a := range addresses {
+		if a.value == "" {
 			return &KeyError{a.key, "missing"}
 		}
-		if _, err := netip.ParseAddrPort(a.v); err != nil {
-			return &KeyError{a.key, fmt.Sprintf("%q is not an IP address with a port", a.v)}
+		if _, err := netip.ParseAddrPort(a.value); err != nil {
+			return &KeyError{a.key, fmt.Sprintf("%q is not an IP address with a port", a.value)}
 		}
 	}
 	if len(p.Zones) == 0 {
 		return &KeyError{"facts.zones", "missing"}
 	}
-	numbers := []struct {
-		key string
-		v   float64
-		max float64
+	return nil
+}
+
+// checkNumbers checks each figure by itself.
+func (p *Platform) checkNumbers(f *platformFile) error {
+	for _, n := range []struct {
+		key       string
+		value     float64
+		maxAmount float64
 	}{
 		{"facts.workers.report_s", p.HeartbeatInterval.Seconds(), 3600},
 		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 86400},
@@ -237,45 +253,54 @@
 		{"facts.quota.cpu", p.CPUShare, 4096},
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 1e9},
 		{"facts.quota.max_connections", float64(p.MaxConnections), 1e8},
-	}
-	for _, n := range numbers {
-		if math.IsNaN(n.v) || n.v <= 0 || n.v > n.max {
-			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be above 0 and at most %g", n.max)}
+	} {
+		if math.IsNaN(n.value) || n.value <= 0 || n.value > n.maxAmount {
+			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be above 0 and at most %g", n.maxAmount)}
 		}
 	}
 	if p.MaxTxnChanges < MinTxnChanges {
 		return &KeyError{"facts.state.txn_ops", fmt.Sprintf("at least %d changes in a transaction are needed", MinTxnChanges)}
 	}
-	if err := p.AnnouncedStateLimits.check(); err != nil {
-		return err
-	}
-	nodes, report := float64(len(p.Peers)+1), p.HeartbeatInterval.Seconds()
+	return p.AnnouncedStateLimits.check()
+}
+
+// checkNeeds checks that the figures can work together.
+func (p *Platform) checkNeeds(f *platformFile) error {
+	controllers, heartbeat := float64(len(p.Peers)+1), p.HeartbeatInterval.Seconds()
 	for _, n := range []struct {
-		key     string
-		v, need float64
-		why     string
+		key         string
+		value, need float64
+		why         string
 	}{
-		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 2*report + 4, "a report that is not answered within 4 s, and the one after it, take two times report_s more"},
-		{"facts.workers.cancel_s", p.CancelTimeout.Seconds(), 2 * (1.5*report + 2), "within half of it a silent machine has to be noticed and asked"},
-		{"facts.state.rps", p.StateRequestRate, max(8, nodes), "the leader renews its lease, and each controller has to look who leads"},
+		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 2*heartbeat + 4, "a report that is not answered within 4 s, and the one after it, take two times report_s more"},
+		{"facts.workers.cancel_s", p.CancelTimeout.Seconds(), 2 * (1.5*heartbeat + 2), "within half of it a silent machine has to be noticed and asked"},
+		{"facts.state.rps", p.StateRequestRate, max(8, controllers), "the leader renews its lease, and each controller has to look who leads"},
 		{"facts.state.write_rps", p.StateWriteRate, MinWriteRate, "a leader records each launch and each job"},
 		{"facts.state.value_kb", f.Facts.State.ValueKB, MinValueBytes / 1024, "a job's description has to fit"},
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 16, "that is what a controller takes that does nothing"},
-		{"facts.quota.max_connections", float64(p.MaxConnections), 32 + 4*nodes, "the state service, the cloud and each controller need some"},
+		{"facts.quota.max_connections", float64(p.MaxConnections), 32 + 4*controllers, "the state service, the cloud and each controller need some"},
 	} {
-		if n.v < n.need {
-			return &KeyError{n.key, fmt.Sprintf("%g is too little for %g controllers: at least %g, since %s", n.v, nodes, n.need, n.why)}
+		if n.value < n.need {
+			return &KeyError{n.key, fmt.Sprintf("%g is too little for %g controllers: at least %g, since %s", n.value, controllers, n.need, n.why)}
 		}
 	}
 	if p.MachineListLag < 0 || p.MaxClockOffset < 0 {
 		return &KeyError{"facts", "list_lag_s and clock_off_ms must not be negative"}
 	}
+	return nil
+}
+
+// maxTeamAmount is the largest amount of a team's guarantee or limit.
+const maxTeamAmount = 1e9
+
+// checkTeams checks the teams' names and amounts.
+func (p *Platform) checkTeams(f *platformFile) error {
 	for i, t := range f.Facts.Teams {
 		if t.Name == "" {
 			return &KeyError{fmt.Sprintf("facts.teams[%d].name", i), "missing"}
 		}
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if math.IsNaN(v) || v < 0 || v > 1e9 {
+			if math.IsNaN(v) || v < 0 || v > maxTeamAmount {
 				return &KeyError{fmt.Sprintf("facts.teams[%d]", i), "amounts must be from 0 to 1e9"}
 			}
 		}
--- a/internal/rollout/instance.go
+++ b/internal/rollout/instance.go
@@ -35,9 +35,9 @@
 	IP      string // of its machine
 }
 
-// Fleet is what the leader knows of jobs. each, if it is not nil, is called for
+// JobSource is what the leader knows of jobs. each, if it is not nil, is called for
 // every task of a job that is known.
-type Fleet interface {
+type JobSource interface {
 	Job(ref string, each func(Instance)) Job
 }
 
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -117,7 +117,7 @@
 }
 
 // look takes in how the jobs stand, and counts.
-func (m *machine) look(now micros, fleet Fleet, stretched micros, due func(*instance)) {
+func (m *machine) look(now micros, fleet JobSource, stretched micros, due func(*instance)) {
 	m.looks++
 	m.oldTally = m.lookAt(now, fleet, &m.rec.Old, false, stretched, due)
 	m.newTally = m.lookAt(now, fleet, &m.rec.New, true, stretched, due)
@@ -146,80 +146,109 @@
 	return bt.maybe == 0 && !nothing || sure-bt.sure >= m.floor()
 }
 
-func (m *machine) lookAt(now micros, fleet Fleet, v *Version, fresh bool, stretched micros, due func(*instance)) tally {
-	t := tally{byBatch: make(map[string]batchTally, len(v.Batches))}
+// observation is a look at the instances of a version.
+type observation struct {
+	*machine
+	now     micros
+	version *Version
+	fresh   bool   // it is the new version
+	good    micros // how old a check may be that still says that an instance is healthy
+	due     func(*instance)
+	tally   tally
+}
+
+// lookAt counts the instances of a version, and has due called for those that run.
+func (m *machine) lookAt(now micros, jobs JobSource, v *Version, fresh bool, stretched micros, due func(*instance)) tally {
+	o := observation{machine: m, now: now, version: v, fresh: fresh, due: due, tally: tally{byBatch: make(map[string]batchTally, len(v.Batches))}}
 	if v.Spec == nil {
-		return t
+		return o.tally
 	}
-	good := m.good(v, stretched)
+	o.good = m.good(v, stretched)
 	for _, b := range v.Batches {
-		var bt batchTally
-		each := func(in Instance) {
-			if in.Index >= b.Tasks {
-				return
-			}
-			s := slot{b.Ref, in.Index}
-			i := m.instances[s]
-			if i == nil {
-				i = &instance{slot: s, m: m, fresh: fresh, place: -1}
-				m.instances[s] = i
-				i.restart(now, in)
-			} else if i.running != in.Running || in.Running && i.attempt != in.Attempt {
-				i.restart(now, in)
-			}
-			i.seen = m.looks
-			if in.Unheard {
-				t.unheard++
-			}
-			if !in.Running {
-				return
-			}
-			t.running++
-			due(i)
-			if i.health != Unknown || now-max(i.since, m.clock) > v.Spec.HealthTimeout {
-				t.checked++
-			}
-			if i.row < 0 {
-				t.failing++
-			}
-			if i.healthy(now, good) {
-				bt.healthy++
-				if !i.suspect {
-					bt.sure++
-				}
-			}
-			if !i.unhealthy() {
-				bt.maybe++
-			}
-		}
-		if b.Leaving && m.asked[b.Ref] {
-			each = nil
-		}
-		job := fleet.Job(b.Ref, each)
-		if b.Leaving && job.Life == Cancelled {
-			m.asked[b.Ref] = true // by the leader before, or by its user
-		}
-		switch {
-		case job.Life == Live:
-			m.known[b.Ref] = true
-		case b.Leaving:
-		case job.Life == Cancelled || m.known[b.Ref]:
-			m.gone[b.Ref] = true
-		}
-		if !b.Leaving {
-			t.live += b.Tasks
+		o.lookAtBatch(jobs, b)
+	}
+	return o.tally
+}
+
+// lookAtBatch counts the instances of a job.
+func (o *observation) lookAtBatch(jobs JobSource, b Batch) {
+	var bt batchTally
+	each := func(in Instance) {
+		if in.Index < b.Tasks {
+			o.lookAtInstance(b.Ref, in, &bt)
 		}
-		left := m.out[b.Ref] && (job.Life == Absent || job.Settled)
-		if !b.Leaving || !left {
-			t.present += b.Tasks
-		} else {
-			m.cleared[b.Ref] = true
+	}
+	if b.Leaving && o.asked[b.Ref] {
+		each = nil
+	}
+	job := jobs.Job(b.Ref, each)
+	if b.Leaving && job.Life == Cancelled {
+		o.asked[b.Ref] = true // by the leader before, or by its user
+	}
+	switch {
+	case job.Life == Live:
+		o.known[b.Ref] = true
+	case b.Leaving:
+	case job.Life == Cancelled || o.known[b.Ref]:
+		o.gone[b.Ref] = true
+	}
+	t := &o.tally
+	if !b.Leaving {
+		t.live += b.Tasks
+	}
+	left := o.out[b.Ref] && (job.Life == Absent || job.Settled)
+	if !b.Leaving || !left {
+		t.present += b.Tasks
+	} else {
+		o.cleared[b.Ref] = true
+	}
+	t.healthy += bt.healthy
+	t.sure += bt.sure
+	t.byBatch[b.Ref] = bt
+}
+
+// lookAtInstance counts an instance.
+func (o *observation) lookAtInstance(ref string, in Instance, bt *batchTally) {
+	i := o.observe(slot{ref, in.Index}, in)
+	t := &o.tally
+	if in.Unheard {
+		t.unheard++
+	}
+	if !in.Running {
+		return
+	}
+	t.running++
+	o.due(i)
+	if i.health != Unknown || o.now-max(i.since, o.clock) > o.version.Spec.HealthTimeout {
+		t.checked++
+	}
+	if i.row < 0 {
+		t.failing++
+	}
+	if i.healthy(o.now, o.good) {
+		bt.healthy++
+		if !i.suspect {
+			bt.sure++
 		}
-		t.healthy += bt.healthy
-		t.sure += bt.sure
-		t.byBatch[b.Ref] = bt
 	}
-	return t
+	if !i.unhealthy() {
+		bt.maybe++
+	}
+}
+
+// observe is the instance in a slot. One that runs anew begins anew.
+func (o *observation) observe(s slot, in Instance) *instance {
+	i := o.instances[s]
+	switch {
+	case i == nil:
+		i = &instance{slot: s, m: o.machine, fresh: o.fresh, place: -1}
+		o.instances[s] = i
+		i.restart(o.now, in)
+	case i.running != in.Running || in.Running && i.attempt != in.Attempt:
+		i.restart(o.now, in)
+	}
+	i.seen = o.looks
+	return i
 }
 
 // late lists what of a version waits for longer than it may: instances without a
@@ -328,25 +357,11 @@
 	if n := m.retract(); n != nil {
 		return n
 	}
-	for _, v := range []*Version{&r.New, &r.Old} {
-		for _, b := range v.Batches {
-			if why := m.refused[b.Ref]; why != "" && !b.Leaving {
-				return m.pause("a job was refused: " + why)
-			}
-		}
+	if n := m.pauseIfRefused(); n != nil {
+		return n
 	}
-	if r.State.forward() {
-		m.findFaults(now)
-		if len(m.faults) > m.spec().MaxFaulty {
-			// Where the old ones fail as well it is not the version: to take away
-			// the new ones would mend nothing.
-			if o := m.oldTally; 2*o.failing > o.running && o.running > 0 {
-				return m.pause(fmt.Sprintf("%s; %d of %d old ones fail as well: not reverted", m.faulty(), o.failing, o.running))
-			}
-			n := r.clone()
-			n.to(Reverting, shorten(m.faulty()))
-			return n
-		}
+	if n := m.revertIfFaulty(now); n != nil {
+		return n
 	}
 	if n := m.tooLate(now); n != nil {
 		return n
@@ -381,6 +396,37 @@
 	return n
 }
 
+// pauseIfRefused pauses a roll-out of which a job was refused.
+func (m *machine) pauseIfRefused() *Record {
+	for _, v := range []*Version{&m.rec.New, &m.rec.Old} {
+		for _, b := range v.Batches {
+			if why := m.refused[b.Ref]; why != "" && !b.Leaving {
+				return m.pause("a job was refused: " + why)
+			}
+		}
+	}
+	return nil
+}
+
+// revertIfFaulty turns back if too many new instances are faulty.
+func (m *machine) revertIfFaulty(now micros) *Record {
+	if !m.rec.State.forward() {
+		return nil
+	}
+	m.findFaults(now)
+	if len(m.faults) <= m.spec().MaxFaulty {
+		return nil
+	}
+	// Where the old ones fail as well it is not the version: nothing would be better without the
+	// new ones.
+	if o := m.oldTally; 2*o.failing > o.running && o.running > 0 {
+		return m.pause(fmt.Sprintf("%s; %d of %d old ones fail as well: not reverted", m.faulty(), o.failing, o.running))
+	}
+	n := m.rec.clone()
+	n.to(Reverting, shorten(m.faulty()))
+	return n
+}
+
 // retract keeps jobs that were to go and may not any more: while the record was on
 // its way others have failed, or the roll-out turned back.
 func (m *machine) retract() *Record {
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -146,7 +146,7 @@
 // Manager has the roll-outs of all services.
 type Manager struct {
 	set      Settings
-	fleet    Fleet
+	fleet    JobSource
 	rng      *rand.Rand
 	now      micros
 	effects  []Effect
@@ -181,7 +181,7 @@
 func (g *Manager) SetValueBytes(n int) { g.set.ValueBytes = n }
 
 // NewManager makes a manager without services. seed spreads the checks.
-func NewManager(s Settings, fleet Fleet, seed uint64) *Manager {
+func NewManager(s Settings, fleet JobSource, seed uint64) *Manager {
 	return &Manager{
 		set: s, fleet: fleet, rng: rand.New(rand.NewPCG(seed, 0x726f6c6c)), services: make(map[string]*machine),
 		owners: make(map[string]*machine), waiting: make(map[*machine][]func()), checks: make(map[uint64]*check),
@@ -352,33 +352,22 @@
 // is answered, also for a job that leaves: cancelled too early it would come after.
 // While a roll-out is paused only what was begun is repeated.
 func (g *Manager) act(m *machine) {
-	paused := m.rec.State == Paused
 	sure := m.oldTally.sure + m.newTally.sure
 	for _, part := range []struct {
-		v    *Version
-		t    tally
-		held bool // its jobs don't go
+		version *Version
+		tally   tally
+		held    bool // its jobs don't go
 	}{{&m.rec.Old, m.oldTally, m.rec.State == Reverting}, {&m.rec.New, m.newTally, false}} {
-		for _, b := range part.v.Batches {
+		for _, b := range part.version.Batches {
 			ref := b.Ref
 			if g.now < m.sent[ref] || m.out[ref] || m.gone[ref] || m.refused[ref] != "" && !b.Leaving {
 				continue
 			}
-			switch {
-			case b.Leaving && (m.known[ref] || !m.tried[ref]):
-				if !m.asked[ref] {
-					bt := part.t.byBatch[ref]
-					if paused || m.known[ref] && (part.held || !m.mayGo(sure, bt)) {
-						continue
-					}
-					m.asked[ref] = true
-					sure -= bt.sure
+			if b.Leaving && (m.known[ref] || !m.tried[ref]) {
+				if !g.cancelBatch(m, ref, part.held, part.tally.byBatch[ref], &sure) {
+					continue
 				}
-				g.emit(Cancel{ref})
-			case !m.known[ref] && (!paused || m.tried[ref]):
-				m.tried[ref] = true
-				g.emit(Submit{part.v.job(b)})
-			default:
+			} else if !g.submitBatch(m, part.version, b) {
 				continue
 			}
 			m.sent[ref] = g.now + repeatAfter + micros(g.rng.Int64N(int64(protocol.Second)))
@@ -386,6 +375,32 @@
 	}
 }
 
+// cancelBatch cancels a job that leaves, if it may go. sure is how many instances are surely
+// healthy.
+func (g *Manager) cancelBatch(m *machine, ref string, held bool, bt batchTally, sure *int) bool {
+	if !m.asked[ref] {
+		if m.rec.State == Paused || m.known[ref] && (held || !m.mayGo(*sure, bt)) {
+			return false
+		}
+		m.asked[ref] = true
+		*sure -= bt.sure
+	}
+	g.emit(Cancel{ref})
+	return true
+}
+
+// submitBatch submits a job that is not known yet. While a roll-out is paused only what was tried
+// is.
+func (g *Manager) submitBatch(m *machine, v *Version, b Batch) bool {
+	if m.known[b.Ref] || m.rec.State == Paused && !m.tried[b.Ref] {
+		return false
+	}
+	m.tried[b.Ref] = true
+	g.emit(Submit{v.job(b)})
+	return true
+}
+
+// submitted takes the answer to a submission.
 func (g *Manager) submitted(e Submitted) {
 	m := g.owners[e.Ref]
 	if m == nil {
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"text/template"
 
 	"mapleslip/internal/protocol"
@@ -97,25 +98,8 @@
 // start begins a roll-out. A request that is repeated finds the one it began.
 func (g *Manager) start(e Request, m *machine) {
 	s := e.Spec
-	if m != nil {
-		now := m.rec
-		if m.next != nil {
-			now = m.next
-		}
-		switch {
-		case now.New.Spec != nil && now.New.Spec.ID == s.ID && m.next != nil:
-			g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, 200) })
-			return
-		case now.New.Spec != nil && now.New.Spec.ID == s.ID:
-			g.answerStatus(e.To, m, 200)
-			return
-		case !m.rec.State.Ended() || m.next != nil:
-			g.problem(e.To, 409, "roll-out %s of this service is %s", now.New.Spec.ID, now.State)
-			return
-		case m.active():
-			g.problem(e.To, 409, "instances of the last roll-out are still being taken away")
-			return
-		}
+	if m != nil && g.answerIfBusy(e, m) {
+		return
 	}
 	if _, err := newTarget(&s.Check); err != nil {
 		g.problem(e.To, 400, "%s", err)
@@ -161,6 +145,29 @@
 	g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, 201) })
 }
 
+// answerIfBusy answers a request that repeats one, or comes while another roll-out of the service
+// goes on. It reports whether it did.
+func (g *Manager) answerIfBusy(e Request, m *machine) bool {
+	now := m.rec
+	if m.next != nil {
+		now = m.next
+	}
+	repeated := now.New.Spec != nil && now.New.Spec.ID == e.Spec.ID
+	switch {
+	case repeated && m.next != nil:
+		g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, http.StatusOK) })
+	case repeated:
+		g.answerStatus(e.To, m, http.StatusOK)
+	case !m.rec.State.Ended() || m.next != nil:
+		g.problem(e.To, http.StatusConflict, "roll-out %s of this service is %s", now.New.Spec.ID, now.State)
+	case m.active():
+		g.problem(e.To, http.StatusConflict, "instances of the last roll-out are still being taken away")
+	default:
+		return false
+	}
+	return true
+}
+
 // adopt makes the version before of jobs that users submitted.
 func (g *Manager) adopt(s *protocol.RolloutSpec, r *Record) (*Version, int, string) {
 	if r.Old.Spec != nil {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -9,6 +9,7 @@
 
 	"mapleslip/internal/controller"
 	"mapleslip/internal/protocol"
+	"mapleslip/internal/slo"
 )
 
 // metrics is what is measured where it happens; standing is what the controller
@@ -111,94 +112,125 @@
 	}
 }
 
+// collection is a call of Collect.
+type collection struct {
+	*standing
+	ch chan<- prometheus.Metric
+}
+
+func (c collection) gauge(d *prometheus.Desc, v float64, labels ...string) {
+	c.ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+}
+
+func (c collection) count(d *prometheus.Desc, v uint64, labels ...string) {
+	c.ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
+}
+
+// gauges has a gauge for each value of a label.
+func (c collection) gauges(d *prometheus.Desc, values map[string]int) {
+	for label, n := range values {
+		c.gauge(d, float64(n), label)
+	}
+}
+
 // Collect is part of prometheus.Collector.
 func (s *standing) Collect(ch chan<- prometheus.Metric) {
 	st := s.last.Load()
 	if st == nil {
 		return
 	}
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+	c := collection{s, ch}
+	c.controller(st)
+	if st.Config != nil {
+		c.configuration(st)
+	}
+	if st.Features != nil {
+		c.features(st.Features)
 	}
-	count := func(d *prometheus.Desc, v uint64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
+	if st.Hosts != nil { // of one that does not lead: what it once knew is no news
+		c.leader(st)
 	}
-	gauge(descRole, 1, st.Role.String())
-	gauge(descEpoch, float64(st.Epoch))
-	gauge(descTaken, float64(s.taken.Load())/1e6)
-	count(descRounds, st.SchedulingSteps)
-	count(descPasses, st.SchedulingCycles)
+}
+
+// controller has what each controller counts.
+func (c collection) controller(st *controller.Stats) {
+	c.gauge(descRole, 1, st.Role.String())
+	c.gauge(descEpoch, float64(st.Epoch))
+	c.gauge(descTaken, float64(c.taken.Load())/1e6)
+	c.count(descRounds, st.SchedulingSteps)
+	c.count(descPasses, st.SchedulingCycles)
 	for i, stage := range controller.CycleStages() {
-		count(descRows, st.RowsByStage[i], stage)
-		count(descCuts, st.CutStepsByStage[i], stage)
+		c.count(descRows, st.RowsByStage[i], stage)
+		c.count(descCuts, st.CutStepsByStage[i], stage)
 	}
 	for why, n := range st.Refused {
-		count(descRefused, n, why)
+		c.count(descRefused, n, why)
 	}
-	count(descMal, st.Malformed)
-	count(descTakeOver, st.Failovers)
-	count(descLost, st.LostTasks)
+	c.count(descMal, st.Malformed)
+	c.count(descTakeOver, st.Failovers)
+	c.count(descLost, st.LostTasks)
 	for outcome, n := range st.Checks {
-		count(descChecks, n, outcome)
+		c.count(descChecks, n, outcome)
 	}
 	if st.Checks != nil {
-		count(descDisputed, st.DisputedChecks)
-	}
-	if c := st.Config; c != nil {
-		flag := map[bool]float64{true: 1}
-		gauge(descConfig, float64(c.Revision))
-		gauge(descHolds, flag[c.InEffect])
-		gauge(descDamaged, flag[c.Damaged])
-		count(descMade, st.ConfigChanges)
-		count(descOutdated, st.ConfigOutdated)
-		if c.Revisions != nil {
-			gauge(descInForce, float64(c.EffectiveEverywhere))
-		}
-		for name, r := range c.Revisions {
-			gauge(descLag, float64(c.Revision-min(r, c.Revision)), name)
-		}
+		c.count(descDisputed, st.DisputedChecks)
 	}
-	if l := st.Features; l != nil {
-		gauge(descLevel, float64(l.Active))
-		gauge(descServes, float64(l.Highest))
-		for name, why := range l.Blockers {
-			gauge(descLevelFor, 1, name, why)
-		}
-	}
-	if st.Hosts == nil {
-		return // it does not lead: what it once knew is no news
+}
+
+// configuration has how the configuration stands.
+func (c collection) configuration(st *controller.Stats) {
+	config := st.Config
+	flag := map[bool]float64{true: 1}
+	c.gauge(descConfig, float64(config.Revision))
+	c.gauge(descHolds, flag[config.InEffect])
+	c.gauge(descDamaged, flag[config.Damaged])
+	c.count(descMade, st.ConfigChanges)
+	c.count(descOutdated, st.ConfigOutdated)
+	if config.Revisions != nil {
+		c.gauge(descInForce, float64(config.EffectiveEverywhere))
 	}
-	for state, n := range st.Hosts {
-		gauge(descHosts, float64(n), state)
+	for name, r := range config.Revisions {
+		c.gauge(descLag, float64(config.Revision-min(r, config.Revision)), name)
 	}
-	for state, n := range st.Rollouts {
-		gauge(descRollouts, float64(n), state)
+}
+
+// features has how the feature levels stand.
+func (c collection) features(f *controller.FeatureStats) {
+	c.gauge(descLevel, float64(f.Active))
+	c.gauge(descServes, float64(f.Highest))
+	for name, reason := range f.Blockers {
+		c.gauge(descLevelFor, 1, name, reason)
 	}
-	gauge(descUnproven, float64(st.UnreconciledHosts))
-	gauge(descAwaiting, float64(st.BlockedJobs))
+}
+
+// leader has what only a leader knows.
+func (c collection) leader(st *controller.Stats) {
+	c.gauges(descHosts, st.Hosts)
+	c.gauges(descRollouts, st.Rollouts)
+	c.gauge(descUnproven, float64(st.UnreconciledHosts))
+	c.gauge(descAwaiting, float64(st.BlockedJobs))
 	for kind, counts := range st.Objectives {
-		inTime, late := make(map[string]int, len(counts)), make(map[string]int, len(counts))
-		for name, n := range counts {
-			inTime[name], late[name] = n.Served, n.Missed
-		}
-		for outcome, by := range map[string]map[string]int{"in time": inTime, "late": late} {
-			for name, n := range s.bounded(by) {
-				gauge(descDue, float64(n), kind.String(), name, outcome)
-			}
-		}
+		c.objectives(kind, counts)
 	}
 	longest := make(map[string]int, len(st.LongestStartWait))
 	for class, wait := range st.LongestStartWait {
 		longest[class] = int(wait / protocol.Second)
 	}
-	for class, wait := range s.longest(longest) {
-		gauge(descLongest, float64(wait), class)
-	}
-	for class, n := range s.bounded(st.WaitingJobs) {
-		gauge(descWaiting, float64(n), class)
+	c.gauges(descLongest, c.longest(longest))
+	c.gauges(descWaiting, c.bounded(st.WaitingJobs))
+	c.gauges(descRunning, c.bounded(st.RunningTasks))
+}
+
+// objectives has how far objectives were met, by class or by team.
+func (c collection) objectives(kind slo.Kind, counts map[string]slo.Count) {
+	inTime, late := make(map[string]int, len(counts)), make(map[string]int, len(counts))
+	for name, n := range counts {
+		inTime[name], late[name] = n.Served, n.Missed
 	}
-	for class, n := range s.bounded(st.RunningTasks) {
-		gauge(descRunning, float64(n), class)
+	for outcome, byName := range map[string]map[string]int{"in time": inTime, "late": late} {
+		for name, n := range c.bounded(byName) {
+			c.gauge(descDue, float64(n), kind.String(), name, outcome)
+		}
 	}
 }
 
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -53,6 +53,7 @@
 	size    int // bytes up to the body
 }
 
+// parseHead reads the lines up to the body.
 func parseHead(buf []byte) (head, error) {
 	h := head{length: -1}
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
@@ -75,26 +76,8 @@
 		if !ok || !isToken(name) || hasControl(value) {
 			return h, bad(400, "malformed header field")
 		}
-		value = strings.Trim(value, " \t")
-		switch strings.ToLower(name) {
-		case "content-length":
-			// Two lengths that differ are how one request hides another.
-			n, err := parseLength(value)
-			if err != nil || (h.length >= 0 && h.length != n) {
-				return h, bad(400, "malformed Content-Length")
-			}
-			h.length = n
-		case "transfer-encoding":
-			if !strings.EqualFold(value, "chunked") {
-				return h, bad(501, "unknown Transfer-Encoding")
-			}
-			h.chunked = true
-		case "connection":
-			for _, v := range strings.Split(value, ",") {
-				if strings.EqualFold(strings.TrimSpace(v), "close") {
-					h.close = true
-				}
-			}
+		if err := h.addField(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
+			return h, err
 		}
 	}
 	if h.chunked && h.length >= 0 {
@@ -103,6 +86,31 @@
 	return h, nil
 }
 
+// addField takes a header field. Those that don't bear on the message are passed over.
+func (h *head) addField(name, value string) error {
+	switch name {
+	case "content-length":
+		// Two lengths that differ are how one request hides another.
+		n, err := parseLength(value)
+		if err != nil || (h.length >= 0 && h.length != n) {
+			return bad(400, "malformed Content-Length")
+		}
+		h.length = n
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") {
+			return bad(501, "unknown Transfer-Encoding")
+		}
+		h.chunked = true
+	case "connection":
+		for _, v := range strings.Split(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(v), "close") {
+				h.close = true
+			}
+		}
+	}
+	return nil
+}
+
 func parseLength(s string) (int, error) {
 	if s == "" || len(s) > 9 {
 		return 0, errors.New("length")
@@ -212,6 +220,7 @@
 	return r, len(buf), nil
 }
 
+// parseChunks reads a chunked body. used is 0 while more bytes are needed.
 func parseChunks(buf []byte) (body []byte, used int, err error) {
 	for {
 		i := bytes.Index(buf[used:], []byte("\r\n"))
@@ -228,20 +237,14 @@
 		}
 		used += i + 2
 		if n == 0 {
-			// Trailer fields, if any, end with an empty line.
-			for {
-				j := bytes.Index(buf[used:], []byte("\r\n"))
-				if j < 0 {
-					return nil, 0, nil
-				}
-				used += j + 2
-				if j == 0 {
-					if body == nil {
-						body = []byte{}
-					}
-					return body, used, nil
-				}
+			end := skipTrailer(buf[used:])
+			if end == 0 {
+				return nil, 0, nil
 			}
+			if body == nil {
+				body = []byte{}
+			}
+			return body, used + end, nil
 		}
 		if len(buf) < used+int(n)+2 {
 			return nil, 0, nil
@@ -254,6 +257,21 @@
 	}
 }
 
+// skipTrailer returns the bytes of the trailer fields, if there are any, and of the empty line
+// that ends them, or 0 while more are needed.
+func skipTrailer(buf []byte) (used int) {
+	for {
+		i := bytes.Index(buf[used:], []byte("\r\n"))
+		if i < 0 {
+			return 0
+		}
+		used += i + 2
+		if i == 0 {
+			return used
+		}
+	}
+}
+
 var statusText = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
