--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -49,7 +49,7 @@
 	switch d := d.(type) {
 	case *ast.FuncDecl:
 		if d.Recv == nil {
-			names[pkg+"."+d.Name.Name] = true
+			names[d.Name.Name], names[pkg+"."+d.Name.Name] = true, true
 			return
 		}
 		receiver := d.Recv.List[0].Type
@@ -61,9 +61,27 @@
 		}
 	case *ast.GenDecl:
 		for _, s := range d.Specs {
-			if s, ok := s.(*ast.TypeSpec); ok {
-				names[s.Name.Name] = true
-				names[pkg+"."+s.Name.Name] = true
+			addSpec(names, pkg, s)
+		}
+	}
+}
+
+// addSpec adds a type with its fields, or constants and variables.
+func addSpec(names map[string]bool, pkg string, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			names[name.Name] = true
+		}
+	case *ast.TypeSpec:
+		names[s.Name.Name], names[pkg+"."+s.Name.Name] = true, true
+		structure, ok := s.Type.(*ast.StructType)
+		if !ok {
+			return
+		}
+		for _, field := range structure.Fields.List {
+			for _, name := range field.Names {
+				names[s.Name.Name+"."+name.Name] = true
 			}
 		}
 	}
@@ -101,6 +119,36 @@
 	}
 }
 
+// The table of meetings.md translates names of earlier versions to those of today.
+func TestNamesOfTodayExist(t *testing.T) {
+	names := declarations(t)
+	text, err := os.ReadFile("meetings.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, section, found := strings.Cut(string(text), "## Names of today")
+	if !found {
+		t.Fatal("there is no table of names")
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	checked := 0
+	for _, line := range strings.Split(section, "\n") {
+		columns := strings.Split(line, " | ")
+		if len(columns) != 2 {
+			continue
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(columns[1], -1) {
+			checked++
+			if !names[span[1]] {
+				t.Errorf("%s: the code declares no such thing", span[1])
+			}
+		}
+	}
+	if checked < 50 {
+		t.Errorf("only %d names were checked", checked)
+	}
+}
+
 // The names that the packages' drawing shows exist as well.
 func TestArchitectureDrawsExistingPackages(t *testing.T) {
 	text, err := os.ReadFile("ARCHITECTURE.md")
