--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -149,6 +149,41 @@
 	}
 }
 
+// The pages point to tests by name.
+func TestPagesNameExistingTests(t *testing.T) {
+	tests := make(map[string]bool)
+	declared := regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)\(`)
+	err := filepath.WalkDir("..", func(path string, e fs.DirEntry, err error) error {
+		if err != nil || e.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		text, err := os.ReadFile(path)
+		for _, m := range declared.FindAllSubmatch(text, -1) {
+			tests[string(m[1])] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	named := regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w+`)
+	for _, page := range pages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range named.FindAllString(string(text), -1) {
+			if !tests[name] {
+				t.Errorf("%s: there is no test %s", page, name)
+			}
+		}
+	}
+}
+
 // The names that the packages' drawing shows exist as well.
 func TestArchitectureDrawsExistingPackages(t *testing.T) {
 	text, err := os.ReadFile("ARCHITECTURE.md")
--- a/internal/controller/scheduler_test.go
+++ b/internal/controller/scheduler_test.go
@@ -169,11 +169,11 @@
 	}
 }
 
-// BenchmarkPass is a pass over a queue that can't be served, on a fleet that is
+// BenchmarkSchedulingCycle is a pass over a queue that can't be served, on a fleet that is
 // nearly full, two seconds after the one before. rows/op counts what was looked
 // at, rounds/op in how many rounds. kind=first is a new leader's, in which every
 // job is looked at for the first time.
-func BenchmarkPass(b *testing.B) {
+func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, machines := range []int{1400, 14000} {
 		for _, waiting := range []int{150, 1000} {
 			for _, kind := range []string{"next", "first"} {
--- a/internal/controller/slottable/gang.go
+++ b/internal/controller/slottable/gang.go
@@ -179,7 +179,7 @@
 	return ready
 }
 
-// bookingHolds reports whether a gang's booking of the last pass can be kept.
+// bookingHolds reports whether a gang's booking of the last cycle can be kept.
 func (t *Table) bookingHolds(r *Request) bool {
 	if len(r.Booking) != r.Tasks || !slices.ContainsFunc(r.Booking, func(p Place) bool { return p.Begin > t.Now }) {
 		return false
--- a/internal/controller/slottable/heap.go
+++ b/internal/controller/slottable/heap.go
@@ -1,7 +1,7 @@
 package slottable
 
 // A heap of values that know their order. That of the standard library makes
-// every value an interface, which costs an allocation for each: a pass moves
+// every value an interface, which costs an allocation for each: a cycle moves
 // tens of thousands.
 
 type ordered[T any] interface{ less(T) bool }
--- a/internal/controller/slottable/machine.go
+++ b/internal/controller/slottable/machine.go
@@ -9,7 +9,7 @@
 	Opportunistic bool // it gives way at once to whatever else is placed there
 }
 
-// mark is a span that a pass planned.
+// mark is a span that a cycle planned.
 type mark struct {
 	Span
 	start bool // it began at once: the machine's own spans have it from the next update on
@@ -41,7 +41,7 @@
 
 	images []machineImage // known to be there, or on their way
 	spans  []Span         // what is on the machine
-	marks  []mark         // what passes planned for it
+	marks  []mark         // what cycles planned for it
 
 	// What follows from spans and marks. Opportunistic tasks are not counted in profile and free.
 	profile       profile   // both against time
@@ -65,7 +65,7 @@
 func (m *Machine) Reset() {
 	m.spans, m.images, m.FetchDone, m.Penalty, m.Blocked, m.OnlyOpportunistic = m.spans[:0], m.images[:0], 0, 0, false, false
 	m.FreeAfterPreemption = resources{}
-	// What began in an earlier pass is among the machine's own spans by now.
+	// What began in an earlier cycle is among the machine's own spans by now.
 	rest := m.marks[:0]
 	for _, k := range m.marks {
 		if !k.start {
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -137,9 +137,9 @@
 	return text
 }
 
-// A pass over any queue finds the very places that a look at every row finds:
+// A cycle over any queue finds the very places that a look at every row finds:
 // the same machines, times and bookings, and the same rentals after it.
-func TestPassIsThatOfAScan(t *testing.T) {
+func TestCycleMatchesReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table, plain := &Table{Now: drawnNow}, &scan{Table: Table{Now: drawnNow}}
 		n := rapid.IntRange(0, 30).Draw(rt, "rows")
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -20,7 +20,7 @@
 	return t.placeLater(r, m, t.Now)
 }
 
-// start begins a pass over rows that nothing has marked.
+// start begins a cycle over rows that nothing has marked.
 func (t *scan) start() {
 	t.Begin()
 	t.open = t.open[:0]
@@ -160,7 +160,7 @@
 		case okLater && book && i < maxBooked:
 			p = later.place
 		case !okNow && len(kept) > 0:
-			// The booking of the pass before holds if its room is still free.
+			// The booking of the cycle before holds if its room is still free.
 			p = kept[0]
 			kept = kept[1:]
 			if p.Begin <= t.Now || p.Machine.Blocked || !z.allows(p.Machine.Zone) || !r.allows(p.Machine) ||
--- a/internal/controller/slottable/refusals.go
+++ b/internal/controller/slottable/refusals.go
@@ -16,7 +16,7 @@
 	spareCapacityOnly bool
 }
 
-// maxRefusals bounds what is remembered of a pass.
+// maxRefusals bounds what is remembered of a cycle.
 const maxRefusals = 64
 
 // isRefused reports whether a request is certain to find no place now.
--- a/internal/controller/slottable/request.go
+++ b/internal/controller/slottable/request.go
@@ -30,7 +30,7 @@
 	SpareCapacityOnly bool       // neither keeps a machine at the full price nor has one rented
 	ReadyBy           micros     // no machine is rented for what is ready by then
 	Waited            micros     // how much later than planned it has become already, for rental
-	Booking           []Place    // that of the last pass
+	Booking           []Place    // that of the last cycle
 	PreferredZone     string     // zone of a gang's last booking, left only for one that is sooner by zoneChangeGain
 	KeepBooking       bool       // room was made for it: Booking holds though it is not the first that can't start
 	NoBooking         bool       // it was found a moment ago that a booking can't meet the deadline
--- a/internal/controller/slottable/table.go
+++ b/internal/controller/slottable/table.go
@@ -6,8 +6,8 @@
 // the earliest such starts, and later jobs start only where no booking moves.
 //
 // The table lives as long as a leader's term. Rows are brought up to date when something changed
-// on their machine, and a pass over the queue only marks what it plans; Work counts what the pass
-// has looked at, so that it can be bounded.
+// on their machine, and a scheduling cycle over the queue only marks what it plans; Work counts
+// what the cycle has looked at, so that it can be bounded.
 //
 // An index finds the best places without a look at every row. Rows are in groups that are alike
 // in all that a request may exclude, and in a group by how much is free: on shelves by what is
@@ -31,7 +31,7 @@
 	machines []*Machine
 	added    int // rows so far
 	images   map[string]int32
-	blocked  bool // this pass has its first job that can't start
+	blocked  bool // this cycle has its first job that can't start
 
 	touched    []*Machine // rows with marks
 	trying     bool
@@ -92,7 +92,7 @@
 	t.refusals = t.refusals[:0]
 }
 
-// Begin starts a pass over the whole queue: bookings of the last one are planned anew, in their
+// Begin starts a cycle over the whole queue: bookings of the last one are planned anew, in their
 // turn.
 func (t *Table) Begin() {
 	for _, m := range t.touched {
@@ -107,5 +107,5 @@
 	t.Resume()
 }
 
-// Resume goes on with a pass that was interrupted, after rows were updated.
+// Resume goes on with a cycle that was interrupted, after rows were updated.
 func (t *Table) Resume() { t.refusals = t.refusals[:0] }
--- a/internal/controller/slottable/table_test.go
+++ b/internal/controller/slottable/table_test.go
@@ -36,7 +36,7 @@
 	return t
 }
 
-// plan makes one pass over requests.
+// plan makes one cycle over requests.
 func plan(t *Table, rs ...*Request) []Result {
 	var out []Result
 	t.Begin()
@@ -142,7 +142,7 @@
 	}
 }
 
-// A booking is kept while its room is free: the next pass does not search the
+// A booking is kept while its room is free: the next cycle does not search the
 // table again, though the job still can't start. If the room is lost it does.
 func TestBookingsAreKept(t *testing.T) {
 	rows := make([]*Machine, 100)
@@ -172,7 +172,7 @@
 	}
 }
 
-// A pass that is cut short carries on where it stopped: what was booked before
+// A cycle that is cut short carries on where it stopped: what was booked before
 // the cut stays marked, and a later job moves none of it.
 func TestPassCutShort(t *testing.T) {
 	m := row("m", 4, Span{From: 0, To: 30 * sec, Resources: gpus(2)})
@@ -207,7 +207,7 @@
 	}
 }
 
-// A booking of the pass before that is ready sooner than a fetch that begins now is
+// A booking of the cycle before that is ready sooner than a fetch that begins now is
 // kept: a start is the later of room and image, whether it was planned before or not.
 func TestBookingBeatsAColdStart(t *testing.T) {
 	busy := row("busy", 1, Span{From: 0, To: 5 * sec, Resources: gpus(1)})
--- a/internal/controller/slottable/tasks.go
+++ b/internal/controller/slottable/tasks.go
@@ -2,7 +2,7 @@
 
 import "mapleslip/internal/protocol"
 
-// Most tasks of one job that a pass starts, and that it books.
+// Most tasks of one job that a cycle starts, and that it books.
 const (
 	maxStarted = 256
 	maxBooked  = 64
@@ -13,7 +13,7 @@
 // (aggressive backfilling).
 func (t *Table) Next(r *Request) Result {
 	if r.Limit <= 0 {
-		// A team at its limit gets no booking in this pass.
+		// A team at its limit gets no booking in this cycle.
 		return Result{Request: r}
 	}
 	var res Result
@@ -84,7 +84,7 @@
 	later         *search // is begun when it is needed
 	searchedAll   bool    // later looks at all rows
 	searchedImage bool    // later looks at rows that have the image
-	booking       []Place // of the last pass, those that were not tried yet
+	booking       []Place // of the last cycle, those that were not tried yet
 	result        Result
 }
 
@@ -121,7 +121,7 @@
 		case okNow || len(s.booking) == 0:
 			return Place{}, false
 		}
-		// The booking of the last pass holds if its room is still free. Otherwise the task is
+		// The booking of the last cycle holds if its room is still free. Otherwise the task is
 		// found another place when none of the booking is left.
 		p := s.booking[0]
 		s.booking = s.booking[1:]
@@ -153,7 +153,7 @@
 	}
 }
 
-// bookingIsSooner reports whether the booking of the last pass is ready sooner than a place whose
+// bookingIsSooner reports whether the booking of the last cycle is ready sooner than a place whose
 // fetch begins now.
 func (s *taskSearch) bookingIsSooner(now Place) bool {
 	return len(s.booking) > 0 && now.Ready > s.booking[0].Ready+fetchTolerance &&
@@ -179,7 +179,7 @@
 	return true
 }
 
-// placeHolds reports whether the room of a booking of the last pass is still free.
+// placeHolds reports whether the room of a booking of the last cycle is still free.
 func (t *Table) placeHolds(r *Request, z *zoneCounter, p Place) bool {
 	m := p.Machine
 	return p.Begin > t.Now && !m.Blocked && z.allows(m.Zone) && r.allows(m) && m.fits(r, p.Begin, protocol.End(p.Ready, r.Runtime))
--- a/internal/controller/worker_router_test.go
+++ b/internal/controller/worker_router_test.go
@@ -56,7 +56,7 @@
 // A worker that is new to the leader is sent there. One that has served under it
 // has lost it, and its report is passed on; so is that of one that was sent there
 // and comes back. The leader's answer goes back as it is.
-func TestReportsArePassedOn(t *testing.T) {
+func TestHeartbeatsAreForwarded(t *testing.T) {
 	c := follower(t)
 	sec := protocol.Second
 	if call, answer := report(c, sec, "new", 2); call != nil || answer == nil || answer.Status != 421 {
@@ -92,7 +92,7 @@
 
 // A late copy of a report shows nothing of whom the worker reaches: it is neither passed
 // on nor counted, whether the worker comes here or not.
-func TestCopiesOfReportsCountForNothing(t *testing.T) {
+func TestDuplicateHeartbeatsAreIgnored(t *testing.T) {
 	c := follower(t)
 	sec := protocol.Second
 	if _, answer := reportAgain(c, sec, "w", 2, 7); answer == nil || answer.Status != 421 {
@@ -119,7 +119,7 @@
 // A controller of the version before knows no reports from others: it answers as
 // to any message that it does not know. The worker is then sent to it as before,
 // and for a while no others are passed on.
-func TestReportsAreNotPassedToAnOlderController(t *testing.T) {
+func TestHeartbeatsAreNotForwardedToOlderController(t *testing.T) {
 	c := follower(t)
 	call, _ := report(c, protocol.Second, "lost", 3)
 	if call == nil {
@@ -142,7 +142,7 @@
 // A leader may keep a submission or a cancellation for longer than a question. A node
 // that heard it a moment ago waits for that long, and does not take it for dead if it
 // was heard meanwhile.
-func TestALeaderThatIsHeardIsWaitedFor(t *testing.T) {
+func TestLiveLeaderIsWaitedFor(t *testing.T) {
 	c := follower(t)
 	sec := protocol.Second
 	ask := func(at micros) {
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -122,8 +122,8 @@
 	return controller.WorkerHeartbeat{Reply: controller.ReplyAddress{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
 }
 
-// BenchmarkReport is a worker's report that says nothing new.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat is a worker's report that says nothing new.
+func BenchmarkHeartbeat(b *testing.B) {
 	w := grown(b, 1)
 	n := w.leader()
 	events := make([]controller.WorkerHeartbeat, b.N)
@@ -137,9 +137,9 @@
 	}
 }
 
-// BenchmarkRound is a tick with a round in it, while a hundred jobs wait and
+// BenchmarkSchedulingStep is a tick with a round in it, while a hundred jobs wait and
 // one machine in sixty has changed.
-func BenchmarkRound(b *testing.B) {
+func BenchmarkSchedulingStep(b *testing.B) {
 	w := grown(b, 1)
 	n := w.leader()
 	b.ReportAllocs()
@@ -155,9 +155,9 @@
 	}
 }
 
-// BenchmarkTakeOver is a new leader's work until every host is accounted for,
+// BenchmarkFailover is a new leader's work until every host is accounted for,
 // with that of all stand-ins.
-func BenchmarkTakeOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
 		b.StopTimer()
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// BenchmarkTakeOverAfterTheLimitsFell is that at 1,238 machines and 30,000 tasks.
-func BenchmarkTakeOverAfterTheLimitsFell(b *testing.B) {
+// BenchmarkFailoverAfterLimitsWereLowered is that at 1,238 machines and 30,000 tasks.
+func BenchmarkFailoverAfterLimitsWereLowered(b *testing.B) {
 	for _, announced := range []bool{true, false} {
 		b.Run(fmt.Sprintf("announced=%v", announced), func(b *testing.B) {
 			for range b.N {
