--- a/cmd/mapleslip/config.go
+++ b/cmd/mapleslip/config.go
@@ -103,7 +103,7 @@
 		}
 		set[key] = value
 	}
-	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Mend: o.mend}, nil)
+	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.mend}, nil)
 }
 
 // fileChanges reads the changes of a file. at tells where in it a key is.
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Mend: o.mend}, at)
+	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.mend}, at)
 }
 
 func (o *operators) rollback(cmd *cobra.Command, args []string) error {
--- a/cmd/mapleslip/config_test.go
+++ b/cmd/mapleslip/config_test.go
@@ -18,7 +18,7 @@
 // leaderOf answers as a leader that keeps one document.
 func leaderOf(t *testing.T) *httptest.Server {
 	h := &configuration.Head{}
-	b := &configuration.Bounds{Zones: []string{"a"}, Teams: map[string]protocol.Team{"red": {Limit: protocol.Resources{GPU: 8000}}}, ValueBytes: 8192}
+	b := &configuration.Baseline{Zones: []string{"a"}, Teams: map[string]protocol.Team{"red": {Limit: protocol.Resources{GPU: 8000}}}, ValueBytes: 8192}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		switch r.URL.Path {
@@ -34,10 +34,10 @@
 			}
 			changes := q.Changes(h.Document)
 			if q.Rollback {
-				d, _ := h.Back(q.To, h.Log)
+				d, _ := h.DocumentAt(q.To, h.Entries)
 				changes = configuration.Diff(h.Document, d)
 			}
-			next, err := h.Next(b, configuration.Entry{Who: q.Who, Why: q.Why, ID: q.ID, Changes: changes}, 3)
+			next, err := h.NextRevision(b, configuration.Entry{Who: q.Who, Why: q.Why, ID: q.ID, Changes: changes}, 3)
 			if err != nil {
 				http.Error(w, string(protocol.ErrorBody(err.Error())), http.StatusUnprocessableEntity)
 				return
@@ -45,7 +45,7 @@
 			h = next.Head
 			fmt.Fprintf(w, `{"revision":%d,"changed":true}`, h.Revision)
 		case "/api/config/history":
-			fmt.Fprintf(w, `{"history":%s,"more":false}`, configuration.AppendEntries(nil, h.Log))
+			fmt.Fprintf(w, `{"history":%s,"more":false}`, configuration.AppendEntries(nil, h.Entries))
 		case "/api/config/wait":
 			fmt.Fprintf(w, `{"revision":%s,"in_force":true}`, r.URL.Query().Get("revision"))
 		case "/api/config/status":
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -103,7 +103,7 @@
 	}
 	if f.configuration != nil {
 		d.ctl.EnableConfiguration(*f.configuration)
-		log.Info("the configuration may change", "history_pages", f.configuration.Pages)
+		log.Info("the configuration may change", "history_pages", f.configuration.HistoryPages)
 	}
 	for _, by := range d.dialers {
 		by.Source = o.SourceAddress
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -12,8 +12,8 @@
 	"mapleslip/internal/protocol"
 )
 
-func bounds() *Bounds {
-	return &Bounds{Zones: []string{"a", "b"}, Operator: protocol.DefaultOperatorSettings(), ValueBytes: 2048, Teams: map[string]protocol.Team{
+func bounds() *Baseline {
+	return &Baseline{Zones: []string{"a", "b"}, Operator: protocol.DefaultOperatorSettings(), ValueBytes: 2048, Teams: map[string]protocol.Team{
 		"red":  {Name: "red", Guarantee: protocol.Resources{GPU: 4000}, Limit: protocol.Resources{GPU: 8000}},
 		"blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}},
 	}}
@@ -53,7 +53,7 @@
 		if err == nil {
 			err = Validate(b, nil, []Change{{Key: key, New: value}})
 		}
-		var p *KeyError
+		var p *protocol.KeyError
 		if err == nil || !strings.Contains(err.Error(), why) || errors.As(err, &p) && p.Key == "" {
 			t.Errorf("%s: %v", set, err)
 		}
@@ -72,19 +72,19 @@
 		}
 		d[key] = value
 	}
-	s := Of(b, d)
+	s := Resolve(b, d)
 	red, blue := s.Teams["red"], s.Teams["blue"]
 	if red.Limit != (protocol.Resources{CPU: 3000, GPU: 5500}) || !red.StopExcess || red.Retired || !blue.Retired || blue.Guarantee.CPU != 2000 || blue.Limit.CPU != 16000 {
 		t.Errorf("%+v", s.Teams)
 	}
-	if most, ok := s.Ceilings[Kind{"big", "b"}]; !ok || most != 0 || s.Log != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleScaleInDelay != 90*protocol.Second || s.Operator.MinCycleInterval != b.Operator.MinCycleInterval {
+	if most, ok := s.Ceilings[MachineKind{"big", "b"}]; !ok || most != 0 || s.LogLevel != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleScaleInDelay != 90*protocol.Second || s.Operator.MinCycleInterval != b.Operator.MinCycleInterval {
 		t.Errorf("%+v", s)
 	}
 	for _, c := range []struct {
 		machine, zone, addr string
 		want                Drain
 	}{{"n-000001", "a", "10.9.0.1:9000", DrainStop}, {"n-000002", "a", "", DrainFinish}, {"n-000003", "b", "10.1.4.9:9000", DrainStop}, {"n-000003", "b", "10.1.5.9:9000", NotDrained}} {
-		if got := s.Drained(c.machine, c.zone, c.addr); got != c.want {
+		if got := s.DrainOf(c.machine, c.zone, c.addr); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -106,7 +106,7 @@
 				c[0].New = ""
 			}
 			if Validate(b, d, c) == nil {
-				d = d.with(c)
+				d = d.apply(c)
 			}
 			if i%2 == 1 { // it is started anew with another file
 				for name, team := range b.Teams {
@@ -114,7 +114,7 @@
 					b.Teams[name] = team
 				}
 			}
-			for name, team := range Of(b, d).Teams {
+			for name, team := range Resolve(b, d).Teams {
 				p := b.Teams[name].Limit
 				if p.CPU > 0 && (team.Limit.CPU == 0 || team.Limit.CPU > p.CPU) || p.GPU > 0 && (team.Limit.GPU == 0 || team.Limit.GPU > p.GPU) {
 					t.Fatalf("%s: %v of %v by %v", name, team.Limit, p, d)
@@ -143,7 +143,7 @@
 			if len(changes) == 0 {
 				continue
 			}
-			w, err := h.Next(b, Entry{At: 1, Who: "ann", Why: rapid.SampledFrom([]string{"", "maintenance of the rack", strings.Repeat("long ", 20)}).Draw(t, "why"), ID: fmt.Sprint(len(documents)), Changes: changes}, pages)
+			w, err := h.NextRevision(b, Entry{At: 1, Who: "ann", Why: rapid.SampledFrom([]string{"", "maintenance of the rack", strings.Repeat("long ", 20)}).Draw(t, "why"), ID: fmt.Sprint(len(documents)), Changes: changes}, pages)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -156,7 +156,7 @@
 				kept[w.Page] = w.PageValue
 				writes++
 			}
-			delete(kept, w.Drop)
+			delete(kept, w.DroppedPage)
 			if h, err = DecodeHead(value); err != nil || !reflect.DeepEqual(h, w.Head) {
 				t.Fatalf("%v\n%+v\n%+v", err, h, w.Head)
 			}
@@ -173,12 +173,12 @@
 			}
 			history = append(history, list...)
 		}
-		history = append(history, h.Log...)
+		history = append(history, h.Entries...)
 		if len(history) == 0 {
 			return
 		}
 		for i := range documents {
-			d, err := h.Back(uint64(i), history)
+			d, err := h.DocumentAt(uint64(i), history)
 			oldest := int(history[0].Revision) - 1 // what was before the oldest entry can be worked out too
 			if i == 0 || i >= oldest {
 				if err != nil || len(Diff(d, documents[i])) > 0 {
@@ -188,7 +188,7 @@
 				t.Fatalf("%d is not kept from %d on", i, oldest)
 			}
 		}
-		if _, err := h.Back(uint64(len(documents)), history); err == nil {
+		if _, err := h.DocumentAt(uint64(len(documents)), history); err == nil {
 			t.Fatal("a revision that there is not")
 		}
 		if most := len(documents) + len(documents)/3 + 1; writes > most {
@@ -200,7 +200,7 @@
 // A record that can't be read is mended under a number that no revision had.
 func TestMend(t *testing.T) {
 	b := bounds()
-	w, err := Mend(b, Document{"drain/zone/a": `"finish"`}, Entry{ID: "x", Changes: []Change{{"log/level", "", `"info"`}}}, 40)
+	w, err := Repair(b, Document{"drain/zone/a": `"finish"`}, Entry{ID: "x", Changes: []Change{{"log/level", "", `"info"`}}}, 40)
 	if err != nil || w.Head.Revision != 41 || len(w.Head.Document) != 2 {
 		t.Fatalf("%+v %v", w, err)
 	}
@@ -208,10 +208,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := h.Back(40, h.Log); err == nil {
+	if _, err := h.DocumentAt(40, h.Entries); err == nil {
 		t.Error("what was before is not known")
 	}
-	if d, err := h.Back(0, h.Log); err != nil || len(d) != 0 {
+	if d, err := h.DocumentAt(0, h.Entries); err != nil || len(d) != 0 {
 		t.Error("the files are always there to go back to")
 	}
 }
@@ -289,12 +289,12 @@
 // What can't be read is refused; what is read is written as it was.
 func FuzzRecords(f *testing.F) {
 	h := &Head{}
-	w, err := h.Next(bounds(), Entry{Who: "ann", ID: "x", Changes: []Change{{"log/level", "", `"info"`}, {"team/red/gpus_max", "", "4.5"}}}, 3)
+	w, err := h.NextRevision(bounds(), Entry{Who: "ann", ID: "x", Changes: []Change{{"log/level", "", `"info"`}, {"team/red/gpus_max", "", "4.5"}}}, 3)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(w.Head.Encode())
-	f.Add(encodePage(w.Head.Log))
+	f.Add(encodePage(w.Head.Entries))
 	f.Add(EncodeDocument(w.Head.Document))
 	f.Add(AppendRequest(nil, &Request{Who: "ann", ID: "x", Set: w.Head.Document}))
 	f.Add([]byte(`{"form":2,"revision":9}`))
@@ -310,7 +310,7 @@
 			}
 		}
 		if d, err := DecodeDocument(in); err == nil {
-			Of(bounds(), d)
+			Resolve(bounds(), d)
 		}
 		if r, err := ParseRequest(in, false); err == nil {
 			_ = Validate(bounds(), nil, r.Changes(nil))
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -1,9 +1,9 @@
-// Package configuration is what operators may change while the service runs: a
-// document of keys and values, its revisions and their history, what they come to, and
-// how long a controller may go by one.
+// Package configuration is what operators may change while the service runs: a document of keys
+// and values, its revisions and their history, what they come to, and how long a controller may go
+// by one.
 //
-// It does no I/O. The leader of the cluster reads and writes the records and asks the
-// other controllers (internal/controller/configuration.go).
+// It does no I/O. The leader of the cluster reads and writes the records and grants the other
+// controllers leases on a revision (internal/controller/config_manager.go).
 package configuration
 
 import (
@@ -19,35 +19,31 @@
 
 type micros = protocol.Micros
 
-// Bounds is what a document is judged by: the files that the controllers were started
+// Baseline is what a document is judged by: the files that the controllers were started
 // with. They are revision 0.
-type Bounds struct {
+type Baseline struct {
 	Teams      map[string]protocol.Team
 	Zones      []string
 	Operator   protocol.OperatorSettings
 	ValueBytes int // most that a value of the state service may take
 }
 
-// KeyError is what is wrong with a key of a change.
-type KeyError struct{ Key, Text string }
-
-func (p *KeyError) Error() string { return p.Key + ": " + p.Text }
-
+// keyErrorf is what is wrong with a key of a change.
 func keyErrorf(key, format string, args ...any) error {
-	return &KeyError{key, fmt.Sprintf(format, args...)}
+	return &protocol.KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
 // Limits of a key and of the texts that go with a change, in bytes.
 const (
-	mostKey = 120
-	mostWho = 64
-	mostWhy = 200
-	mostID  = 40
+	maxKeyBytes = 120
+	maxWhoBytes = 64
+	maxWhyBytes = 200
+	maxIDBytes  = 40
 )
 
-// spans are the operators' settings that may be changed, with their bounds in seconds.
+// operatorSettings are the operators' settings that may be changed, with their bounds in seconds.
 // They are those of the operators' file.
-var spans = map[string]struct {
+var operatorSettings = map[string]struct {
 	low, high float64
 	of        func(*protocol.OperatorSettings) *protocol.Micros
 }{
@@ -57,8 +53,8 @@
 	"idle_return_s":     {1, 86400, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.IdleScaleInDelay }},
 }
 
-// fixed are settings that can't be changed while the service runs, and why.
-var fixed = map[string]string{
+// fixedSettings are settings that can't be changed while the service runs, and why.
+var fixedSettings = map[string]string{
 	"operator/leader_lease_s":   "who holds the lease counts on its length: it takes a restart of all controllers",
 	"operator/answer_on_s":      "it is in the record of each leader: it takes a restart of all controllers",
 	"operator/silent_release_s": "what proves a task gone hangs on it: it takes a restart of all controllers",
@@ -74,7 +70,7 @@
 // fixedReason says why a setting that exists can't be changed, "": there is no such one.
 func fixedReason(key string) string {
 	for path := key; ; {
-		if why := fixed[path]; why != "" {
+		if why := fixedSettings[path]; why != "" {
 			return why
 		}
 		i := strings.LastIndexByte(path, '/')
@@ -91,13 +87,13 @@
 // What becomes of work in the way of a change.
 const (
 	wordFinish = "finish" // it goes on
-	wordStop   = "stop"   // it is stopped, after it has saved
+	wordStop   = "stop"   // it is stopped, with time to save its progress
 )
 
-// check says what is wrong with a value. It is canonical JSON.
-func check(b *Bounds, key, value string) error {
-	if len(key) > mostKey || strings.ContainsFunc(key, func(r rune) bool { return r <= ' ' || r == '"' || r == '\\' || r > '~' }) {
-		return keyErrorf(key[:min(len(key), mostKey)], "must be at most %d printable characters without spaces", mostKey)
+// checkValue says what is wrong with a value. It is canonical JSON.
+func checkValue(b *Baseline, key, value string) error {
+	if len(key) > maxKeyBytes || strings.ContainsFunc(key, func(r rune) bool { return r <= ' ' || r == '"' || r == '\\' || r > '~' }) {
+		return keyErrorf(key[:min(len(key), maxKeyBytes)], "must be at most %d printable characters without spaces", maxKeyBytes)
 	}
 	part := strings.Split(key, "/")
 	switch {
@@ -110,8 +106,8 @@
 	case part[0] == "operator" && len(part) == 2 && part[1] == "warm_spare":
 		_, err := number(key, value, 0, 100)
 		return err
-	case part[0] == "operator" && len(part) == 2 && spans[part[1]].of != nil:
-		_, err := number(key, value, spans[part[1]].low, spans[part[1]].high)
+	case part[0] == "operator" && len(part) == 2 && operatorSettings[part[1]].of != nil:
+		_, err := number(key, value, operatorSettings[part[1]].low, operatorSettings[part[1]].high)
 		return err
 	case key == "log/level":
 		return oneOf(key, value, Levels...)
@@ -123,7 +119,7 @@
 }
 
 // checkZone says that a zone is unknown.
-func (b *Bounds) checkZone(key, zone string) error {
+func (b *Baseline) checkZone(key, zone string) error {
 	if slices.Contains(b.Zones, zone) {
 		return nil
 	}
@@ -131,7 +127,7 @@
 }
 
 // checkDrain checks a drain of a zone, a machine or a network.
-func (b *Bounds) checkDrain(key string, part []string, value string) error {
+func (b *Baseline) checkDrain(key string, part []string, value string) error {
 	switch {
 	case part[1] == "zone" && len(part) == 3:
 		if err := b.checkZone(key, part[2]); err != nil {
@@ -152,7 +148,7 @@
 const maxCeiling = 1e6
 
 // checkCeiling checks a ceiling of rental in a zone.
-func (b *Bounds) checkCeiling(key, zone, value string) error {
+func (b *Baseline) checkCeiling(key, zone, value string) error {
 	if err := b.checkZone(key, zone); err != nil {
 		return err
 	}
@@ -163,15 +159,15 @@
 	return err
 }
 
-// amounts are what of a team may be said in numbers, and where it is.
-var amounts = map[string]func(*protocol.Team) (amount *int64, limit *int64){
+// teamAmounts are what of a team may be said in numbers, and where it is.
+var teamAmounts = map[string]func(*protocol.Team) (amount *int64, limit *int64){
 	"cpus":     func(t *protocol.Team) (*int64, *int64) { return &t.Guarantee.CPU, &t.Limit.CPU },
 	"gpus":     func(t *protocol.Team) (*int64, *int64) { return &t.Guarantee.GPU, &t.Limit.GPU },
 	"cpus_max": func(t *protocol.Team) (*int64, *int64) { return &t.Limit.CPU, nil },
 	"gpus_max": func(t *protocol.Team) (*int64, *int64) { return &t.Limit.GPU, nil },
 }
 
-func (b *Bounds) checkTeam(key, name, what, value string) error {
+func (b *Baseline) checkTeam(key, name, what, value string) error {
 	team, known := b.Teams[name]
 	if !known {
 		// Users' submissions are judged by the platform's file: a job of a team that is
@@ -187,7 +183,7 @@
 	case "excess":
 		return oneOf(key, value, wordFinish, wordStop)
 	}
-	of := amounts[what]
+	of := teamAmounts[what]
 	if of == nil {
 		return keyErrorf(key, "unknown key")
 	}
--- a/internal/configuration/lease_test.go
+++ b/internal/configuration/lease_test.go
@@ -35,18 +35,18 @@
 }
 
 func (d *deployment) ask(name string) {
-	q, needs := d.leader.Ask(name, d.epoch)
+	q, needs := d.leader.NextGrant(name, d.epoch)
 	epoch := d.epoch
 	d.mail = append(d.mail, func() {
 		f := d.others[name]
 		if f.frozen {
 			return
 		}
-		f.holder.Take(d.clock(f), q, needs)
-		life, at, revision := f.holder.Life, d.clock(f), f.holder.Revision
+		f.holder.ApplyGrant(d.clock(f), q, needs)
+		life, at, revision := f.holder.Incarnation, d.clock(f), f.holder.Revision
 		d.mail = append(d.mail, func() {
 			if d.epoch == epoch {
-				d.leader.Answered(name, life, at, revision, d.now)
+				d.leader.OnAck(name, life, at, revision, d.now)
 			}
 		})
 	})
@@ -60,7 +60,7 @@
 		lives := uint64(0)
 		begin := func(name string) {
 			lives++
-			d.others[name] = &follower{holder: Holder{Life: lives}, born: d.now, fast: micros(rapid.IntRange(-5, 5).Draw(t, "fast"))}
+			d.others[name] = &follower{holder: Holder{Incarnation: lives}, born: d.now, fast: micros(rapid.IntRange(-5, 5).Draw(t, "fast"))}
 		}
 		for i := range rapid.IntRange(1, 3).Draw(t, "others") {
 			d.names = append(d.names, fmt.Sprint(i))
@@ -88,13 +88,13 @@
 				}
 			case "commit":
 				d.revision++
-				d.leader.Goes(d.revision, d.now)
+				d.leader.SetRevision(d.revision, d.now)
 			case "time":
 				d.now += micros(rapid.SampledFrom([]int{10, 300, 1000, 2000, 3900, 4100}).Draw(t, "ms")) * protocol.Millisecond
 			case "wait":
 				if d.leader.InForce(d.revision, d.now, d.names) {
 					d.reported = d.revision
-				} else if r := d.leader.Newest(d.now, d.names); r > d.reported {
+				} else if r := d.leader.NewestInForce(d.now, d.names); r > d.reported {
 					d.reported = r
 				}
 			case "freeze":
@@ -120,27 +120,27 @@
 func TestInForce(t *testing.T) {
 	g := NewGranter(3, 0)
 	others := []string{"a", "b"}
-	g.Goes(4, 10*protocol.Second)
-	g.Answered("a", 1, 5, 4, 11*protocol.Second)
+	g.SetRevision(4, 10*protocol.Second)
+	g.OnAck("a", 1, 5, 4, 11*protocol.Second)
 	if g.InForce(4, 11*protocol.Second, others) || !g.InForce(3, 11*protocol.Second, others) {
 		t.Error("one of two has not said so")
 	}
-	g.Answered("b", 2, 5, 4, 11*protocol.Second)
+	g.OnAck("b", 2, 5, 4, 11*protocol.Second)
 	if !g.InForce(4, 11*protocol.Second, others) {
 		t.Error("both have said so")
 	}
 	for r := uint64(5); r < 30; r++ {
-		g.Goes(r, micros(r)*3*protocol.Second)
+		g.SetRevision(r, micros(r)*3*protocol.Second)
 	}
 	at := 29 * 3 * protocol.Second
-	if !g.InForce(27, at, others) || g.InForce(29, at, others) || g.Newest(at, others) != 27 {
-		t.Errorf("the newest in force is %d", g.Newest(at, others))
+	if !g.InForce(27, at, others) || g.InForce(29, at, others) || g.NewestInForce(at, others) != 27 {
+		t.Errorf("the newest in force is %d", g.NewestInForce(at, others))
 	}
-	if len(g.went) > 4 {
-		t.Errorf("%d revisions are remembered", len(g.went))
+	if len(g.revisions) > 4 {
+		t.Errorf("%d revisions are remembered", len(g.revisions))
 	}
-	g.Answered("b", 3, 1, 0, at) // back at once: it knows nothing, and holds nothing
-	if q, document := g.Ask("b", 9); !document || q.Life != 3 || q.Heard != 1 || q.Revision != 29 {
+	g.OnAck("b", 3, 1, 0, at) // back at once: it knows nothing, and holds nothing
+	if q, document := g.NextGrant("b", 9); !document || q.Incarnation != 3 || q.HeardAt != 1 || q.Revision != 29 {
 		t.Errorf("%+v %t", q, document)
 	}
 }
--- a/internal/configuration/request.go
+++ b/internal/configuration/request.go
@@ -1,15 +1,12 @@
 package configuration
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 	"strings"
 
-	"github.com/pelletier/go-toml/v2"
 	"github.com/valyala/fastjson"
 
 	"mapleslip/internal/protocol"
@@ -22,8 +19,8 @@
 	ID       string // names the request, so that it is known when it is repeated
 	// Set has the values by key, "": the key is taken out. All of them make one revision.
 	Set map[string]string
-	// Mend puts the change in the place of a record that can't be read.
-	Mend bool
+	// Repair puts the change in the place of a record that can't be read.
+	Repair bool
 	// Rollback: the document of an earlier revision is what is asked for, and Set is empty.
 	Rollback bool
 	To       uint64
@@ -95,15 +92,15 @@
 	case key == "expected":
 		r.Expected = r.count(key, v)
 	case key == "who":
-		r.Who = r.text(key, v, mostWho)
+		r.Who = r.text(key, v, maxWhoBytes)
 	case key == "why":
-		r.Why = r.text(key, v, mostWhy)
+		r.Why = r.text(key, v, maxWhyBytes)
 	case key == "id":
-		r.ID = r.text(key, v, mostID)
+		r.ID = r.text(key, v, maxIDBytes)
 	case key == "to" && r.Rollback:
 		r.To = r.count(key, v)
 	case key == "mend" && !r.Rollback:
-		r.Mend = r.flag(key, v)
+		r.Repair = r.flag(key, v)
 	case key == "set" && !r.Rollback:
 		r.Set = make(map[string]string)
 		if err := flatten(r.Set, "", v); err != nil && r.err == nil {
@@ -187,7 +184,7 @@
 		to[path] = ""
 		return nil
 	}
-	text, ok := canonical(v)
+	text, ok := canonicalJSON(v)
 	if !ok {
 		return keyErrorf(path, "must be a number, a text, true, false, or null to take it out")
 	}
@@ -204,7 +201,7 @@
 	if r.Rollback {
 		return fmt.Appendf(b, `,"to":%d}`, r.To)
 	}
-	if r.Mend {
+	if r.Repair {
 		b = append(b, `,"mend":true`...)
 	}
 	b = append(b, `,"set":{`...)
@@ -216,138 +213,3 @@
 	}
 	return append(b, "}}"...)
 }
-
-// ParseFile reads the changes of a file, JSON if it begins with a brace, else TOML. In
-// TOML, unset = ["key", ...] takes keys out.
-func ParseFile(text []byte) (map[string]string, error) {
-	set := make(map[string]string)
-	if trimmed := bytes.TrimSpace(text); len(trimmed) > 0 && trimmed[0] == '{' {
-		if err := fastjson.ValidateBytes(trimmed); err != nil {
-			return nil, fmt.Errorf("not JSON: %w", err)
-		}
-		var p fastjson.Parser
-		v, err := p.ParseBytes(trimmed)
-		if err != nil {
-			return nil, err
-		}
-		return set, flatten(set, "", v)
-	}
-	var f map[string]any
-	if err := toml.Unmarshal(text, &f); err != nil {
-		return nil, err
-	}
-	if list, ok := f["unset"]; ok {
-		keys, ok := list.([]any)
-		if !ok {
-			return nil, keyErrorf("unset", "must be a list of keys")
-		}
-		for _, k := range keys {
-			key, ok := k.(string)
-			if _, twice := set[key]; !ok || twice || key == "" {
-				return nil, keyErrorf("unset", "must be a list of keys, each once")
-			}
-			set[key] = ""
-		}
-		delete(f, "unset")
-	}
-	return set, flattenTOML(set, "", f)
-}
-
-func flattenTOML(to map[string]string, path string, v any) error {
-	switch v := v.(type) {
-	case map[string]any:
-		if path != "" && len(v) == 0 {
-			return keyErrorf(path, "has no keys")
-		}
-		for name, x := range v {
-			key := name
-			if path != "" {
-				key = path + "/" + name
-			}
-			if err := flattenTOML(to, key, x); err != nil {
-				return err
-			}
-		}
-		return nil
-	case string:
-		return put(to, path, string(protocol.AppendQuoted(nil, v)))
-	case bool:
-		return put(to, path, fmt.Sprint(v))
-	case int64:
-		return put(to, path, canonicalNumber(float64(v)))
-	case float64:
-		if math.IsNaN(v) || math.IsInf(v, 0) {
-			return keyErrorf(path, "must be a finite number")
-		}
-		return put(to, path, canonicalNumber(v))
-	}
-	return keyErrorf(path, "must be a number, a text, true or false")
-}
-
-func put(to map[string]string, key, value string) error {
-	if _, twice := to[key]; twice {
-		return keyErrorf(key, "is there twice")
-	}
-	to[key] = value
-	return nil
-}
-
-// ParseSet reads KEY=VALUE of a command. VALUE is a number, true, false or a text; "-"
-// takes the key out.
-func ParseSet(word string) (key, value string, err error) {
-	key, text, ok := strings.Cut(word, "=")
-	switch {
-	case !ok || key == "" || text == "":
-		return "", "", fmt.Errorf("%q is not KEY=VALUE", word)
-	case text == "-":
-		return key, "", nil
-	}
-	if v, err := fastjson.Parse(text); err == nil && v.Type() != fastjson.TypeObject && v.Type() != fastjson.TypeArray {
-		if c, ok := canonical(v); ok {
-			return key, c, nil
-		}
-		return "", "", keyErrorf(key, "invalid value")
-	}
-	return key, string(protocol.AppendQuoted(nil, text)), nil
-}
-
-// Line finds the line of a TOML file in which a key of the document is set; 0: nowhere.
-func Line(text []byte, key string) int {
-	table := ""
-	for n, line := range strings.Split(string(text), "\n") {
-		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, "[") {
-			table = path(strings.Trim(strings.SplitN(line, "#", 2)[0], "[] \t"))
-			continue
-		}
-		name, _, ok := strings.Cut(line, "=")
-		full := path(strings.TrimSpace(name))
-		if table != "" {
-			full = table + "/" + full
-		}
-		if ok && full == key {
-			return n + 1
-		}
-	}
-	return 0
-}
-
-// path turns a dotted key of TOML into one of the document.
-func path(dotted string) string {
-	var b strings.Builder
-	quote := rune(0)
-	for _, r := range dotted {
-		switch {
-		case quote == 0 && (r == '"' || r == '\''):
-			quote = r
-		case r == quote:
-			quote = 0
-		case quote == 0 && r == '.':
-			b.WriteByte('/')
-		case quote == 0 && (r == ' ' || r == '\t'):
-		default:
-			b.WriteRune(r)
-		}
-	}
-	return b.String()
-}
--- a/internal/configuration/settings.go
+++ b/internal/configuration/settings.go
@@ -4,11 +4,11 @@
 
 // Options is the operators' file that switches changes on.
 type Options struct {
-	Pages int // of history that are kept, of one value each
+	HistoryPages int // of history that are kept, of one value each
 }
 
 // Defaults are the options used where the operators' file sets none.
-func Defaults() Options { return Options{Pages: 256} }
+func Defaults() Options { return Options{HistoryPages: 256} }
 
 type optionsFile struct {
 	Pages *int `toml:"history_pages"`
@@ -24,5 +24,5 @@
 	if err := protocol.DecodeStrict(text, &f); err != nil {
 		return o, err
 	}
-	return o, protocol.SetBounded("history_pages", f.Pages, &o.Pages, 1, 10_000)
+	return o, protocol.SetBounded("history_pages", f.Pages, &o.HistoryPages, 1, 10_000)
 }
--- a/internal/controller/config_changes.go
+++ b/internal/controller/config_changes.go
@@ -23,7 +23,7 @@
 	c := configChange{configManager: cm, term: cm.term, reply: reply, Request: r}
 	s := cm.state
 	if s.head != nil {
-		if e, ok := s.head.Request(r.ID); ok {
+		if e, ok := s.head.FindRequest(r.ID); ok {
 			c.replyMade(e.Revision, true) // it was made before, and its answer got lost
 			return
 		}
@@ -31,12 +31,12 @@
 	switch {
 	case c.term.config.writing || !s.known:
 		reply.unavailable()
-	case s.damaged && !r.Mend:
+	case s.damaged && !r.Repair:
 		c.reject(http.StatusConflict, "the record of the configuration can't be read, see the leader's log: "+
 			"revision %d is gone by; mend puts a new record in its place", s.revision)
-	case !s.damaged && r.Mend:
+	case !s.damaged && r.Repair:
 		c.reject(http.StatusConflict, "mend: the record of the configuration can be read")
-	case r.Expected < s.revision && s.head != nil && r.Expected+1 < s.head.Log[0].Revision:
+	case r.Expected < s.revision && s.head != nil && r.Expected+1 < s.head.Entries[0].Revision:
 		c.findEarlier()
 	case r.Expected != s.revision:
 		c.rejectUnexpected()
@@ -94,7 +94,7 @@
 		case s.head == nil:
 			c.replyMade(0, false)
 		default:
-			document, err := s.head.Back(c.To, entries)
+			document, err := s.head.DocumentAt(c.To, entries)
 			if err != nil {
 				c.reject(http.StatusUnprocessableEntity, "%v", err)
 				return
@@ -108,7 +108,7 @@
 // revision, and on the leader key like each of a leader's.
 func (c configChange) write(changes []configuration.Change) {
 	s := c.state
-	if len(changes) == 0 && !c.Mend {
+	if len(changes) == 0 && !c.Repair {
 		c.replyMade(s.revision, false)
 		return
 	}
@@ -121,8 +121,8 @@
 		c.reject(http.StatusUnprocessableEntity, "%v", err)
 		return
 	}
-	if w.LeftOut > 0 {
-		c.log.Warn("the history of the configuration is too long for the state service", "entries_left_out", w.LeftOut)
+	if w.EntriesLeftOut > 0 {
+		c.log.Warn("the history of the configuration is too long for the state service", "entries_left_out", w.EntriesLeftOut)
 	}
 	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.headRevision}}
 	c.term.config.writing = true
@@ -140,27 +140,27 @@
 }
 
 // nextRevision is what has to be written for a revision with some changes.
-func (c configChange) nextRevision(changes []configuration.Change) (*configuration.Write, error) {
+func (c configChange) nextRevision(changes []configuration.Change) (*configuration.RevisionWrite, error) {
 	s := c.state
 	e := configuration.Entry{At: c.now.Wall, Who: c.Who, Why: c.Why, ID: c.ID, Changes: changes}
-	if c.Mend {
-		return configuration.Mend(&s.bounds, s.document, e, max(s.headRevision, s.revision))
+	if c.Repair {
+		return configuration.Repair(&s.bounds, s.document, e, max(s.headRevision, s.revision))
 	}
 	head := s.head
 	if head == nil {
 		head = &configuration.Head{}
 	}
-	return head.Next(&s.bounds, e, s.options.Pages)
+	return head.NextRevision(&s.bounds, e, s.options.HistoryPages)
 }
 
 // revisionChanges are the changes of the transaction that writes a revision.
-func revisionChanges(w *configuration.Write) []protocol.Change {
+func revisionChanges(w *configuration.RevisionWrite) []protocol.Change {
 	then := []protocol.Change{{Key: configuration.KeyHead, Value: w.Head.Encode()}}
 	if w.Page != "" {
 		then = append(then, protocol.Change{Key: w.Page, Value: w.PageValue})
 	}
-	if w.Drop != "" {
-		then = append(then, protocol.Change{Key: w.Drop})
+	if w.DroppedPage != "" {
+		then = append(then, protocol.Change{Key: w.DroppedPage})
 	}
 	return then
 }
@@ -184,7 +184,7 @@
 	c.term.config.nextReread = c.now.Steady + configRereadInterval
 	c.readHead(priorityLatencyCritical, func(err error) {
 		if err == nil && s.head != nil {
-			if e, made := s.head.Request(c.ID); made {
+			if e, made := s.head.FindRequest(c.ID); made {
 				c.replyMade(e.Revision, true)
 				return
 			}
--- a/internal/controller/config_enforcement.go
+++ b/internal/controller/config_enforcement.go
@@ -34,7 +34,7 @@
 func (cm *configManager) withdrawFromDrainedHosts(previous *configuration.Settings) {
 	for _, h := range cm.term.cluster.Hosts() {
 		drain := cm.drainOf(h)
-		if drain == previous.Drained(h.Name, h.Zone, h.Addr) {
+		if drain == previous.DrainOf(h.Name, h.Zone, h.Addr) {
 			continue
 		}
 		h.Stale = true
--- a/internal/controller/config_grants.go
+++ b/internal/controller/config_grants.go
@@ -13,10 +13,10 @@
 	}
 	var document []byte
 	for _, p := range cm.platform.Peers {
-		grant, needsDocument := t.config.granter.Ask(p.Name, t.epoch)
+		grant, needsDocument := t.config.granter.NextGrant(p.Name, t.epoch)
 		m := &protocol.PeerMessage{
 			Kind: protocol.PeerConfigGrant, Epoch: grant.Epoch, From: cm.platform.ControllerName,
-			Revision: grant.Revision, Incarnation: grant.Life, At: grant.Heard,
+			Revision: grant.Revision, Incarnation: grant.Incarnation, At: grant.HeardAt,
 		}
 		if needsDocument {
 			if document == nil {
@@ -46,7 +46,7 @@
 			cm.refreshHead()
 		}
 	}
-	t.config.granter.Answered(from, ack.Incarnation, ack.At, ack.Revision, cm.now.Steady)
+	t.config.granter.OnAck(from, ack.Incarnation, ack.At, ack.Revision, cm.now.Steady)
 	cm.answerWaiters(t)
 }
 
@@ -66,12 +66,12 @@
 			cm.logMalformed("controller", err)
 		}
 	}
-	if s.holder.Take(cm.now.Steady, e.Grant, document != nil) == configuration.Adopting {
+	if s.holder.ApplyGrant(cm.now.Steady, e.Grant, document != nil) == configuration.GrantAdopted {
 		s.known = false // the revision of the head's record is not
 		cm.applyRevision(e.Grant.Revision, document)
 	}
 	cm.updateLogLevel()
-	ack := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Life, At: cm.now.Steady}
+	ack := &protocol.PeerMessage{Kind: protocol.PeerConfigAck, Revision: s.holder.Revision, Incarnation: s.holder.Incarnation, At: cm.now.Steady}
 	if e.Grant.Revision < s.revision {
 		ack.Body = configuration.EncodeDocument(s.document) // in case the leader can't read the record
 	}
--- a/internal/controller/config_history.go
+++ b/internal/controller/config_history.go
@@ -24,8 +24,8 @@
 		done(nil, nil)
 		return
 	}
-	if !hasPages(h) || h.Log[0].Revision <= from {
-		done(h.Log, nil)
+	if !hasPages(h) || h.Entries[0].Revision <= from {
+		done(h.Entries, nil)
 		return
 	}
 	var entries []configuration.Entry
@@ -40,14 +40,14 @@
 			return
 		}
 		entries = append(entries, page...)
-	}, func(_ uint64, err error) { done(append(entries, h.Log...), err) })
+	}, func(_ uint64, err error) { done(append(entries, h.Entries...), err) })
 }
 
 // replyHistory answers with the entries before a revision (0: the newest), the last one first.
 func (cm *configManager) replyHistory(reply operatorReply, before uint64) {
 	if h := cm.state.head; h != nil && before == 0 {
 		// The older ones are asked for if they are wanted.
-		reply(http.StatusOK, historyBody(h.Log, 0, hasPages(h)))
+		reply(http.StatusOK, historyBody(h.Entries, 0, hasPages(h)))
 		return
 	}
 	cm.readHistory(0, func(entries []configuration.Entry, err error) {
--- a/internal/controller/config_manager.go
+++ b/internal/controller/config_manager.go
@@ -34,7 +34,7 @@
 // configState is what a controller knows of the configuration.
 type configState struct {
 	options configuration.Options
-	bounds  configuration.Bounds
+	bounds  configuration.Baseline
 	holder  configuration.Holder
 
 	head     *configuration.Head // the newest that was read or written, nil: there is none, or only its document is known
@@ -91,7 +91,7 @@
 	if cm.state == nil {
 		return configuration.NotDrained
 	}
-	return cm.state.settings.Drained(h.Name, h.Zone, h.Addr)
+	return cm.state.settings.DrainOf(h.Name, h.Zone, h.Addr)
 }
 
 // effectiveRevision is the revision that this controller decides by at its last step; false: it
@@ -113,7 +113,7 @@
 	}
 	level := ""
 	if _, ok := cm.effectiveRevision(); ok {
-		level = cm.state.settings.Log
+		level = cm.state.settings.LogLevel
 	}
 	if level != cm.state.logLevel {
 		cm.state.logLevel = level
@@ -228,12 +228,12 @@
 		return
 	}
 	was := s.settings
-	s.revision, s.document, s.settings = revision, d, configuration.Of(&s.bounds, d)
+	s.revision, s.document, s.settings = revision, d, configuration.Resolve(&s.bounds, d)
 	s.holder.Revision = max(s.holder.Revision, revision)
 	cm.operator = s.settings.Operator
 	cm.log.Info("configuration changed", "revision", revision)
 	if t := cm.term; t != nil && t.config.granter != nil {
-		t.config.granter.Goes(revision, cm.now.Steady)
+		t.config.granter.SetRevision(revision, cm.now.Steady)
 		cm.withdrawOutdatedDecisions(was)
 		cm.sendGrants(t)
 	}
@@ -310,7 +310,7 @@
 	s.Revision, s.InEffect = cm.effectiveRevision()
 	if t := cm.term; t != nil {
 		names := cm.membership.peerNames()
-		s.EffectiveEverywhere, s.Revisions = t.config.granter.Newest(cm.now.Steady, names), make(map[string]uint64, len(names))
+		s.EffectiveEverywhere, s.Revisions = t.config.granter.NewestInForce(cm.now.Steady, names), make(map[string]uint64, len(names))
 		for _, n := range names {
 			s.Revisions[n], _ = t.config.granter.Acknowledged(n)
 		}
--- a/internal/controller/config_requests.go
+++ b/internal/controller/config_requests.go
@@ -155,7 +155,7 @@
 	b := fmt.Appendf(nil, `{"revision":%d,"damaged":%t,"document":`, s.revision, s.damaged)
 	b = append(b, configuration.EncodeDocument(s.document)...)
 	if s.head != nil && s.head.Revision == s.revision {
-		last := s.head.Log[len(s.head.Log)-1:]
+		last := s.head.Entries[len(s.head.Entries)-1:]
 		b = append(configuration.AppendEntries(append(b, `,"last":`...), last), '}')
 	} else {
 		b = append(b, '}')
@@ -167,7 +167,7 @@
 func (cm *configManager) replyConfigStatus(to ReplyAddress) {
 	s, g := cm.state, cm.term.config.granter
 	b := fmt.Appendf(nil, `{"revision":%d,"in_force":%d,"damaged":%t,"controllers":[{"name":%s,"revision":%d,"leads":true}`, s.revision,
-		g.Newest(cm.now.Steady, cm.membership.peerNames()), s.damaged, protocol.AppendQuoted(nil, cm.platform.ControllerName), s.revision)
+		g.NewestInForce(cm.now.Steady, cm.membership.peerNames()), s.damaged, protocol.AppendQuoted(nil, cm.platform.ControllerName), s.revision)
 	for _, o := range cm.platform.Peers {
 		r, when := g.Acknowledged(o.Name)
 		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), o.Name), `,"leads":false`...)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -108,11 +108,11 @@
 
 // EnableConfiguration lets the configuration change, before Start.
 func (c *Controller) EnableConfiguration(o configuration.Options) {
-	b := configuration.Bounds{
+	b := configuration.Baseline{
 		Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.store.Target().MaxValueBytes,
 	}
 	c.config.state = &configState{
-		options: o, bounds: b, holder: configuration.Holder{Life: c.rng.Uint64()}, settings: configuration.Of(&b, nil),
+		options: o, bounds: b, holder: configuration.Holder{Incarnation: c.rng.Uint64()}, settings: configuration.Resolve(&b, nil),
 	}
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -58,7 +58,7 @@
 func TestRecordsAfterLeaseExpiry(t *testing.T) {
 	p := &protocol.Platform{ControllerName: "n0", StateRequestRate: 100, StateWriteRate: 20, MaxValueBytes: 8 << 10, HeartbeatInterval: protocol.Second, WorkerLease: 30 * protocol.Second}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c.EnableConfiguration(configuration.Options{Pages: 4})
+	c.EnableConfiguration(configuration.Options{HistoryPages: 4})
 	c.Start(instant{})
 	c.recovery.start()
 	var lists []Call
@@ -75,7 +75,7 @@
 		prefix := strings.TrimSuffix(strings.TrimPrefix(call.Path, "/store?under="), "&page=500")
 		key, value := prefix+"x", `{}`
 		if prefix == configuration.KeyHead {
-			key, value = prefix, string((&configuration.Head{Revision: 1, Log: []configuration.Entry{{Revision: 1, ID: "a", Who: "b"}}, Started: 1}).Encode())
+			key, value = prefix, string((&configuration.Head{Revision: 1, Entries: []configuration.Entry{{Revision: 1, ID: "a", Who: "b"}}, FirstRevision: 1}).Encode())
 		}
 		body := fmt.Sprintf(`{"entries":[{"path":%q,"data":%s,"stamp":9}],"generation":9,"truncated":false}`, key, value)
 		c.Step(instant{Steady: 2000}, CallResult{ID: call.ID, Status: 200, Body: []byte(body)})
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -147,7 +147,7 @@
 	if settings.Zones[k.zone] != configuration.NotDrained {
 		return 0
 	}
-	ceiling, ok := settings.Ceilings[configuration.Kind{Type: k.machineType, Zone: k.zone}]
+	ceiling, ok := settings.Ceilings[configuration.MachineKind{Type: k.machineType, Zone: k.zone}]
 	if !ok {
 		return maxMachinesPerRequest
 	}
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -172,7 +172,7 @@
 			return records.EncodeLaunches(list), err
 		})
 	entry := configuration.Entry{Revision: 3, At: wall, Who: "ops", Why: `a "reason"`, ID: "c-1", Changes: []configuration.Change{{Key: "log/level", Old: `"info"`, New: `"debug"`}, {Key: "team/red/gpus_max", New: "4"}}}
-	head := configuration.Head{Revision: 3, Started: 1, FirstPage: 1, LastPage: 1, Document: configuration.Document{"log/level": `"debug"`, "team/red/gpus_max": "4"}, Log: []configuration.Entry{entry}}
+	head := configuration.Head{Revision: 3, FirstRevision: 1, FirstPage: 1, LastPage: 1, Document: configuration.Document{"log/level": `"debug"`, "team/red/gpus_max": "4"}, Entries: []configuration.Entry{entry}}
 	add("configuration", head.Encode(), func(b []byte) ([]byte, error) {
 		h, err := configuration.DecodeHead(b)
 		if err != nil {
--- a/internal/scale/users/operators_test.go
+++ b/internal/scale/users/operators_test.go
@@ -41,7 +41,7 @@
 	for _, m := range p.Bounds.Teams {
 		teams[m.Name] = m
 	}
-	b := &configuration.Bounds{Teams: teams, Zones: []string{"z1", "z2"}, ValueBytes: 8 << 10}
+	b := &configuration.Baseline{Teams: teams, Zones: []string{"z1", "z2"}, ValueBytes: 8 << 10}
 	h := &configuration.Head{}
 	last, unchanged := int64(0), 0
 	kinds, of, shares := make(map[string]int), make(map[string]int), make([]int, 3)
@@ -62,7 +62,7 @@
 			unchanged++
 			continue
 		}
-		w, err := h.Next(b, configuration.Entry{At: 1, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}, 256)
+		w, err := h.NextRevision(b, configuration.Entry{At: 1, Who: r.Who, Why: r.Why, ID: r.ID, Changes: changes}, 256)
 		if err != nil {
 			t.Fatalf("%s: %v", body, err)
 		}
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -35,14 +35,14 @@
 // judgeChanges switches changes on.
 func (w *World) judgeChanges() {
 	w.changes = &changes{
-		options: configuration.Options{Pages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
+		options: configuration.Options{HistoryPages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
 		told: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string),
 	}
-	w.changes.settings[0] = configuration.Of(w.configBounds(), nil)
+	w.changes.settings[0] = configuration.Resolve(w.configBounds(), nil)
 }
 
-func (w *World) configBounds() *configuration.Bounds {
-	return &configuration.Bounds{Teams: w.Platform.Teams, Zones: w.Platform.Zones, Operator: w.Operator, ValueBytes: w.Platform.MaxValueBytes}
+func (w *World) configBounds() *configuration.Baseline {
+	return &configuration.Baseline{Teams: w.Platform.Teams, Zones: w.Platform.Zones, Operator: w.Operator, ValueBytes: w.Platform.MaxValueBytes}
 }
 
 // allowed reports whether some revision from one on allows something.
@@ -110,8 +110,8 @@
 		w.broken("configuration: a head that can't be read was written: %v", err)
 		return
 	}
-	e := h.Log[len(h.Log)-1]
-	if h.Revision != g.last+1 && (h.Started != h.Revision || h.Revision <= g.last) {
+	e := h.Entries[len(h.Entries)-1]
+	if h.Revision != g.last+1 && (h.FirstRevision != h.Revision || h.Revision <= g.last) {
 		w.broken("configuration: revision %d after %d", h.Revision, g.last)
 	}
 	if r, twice := g.ids[e.ID]; twice {
@@ -119,7 +119,7 @@
 	}
 	g.ids[e.ID], g.last = h.Revision, h.Revision
 	g.made++
-	g.settings[h.Revision] = configuration.Of(w.configBounds(), h.Document)
+	g.settings[h.Revision] = configuration.Resolve(w.configBounds(), h.Document)
 	for name, t := range g.settings[h.Revision].Teams {
 		if p := w.Platform.Teams[name].Limit; !within(p, t.Limit) || p.GPU > 0 && t.Limit.GPU == 0 || p.CPU > 0 && t.Limit.CPU == 0 {
 			w.broken("configuration: the limit of %s is above the platform's", name)
@@ -149,7 +149,7 @@
 			continue // it was launched by an earlier leader
 		}
 		fresh[j.spec.Team] = fresh[j.spec.Team].Add(j.spec.TaskResources, 1)
-		if m := w.machines[l.Host]; m != nil && s.Drained(m.name, m.zone, w.workerAddr(m)) != configuration.NotDrained {
+		if m := w.machines[l.Host]; m != nil && s.DrainOf(m.name, m.zone, w.workerAddr(m)) != configuration.NotDrained {
 			w.broken("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.last)
 		}
 	}
@@ -190,7 +190,7 @@
 		}
 		used := w.there(j.spec.Team).Add(j.spec.TaskResources, 1)
 		if !g.allowed(g.reported, func(s *configuration.Settings) bool {
-			return within(s.Teams[j.spec.Team].Limit, used) && s.Drained(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
+			return within(s.Teams[j.spec.Team].Limit, used) && s.DrainOf(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
 		}) {
 			w.broken("old revision: launch of %s on %s, which no revision since %d allows", name, m.name, g.reported)
 		}
@@ -203,7 +203,7 @@
 	if g == nil || g.reported == 0 {
 		return
 	}
-	k := configuration.Kind{Type: fastjson.GetString(body, "flavor"), Zone: fastjson.GetString(body, "region")}
+	k := configuration.MachineKind{Type: fastjson.GetString(body, "flavor"), Zone: fastjson.GetString(body, "region")}
 	n := fastjson.GetInt(body, "count")
 	if _, repeated := w.claims[fastjson.GetString(body, "claim")]; repeated {
 		return
@@ -296,7 +296,7 @@
 		case key == "expect":
 			expect, _ = strconv.ParseUint(value, 10, 64)
 		case key == "mend":
-			r.Mend = true
+			r.Repair = true
 		default:
 			r.Set[key] = value
 		}
@@ -321,7 +321,7 @@
 					w.broken("configuration: request %s is revision %d, and its operator was told that it was refused", q.ID, made)
 				}
 				switch {
-				case status == 409 && left > 0 && expect == 0 && !r.Mend:
+				case status == 409 && left > 0 && expect == 0 && !r.Repair:
 					try(left - 1)
 					return
 				case status != 200:
@@ -433,7 +433,7 @@
 		}
 		list = append(list, entries...)
 	}
-	list = append(list, h.Log...)
+	list = append(list, h.Entries...)
 	for i, e := range list {
 		if i > 0 && e.Revision != list[i-1].Revision+1 {
 			return fmt.Errorf("revision %d follows %d", e.Revision, list[i-1].Revision)
