--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -101,7 +101,7 @@
 // EnableRollouts switches roll-outs on, before Start.
 func (c *Controller) EnableRollouts(s rollout.Settings) {
 	s.ValueBytes = c.store.Target().MaxValueBytes
-	s.Others = len(c.platform.Peers)
+	s.OtherControllers = len(c.platform.Peers)
 	c.rollouts.settings = &s
 	c.stats.Checks = make(map[string]uint64)
 }
--- a/internal/controller/fault_tracker.go
+++ b/internal/controller/fault_tracker.go
@@ -48,7 +48,7 @@
 		j.Failures.ByHost = make(map[string]int)
 	}
 	j.Failures.ByHost[h.Name]++
-	ft.rollouts.step(rollout.Crashed{Ref: j.Spec.Ref, Index: a.Name.Index})
+	ft.rollouts.step(rollout.TaskFailed{Ref: j.Spec.Ref, Index: a.Name.Index})
 	ft.assignBlame(j, h)
 	ft.log.Info("task failed", "task", a.Name.String(), "host", h.Name, "on_host", j.Failures.ByHost[h.Name],
 		"hosts", len(j.Failures.ByHost), "suspect", j.Failures.Suspect)
--- a/internal/controller/rollout_checks.go
+++ b/internal/controller/rollout_checks.go
@@ -32,8 +32,8 @@
 // checkInstance has an instance checked. The leader checks last: its time is for what nobody
 // else can do, and a check by another controller costs it a frame.
 func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
-	excluded := make(map[string]bool, len(e.Not))
-	for _, name := range e.Not {
+	excluded := make(map[string]bool, len(e.Except))
+	for _, name := range e.Except {
 		excluded[name] = true
 	}
 	self := rd.platform.ControllerName
@@ -76,15 +76,15 @@
 
 // onChecked takes the result of a check that a controller made.
 func (rd *rolloutDriver) onChecked(t *leaderTerm, id uint64, by string, status int, body []byte) {
-	result := rollout.Checked{ID: id, By: by}
+	result := rollout.Checked{ID: id, Controller: by}
 	switch {
 	case status == statusNotChecked:
 	case status >= http.StatusOK && status < http.StatusMultipleChoices:
 		result.Made, result.OK = true, true
 	case status == statusNoAnswer:
-		result.Made, result.Why = true, string(body[:min(len(body), maxCheckReason)])
+		result.Made, result.Failure = true, string(body[:min(len(body), maxCheckReason)])
 	default:
-		result.Made, result.Why = true, "status "+strconv.Itoa(status)
+		result.Made, result.Failure = true, "status "+strconv.Itoa(status)
 	}
 	rd.finishCheck(t, result)
 }
--- a/internal/controller/rollout_driver.go
+++ b/internal/controller/rollout_driver.go
@@ -62,9 +62,9 @@
 	if j == nil {
 		return rollout.Job{}
 	}
-	job := rollout.Job{Life: rollout.Live, Settled: j.NoActiveAttempts(), Service: j.Spec.Kind == protocol.Service, Spec: j.Spec}
+	job := rollout.Job{State: rollout.JobLive, Settled: j.NoActiveAttempts(), Service: j.Spec.Kind == protocol.Service, Spec: j.Spec}
 	if j.State != state.JobActive && j.State != state.JobBlocked {
-		job.Life = rollout.Cancelled
+		job.State = rollout.JobCancelled
 	}
 	if each != nil {
 		for k := range j.Tasks {
@@ -81,7 +81,7 @@
 	if a == nil {
 		return i
 	}
-	i.Unheard = a.Adopted && a.State == state.AttemptLaunched && !a.Host.Reconciled
+	i.Unconfirmed = a.Adopted && a.State == state.AttemptLaunched && !a.Host.Reconciled
 	if a.State == state.AttemptRunning && !a.StopRequested {
 		i.Running, i.Attempt = true, a.Name.Number
 		i.IP, _, _ = net.SplitHostPort(a.Host.Addr)
@@ -125,17 +125,17 @@
 		})
 	case rollout.Check:
 		rd.checkInstance(t, e)
-	case rollout.Answer:
+	case rollout.Reply:
 		if to, ok := rd.operatorCalls[e.To]; ok {
 			delete(rd.operatorCalls, e.To)
 			rd.reply(to, e.Status, e.Body)
 		}
-	case rollout.Moved:
+	case rollout.StateChanged:
 		rd.log.Info("roll-out", "service", e.Service, "id", e.ID, "from", e.From.String(), "to", e.To.String(), "reason", e.Reason)
 		if e.Text != "" {
 			rd.log.Info(e.Text)
 		}
-	case rollout.Disputed:
+	case rollout.CheckDisputed:
 		rd.log.Info("check disputed", "by", e.By, "against", e.Against)
 		rd.stats.DisputedChecks++
 		t.rollouts.checkBackoffUntil[e.Against] = rd.now.Steady + checkBackoff
@@ -154,7 +154,7 @@
 	rd.callInternally(request, func(status int, body []byte) {
 		s := rollout.Submitted{Ref: spec.Ref, Status: status, Phase: protocol.Phase(fastjson.GetString(body, "phase"))}
 		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity {
-			s.Why = fastjson.GetString(body, "error")
+			s.Refusal = fastjson.GetString(body, "error")
 		}
 		rd.step(s)
 	})
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -67,7 +67,7 @@
 	job.Image = "web:1"
 	old.Job = &job
 	return &rollout.Record{
-		Service: "web", State: rollout.Paused, From: rollout.Promoting, Reason: "asked", Stage: 1, Made: 3, Changes: 9, OldCount: 6,
+		Service: "web", State: rollout.Paused, PausedIn: rollout.Promoting, Reason: "asked", Stage: 1, JobsMade: 3, Changes: 9, OldCount: 6,
 		Old: rollout.Version{Hash: rollout.VersionOf(old.Job), Spec: &old, Batches: []rollout.Batch{{Ref: "req-000012", Tasks: 4, Leaving: true}}},
 		New: rollout.Version{Hash: rollout.VersionOf(spec.Job), Spec: spec, Batches: []rollout.Batch{{Ref: "req-01234567890123456789", Tasks: 2}}},
 	}
--- a/internal/rollout/address.go
+++ b/internal/rollout/address.go
@@ -13,9 +13,9 @@
 	"mapleslip/internal/protocol"
 )
 
-// Place is what the template of an address may use: where an instance is, and what
+// InstanceData is what the template of an address may use: where an instance is, and what
 // the instance knows of itself as well.
-type Place struct {
+type InstanceData struct {
 	IP      string // of the machine
 	Job     string // the batch's name
 	Number  uint64 // its digits; of longer names the last 18
@@ -25,7 +25,7 @@
 	Version string
 }
 
-var funcs = template.FuncMap{
+var templateFuncs = template.FuncMap{
 	"add": func(a, b any) (int64, error) { return arith(a, b, func(x, y int64) int64 { return x + y }) },
 	"mul": func(a, b any) (int64, error) { return arith(a, b, func(x, y int64) int64 { return x * y }) },
 	"mod": func(a, b any) (int64, error) {
@@ -54,10 +54,10 @@
 	return f(x, y), errors.Join(err, err2)
 }
 
-// compile reads a template. Only fields and the arithmetic are taken: a loop in a
-// template, or one template that names another, could hold up the leader.
-func compile(name, text string) (*template.Template, error) {
-	t, err := template.New(name).Funcs(funcs).Option("missingkey=error").Parse(text)
+// compileTemplate reads a template. Only fields and the arithmetic are taken: a loop in a template,
+// or one template that names another, could hold up the leader.
+func compileTemplate(name, text string) (*template.Template, error) {
+	t, err := template.New(name).Funcs(templateFuncs).Option("missingkey=error").Parse(text)
 	if err != nil {
 		return nil, errors.New(strings.TrimPrefix(err.Error(), "template: "))
 	}
@@ -68,7 +68,7 @@
 		switch n := n.(type) {
 		case *parse.TextNode:
 		case *parse.ActionNode:
-			if err := plain(n.Pipe); err != nil {
+			if err := checkPipe(n.Pipe); err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
 		default:
@@ -78,8 +78,8 @@
 	return t, nil
 }
 
-// plain checks that an action is made of fields, numbers and the functions above.
-func plain(p *parse.PipeNode) error {
+// checkPipe checks that an action is made of fields, numbers and the functions above.
+func checkPipe(p *parse.PipeNode) error {
 	if len(p.Decl) > 0 {
 		return errors.New("no variables may be declared")
 	}
@@ -88,11 +88,11 @@
 			switch a := arg.(type) {
 			case *parse.FieldNode, *parse.NumberNode:
 			case *parse.IdentifierNode:
-				if funcs[a.Ident] == nil {
+				if templateFuncs[a.Ident] == nil {
 					return fmt.Errorf("%s may not be used", a.Ident)
 				}
 			case *parse.PipeNode:
-				if err := plain(a); err != nil {
+				if err := checkPipe(a); err != nil {
 					return err
 				}
 			default:
@@ -105,31 +105,31 @@
 
 // target makes the addresses of a version's instances.
 type target struct {
-	spec     *protocol.HealthCheck
-	at, path *template.Template
+	spec          *protocol.HealthCheck
+	address, path *template.Template
 }
 
 // newTarget compiles a check, and tries it.
 func newTarget(h *protocol.HealthCheck) (*target, error) {
 	t := &target{spec: h}
 	var err error
-	if t.at, err = compile("check.at", h.AddressTemplate); err != nil {
+	if t.address, err = compileTemplate("check.at", h.AddressTemplate); err != nil {
 		return nil, err
 	}
 	if h.Kind == protocol.CheckHTTP {
-		if t.path, err = compile("check.path", h.Path); err != nil {
+		if t.path, err = compileTemplate("check.path", h.Path); err != nil {
 			return nil, err
 		}
 	}
-	if _, _, err := t.of(Place{IP: "127.0.0.1", Job: "req-000000", Service: "s", Version: "0"}); err != nil {
+	if _, _, err := t.instanceAddress(InstanceData{IP: "127.0.0.1", Job: "req-000000", Service: "s", Version: "0"}); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// of makes an instance's address and path. The address has to be the machine's: a
-// check is no way to reach others by.
-func (t *target) of(p Place) (addr, path string, err error) {
+// instanceAddress makes an instance's address and path. The address has to be the machine's: a
+// awaitHealthy is no way to reach others by.
+func (t *target) instanceAddress(p InstanceData) (addr, path string, err error) {
 	fill := func(tm *template.Template) string {
 		var b bytes.Buffer
 		if e := tm.Execute(&b, p); e != nil && err == nil {
@@ -137,7 +137,7 @@
 		}
 		return b.String()
 	}
-	addr = fill(t.at)
+	addr = fill(t.address)
 	if t.path != nil {
 		path = fill(t.path)
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -18,8 +18,8 @@
 // Prefix is where the records of services are in the state service.
 const Prefix = "ro/"
 
-// form is the form of the records.
-const form = 1
+// formatVersion is the form of the records.
+const formatVersion = 1
 
 // Batch is a job with some of a version's instances.
 type Batch struct {
@@ -35,8 +35,8 @@
 	Batches []Batch
 }
 
-// live counts the instances that are asked for.
-func (v *Version) live() (n int) {
+// requestedInstances counts the instances that are asked for.
+func (v *Version) requestedInstances() (n int) {
 	for _, b := range v.Batches {
 		if !b.Leaving {
 			n += b.Tasks
@@ -48,20 +48,20 @@
 // Record is what is durable of a service: the version that serves, and the last
 // roll-out with its version.
 type Record struct {
-	Service  string
-	State    State
-	From     State // in which it was paused
-	Reason   string
-	Stage    int // index into the stages
-	Made     int // jobs made by this roll-out
-	Changes  int // of the record, in this roll-out
-	OldCount int // instances of the old version when it began
-	Forced   bool
-	Old, New Version
+	Service              string
+	State                State
+	PausedIn             State // in which it was paused
+	Reason               string
+	Stage                int // index into the stages
+	JobsMade             int // jobs made by this roll-out
+	Changes              int // of the record, in this roll-out
+	OldCount             int // instances of the old version when it began
+	IgnoreUnhealthyStart bool
+	Old, New             Version
 }
 
-// leaving counts the jobs that are to go.
-func (r *Record) leaving() (n int) {
+// leavingJobs counts the jobs that are to go.
+func (r *Record) leavingJobs() (n int) {
 	for _, v := range []*Version{&r.Old, &r.New} {
 		for _, b := range v.Batches {
 			if b.Leaving {
@@ -104,12 +104,12 @@
 // Encode writes a record. Batches are a text each, "number of the job:tasks", with
 // a "-" in front where they leave: a record has to hold some hundred of them.
 func (r *Record) Encode() []byte {
-	b := fmt.Appendf(nil, `{"form":%d,"service":`, form)
+	b := fmt.Appendf(nil, `{"form":%d,"service":`, formatVersion)
 	b = append(protocol.AppendQuoted(b, r.Service), `,"state":`...)
 	b = append(protocol.AppendQuoted(b, r.State.String()), `,"from":`...)
-	b = append(protocol.AppendQuoted(b, r.From.String()), `,"reason":`...)
+	b = append(protocol.AppendQuoted(b, r.PausedIn.String()), `,"reason":`...)
 	b = protocol.AppendQuoted(b, r.Reason)
-	b = fmt.Appendf(b, `,"stage":%d,"made":%d,"changes":%d,"oldCount":%d,"forced":%t`, r.Stage, r.Made, r.Changes, r.OldCount, r.Forced)
+	b = fmt.Appendf(b, `,"stage":%d,"made":%d,"changes":%d,"oldCount":%d,"forced":%t`, r.Stage, r.JobsMade, r.Changes, r.OldCount, r.IgnoreUnhealthyStart)
 	for _, part := range []struct {
 		name string
 		v    *Version
@@ -162,17 +162,17 @@
 	if err != nil {
 		return nil, errRecord
 	}
-	if v.Type() != fastjson.TypeObject || v.GetInt("form") != form {
+	if v.Type() != fastjson.TypeObject || v.GetInt("form") != formatVersion {
 		return nil, errors.New("record of a roll-out of an unknown form")
 	}
 	r := &Record{
-		Service: string(v.GetStringBytes("service")), Reason: string(v.GetStringBytes("reason")), Stage: v.GetInt("stage"), Made: v.GetInt("made"),
-		Changes: v.GetInt("changes"), OldCount: v.GetInt("oldCount"), Forced: v.GetBool("forced"),
+		Service: string(v.GetStringBytes("service")), Reason: string(v.GetStringBytes("reason")), Stage: v.GetInt("stage"), JobsMade: v.GetInt("made"),
+		Changes: v.GetInt("changes"), OldCount: v.GetInt("oldCount"), IgnoreUnhealthyStart: v.GetBool("forced"),
 	}
 	var ok, ok2 bool
 	r.State, ok = stateNamed(string(v.GetStringBytes("state")))
-	r.From, ok2 = stateNamed(string(v.GetStringBytes("from")))
-	if !ok || !ok2 || !protocol.ValidService(r.Service) || r.Stage < 0 || r.Made < 0 || r.OldCount < 0 {
+	r.PausedIn, ok2 = stateNamed(string(v.GetStringBytes("from")))
+	if !ok || !ok2 || !protocol.ValidService(r.Service) || r.Stage < 0 || r.JobsMade < 0 || r.OldCount < 0 {
 		return nil, errRecord
 	}
 	for _, part := range []struct {
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"text/template"
 
 	"mapleslip/internal/protocol"
@@ -13,178 +14,225 @@
 // CompileMessage reads the operators' template of a message. It may use .Service,
 // .ID, .From, .To and .Reason.
 func CompileMessage(text string) (*template.Template, error) {
-	t, err := compile("message", text)
+	t, err := compileTemplate("message", text)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.Execute(io.Discard, messageOf(Moved{})); err != nil {
+	if err := t.Execute(io.Discard, messageOf(StateChanged{})); err != nil {
 		return nil, errors.New("message: may use .Service, .ID, .From, .To and .Reason")
 	}
 	return t, nil
 }
 
-func (g *Manager) answer(to uint64, status int, body []byte) {
-	g.emit(Answer{To: to, Status: status, Body: body})
+// RequestError is why a request is refused, with its HTTP status.
+type RequestError struct {
+	Status  int
+	Problem string
 }
 
-func (g *Manager) problem(to uint64, status int, format string, args ...any) {
-	g.answer(to, status, protocol.ErrorBody(fmt.Sprintf(format, args...)))
+func (e *RequestError) Error() string { return e.Problem }
+
+func requestErrorf(status int, format string, args ...any) error {
+	return &RequestError{status, fmt.Sprintf(format, args...)}
 }
 
-func (g *Manager) request(e Request) {
-	m := g.services[e.Service]
-	if e.Op == List {
-		b := []byte(`{"rollouts":[`)
-		for _, name := range g.names() {
-			if m := g.services[name]; m.rec.State != Idle {
-				if b[len(b)-1] == '}' {
-					b = append(b, ',')
-				}
-				b = protocol.AppendRolloutStatus(b, g.status(m), false)
-			}
-		}
-		g.answer(e.To, 200, append(b, "]}"...))
-		return
-	}
-	if e.Op == Start {
-		g.start(e, m)
-		return
-	}
-	if m == nil || m.rec.State == Idle {
-		g.problem(e.To, 404, "no roll-out of such a service")
-		return
+func (m *Manager) reply(to uint64, status int, body []byte) {
+	m.emit(Reply{To: to, Status: status, Body: body})
+}
+
+// replyError answers that a request is refused. An error without a status is of the request.
+func (m *Manager) replyError(to uint64, err error) {
+	status := http.StatusBadRequest
+	var refused *RequestError
+	if errors.As(err, &refused) {
+		status = refused.Status
 	}
-	if e.Op == Show {
-		g.answerStatus(e.To, m, 200)
-		return
+	m.reply(to, status, protocol.ErrorBody(err.Error()))
+}
+
+// replyStatus answers how a service's roll-out stands.
+func (m *Manager) replyStatus(to uint64, sv *service, status int) {
+	m.reply(to, status, protocol.AppendRolloutStatus(nil, m.status(sv), true))
+}
+
+// replyOnceSaved answers how a roll-out stands once what is being written is durable.
+func (m *Manager) replyOnceSaved(to uint64, sv *service, status int) {
+	m.waiting[sv] = append(m.waiting[sv], func() { m.replyStatus(to, sv, status) })
+}
+
+// replyList answers with the roll-outs of all services.
+func (m *Manager) replyList(to uint64) {
+	b := []byte(`{"rollouts":[`)
+	for _, name := range m.names() {
+		sv := m.services[name]
+		if sv.record.State == Idle {
+			continue
+		}
+		if b[len(b)-1] == '}' {
+			b = append(b, ',')
+		}
+		b = protocol.AppendRolloutStatus(b, m.status(sv), false)
 	}
-	if m.next != nil {
+	m.reply(to, http.StatusOK, append(b, "]}"...))
+}
+
+// onRequest serves an operator's request.
+func (m *Manager) onRequest(e Request) {
+	sv := m.services[e.Service]
+	switch {
+	case e.Op == List:
+		m.replyList(e.To)
+	case e.Op == Start:
+		if sv != nil && m.replyIfRepeated(e, sv) {
+			return
+		}
+		if err := m.start(e, sv); err != nil {
+			m.replyError(e.To, err)
+		}
+	case sv == nil || sv.record.State == Idle:
+		m.replyError(e.To, requestErrorf(http.StatusNotFound, "no roll-out of such a service"))
+	case e.Op == Show:
+		m.replyStatus(e.To, sv, http.StatusOK)
+	case sv.pending != nil:
 		// What is being written comes first.
-		g.waiting[m] = append(g.waiting[m], func() { g.request(e) })
-		return
-	}
-	r := m.rec
-	if r.State.Ended() {
-		g.problem(e.To, 409, "the roll-out has ended: %s", r.State)
-		return
+		m.waiting[sv] = append(m.waiting[sv], func() { m.onRequest(e) })
+	case sv.record.State.Ended():
+		m.replyError(e.To, requestErrorf(http.StatusConflict, "the roll-out has ended: %s", sv.record.State))
+	default:
+		m.steer(e, sv)
 	}
+}
+
+// byCommand is the reason for a change of state that an operator asked for.
+const byCommand = "by command"
+
+// steer pauses, resumes or reverts a roll-out.
+func (m *Manager) steer(e Request, sv *service) {
+	r := sv.record
 	n := r.clone()
 	switch {
 	case e.Op == Pause && r.State != Paused:
-		n.to(Paused, "by command")
+		n.setState(Paused, byCommand)
 	case e.Op == Resume && r.State == Paused:
-		n.Forced = n.Forced || r.From == Planned
-		n.to(r.From, "")
-		// What was wrong may have been mended: instances have to show it anew.
-		m.anew(g.now)
-		for _, i := range m.instances {
-			i.restart(g.now, Instance{Index: i.index, Running: i.running, Attempt: i.attempt, IP: i.ip})
+		n.IgnoreUnhealthyStart = n.IgnoreUnhealthyStart || r.PausedIn == Planned
+		n.setState(r.PausedIn, "")
+		// What was wrong may have been repaired: instances have to show it anew.
+		sv.reset(m.now)
+		for _, i := range sv.instances {
+			i.restart(m.now, Instance{Index: i.index, Running: i.running, Attempt: i.attempt, IP: i.ip})
 		}
 	case e.Op == Revert && r.State != Reverting:
-		n.to(Reverting, "by command")
-		m.progress, m.clock = g.now, g.now
+		n.setState(Reverting, byCommand)
+		sv.progressAt, sv.timeoutsFrom = m.now, m.now
 	default: // it is so already
-		g.answerStatus(e.To, m, 200)
+		m.replyStatus(e.To, sv, http.StatusOK)
 		return
 	}
-	g.save(m, n)
-	g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, 200) })
+	m.save(sv, n)
+	m.replyOnceSaved(e.To, sv, http.StatusOK)
+}
+
+// replyIfRepeated answers a request that repeats the last one of the service. It reports whether
+// it did.
+func (m *Manager) replyIfRepeated(e Request, sv *service) bool {
+	last := sv.newest().New.Spec
+	if last == nil || last.ID != e.Spec.ID {
+		return false
+	}
+	if sv.pending != nil {
+		m.replyOnceSaved(e.To, sv, http.StatusOK)
+	} else {
+		m.replyStatus(e.To, sv, http.StatusOK)
+	}
+	return true
 }
 
-func (g *Manager) answerStatus(to uint64, m *machine, status int) {
-	g.answer(to, status, protocol.AppendRolloutStatus(nil, g.status(m), true))
+// start begins a roll-out.
+func (m *Manager) start(e Request, sv *service) error {
+	r, err := m.newRollout(e.Spec, sv)
+	if err != nil {
+		return err
+	}
+	if sv == nil {
+		sv, err = newService(&Record{Service: e.Spec.Service, State: Idle}, m.now)
+		if err != nil {
+			panic(err) // there is nothing in it to be wrong
+		}
+		m.services[e.Spec.Service] = sv
+	}
+	// Nothing of an earlier roll-out counts for this one.
+	sv.reset(m.now)
+	sv.dropInstances()
+	m.save(sv, r)
+	m.replyOnceSaved(e.To, sv, http.StatusCreated)
+	return nil
 }
 
-// start begins a roll-out. A request that is repeated finds the one it began.
-func (g *Manager) start(e Request, m *machine) {
-	s := e.Spec
-	if m != nil && g.answerIfBusy(e, m) {
-		return
+// newRollout makes the record of a roll-out, if it can be done.
+func (m *Manager) newRollout(s *protocol.RolloutSpec, sv *service) (*Record, error) {
+	if err := checkNotBusy(sv); err != nil {
+		return nil, err
 	}
 	if _, err := newTarget(&s.Check); err != nil {
-		g.problem(e.To, 400, "%s", err)
-		return
+		return nil, err
 	}
 	r := &Record{Service: s.Service, State: Idle}
-	if m != nil {
-		r = m.rec.clone()
-	} else if len(g.services) >= g.set.Services {
-		g.problem(e.To, 422, "there are roll-outs of %d services already, which is what the operators allow", len(g.services))
-		return
+	if sv != nil {
+		r = sv.record.clone()
+	} else if len(m.services) >= m.settings.MaxServices {
+		return nil, requestErrorf(http.StatusUnprocessableEntity, "there are roll-outs of %d services already, which is what the operators allow", len(m.services))
 	}
-	if r.Old.live() == 0 {
+	if r.Old.requestedInstances() == 0 {
 		r.Old = Version{}
 	}
 	if len(s.AdoptJobs) > 0 {
-		old, status, why := g.adopt(s, r)
-		if why != "" {
-			g.problem(e.To, status, "adopt: %s", why)
-			return
+		old, err := m.adopt(s, r)
+		if err != nil {
+			return nil, err
 		}
 		r.Old = *old
 	}
 	r.New = Version{Hash: VersionOf(s.Job), Spec: s}
-	r.OldCount = r.Old.live()
-	if why := g.impossible(r); why != "" {
-		g.problem(e.To, 422, "%s", why)
-		return
-	}
-	r.Stage, r.Made, r.Changes, r.Forced = 0, 0, 0, false
-	r.to(Planned, "")
-	if m == nil {
-		var err error
-		if m, err = newMachine(&Record{Service: s.Service, State: Idle}, g.now); err != nil {
-			panic(err) // there is nothing in it to be wrong
-		}
-		g.services[s.Service] = m
+	r.OldCount = r.Old.requestedInstances()
+	if err := m.checkFeasible(r); err != nil {
+		return nil, err
 	}
-	// Nothing of an earlier roll-out counts for this one.
-	m.anew(g.now)
-	m.forget()
-	g.save(m, r)
-	g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, 201) })
+	r.Stage, r.JobsMade, r.Changes, r.IgnoreUnhealthyStart = 0, 0, 0, false
+	r.setState(Planned, "")
+	return r, nil
 }
 
-// answerIfBusy answers a request that repeats one, or comes while another roll-out of the service
-// goes on. It reports whether it did.
-func (g *Manager) answerIfBusy(e Request, m *machine) bool {
-	now := m.rec
-	if m.next != nil {
-		now = m.next
-	}
-	repeated := now.New.Spec != nil && now.New.Spec.ID == e.Spec.ID
+// checkNotBusy returns an error while a roll-out of a service goes on.
+func checkNotBusy(sv *service) error {
 	switch {
-	case repeated && m.next != nil:
-		g.waiting[m] = append(g.waiting[m], func() { g.answerStatus(e.To, m, http.StatusOK) })
-	case repeated:
-		g.answerStatus(e.To, m, http.StatusOK)
-	case !m.rec.State.Ended() || m.next != nil:
-		g.problem(e.To, http.StatusConflict, "roll-out %s of this service is %s", now.New.Spec.ID, now.State)
-	case m.active():
-		g.problem(e.To, http.StatusConflict, "instances of the last roll-out are still being taken away")
-	default:
-		return false
+	case sv == nil:
+		return nil
+	case !sv.record.State.Ended() || sv.pending != nil:
+		now := sv.newest()
+		return requestErrorf(http.StatusConflict, "roll-out %s of this service is %s", now.New.Spec.ID, now.State)
+	case sv.needsWork():
+		return requestErrorf(http.StatusConflict, "instances of the last roll-out are still being taken away")
 	}
-	return true
+	return nil
 }
 
-// adopt makes the version before of jobs that users submitted.
-func (g *Manager) adopt(s *protocol.RolloutSpec, r *Record) (*Version, int, string) {
+// adopt makes the old version of jobs that users submitted.
+func (m *Manager) adopt(s *protocol.RolloutSpec, r *Record) (*Version, error) {
 	if r.Old.Spec != nil {
-		return nil, 409, "the service has a version that a roll-out made"
+		return nil, requestErrorf(http.StatusConflict, "adopt: the service has a version that a roll-out made")
 	}
 	v := &Version{}
 	for _, ref := range s.AdoptJobs {
-		job := g.fleet.Job(ref, nil)
+		job := m.jobs.Job(ref, nil)
 		switch {
-		case job.Life != Live:
-			return nil, 422, ref + " is no job that runs"
+		case job.State != JobLive:
+			return nil, requestErrorf(http.StatusUnprocessableEntity, "adopt: %s is no job that runs", ref)
 		case !job.Service:
-			return nil, 422, ref + " is no service"
-		case g.owners[ref] != nil:
-			return nil, 409, ref + " is of service " + g.owners[ref].rec.Service
+			return nil, requestErrorf(http.StatusUnprocessableEntity, "adopt: %s is no service", ref)
+		case m.owners[ref] != nil:
+			return nil, requestErrorf(http.StatusConflict, "adopt: %s is of service %s", ref, m.owners[ref].record.Service)
 		case v.Spec != nil && VersionOf(job.Spec) != v.Hash:
-			return nil, 422, ref + " differs from " + s.AdoptJobs[0]
+			return nil, requestErrorf(http.StatusUnprocessableEntity, "adopt: %s differs from %s", ref, s.AdoptJobs[0])
 		}
 		if v.Spec == nil {
 			spec, old := *s, *job.Spec
@@ -192,72 +240,47 @@
 			spec.ID, spec.Job, spec.AdoptJobs = "adopted", &old, nil
 			v.Spec, v.Hash = &spec, VersionOf(&old)
 		}
-		for _, b := range v.Batches {
-			if b.Ref == ref {
-				return nil, 422, ref + " is named twice"
-			}
+		if slices.ContainsFunc(v.Batches, func(b Batch) bool { return b.Ref == ref }) {
+			return nil, requestErrorf(http.StatusUnprocessableEntity, "adopt: %s is named twice", ref)
 		}
 		v.Batches = append(v.Batches, Batch{Ref: ref, Tasks: job.Spec.Tasks})
 	}
-	return v, 0, ""
+	return v, nil
 }
 
-// impossible says why a roll-out can't be done without fewer healthy instances
-// than its floor at some time, or nothing.
-func (g *Manager) impossible(r *Record) string {
+// recordBytesPerJob is what a job takes of a record, at most.
+const recordBytesPerJob = 24
+
+// checkFeasible returns an error if a roll-out can't be done without fewer healthy instances than
+// its floor at some time.
+func (m *Manager) checkFeasible(r *Record) error {
+	infeasible := func(format string, args ...any) error {
+		return requestErrorf(http.StatusUnprocessableEntity, format, args...)
+	}
 	s := r.New.Spec
 	if s.MinHealthy > s.Count {
-		return fmt.Sprintf("floor: %d of %d instances can't be healthy", s.MinHealthy, s.Count)
+		return infeasible("floor: %d of %d instances can't be healthy", s.MinHealthy, s.Count)
 	}
 	if r.OldCount > 0 {
 		if s.MinHealthy > r.OldCount {
-			return fmt.Sprintf("floor: the service has %d instances, %d can't be healthy", r.OldCount, s.MinHealthy)
+			return infeasible("floor: the service has %d instances, %d can't be healthy", r.OldCount, s.MinHealthy)
 		}
 		// What may be missing while a job goes: the surge, and what is above the floor.
 		slack := max(s.Count, r.OldCount) + s.MaxSurge - s.MinHealthy
 		if slack < 1 {
-			return "surge: none, and the floor is all instances: none could ever be replaced"
+			return infeasible("surge: none, and the floor is all instances: none could ever be replaced")
 		}
 		for _, b := range r.Old.Batches {
 			if b.Tasks > slack {
-				return fmt.Sprintf("surge: %s has %d instances, which go at once, and surge and floor leave %d", b.Ref, b.Tasks, slack)
+				return infeasible("surge: %s has %d instances, which go at once, and surge and floor leave %d", b.Ref, b.Tasks, slack)
 			}
 		}
 	}
 	// A record names the jobs of both versions, and those that a reversal makes.
-	jobs := (s.Count+step(s)-1)/step(s) + len(r.Old.Batches) + (r.OldCount+step(s)-1)/step(s) + len(s.Stages)
-	if size := len(r.Encode()) + mostReason + 24*jobs; size > g.set.ValueBytes {
-		return fmt.Sprintf("surge: %d at a time make %d jobs, more than a record holds: raise surge or lower floor", step(s), jobs)
-	}
-	return ""
-}
-
-// status says how a service's roll-out stands.
-func (g *Manager) status(m *machine) *protocol.RolloutStatus {
-	r, s := m.rec, m.spec()
-	st := &protocol.RolloutStatus{
-		Service: r.Service, ID: s.ID, State: r.State.String(), Reason: r.Reason, Stage: r.Stage + 1, Stages: s.Stages,
-		Count: s.Count, Floor: s.MinHealthy, Surge: s.MaxSurge, Changes: r.Changes,
-	}
-	if r.State == Paused {
-		st.Reason = fmt.Sprintf("in %s: %s", r.From, r.Reason)
-	}
-	of := func(v *Version, t tally) protocol.VersionStatus {
-		o := protocol.VersionStatus{Version: v.Hash, Instances: v.live()}
-		if !r.State.Ended() {
-			o.Running, o.Healthy, o.Failing = t.running, t.healthy, t.failing
-		}
-		for _, b := range v.Batches {
-			if !b.Leaving {
-				o.Jobs = append(o.Jobs, b.Ref)
-			}
-		}
-		return o
-	}
-	st.Old, st.New = of(&r.Old, m.oldTally), of(&r.New, m.newTally)
-	if r.State == Done { // the new version is the one that serves
-		st.New, st.Old = st.Old, protocol.VersionStatus{}
+	size := batchSize(s)
+	jobs := (s.Count+size-1)/size + len(r.Old.Batches) + (r.OldCount+size-1)/size + len(s.Stages)
+	if len(r.Encode())+maxReasonBytes+recordBytesPerJob*jobs > m.settings.ValueBytes {
+		return infeasible("surge: %d at a time make %d jobs, more than a record holds: raise surge or lower floor", size, jobs)
 	}
-	st.New.Faulty = len(m.faults)
-	return st
+	return nil
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -37,7 +37,7 @@
 	room    int
 	placed  int
 	depends bool // what all instances need is away
-	answers map[uint64]Answer
+	answers map[uint64]Reply
 	made    map[string]string // what the instances of an image do
 	spec    *protocol.RolloutSpec
 	old     int // instances at the beginning
@@ -76,7 +76,7 @@
 
 func newWorld(t interface{ Fatalf(string, ...any) }, spec *protocol.RolloutSpec, old int, room int) *world {
 	w := &world{
-		t: t, spec: spec, room: room, old: old, blind: map[string]bool{}, jobs: map[string]*simJob{}, answers: map[uint64]Answer{},
+		t: t, spec: spec, room: room, old: old, blind: map[string]bool{}, jobs: map[string]*simJob{}, answers: map[uint64]Reply{},
 		made: map[string]string{}, cancels: map[string]bool{}, rng: rand.New(rand.NewPCG(uint64(old), uint64(room))),
 	}
 	if old > 0 {
@@ -87,7 +87,7 @@
 		rec := &Record{Service: spec.Service, State: Done, New: Version{Hash: VersionOf(&job), Spec: &was}}
 		rec.Old = Version{Hash: VersionOf(&job), Spec: &was}
 		for left := old; left > 0; {
-			n := min(left, step(spec))
+			n := min(left, batchSize(spec))
 			b := Batch{Ref: jobRef(spec.Service, "before", left), Tasks: n}
 			rec.Old.Batches = append(rec.Old.Batches, b)
 			w.enter(rec.Old.job(b))
@@ -124,7 +124,7 @@
 // lead has a new leader begin with what is durable.
 func (w *world) lead() {
 	w.life++
-	w.g = NewManager(Settings{ChecksPerS: 200, AtOnce: 50, Services: 3, ValueBytes: 8192, Others: len(nodes) - 1}, w, uint64(w.life))
+	w.g = NewManager(Settings{ChecksPerS: 200, MaxInFlight: 50, MaxServices: 3, ValueBytes: 8192, OtherControllers: len(nodes) - 1}, w, uint64(w.life))
 	if w.record != nil {
 		if err := w.g.Load(w.now, w.record); err != nil {
 			w.fatal("%v", err)
@@ -138,9 +138,9 @@
 	if j == nil {
 		return Job{}
 	}
-	out := Job{Life: Live, Service: true, Spec: j.spec, Settled: !slices.ContainsFunc(j.tasks, func(t *simTask) bool { return t.running })}
+	out := Job{State: JobLive, Service: true, Spec: j.spec, Settled: !slices.ContainsFunc(j.tasks, func(t *simTask) bool { return t.running })}
 	if j.cancelled {
-		out.Life = Cancelled
+		out.State = JobCancelled
 	}
 	for k, t := range j.tasks {
 		if each != nil && !j.cancelled {
@@ -225,9 +225,9 @@
 		w.stored(life, func() { tell(second/50, CancelDone{e.Ref, 200}) })
 	case Check:
 		w.check(life, e)
-	case Answer:
+	case Reply:
 		w.answers[e.To] = e
-	case Moved:
+	case StateChanged:
 		w.note("%s -> %s %s", e.From, e.To, e.Reason)
 		if e.To == Paused && e.Reason == "" {
 			w.fatal("paused without a reason")
@@ -245,7 +245,7 @@
 	w.seq++
 	by := ""
 	for k := range nodes {
-		if n := nodes[(w.seq+k)%len(nodes)]; !slices.Contains(e.Not, n) {
+		if n := nodes[(w.seq+k)%len(nodes)]; !slices.Contains(e.Except, n) {
 			by = n
 			break
 		}
@@ -269,7 +269,7 @@
 	}
 	w.after(took, func() {
 		if life == w.life {
-			w.step(Checked{ID: e.ID, Made: true, OK: ok, By: by, Why: why})
+			w.step(Checked{ID: e.ID, Made: true, OK: ok, Controller: by, Failure: why})
 		}
 	})
 }
@@ -336,7 +336,7 @@
 	w.after(second/2, func() { // the worker reports it, and it is placed anew
 		t.running, t.ready = false, w.now+2*second
 		if life == w.life {
-			w.step(Crashed{ref, k})
+			w.step(TaskFailed{ref, k})
 		}
 	})
 }
@@ -590,7 +590,7 @@
 			}
 		}
 		w.checkEnd(r)
-		if m := w.g.services["picker"]; m != nil && r.State.Ended() && !w.run(60*second, func() bool { return !m.active() }) {
+		if m := w.g.services["picker"]; m != nil && r.State.Ended() && !w.run(60*second, func() bool { return !m.needsWork() }) {
 			w.fatal("it is over and not over: %s", w.record)
 		}
 	})
@@ -628,7 +628,7 @@
 }
 
 func TestRecord(t *testing.T) {
-	r := &Record{Service: "picker", State: Paused, From: Soaking, Reason: `it "says"`, Stage: 1, Made: 3, Changes: 9, OldCount: 4, Forced: true}
+	r := &Record{Service: "picker", State: Paused, PausedIn: Soaking, Reason: `it "says"`, Stage: 1, JobsMade: 3, Changes: 9, OldCount: 4, IgnoreUnhealthyStart: true}
 	s := testSpec()
 	r.New = Version{Hash: VersionOf(s.Job), Spec: s, Batches: []Batch{{jobRef("picker", "r-1", 1), 2, false}, {"req-000123", 5, true}}}
 	again, err := Decode(r.Encode())
@@ -670,7 +670,7 @@
 		}
 		tg, err := newTarget(&protocol.HealthCheck{Kind: protocol.CheckTCP, AddressTemplate: text})
 		if err == nil {
-			got, _, err = tg.of(Place{IP: "10.0.0.9", Job: "req-000412", Number: 412, Index: 3})
+			got, _, err = tg.instanceAddress(InstanceData{IP: "10.0.0.9", Job: "req-000412", Number: 412, Index: 3})
 		}
 		if err != nil {
 			got = err.Error()
@@ -797,12 +797,12 @@
 	w.run(4*second, func() bool { return false })
 	w.ask(Start)
 	m := w.g.services["picker"]
-	if !w.run(60*second, func() bool { return m.next != nil && m.next.leaving() > 0 }) {
+	if !w.run(60*second, func() bool { return m.pending != nil && m.pending.leavingJobs() > 0 }) {
 		w.fatal("nothing was to go")
 	}
 	w.outage = true
 	gone := map[string]bool{}
-	for _, b := range m.next.Old.Batches {
+	for _, b := range m.pending.Old.Batches {
 		if t := w.jobs[b.Ref].tasks[0]; !b.Leaving && len(gone) < 2 {
 			gone[b.Ref] = true
 			t.running, t.broken = false, w.now
@@ -828,7 +828,7 @@
 // than they were read.
 func FuzzDecode(f *testing.F) {
 	s := testSpec()
-	r := &Record{Service: "picker", State: Paused, From: Soaking, Reason: "why", Made: 3}
+	r := &Record{Service: "picker", State: Paused, PausedIn: Soaking, Reason: "why", JobsMade: 3}
 	r.New = Version{Hash: VersionOf(s.Job), Spec: s, Batches: []Batch{{jobRef("picker", "r-1", 1), 2, false}, {"req-000123", 5, true}}}
 	f.Add(r.Encode())
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -853,7 +853,7 @@
 	w.run(4*second, func() bool { return false })
 	w.ask(Start)
 	m := w.g.services["picker"]
-	if !w.run(60*second, func() bool { return m.rec.leaving() > 0 }) {
+	if !w.run(60*second, func() bool { return m.record.leavingJobs() > 0 }) {
 		w.fatal("nothing was to go")
 	}
 	for _, j := range w.jobs {
@@ -864,7 +864,7 @@
 			}
 		}
 	}
-	if !w.run(30*second, func() bool { return w.state().State == Failed && !m.active() }) {
+	if !w.run(30*second, func() bool { return w.state().State == Failed && !m.needsWork() }) {
 		w.fatal("not over: %s", w.record)
 	}
 	again := *w.spec
@@ -881,7 +881,7 @@
 type twoServices struct{}
 
 func (twoServices) Job(ref string, each func(Instance)) Job {
-	j := Job{Life: Live, Service: true, Spec: testSpec().Job}
+	j := Job{State: JobLive, Service: true, Spec: testSpec().Job}
 	if ref == "req-000001" {
 		j.Spec.Tasks = 200
 	} else {
@@ -898,14 +898,14 @@
 // All instances of one service hang, each for the longest time-out; the checks of
 // another service go on as if they did not.
 func TestHangingServiceHoldsUpNoOther(t *testing.T) {
-	g := NewManager(Settings{ChecksPerS: 20, AtOnce: 16, Services: 3, ValueBytes: 1 << 20}, twoServices{}, 1)
+	g := NewManager(Settings{ChecksPerS: 20, MaxInFlight: 16, MaxServices: 3, ValueBytes: 1 << 20}, twoServices{}, 1)
 	for k, service := range []string{"big", "small"} {
 		s := testSpec()
 		s.Service, s.Check.Timeout = service, 60*second
 		s.Count, s.MinHealthy, s.Stages = 2, 0, []int{2}
 		s.AdoptJobs = []string{fmt.Sprintf("req-00000%d", k+1)}
 		for _, e := range g.Step(0, Request{To: 1, Op: Start, Service: service, Spec: s}) {
-			if a, refused := e.(Answer); refused {
+			if a, refused := e.(Reply); refused {
 				t.Fatalf("%s", a.Body)
 			}
 		}
@@ -916,7 +916,7 @@
 		for id, ends := range hanging {
 			if ends <= now {
 				delete(hanging, id)
-				g.Step(now, Checked{ID: id, Made: true, By: "a", Why: "time-out"})
+				g.Step(now, Checked{ID: id, Made: true, Controller: "a", Failure: "time-out"})
 			}
 		}
 		for _, e := range g.Step(now, Tick{}) {
@@ -927,7 +927,7 @@
 				hanging[c.ID] = now + c.Timeout
 			default:
 				passed++
-				g.Step(now, Checked{ID: c.ID, Made: true, OK: true, By: "a"})
+				g.Step(now, Checked{ID: c.ID, Made: true, OK: true, Controller: "a"})
 			}
 		}
 	}
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -3,7 +3,7 @@
 import "mapleslip/internal/protocol"
 
 // Defaults are the settings used where the operators' file sets none.
-func Defaults() Settings { return Settings{ChecksPerS: 50, AtOnce: 64, Services: 32} }
+func Defaults() Settings { return Settings{ChecksPerS: 50, MaxInFlight: 64, MaxServices: 32} }
 
 // mostServices have to fit into one line of an answer, which is 64 KiB at most.
 const mostServices = 48
@@ -27,8 +27,8 @@
 	}
 	for _, err := range []error{
 		protocol.SetBounded("checks_per_s", f.ChecksPerS, &s.ChecksPerS, 1, 10_000),
-		protocol.SetBounded("checks_at_once", f.AtOnce, &s.AtOnce, 1, 4096),
-		protocol.SetBounded("services", f.Services, &s.Services, 1, mostServices),
+		protocol.SetBounded("checks_at_once", f.AtOnce, &s.MaxInFlight, 1, 4096),
+		protocol.SetBounded("services", f.Services, &s.MaxServices, 1, mostServices),
 	} {
 		if err != nil {
 			return s, err
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -44,7 +44,7 @@
 // forward reports whether a state leads to the new version.
 func (s State) forward() bool { return s <= Promoting }
 
-var moves = map[State][]State{
+var transitions = map[State][]State{
 	Planned:   {Staging, Paused, Reverting, Failed},
 	Staging:   {Checking, Paused, Reverting, Failed},
 	Checking:  {Soaking, Staging, Paused, Reverting, Failed},
@@ -58,13 +58,13 @@
 	Idle:      {Planned},
 }
 
-// to is the one place where a roll-out changes its state.
-func (r *Record) to(s State, reason string) {
-	if !slices.Contains(moves[r.State], s) {
+// setState is the one place where a roll-out changes its state.
+func (r *Record) setState(s State, reason string) {
+	if !slices.Contains(transitions[r.State], s) {
 		panic(fmt.Sprintf("roll-out %s: no way from %v to %v", r.Service, r.State, s))
 	}
 	if s == Paused {
-		r.From = r.State
+		r.PausedIn = r.State
 	}
 	r.State, r.Reason = s, reason
 }
--- a/internal/simulation/closelooks.go
+++ b/internal/simulation/closelooks.go
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// lookAt asks one controller about a job, and submits it again; what is cancelled is
+// observeVersion asks one controller about a job, and submits it again; what is cancelled is
 // cancelled again.
 func (w *World) lookAt(n *node, ref string) {
 	if !w.reachable(n) {
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -92,7 +92,7 @@
 	return names
 }
 
-// goOn plays more lines in a world whose trace was played.
+// advance plays more lines in a world whose trace was played.
 func (w *World) goOn(lines []timedLine) error {
 	for _, l := range lines {
 		w.Run(protocol.FromSeconds(l.at))
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -231,7 +231,7 @@
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
 			for range b.N {
 				w := NewWorld(3)
-				w.rollouts = &rollout.Settings{ChecksPerS: 50, AtOnce: 64, Services: 4}
+				w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 64, MaxServices: 4}
 				grownIn(b, w)
 				if count > 0 {
 					if err := w.actRollout(strings.Fields(fmt.Sprintf("rollout r-1 picker image=pick-2 size=0.1 gpus=0 count=%d floor=0 stages=%d soak=3600 healthy=600", count, count))); err != nil {
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -186,7 +186,7 @@
 	case "production": // production N: so many controllers run the version in production
 		return w.sceneProduction(words)
 	case "rollouts": // are on
-		w.rollouts = &rollout.Settings{ChecksPerS: 50, AtOnce: 20, Services: 4}
+		w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 20, MaxServices: 4}
 	default:
 		return fmt.Errorf("unknown word %s", words[0])
 	}
