--- a/internal/simulation/chains.go
+++ b/internal/simulation/dependencies.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -111,37 +112,38 @@
 	}
 }
 
-// actChains does what a line of a trace says of chains.
-func (w *World) actChains(words []string) error {
-	switch words[0] {
-	case "chain": // chain COUNT FIRST KIND ...: each awaits the one before and is submitted once that is accepted
-		count, err := strconv.Atoi(words[1])
-		first, err2 := strconv.Atoi(strings.TrimPrefix(words[2], "req-"))
-		if err != nil || err2 != nil {
-			return fmt.Errorf("chain COUNT FIRST KIND")
-		}
-		return w.submitChain(count, first, words[3:], nil)
-	case "submit-after": // as submit, once all that the job awaits is accepted; never if one was refused
-		return w.submitAfter(words)
-	case "cancel-known", "resubmit-known", "expect-over-known": // as without -known, if the job was submitted
-		j := w.jobs[words[1]]
-		switch {
-		case j == nil || !j.accepted:
-			return nil
-		case words[0] == "expect-over-known":
-			return w.expect([]string{"over", words[1]})
-		}
-		return w.act([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
-	case "resubmit": // resubmit REF: its user repeats the submission
-		j := w.jobs[words[1]]
-		if j == nil {
-			return fmt.Errorf("no such job")
-		}
-		j.status = 0
-		w.submit(j)
+// actChain: chain COUNT FIRST KIND ...: each depends on the one before and is submitted once that is
+// accepted.
+func (w *World) actChain(words []string) error {
+	count, err := strconv.Atoi(words[1])
+	first, err2 := strconv.Atoi(strings.TrimPrefix(words[2], "req-"))
+	if err != nil || err2 != nil {
+		return errors.New("chain COUNT FIRST KIND")
+	}
+	return w.submitChain(count, first, words[3:], nil)
+}
+
+// actIfKnown: a verb with -known: as without, if the job was submitted.
+func (w *World) actIfKnown(words []string) error {
+	j := w.jobs[words[1]]
+	switch {
+	case j == nil || !j.accepted:
 		return nil
+	case words[0] == "expect-over-known":
+		return w.expect([]string{"over", words[1]})
 	}
-	return fmt.Errorf("unknown word %s", words[0])
+	return w.act([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
+}
+
+// actResubmit: resubmit REF: its user repeats the submission.
+func (w *World) actResubmit(words []string) error {
+	j := w.jobs[words[1]]
+	if j == nil {
+		return errNoSuchJob
+	}
+	j.status = 0
+	w.submit(j)
+	return nil
 }
 
 // submitChain submits the next job of a chain and the others after it.
@@ -166,7 +168,7 @@
 	return w.submitChain(left-1, number+1, words, w.jobs[ref])
 }
 
-// submitAfter submits a job as soon as the jobs that it awaits are accepted.
+// submitAfter: submit-after REF KIND ...: submits a job as soon as the jobs that it awaits are accepted.
 func (w *World) submitAfter(words []string) error {
 	if len(words) < 3 {
 		return fmt.Errorf("submit-after REF KIND")
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/faults.go
@@ -14,7 +14,7 @@
 
 // troubles is what the stand-ins know of users who cancel many jobs at once, or each at
 // its very end, who send requests that must be refused, and of messages that reach the
-// next leader or a worker late. See meetings.go for the others.
+// next leader or a worker late. See late_messages.go for the others.
 type troubles struct {
 	lateCommands lateness // direct commands that are carried out later and never answered
 	keptReports  []keptReport
@@ -209,7 +209,7 @@
 	if n == nil {
 		return
 	}
-	nobody := func(int, []byte) {} // each answer is compared, see closelooks.go
+	nobody := func(int, []byte) {} // each answer is compared, see answer_comparison.go
 	if len(unfinished) > 0 {
 		w.request(n, "submit", string(unfinished[w.oddSent%len(unfinished)].body), nobody)
 	}
--- /dev/null
+++ b/internal/simulation/scene.go
@@ -0,0 +1,169 @@
+package simulation
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"mapleslip/internal/protocol"
+	"mapleslip/internal/rollout"
+)
+
+// sceneWords are the first words of lines that set the scene.
+var sceneWords = map[string]verb{
+	"nodes":       (*World).sceneNodes,
+	"team":        (*World).sceneTeam,
+	"type":        (*World).sceneType,
+	"machine":     (*World).sceneMachine,
+	"fleet":       (*World).sceneFleet,
+	"aim":         (*World).sceneObjective,
+	"record":      (*World).sceneRecord,
+	"workers":     (*World).sceneWorkers,
+	"operator":    (*World).sceneOperator,
+	"limits":      (*World).sceneLimits,
+	"connections": (*World).sceneConnections,
+	"capacity":    (*World).sceneCapacity,
+	"value-bytes": func(w *World, words []string) error { return setInt(&w.Platform.MaxValueBytes, words[1]) }, // that a value of the state service may take
+	"txn-changes": func(w *World, words []string) error { return setInt(&w.Platform.MaxTxnChanges, words[1]) }, // that a transaction of the state service may carry
+	"next":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
+	"no-capacity": func(w *World, _ []string) error { w.noCapacity = true; return nil },
+	"changes":     func(w *World, _ []string) error { w.judgeChanges(); return nil }, // of the configuration are on
+	"production":  (*World).sceneProduction,                                          // production N: so many controllers run the version in production
+	"rollouts":    (*World).sceneRollouts,
+}
+
+// scene does what a line without an instant says.
+func (w *World) scene(words []string) error {
+	set := sceneWords[words[0]]
+	if set == nil {
+		return fmt.Errorf("unknown word %s", words[0])
+	}
+	return set(w, words)
+}
+
+func setInt(to *int, word string) error {
+	n, err := strconv.Atoi(word)
+	if err == nil {
+		*to = n
+	}
+	return err
+}
+
+// sceneNodes: nodes 2 a b: so many controllers, and their zones.
+func (w *World) sceneNodes(words []string) error {
+	n, err := strconv.Atoi(words[1])
+	if err != nil || n < 1 || n > cap(w.nodes) {
+		return fmt.Errorf("one to %d nodes", cap(w.nodes))
+	}
+	w.nodes = w.nodes[:n]
+	for i, zone := range words[2:] {
+		if i < n {
+			w.nodes[i].zone = zone
+		}
+	}
+	return nil
+}
+
+// sceneTeam: team red gpus=4 max=6.
+func (w *World) sceneTeam(words []string) error {
+	o := options(words[2:])
+	w.Platform.Teams[words[1]] = protocol.Team{
+		Name:      words[1],
+		Guarantee: protocol.Resources{GPU: thousandths(number(o, "gpus", 0))},
+		Limit:     protocol.Resources{GPU: thousandths(number(o, "max", 0))},
+	}
+	return nil
+}
+
+// sceneType: type small cpus=8 gpus=2 mem=64 boot=10 fetch=1 zones=a,b.
+func (w *World) sceneType(words []string) error {
+	o := options(words[2:])
+	w.Types = append(w.Types, &protocol.MachineType{
+		Name: words[1],
+		Capacity: protocol.Resources{
+			CPU: thousandths(number(o, "cpus", 8)), GPU: thousandths(number(o, "gpus", 2)), Memory: thousandths(number(o, "mem", 64)),
+		},
+		CacheSize: thousandths(number(o, "cache", 100)), FetchRate: number(o, "fetch", 1) / 1000,
+		Price: number(o, "price", 1), SpotPrice: number(o, "price", 1) / 2,
+		BootTime: duration(o, "boot", 10), Zones: strings.Split(o["zones"], ","),
+	})
+	return nil
+}
+
+// sceneMachine: machine n-000001 small a [spot].
+func (w *World) sceneMachine(words []string) error {
+	m := w.addMachine(words[1], words[2], words[3], len(words) > 4 && words[4] == "spot")
+	if w.typeOf(m) == nil {
+		return fmt.Errorf("unknown type %s", words[2])
+	}
+	return nil
+}
+
+// sceneFleet: fleet 400 big a: so many machines.
+func (w *World) sceneFleet(words []string) error {
+	count, err := strconv.Atoi(words[1])
+	if err != nil {
+		return err
+	}
+	for range count {
+		w.addMachine(fmt.Sprintf("n-%06d", len(w.machines)+1), words[2], words[3], false)
+	}
+	return nil
+}
+
+// sceneObjective: aim wait CLASS within=15.
+func (w *World) sceneObjective(words []string) error {
+	o := options(words[3:])
+	w.Platform.Objectives = append(w.Platform.Objectives, protocol.Objective{Kind: words[1], Class: words[2], Within: duration(o, "within", 10)})
+	return nil
+}
+
+// sceneRecord: record KEY VALUE: is in the state service from the start.
+func (w *World) sceneRecord(words []string) error {
+	w.store.revision++
+	w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
+	return nil
+}
+
+// sceneWorkers: workers report=2.5 lease=16 cancel=46.
+func (w *World) sceneWorkers(words []string) error {
+	o, p := options(words[1:]), &w.Platform
+	p.HeartbeatInterval = duration(o, "report", p.HeartbeatInterval.Seconds())
+	p.WorkerLease = duration(o, "lease", p.WorkerLease.Seconds())
+	p.CancelTimeout = duration(o, "cancel", p.CancelTimeout.Seconds())
+	return nil
+}
+
+// sceneOperator: operator cut-keep=600: the operators' settings.
+func (w *World) sceneOperator(words []string) error {
+	w.Operator.PartitionRetention = duration(options(words[1:]), "cut-keep", 0)
+	return nil
+}
+
+// sceneLimits: limits changes=35: those of the state service are held.
+func (w *World) sceneLimits(words []string) error {
+	w.limited, w.Platform.StateWriteRate = true, number(options(words[1:]), "changes", 35)
+	return nil
+}
+
+// sceneConnections: connections peers=24: to other controllers are bounded.
+func (w *World) sceneConnections(words []string) error {
+	w.peerCalls = int(number(options(words[1:]), "peers", 24))
+	return nil
+}
+
+// sceneCapacity: capacity big/a=3 big/a/spot=1: the cloud has no more than this.
+func (w *World) sceneCapacity(words []string) error {
+	w.capacity = make(map[string]int)
+	o := options(words[1:])
+	for kind := range o {
+		w.capacity[kind] = int(number(o, kind, 0))
+	}
+	return nil
+}
+
+// sceneRollouts: rollouts: are on.
+func (w *World) sceneRollouts([]string) error {
+	w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 20, MaxServices: 4}
+	return nil
+}
--- /dev/null
+++ b/internal/simulation/user_verbs.go
@@ -0,0 +1,150 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/valyala/fastjson"
+)
+
+// userVerbs are what users do.
+func userVerbs() map[string]verb {
+	return map[string]verb{
+		"submit":            (*World).actSubmit,
+		"burst":             (*World).actBurst,
+		"submit-at":         (*World).actSubmitAt,
+		"submit-again":      func(w *World, words []string) error { w.submit(w.jobs[words[1]]); return nil },
+		"submit-after":      (*World).submitAfter,
+		"chain":             (*World).actChain,
+		"resubmit":          (*World).actResubmit,
+		"resubmit-known":    (*World).actIfKnown,
+		"cancel":            (*World).actCancel,
+		"cancel-known":      (*World).actIfKnown,
+		"expect-over-known": (*World).actIfKnown,
+		"cancel-once":       func(w *World, words []string) error { return w.cancelOnce(words[1]) },
+		"cancel-at":         (*World).actCancelAt,
+		"cancel-now":        (*World).actTrouble,
+		"cancel-at-end":     (*World).actTrouble,
+		"cancel-asked":      (*World).actTrouble,
+		"odd-requests":      (*World).actTrouble,
+		"ask-at":            (*World).actAskAt,
+		"ask-everywhere":    func(w *World, words []string) error { return w.askEverywhere(words[1]) },
+		"close-looks":       (*World).actCloseLooks,
+		"look":              (*World).actLook,
+		"storm":             (*World).actStorm,
+		"balance":           func(w *World, _ []string) error { w.sticks = true; return nil },
+		"count":             (*World).actCount,
+		"when":              (*World).actWhen,
+	}
+}
+
+// actBurst: burst COUNT FIRST KIND ...: as many jobs, numbered on from FIRST.
+func (w *World) actBurst(words []string) error {
+	count, err := strconv.Atoi(words[1])
+	first, err2 := strconv.Atoi(strings.TrimPrefix(words[2], "req-"))
+	if err != nil || err2 != nil {
+		return errors.New("burst COUNT FIRST")
+	}
+	for i := range count {
+		if err := w.actSubmit(append([]string{"submit", fmt.Sprintf("req-%06d", first+i)}, words[3:]...)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// actSubmitAt: submit-at NODE REF KIND ...: the user's connection is to that node.
+func (w *World) actSubmitAt(words []string) error {
+	w.userNode = w.nodeNamed(words[1])
+	if w.userNode == nil {
+		return errNoSuchNode
+	}
+	defer func() { w.userNode = nil }()
+	return w.actSubmit(words[1:])
+}
+
+// actCancel: cancel REF.
+func (w *World) actCancel(words []string) error {
+	j := w.jobs[words[1]]
+	if j == nil {
+		return errNoSuchJob
+	}
+	w.cancel(j)
+	return nil
+}
+
+// actAskAt: ask-at NODE REF: one question.
+func (w *World) actAskAt(words []string) error {
+	n := w.nodeNamed(words[1])
+	if n == nil {
+		return errNoSuchNode
+	}
+	w.request(n, "query", words[2], func(int, []byte) {})
+	return nil
+}
+
+// actStorm: storm COUNT: so many questions at once, to one node after another, about all jobs and
+// as many that nobody submitted.
+func (w *World) actStorm(words []string) error {
+	count, err := strconv.Atoi(words[1])
+	if err != nil {
+		return err
+	}
+	w.storm(count)
+	return nil
+}
+
+// actCount: from here on changes written, workers asked and users without an answer are counted.
+func (w *World) actCount([]string) error {
+	w.written, w.asked, w.led = w.store.written, w.questions, w.leaders
+	w.unanswered = 0
+	w.countWaiting()
+	for _, j := range w.jobs {
+		j.answeredAt = w.now
+	}
+	return nil
+}
+
+// askEverywhere has a job's user ask about it and repeat its submission at all controllers
+// at once: ask-everywhere REF. Nobody may then be told anything older than what was told
+// before the question left, nor that there is no such job.
+func (w *World) askEverywhere(ref string) error {
+	j := w.jobs[ref]
+	if j == nil {
+		return fmt.Errorf("no such job")
+	}
+	for _, n := range w.nodes {
+		if !w.reachable(n) {
+			continue
+		}
+		asked := w.now
+		take := func(status int, body []byte) {
+			switch {
+			case j.accepted && (status == 404 || status == 400 || status == 422):
+				w.broken("forgotten: %s got %d", ref, status)
+			case (status == 200 || status == 201) && (j.toldAt == 0 || j.toldAt <= asked):
+				w.heard(j, fastjson.GetString(body, "phase"))
+			}
+		}
+		w.request(n, "query", ref, take)
+		w.request(n, "submit", string(j.body), take)
+	}
+	return nil
+}
+
+// cancelOnce is a user who asks to cancel and gives up at once: cancel-once REF.
+func (w *World) cancelOnce(ref string) error {
+	j, n := w.jobs[ref], w.upNode()
+	if j == nil || n == nil {
+		return fmt.Errorf("no such job, or no node")
+	}
+	j.asked = true
+	w.request(n, "cancel", ref, func(status int, body []byte) {
+		if status == 200 {
+			w.heard(j, fastjson.GetString(body, "phase"))
+		}
+	})
+	return nil
+}
