--- a/internal/controller/dependency_graph.go
+++ b/internal/controller/dependency_graph.go
@@ -8,11 +8,11 @@
 	"mapleslip/internal/state"
 )
 
-// dependencyGraph is what a leader knows of jobs that depend on others. A job that depends on
-// others is blocked until each of them is known to be durably done, and is no part of any plan
-// until then. Once one of them is durably cancelled, so is the job: every reader of the records
-// comes to the same conclusion, and its own final record follows when there is room for it.
-// Nothing else has to be written, or to be written in time, for that to hold.
+// dependencyGraph tracks the dependencies between a leader's jobs. A job that depends on others is
+// blocked until each of them is known to be durably done, and is not scheduled before. Once one of
+// them is durably cancelled, so is the job: every reader of the records comes to the same
+// conclusion, and the job's own final record is written later, when the write rate allows. No
+// other write, and no deadline for one, is needed for this to hold.
 type dependencyGraph struct {
 	*termContext
 	catalog   *machineCatalog
@@ -22,14 +22,14 @@
 	workload  *workload
 
 	dependents            map[string][]*state.Job // blocked jobs, by each of their unmet dependencies
-	pendingLookups        []string                // dependencies that this leader has to look up
-	lookupRequested       map[string]bool         // those, and the ones that are being looked up
+	pendingLookups        []string                // dependencies whose lookup has not started
+	lookupRequested       map[string]bool         // those, and the ones whose lookup has started
 	lookupsInFlight       int
-	cancelledByDependency []*state.Job        // whose final records are not on their way yet
-	finalWritesInFlight   map[*state.Job]bool // jobs cancelled by a dependency whose final records are
+	cancelledByDependency []*state.Job        // jobs whose final records are not in flight yet
+	finalWritesInFlight   map[*state.Job]bool // jobs whose final records are in flight
 }
 
-// Bounds of what the graph does at once: others wait for the state service as well.
+// Limits on concurrent lookups and writes, since other requests share the state service's rate.
 const (
 	maxDependencyLookups    = 16
 	maxDependentFinalWrites = 8
@@ -43,13 +43,14 @@
 	}
 }
 
-// linkDependencies adds a job that was added to the cluster state.
+// linkDependencies links a job that was added to the cluster state to its dependencies, and to the
+// jobs that depend on it.
 func (g *dependencyGraph) linkDependencies(j *state.Job) {
 	j.EligibleAt = j.Submitted
 	if len(j.Dependencies.Unmet) > 0 {
 		g.resolveDependencies(j)
 	}
-	// Jobs that depend on it may have been added before.
+	// Jobs that depend on j may have been added before j.
 	for _, d := range g.dependents[j.Spec.Ref] {
 		g.inheritPriority(d, j)
 		if isDurablyCancelled(j) {
@@ -60,12 +61,13 @@
 	}
 }
 
-// isDurablyCancelled reports whether a job of the cluster state is known to be cancelled.
+// isDurablyCancelled reports whether a job in the cluster state is known to be durably cancelled.
 func isDurablyCancelled(j *state.Job) bool {
 	return j.Dependencies.Cancelled || j.State == state.JobCancelledLegacy
 }
 
-// resolveDependencies finds out how the jobs stand that a job depends on.
+// resolveDependencies determines the state of a job's dependencies: it makes the job eligible,
+// cancels it, or leaves it blocked and requests the lookups that are needed.
 func (g *dependencyGraph) resolveDependencies(j *state.Job) {
 	cancelled := false
 	j.Dependencies.Unmet = slices.DeleteFunc(j.Dependencies.Unmet, func(ref string) bool {
@@ -95,10 +97,10 @@
 	}
 }
 
-// makeEligible lets a job start whose dependencies are all durably done.
+// makeEligible unblocks a job whose dependencies are all durably done.
 func (g *dependencyGraph) makeEligible(j *state.Job) {
 	if j.State != state.JobBlocked {
-		return // its user asked to cancel it
+		return // it is being cancelled
 	}
 	j.SetState(state.JobActive)
 	j.EligibleAt = g.now.Steady
@@ -109,9 +111,9 @@
 	g.log.Debug("job is eligible", "ref", j.Spec.Ref)
 }
 
-// onTaskLaunched notes that a task of a job was launched, by an earlier leader if the job is
-// still blocked here. No leader launches before it knows that all dependencies are durably
-// done, and that never changes.
+// onTaskLaunched unblocks a job of which a task was launched, by an earlier leader if the job is
+// still blocked here. A leader launches a job only after all its dependencies are known to be
+// durably done, and a job that is durably done remains so.
 func (g *dependencyGraph) onTaskLaunched(j *state.Job) {
 	if j.State != state.JobBlocked {
 		return
@@ -123,7 +125,7 @@
 	}
 }
 
-// onDependencyFinished tells the jobs that depend on a job that it is durably over.
+// onDependencyFinished updates the jobs that depend on a job whose final record is durable.
 func (g *dependencyGraph) onDependencyFinished(ref string, phase protocol.Phase) {
 	dependents := g.dependents[ref]
 	delete(g.dependents, ref)
@@ -140,10 +142,10 @@
 	}
 }
 
-// cancelWithDependents cancels a job of which a dependency is durably cancelled, and all that
+// cancelWithDependents cancels a job that has a durably cancelled dependency, and all jobs that
 // depend on it.
-func (g *dependencyGraph) cancelWithDependents(first *state.Job) {
-	for pending := []*state.Job{first}; len(pending) > 0; {
+func (g *dependencyGraph) cancelWithDependents(root *state.Job) {
+	for pending := []*state.Job{root}; len(pending) > 0; {
 		j := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		if j.Dependencies.Cancelled || j.State != state.JobBlocked && j.State != state.JobCancelling {
@@ -165,11 +167,11 @@
 	}
 }
 
-// updateUncertainty finds out whether a blocked job may be durably cancelled without this
-// leader knowing it, and the same for those that depend on it. It is so while the final record
-// of a job before it is on its way, or is still to be read.
-func (g *dependencyGraph) updateUncertainty(first *state.Job) {
-	for pending := []*state.Job{first}; len(pending) > 0; {
+// updateUncertainty determines whether a blocked job may be durably cancelled without this leader
+// having the information, and does the same for the jobs that depend on it. This is the case while
+// the final record of a direct or indirect dependency is being written or has not been read.
+func (g *dependencyGraph) updateUncertainty(root *state.Job) {
+	for pending := []*state.Job{root}; len(pending) > 0; {
 		j := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		uncertain := !j.Dependencies.Cancelled && slices.ContainsFunc(j.Dependencies.Unmet, g.mayBeCancelled)
@@ -180,13 +182,15 @@
 	}
 }
 
-// mayBeCancelled reports whether a job may be durably cancelled without this leader knowing it.
+// mayBeCancelled reports whether a job may be durably cancelled without this leader having the
+// information.
 func (g *dependencyGraph) mayBeCancelled(ref string) bool {
 	j := g.cluster.Job(ref)
 	return j == nil || j.FinalWriteInFlight || j.Dependencies.Uncertain
 }
 
-// onFinalWriteStarted notes that the final record of a cancelled job is on its way.
+// onFinalWriteStarted marks the final record of a cancelled job as being written, and updates the
+// jobs that depend on it and the priorities of its dependencies.
 func (g *dependencyGraph) onFinalWriteStarted(j *state.Job) {
 	j.FinalWriteInFlight = true
 	g.revokeInheritedPriority(j)
@@ -195,7 +199,7 @@
 	}
 }
 
-// requestLookup has a job looked up that this leader does not know.
+// requestLookup queues the lookup of a dependency that this leader does not track.
 func (g *dependencyGraph) requestLookup(ref string) {
 	if !g.lookupRequested[ref] {
 		g.lookupRequested[ref] = true
@@ -203,8 +207,8 @@
 	}
 }
 
-// advance goes on with lookups, and with the final records of jobs that were cancelled with a
-// dependency.
+// advance starts queued lookups, and the writes of final records of jobs that were cancelled with
+// a dependency, up to their limits.
 func (g *dependencyGraph) advance() {
 	for g.lookupsInFlight < maxDependencyLookups && len(g.pendingLookups) > 0 {
 		ref := g.pendingLookups[0]
@@ -227,11 +231,11 @@
 	}
 }
 
-// lookUp reads how a job stands that this leader does not know.
+// lookUp reads the state of a dependency that this leader does not track.
 func (g *dependencyGraph) lookUp(ref string) {
 	if len(g.dependents[ref]) == 0 || g.cluster.Job(ref) != nil {
 		delete(g.lookupRequested, ref)
-		return // it is known meanwhile
+		return // the leader tracks it by now, or no blocked job depends on it
 	}
 	g.lookupsInFlight++
 	g.directory.findJob(priorityUrgent, ref, func(_ jobLookup, err error) {
@@ -240,7 +244,7 @@
 		}
 		g.lookupsInFlight--
 		if err == nil {
-			delete(g.lookupRequested, ref) // finding it told those that depend on it
+			delete(g.lookupRequested, ref) // findJob has updated the jobs that depend on it
 			return
 		}
 		if errors.Is(err, errJobNotFound) {
--- a/internal/controller/dependency_priority.go
+++ b/internal/controller/dependency_priority.go
@@ -5,18 +5,19 @@
 	"mapleslip/internal/state"
 )
 
-// inheritPriority has a job be served as one that depends on it: with its priority, if that is
-// higher, and so that it is done by when the dependent has to start to meet its deadline. So it
-// goes back along the dependencies, to whatever can start now.
+// inheritPriority passes the priority and the deadline of a dependent to a job that it depends on:
+// the job gets the dependent's priority if that is higher, and has to be done by the latest start
+// at which the dependent meets its deadline. Both propagate along the dependencies, to the jobs
+// that can start now.
 func (g *dependencyGraph) inheritPriority(dependent, j *state.Job) {
 	deadline := g.latestStart(dependent)
-	rises := dependent.Priority < j.Priority
-	hastens := deadline > 0 && (j.Dependencies.InheritedDeadline == 0 || deadline < j.Dependencies.InheritedDeadline)
-	if !rises && !hastens {
+	raisesPriority := dependent.Priority < j.Priority
+	tightensDeadline := deadline > 0 && (j.Dependencies.InheritedDeadline == 0 || deadline < j.Dependencies.InheritedDeadline)
+	if !raisesPriority && !tightensDeadline {
 		return
 	}
 	j.Priority = min(j.Priority, dependent.Priority)
-	if hastens {
+	if tightensDeadline {
 		j.Dependencies.InheritedDeadline = deadline
 	}
 	g.requeueJob(j)
@@ -27,8 +28,8 @@
 	}
 }
 
-// requeueJob has the next scheduling cycle plan with a job's new priority, and around what runs
-// of it.
+// requeueJob makes the next scheduling cycle use a job's new priority, also for the hosts on which
+// its attempts run.
 func (g *dependencyGraph) requeueJob(j *state.Job) {
 	for _, a := range j.ActiveAttempts() {
 		a.Host.Stale = true
@@ -36,8 +37,8 @@
 	g.cycleNeeded = true
 }
 
-// revokeInheritedPriority takes back what jobs have inherited from a job that is being
-// cancelled: they are served as the others that depend on them.
+// revokeInheritedPriority recomputes the priorities and deadlines that the dependencies of a job
+// that is being cancelled inherit: only those of their other dependents remain.
 func (g *dependencyGraph) revokeInheritedPriority(cancelled *state.Job) {
 	for _, ref := range cancelled.Dependencies.Unmet {
 		j := g.cluster.Job(ref)
@@ -58,8 +59,9 @@
 	}
 }
 
-// latestStart is when a job has to be eligible for it, and those that depend on it, to meet
-// their deadlines: by its estimate, and a fetch of its image. 0: nobody has a deadline.
+// latestStart is the latest time at which a job has to become eligible for it and its dependents to
+// meet their deadlines. It allows for the job's estimated runtime and a fetch of its image. It is
+// 0 if none of them has a deadline.
 func (g *dependencyGraph) latestStart(j *state.Job) micros {
 	deadline := effectiveDeadline(j)
 	if deadline == 0 || j.Spec.Kind == protocol.Service {
@@ -69,8 +71,8 @@
 	return max(1, deadline-runtime-g.estimates.longestFetch(j.Spec))
 }
 
-// effectiveDeadline is when a job has to be done by its own deadline and those of the jobs that
-// depend on it, 0: there is none.
+// effectiveDeadline is the time by which a job has to be done to meet its own deadline and those of
+// the jobs that depend on it, 0 if there is none.
 func effectiveDeadline(j *state.Job) micros {
 	var deadline micros
 	if j.Spec.Deadline > 0 {
@@ -79,7 +81,7 @@
 	return earliestDeadline(deadline, j.Dependencies.InheritedDeadline)
 }
 
-// earliestDeadline is the earlier of two deadlines, of which 0 means none.
+// earliestDeadline is the earlier of two deadlines, where 0 means that there is none.
 func earliestDeadline(a, b micros) micros {
 	if a == 0 || b > 0 && b < a {
 		return b
--- a/internal/controller/dependency_walk.go
+++ b/internal/controller/dependency_walk.go
@@ -7,38 +7,39 @@
 	"mapleslip/internal/state"
 )
 
-// maxWalkedRecords bounds the records that one walk along dependencies looks for.
+// maxWalkedRecords limits how many jobs one walk along dependencies looks up.
 const maxWalkedRecords = 128
 
-// dependencyVerdict is what the records say of the jobs that a job depends on.
-type dependencyVerdict struct {
-	cancelled    bool   // one of them, or of their own dependencies, is durably cancelled
-	undecided    bool   // something could not be read, or there is too much of it
-	directUnread bool   // one that the job names itself could not be read
-	missing      string // one that was never accepted, or a service
+// dependencyStatus is the state of a job's dependencies according to the records.
+type dependencyStatus struct {
+	cancelled          bool   // a direct or indirect dependency is durably cancelled
+	inconclusive       bool   // a record could not be read, or there are more than maxWalkedRecords
+	directLookupFailed bool   // a direct dependency could not be read
+	invalid            string // a direct dependency that was never accepted, or is a service
 }
 
-// dependencyWalk follows dependencies from a job to all that it depends on, by the records of
-// the state service alone: any controller can say that a job is cancelled as soon as a job that
-// it depends on is durably cancelled, also before its own final record is written.
+// dependencyWalk follows the direct and indirect dependencies of a job through the records of the
+// state service alone: any controller can report a job as cancelled as soon as one of its
+// dependencies is durably cancelled, even before the job's own final record is written.
 type dependencyWalk struct {
 	directory     *jobDirectory
 	priority      Priority
-	verdict       dependencyVerdict
+	status        dependencyStatus
 	visited       map[string]bool
 	readsInFlight int
-	done          func(dependencyVerdict)
+	done          func(dependencyStatus)
 }
 
-// checkDependencies finds out how the jobs stand that a job depends on.
-func (d *jobDirectory) checkDependencies(priority Priority, dependsOn []string, done func(dependencyVerdict)) {
+// checkDependencies determines the state of a job's dependencies from the records.
+func (d *jobDirectory) checkDependencies(priority Priority, dependsOn []string, done func(dependencyStatus)) {
 	w := &dependencyWalk{directory: d, priority: priority, visited: make(map[string]bool), done: done}
-	w.readsInFlight++ // until all are asked for
+	w.readsInFlight++ // released once all direct dependencies are requested
 	w.visit(dependsOn, true)
 	w.finishRead()
 }
 
-// visit looks for jobs. direct says that the job in question names them itself.
+// visit looks up jobs and their dependencies. direct is true for the dependencies that the job
+// itself lists.
 func (w *dependencyWalk) visit(refs []string, direct bool) {
 	for _, ref := range refs {
 		if w.visited[ref] {
@@ -46,11 +47,11 @@
 		}
 		w.visited[ref] = true
 		if f, finished := w.directory.finishedJobs.find(ref); finished {
-			w.verdict.cancelled = w.verdict.cancelled || f.phase == protocol.PhaseCancelled
+			w.status.cancelled = w.status.cancelled || f.phase == protocol.PhaseCancelled
 			continue
 		}
 		if len(w.visited) > maxWalkedRecords {
-			w.verdict.undecided = true
+			w.status.inconclusive = true
 			return
 		}
 		w.readsInFlight++
@@ -68,12 +69,12 @@
 func (w *dependencyWalk) onLookupFailed(ref string, direct bool, err error) {
 	switch {
 	case !errors.Is(err, errJobNotFound):
-		w.verdict.undecided = true
-		w.verdict.directUnread = w.verdict.directUnread || direct
+		w.status.inconclusive = true
+		w.status.directLookupFailed = w.status.directLookupFailed || direct
 	case direct:
-		w.verdict.missing = ref
+		w.status.invalid = ref
 	default:
-		w.verdict.undecided = true
+		w.status.inconclusive = true
 	}
 }
 
@@ -81,20 +82,20 @@
 	j := found.active
 	switch {
 	case j == nil:
-		w.verdict.cancelled = w.verdict.cancelled || found.finished.phase == protocol.PhaseCancelled
+		w.status.cancelled = w.status.cancelled || found.finished.phase == protocol.PhaseCancelled
 	case j.State == state.JobCancelledLegacy:
-		w.verdict.cancelled = true
+		w.status.cancelled = true
 	case direct && j.Spec.Kind == protocol.Service:
-		w.verdict.missing = ref
+		w.status.invalid = ref
 	default:
 		w.visit(j.Spec.DependsOn, false)
 	}
 }
 
-// finishRead notes that a record was read. After the last one the walk is over.
+// finishRead counts a completed lookup, and reports the result after the last one.
 func (w *dependencyWalk) finishRead() {
 	w.readsInFlight--
 	if w.readsInFlight == 0 {
-		w.done(w.verdict)
+		w.done(w.status)
 	}
 }
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -11,28 +11,28 @@
 	"mapleslip/internal/statestore"
 )
 
-// submissionQueue is the submissions whose records a leader has on their way, and the limit on
-// how many that may be.
+// submissionQueue tracks the submissions whose records the leader is writing, and limits their
+// rate.
 type submissionQueue struct {
-	pending       map[string][]ReplyAddress // further users who wait for the same record, by job
-	limiter       admission.Limiter         // of most jobs
-	urgentLimiter admission.Limiter         // of those that have to start at once
+	pending       map[string][]ReplyAddress // users who submitted a job again, see takePendingUsers
+	limiter       admission.Limiter         // for most jobs
+	urgentLimiter admission.Limiter         // for latency-critical jobs
 	lastLimitLog  micros
 }
 
-// isOverloaded reports whether users are told to submit again later.
+// isOverloaded reports whether submissions are refused with a time after which to retry.
 func (q *submissionQueue) isOverloaded(now micros) bool {
 	return q.limiter.IsOverloaded(now) || q.urgentLimiter.IsOverloaded(now)
 }
 
 const (
-	// latencyCriticalWithin is the objective on starting below which a class is latency-critical.
+	// latencyCriticalWithin is the start objective below which a class is latency-critical.
 	latencyCriticalWithin = 10 * protocol.Second
 	limitLogInterval      = 5 * protocol.Second
 )
 
-// isLatencyCritical reports whether a job has to start so soon that its records don't wait in
-// line with those of others.
+// isLatencyCritical reports whether the start objective of a job's class is so short that the
+// job's records are not queued behind those of other jobs.
 func (sb *submissions) isLatencyCritical(s *protocol.JobSpec) bool {
 	within := sb.startObjective(s.Class)
 	return within > 0 && within < latencyCriticalWithin
@@ -56,16 +56,16 @@
 		sb.reject(to, spec, err)
 		return
 	}
-	if sb.knowsDependencies(spec) {
+	if sb.dependenciesKnown(spec) {
 		sb.admit(to, spec)
 	} else {
 		sb.admitAfterLookup(to, spec)
 	}
 }
 
-// knowsDependencies reports whether this leader knows all jobs that a job depends on, and that
-// none of them is a service.
-func (sb *submissions) knowsDependencies(s *protocol.JobSpec) bool {
+// dependenciesKnown reports whether this leader has the state of all jobs that a job depends on,
+// and none of them is a service.
+func (sb *submissions) dependenciesKnown(s *protocol.JobSpec) bool {
 	for _, ref := range s.DependsOn {
 		if _, finished := sb.directory.finishedJobs.find(ref); finished {
 			continue
@@ -77,7 +77,8 @@
 	return true
 }
 
-// admitAfterLookup accepts a job of which this leader has to look up what it depends on.
+// admitAfterLookup accepts a job after a lookup of its dependencies, some of which this leader
+// does not track.
 func (sb *submissions) admitAfterLookup(to ReplyAddress, spec *protocol.JobSpec) {
 	if sb.users.lookupLimitReached() {
 		sb.refuse(to, refusalLookupLimit)
@@ -100,8 +101,9 @@
 	})
 }
 
-// admit accepts a job as the leader, in its turn. What would have to wait for its record for
-// longer than users should is refused at once: they are told when its turn comes.
+// admit accepts a job as the leader, within the submission rate limit. If writing the job's
+// record would take longer than users should wait, the submission is refused at once, with the
+// time after which to retry.
 func (sb *submissions) admit(to ReplyAddress, spec *protocol.JobSpec) {
 	q, ref := sb.term.submitQueue, spec.Ref
 	if waiting, ok := q.pending[ref]; ok {
@@ -121,8 +123,8 @@
 	limiter.Begin()
 	j := state.NewJob(spec)
 	j.SubmittedWall, j.LeaderEpoch = sb.now.Wall, sb.term.epoch
-	ac := &admissionWrite{submissions: sb, term: sb.term, to: to, ref: ref, priority: priority, limiter: limiter}
-	sb.createRecord(jobCreation{to: to, job: j, phase: protocol.PhaseQueued, write: ac.write, notWritten: ac.abandon})
+	admitted := &admissionWrite{submissions: sb, term: sb.term, to: to, ref: ref, priority: priority, limiter: limiter}
+	sb.createRecord(jobCreation{to: to, job: j, phase: protocol.PhaseQueued, write: admitted.write, writeSkipped: admitted.abandon})
 }
 
 func (sb *submissions) logSubmitLimit(q *submissionQueue, limiter *admission.Limiter, wait micros) {
@@ -134,7 +136,7 @@
 		"delay_ms", int64(wait/protocol.Millisecond))
 }
 
-// admissionWrite is the write of a record of a job that the leader accepts.
+// admissionWrite writes the record of one job that the leader accepts.
 type admissionWrite struct {
 	*submissions
 	term     *leaderTerm
@@ -149,13 +151,13 @@
 func (w *admissionWrite) write(when []protocol.Condition, then []protocol.Change, done func(revision uint64, err error)) {
 	when = append([]protocol.Condition{w.election.leaderKeyHeld()}, when...)
 	w.store.CompareAndSwap(w.priority, w.config.withRevisionCondition(when), then, func(revision uint64, err error) {
-		others := w.takeOthers()
-		outdated := w.config.handleRevisionConflict(err)
+		users := w.takePendingUsers()
+		revisionConflict := w.config.handleRevisionConflict(err)
 		w.limiter.End(err == nil || statestore.IsConflict(err))
-		if errors.Is(err, statestore.ErrNotExecuted) && w.leads() && w.membership.stateServiceHealth.state == ServiceAnswering {
-			// Other records left it no room, or less than it seemed.
+		if errors.Is(err, statestore.ErrNotExecuted) && w.leadsInTerm() && w.membership.stateServiceHealth.state == ServiceAnswering {
+			// Other records used up the write rate, or more of it than the limiter had assumed.
 			wait := w.limiter.Reserve(w.now.Steady, w.ref, w.election.leaderWriteRate())
-			for _, to := range append(others, w.to) {
+			for _, to := range append(users, w.to) {
 				w.refuseUntil(to, refusalSubmitRate, wait)
 			}
 			return
@@ -166,33 +168,35 @@
 				w.election.stepDownSuperseded("another controller holds the leader key")
 			}
 		}
-		if outdated {
+		if revisionConflict {
 			err = statestore.ErrNotExecuted
 		}
 		done(revision, err)
-		w.replyOthers(others)
+		w.replyToPendingUsers(users)
 	})
 }
 
-// leads reports whether this controller leads as when the job was admitted.
-func (w *admissionWrite) leads() bool { return !w.term.ended() && w.election.mayActAsLeader() }
+// leadsInTerm reports whether this controller still leads in the term that admitted the job.
+func (w *admissionWrite) leadsInTerm() bool { return !w.term.ended() && w.election.mayActAsLeader() }
 
-// abandon notes that the record is not written.
+// abandon ends the admission without a write of the record.
 func (w *admissionWrite) abandon() {
-	w.takeOthers()
+	w.takePendingUsers()
 	w.limiter.End(false)
 }
 
-// takeOthers takes the further users who wait for the record.
-func (w *admissionWrite) takeOthers() []ReplyAddress {
-	others := w.term.submitQueue.pending[w.ref]
+// takePendingUsers removes and returns the users who submitted the job again while its record was
+// being written.
+func (w *admissionWrite) takePendingUsers() []ReplyAddress {
+	users := w.term.submitQueue.pending[w.ref]
 	delete(w.term.submitQueue.pending, w.ref)
-	return others
+	return users
 }
 
-// replyOthers answers the further users who waited for the record.
-func (w *admissionWrite) replyOthers(others []ReplyAddress) {
-	for _, to := range others {
+// replyToPendingUsers replies to the users who submitted the job again while its record was being
+// written.
+func (w *admissionWrite) replyToPendingUsers(users []ReplyAddress) {
+	for _, to := range users {
 		if j := w.term.cluster.Job(w.ref); j != nil && !isOutcomeUncertain(j) && !w.term.ended() {
 			w.reply(to, http.StatusOK, w.directory.trackedJobStatus(j))
 		} else {
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// cancelReplyTimeout is how long a user is kept waiting for a cancellation. What can't be
-	// confirmed by then is asked again.
+	// cancelReplyTimeout limits how long a user waits for the confirmation of a cancellation.
+	// After that the request is refused, and the user has to repeat it.
 	cancelReplyTimeout = 1500 * protocol.Millisecond
-	// persistCancelAfter is how long the tasks of a job that is being cancelled may take to end
-	// before the request is recorded. Mostly they end before.
+	// persistCancelAfter is the delay before the request to cancel a job is written to the state
+	// service. Usually the tasks of the job end earlier, so that no write is needed.
 	persistCancelAfter = 400 * protocol.Millisecond
 	cancelWriteRetry   = 500 * protocol.Millisecond
 )
 
-// cancelJob cancels a job: its tasks are stopped until none is left, then the cancellation is
-// made durable, and then the user is told.
+// cancelJob cancels a job: the leader stops its tasks, writes the final record once no task is
+// left, and then confirms the cancellation to the user.
 func (jm *jobManager) cancelJob(to ReplyAddress, ref string) {
 	j := jm.cluster.Job(ref)
 	if j == nil {
@@ -49,8 +49,8 @@
 	jm.after(cancelReplyTimeout, func() { jm.refusePendingCancel(to, j) })
 }
 
-// cancelUntracked cancels a job that this leader does not track: it may be over, or its record
-// not read yet.
+// cancelUntracked cancels a job that this leader does not track: the job may be finished, or its
+// record may not have been read yet.
 func (jm *jobManager) cancelUntracked(to ReplyAddress, ref string) {
 	jm.directory.findJob(priorityUser, ref, func(found jobLookup, err error) {
 		switch {
@@ -68,7 +68,7 @@
 	})
 }
 
-// refusePendingCancel answers a user who still waits for a cancellation.
+// refusePendingCancel refuses the request of a user whose cancellation was not confirmed in time.
 func (jm *jobManager) refusePendingCancel(to ReplyAddress, j *state.Job) {
 	ref := j.Spec.Ref
 	i := slices.Index(jm.pendingCancels[ref], to)
@@ -76,7 +76,7 @@
 		return
 	}
 	jm.pendingCancels[ref] = slices.Delete(slices.Clone(jm.pendingCancels[ref]), i, i+1)
-	// A controller that leads no more knows of no tasks.
+	// A controller that no longer leads in this term has no current information on tasks.
 	if !jm.ended() && j.State == state.JobCancelling && !jm.noAttemptMayRun(j) {
 		jm.refuse(to, refusalTasksStopping)
 	} else {
@@ -84,7 +84,7 @@
 	}
 }
 
-// confirmPendingCancels answers the users who wait for the cancellation of a job.
+// confirmPendingCancels replies to the users who wait for the cancellation of a job.
 func (jm *jobManager) confirmPendingCancels(ref string, body []byte) {
 	for _, to := range jm.pendingCancels[ref] {
 		jm.reply(to, http.StatusOK, body)
@@ -92,17 +92,17 @@
 	delete(jm.pendingCancels, ref)
 }
 
-// noAttemptMayRun reports whether no task of a job is on a host, nor can be any more: each
-// attempt is proven gone, and none of an earlier leader is unheard of.
+// noAttemptMayRun reports whether no task of a job can be on a host: each known attempt is proven
+// to have ended, and no attempt of an earlier leader can be unknown to this one.
 func (jm *jobManager) noAttemptMayRun(j *state.Job) bool {
 	return j.NoActiveAttempts() && (jm.reconciled || !jm.launchesUnrecorded)
 }
 
-// completeCancellation writes the final record of a job that its user asked to cancel, once
-// none of its tasks can be anywhere. Only after that the user is told: so whatever is cut off,
-// down or ends afterwards, there is nothing left to stop. Told before, it would be a promise
-// that no later leader can keep when a partition, an outage of the state service and the end
-// of all controllers come together.
+// completeCancellation writes the final record of a job that is being cancelled, once none of its
+// tasks can be on a host. The user gets the confirmation only after that, so that nothing is left
+// to stop, whichever components fail or are partitioned afterwards. An earlier confirmation could
+// not be honored by a later leader if a partition, an outage of the state service and the end of
+// all controllers coincide.
 func (jm *jobManager) completeCancellation(j *state.Job) {
 	if j.State != state.JobCancelling || j.Dependencies.Cancelled || j.FinalWriteInFlight || j.Cancellation.WriteInFlight {
 		return
@@ -113,8 +113,8 @@
 	}
 }
 
-// persistCancelRequest records that the user asked to cancel a job, so that a new leader goes
-// on with it also if the user has given up asking.
+// persistCancelRequest writes the request to cancel a job to the job's record, so that a new
+// leader continues the cancellation even if the user no longer repeats the request.
 func (jm *jobManager) persistCancelRequest(j *state.Job) {
 	c := &j.Cancellation
 	if c.Persisted || c.WriteInFlight || j.FinalWriteInFlight || j.Dependencies.Cancelled {
@@ -125,8 +125,8 @@
 	}
 	value := records.EncodeJob(j)
 	if len(value) > jm.store.Accepted().MaxValueBytes {
-		// It was accepted under a larger limit. Its user was told nothing yet, and asks a new
-		// leader again.
+		// The job was accepted under a larger limit, and the record can't be rewritten. The user
+		// has no confirmation yet, and repeats the request to a new leader.
 		c.Persisted = true
 		return
 	}
@@ -148,7 +148,8 @@
 	})
 }
 
-// refreshJobRevision reads the revision of a job's record after a write without an answer.
+// refreshJobRevision reads the revision of a job's record after a write that conflicted or whose
+// outcome is unknown.
 func (jm *jobManager) refreshJobRevision(j *state.Job) {
 	j.Cancellation.WriteInFlight = true
 	jm.store.Get(priorityUser, records.JobPrefix+j.Spec.Ref, func(e protocol.Entry, err error) {
@@ -162,7 +163,7 @@
 	})
 }
 
-// stopAttempts stops all attempts of a job that nobody has any use for.
+// stopAttempts requests the stop of all attempts of a job that is being cancelled.
 func (jm *jobManager) stopAttempts(j *state.Job) {
 	for _, a := range j.ActiveAttempts() {
 		jm.commands.requestStop(a, 0)
@@ -170,11 +171,11 @@
 	jm.cycleNeeded = true
 }
 
-// isCancelled reports whether nobody has any use for an attempt: its user asked to cancel the
-// job. To stop it needs no lease: the worker heeds a stop only as long as it has seen no newer
-// epoch, and then the user has not been told that the job goes on either. So the tasks of a
-// cancelled job end also while the state service is down for everybody, and the user is told as
-// soon as it is back.
+// isCancelled reports whether an attempt belongs to a job that its user asked to cancel. Stopping
+// such an attempt needs no valid lease: the worker accepts the stop only while it has seen no
+// newer epoch, and until then no newer leader has reported to the user that the job continues. So
+// the tasks of a cancelled job end even while no controller can reach the state service, and the
+// user gets the confirmation as soon as it is available again.
 func isCancelled(a *state.Attempt) bool {
 	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelledLegacy)
 }
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -13,16 +13,16 @@
 const (
 	finalWriteRetry    = 400 * protocol.Millisecond
 	finalConflictRetry = 500 * protocol.Millisecond
-	minFinalWrites     = 4
+	minFinalWrites     = 4 // enough to use up a small write rate
 )
 
-// finalWriter has the final records written in the order in which the jobs ended. Few are on
-// their way at a time: of more some would not get their turn before they expire, and begin
-// again behind those of jobs that ended later.
+// finalWriter queues the final records, which are written in the order in which the jobs ended.
+// Only a few writes are in flight at a time: with more, some would expire before the write rate
+// admits them, and would be queued again behind the records of jobs that ended later.
 type finalWriter struct {
 	queue          []queuedFinal
 	inFlight       int
-	lastLatency    micros // of the last one, which is mostly its wait in line
+	lastLatency    micros // from queueing to completion of the last write, mostly time in the queue
 	lastFinishedAt micros
 }
 
@@ -32,19 +32,19 @@
 	queuedAt micros
 }
 
-// onFinished counts a final record that is not on its way any more.
+// onFinished updates the counters after the write of a final record has succeeded or failed.
 func (w *finalWriter) onFinished(now, queuedAt micros) {
 	w.inFlight--
 	w.lastLatency, w.lastFinishedAt = now-queuedAt, now
 }
 
-// maxFinalWrites is how many final records are on their way at a time: what the leader may
-// write in half a second, and as many as keep a small rate in use.
+// maxFinalWrites is how many final records may be in flight: as many as the leader may write in
+// half a second, at two changes each, but at least minFinalWrites.
 func (jm *jobManager) maxFinalWrites() int {
 	return max(minFinalWrites, int(jm.election.leaderWriteRate()/4))
 }
 
-// writeQueuedFinals writes the final records whose turn it is.
+// writeQueuedFinals starts the writes of queued final records, up to the limit in flight.
 func (jm *jobManager) writeQueuedFinals() {
 	w := &jm.finals
 	for jm.election.role == RoleLeader && len(w.queue) > 0 && w.inFlight < jm.maxFinalWrites() {
@@ -56,26 +56,26 @@
 	}
 }
 
-// finishIfComplete writes the final record of a job whose tasks are all done. Users are told
-// only after it is durable.
+// finishIfComplete queues the final record of a job whose tasks are all done. Users see the job as
+// done only after that record is durable.
 func (jm *jobManager) finishIfComplete(j *state.Job) {
 	if j.State != state.JobActive || j.CompletedTasks < len(j.Tasks) {
 		return
 	}
 	if j.Spec.Kind == protocol.Gang && !j.NoActiveAttempts() {
-		// A gang is complete with its first task that is, and the host of another one may hang
-		// with its resources taken. A new leader would find the job among those that are over
-		// and not count it: its team would come above its quota.
+		// A gang is complete as soon as its first task is, while the host of another task may hang
+		// with its resources still in use. A new leader would treat the job as finished and not
+		// count those resources, and the team would exceed its quota.
 		return
 	}
 	j.SetState(state.JobFinishing)
 	jm.queueFinalRecord(j)
 }
 
-// queueFinalRecord has a job's record moved to where finished jobs are kept.
+// queueFinalRecord queues the write that replaces a job's active record by its final record.
 func (jm *jobManager) queueFinalRecord(j *state.Job) {
 	if jm.election.role != RoleLeader {
-		// It would be refused: the state service is down, or this controller's lease expired.
+		// The write would be refused: the state service is down, or this controller's lease expired.
 		jm.requeueAfter(j, finalWriteRetry)
 		return
 	}
@@ -92,7 +92,7 @@
 	})
 }
 
-// writeFinalRecord writes a job's final record, in its turn.
+// writeFinalRecord writes a job's final record, and deletes the job's other records.
 func (jm *jobManager) writeFinalRecord(q queuedFinal) {
 	j, ref := q.job, q.job.Spec.Ref
 	phase := protocol.PhaseDone
@@ -104,12 +104,12 @@
 		{Key: records.FinalPrefix + ref, Value: records.EncodeFinal(phase, len(j.Tasks))},
 	}
 	jm.records.bookingShards.drop(ref, protocol.Forever)
-	var leftOver []string // deleted once the job is over
+	var excessKeys []string // of chunks beyond the limit of changes, deleted after the transaction
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
 		if key := (chunkKey{ref, chunk}).key(); len(then) < jm.store.Target().MaxChanges {
 			then = append(then, protocol.Change{Key: key})
 		} else {
-			leftOver = append(leftOver, key)
+			excessKeys = append(excessKeys, key)
 		}
 	}
 	when := []protocol.Condition{{Key: records.JobPrefix + ref, Revision: j.Revision}}
@@ -118,7 +118,7 @@
 		jm.writeQueuedFinals()
 		switch {
 		case err == nil:
-			jm.records.orphanedKeys = append(jm.records.orphanedKeys, leftOver...)
+			jm.records.orphanedKeys = append(jm.records.orphanedKeys, excessKeys...)
 			jm.onJobFinished(j, phase)
 		case statestore.IsConflict(err):
 			jm.resolveFinalConflict(j)
@@ -128,8 +128,8 @@
 	})
 }
 
-// resolveFinalConflict finds out why a final record could not be written: an earlier write of
-// it was carried out late, or one of the job's record was.
+// resolveFinalConflict determines why the write of a final record conflicted: an earlier write of
+// the final record, or of the job's active record, was carried out late.
 func (jm *jobManager) resolveFinalConflict(j *state.Job) {
 	ref := j.Spec.Ref
 	jm.store.Get(priorityUrgent, records.FinalPrefix+ref, func(e protocol.Entry, err error) {
@@ -154,7 +154,7 @@
 	})
 }
 
-// onJobFinished notes that a job's final record is durable.
+// onJobFinished updates a job whose final record is durable, and confirms pending cancellations.
 func (jm *jobManager) onJobFinished(j *state.Job, phase protocol.Phase) {
 	ref := j.Spec.Ref
 	jm.directory.cacheFinishedJob(ref, finishedJob{phase, len(j.Tasks)})
--- a/internal/controller/job_directory.go
+++ b/internal/controller/job_directory.go
@@ -10,8 +10,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// jobDirectory finds jobs, those that a leader tracks and those that only the state service
-// has, and answers how they stand.
+// jobDirectory looks up jobs, those that a leader tracks and those that are only in the state
+// service, and replies to queries for their status.
 type jobDirectory struct {
 	*environment
 	election *election
@@ -20,24 +20,24 @@
 	finishedJobs finishedJobCache
 }
 
-// noSuchJob is the error that users get for a job that was never accepted.
+// noSuchJob is the text of the error reply for a job that was never accepted.
 const noSuchJob = "no such job"
 
-// errJobNotFound is that of a lookup of a job that was never accepted. Other errors of lookups
-// are statestore.ErrUnavailable.
+// errJobNotFound is the error of a lookup of a job that was never accepted. All other errors of
+// lookups are statestore.ErrUnavailable.
 var errJobNotFound = errors.New(noSuchJob)
 
-// jobLookup is a job that was found.
+// jobLookup is the result of a lookup that found a job.
 type jobLookup struct {
-	active   *state.Job  // nil: the job is finished
-	finished finishedJob // if it is
+	active   *state.Job  // nil if the job is finished
+	finished finishedJob // set if active is nil
 }
 
-// findJob looks for a job in the state service. The active record is read first: a job that
-// ends meanwhile is then found among the finished ones. A leader adds the active job that it
-// finds to its cluster state, if it was read in this term: an answer that was on its way while
-// another controller led says nothing of what that one ended. What this controller ended
-// itself it knows.
+// findJob looks up a job in the state service. It reads the active record first, so that a job
+// that ends between the two reads is found among the finished ones. A leader adds the active job
+// to its cluster state if it sent the read in the current term. An answer to a read from before,
+// when another controller led, may predate the end of a job that the other controller finished.
+// Jobs that this controller finished itself are in the cache of finished jobs.
 func (d *jobDirectory) findJob(priority Priority, ref string, done func(found jobLookup, err error)) {
 	term := d.term
 	d.store.Get(priority, records.JobPrefix+ref, func(e protocol.Entry, err error) {
@@ -65,7 +65,7 @@
 	})
 }
 
-// findFinishedJob looks for a job among the finished ones.
+// findFinishedJob looks up the final record of a job in the state service.
 func (d *jobDirectory) findFinishedJob(priority Priority, ref string, done func(found jobLookup, err error)) {
 	d.store.Get(priority, records.FinalPrefix+ref, func(e protocol.Entry, err error) {
 		switch {
@@ -88,8 +88,8 @@
 	})
 }
 
-// cacheFinishedJob keeps the last phase of a job that is durably over, and tells the jobs that
-// depend on it.
+// cacheFinishedJob caches the last phase of a job whose final record is durable, and updates the
+// jobs that depend on it.
 func (d *jobDirectory) cacheFinishedJob(ref string, f finishedJob) {
 	d.finishedJobs.add(ref, f)
 	if d.term != nil {
@@ -97,12 +97,12 @@
 	}
 }
 
-// replyFromStateService answers a query from the state service. looked is called once the job
-// was looked up.
-func (d *jobDirectory) replyFromStateService(to ReplyAddress, ref string, looked func()) {
-	// Users poll again soon, and wait for a submission.
+// replyFromStateService replies to a status query from the state service. lookupDone is called
+// when the lookup has ended.
+func (d *jobDirectory) replyFromStateService(to ReplyAddress, ref string, lookupDone func()) {
+	// Urgent, because users poll at short intervals and wait for the reply to a submission.
 	d.findJob(priorityUrgent, ref, func(found jobLookup, err error) {
-		looked()
+		lookupDone()
 		switch {
 		case errors.Is(err, errJobNotFound):
 			d.replyError(to, http.StatusNotFound, noSuchJob)
@@ -114,7 +114,7 @@
 	})
 }
 
-// replyFound answers how a job stands that was looked up.
+// replyFound replies with the status of a job that a lookup found.
 func (d *jobDirectory) replyFound(to ReplyAddress, ref string, found jobLookup) {
 	if found.active != nil {
 		d.replyActiveJob(to, found.active)
@@ -123,7 +123,7 @@
 	d.replyFinishedJob(to, ref, found.finished)
 }
 
-// replyFinishedJob answers how a job ended.
+// replyFinishedJob replies with the status of a finished job.
 func (d *jobDirectory) replyFinishedJob(to ReplyAddress, ref string, f finishedJob) {
 	done := 0
 	if f.phase == protocol.PhaseDone {
@@ -132,18 +132,19 @@
 	d.reply(to, http.StatusOK, protocol.JobStatusBody(ref, f.phase, done, 0))
 }
 
-// replyActiveJob answers for a job that is not over by its own records.
+// replyActiveJob replies with the status of a job that has no final record. Unless this leader
+// tracks the job and its outcome is certain, it checks first whether a dependency is cancelled.
 func (d *jobDirectory) replyActiveJob(to ReplyAddress, j *state.Job) {
 	certain := d.isTrackedByLeader(j) && !j.Dependencies.Uncertain
 	if certain || len(j.Spec.DependsOn) == 0 || j.State == state.JobCancelledLegacy {
 		d.reply(to, http.StatusOK, d.activeJobStatus(j))
 		return
 	}
-	d.checkDependencies(priorityUrgent, j.Spec.DependsOn, func(v dependencyVerdict) {
+	d.checkDependencies(priorityUrgent, j.Spec.DependsOn, func(status dependencyStatus) {
 		switch {
-		case v.cancelled:
+		case status.cancelled:
 			d.reply(to, http.StatusOK, protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseCancelled, 0, 0))
-		case v.undecided:
+		case status.inconclusive:
 			d.refuse(to, refusalStateService)
 		default:
 			d.reply(to, http.StatusOK, d.activeJobStatus(j))
@@ -151,13 +152,13 @@
 	})
 }
 
-// isTrackedByLeader reports whether this controller leads and the job is the one of its cluster
-// state.
+// isTrackedByLeader reports whether this controller leads, and j is the job in its cluster state.
 func (d *jobDirectory) isTrackedByLeader(j *state.Job) bool {
 	return d.election.mayActAsLeader() && d.term.cluster.Job(j.Spec.Ref) == j
 }
 
-// activeJobStatus says how a job stands, as its leader or its record has it.
+// activeJobStatus returns the status of an active job by the leader's cluster state if this
+// controller leads, and by the job's record otherwise.
 func (d *jobDirectory) activeJobStatus(j *state.Job) []byte {
 	switch {
 	case d.isTrackedByLeader(j):
@@ -168,7 +169,7 @@
 	return protocol.JobStatusBody(j.Spec.Ref, protocol.PhaseQueued, 0, 0)
 }
 
-// trackedJobStatus says how a job of the cluster state stands.
+// trackedJobStatus returns the status of a job in the cluster state.
 func (d *jobDirectory) trackedJobStatus(j *state.Job) []byte {
 	ref := j.Spec.Ref
 	if j.Dependencies.Cancelled {
@@ -190,12 +191,13 @@
 	return protocol.JobStatusBody(ref, phase, j.CompletedTasks, j.RunningTasks)
 }
 
-// isOutcomeUncertain reports whether a job's final record is on its way. It may be durable
-// before its writer knows, for seconds if the answer is lost and the write is carried out late;
-// a controller that finds it then tells its user, who must not be told something older by the
-// leader. So until the outcome is known the leader, too, answers from the state service. It is
-// the same for a job that depends on others while one of their records is on its way, or not
-// read yet. A job with a cancelled dependency is cancelled whatever becomes of its own record.
+// isOutcomeUncertain reports whether a job's final record is being written. The record may be
+// durable before the leader gets the answer, for seconds if the answer is lost and the write is
+// carried out late. Another controller that reads the record replies with the final status, after
+// which the leader must not reply with an older one. So until the outcome is known, the leader
+// also replies from the state service. The same applies to a job with dependencies while the
+// final record of one of them is being written or has not been read. A job with a cancelled
+// dependency is cancelled regardless of its own record.
 func isOutcomeUncertain(j *state.Job) bool {
 	return !j.Dependencies.Cancelled && (j.State == state.JobFinishing || j.FinalWriteInFlight || j.Dependencies.Uncertain)
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -9,8 +9,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// jobManager owns the life of the jobs that a leader tracks: it takes them into the cluster
-// state, cancels them, and writes their final records.
+// jobManager manages the jobs that a leader tracks: it adds them to the cluster state, cancels
+// them, and writes their final records.
 type jobManager struct {
 	*termContext
 	commands     *commandSender
@@ -26,11 +26,11 @@
 	finals         finalWriter
 }
 
-// jobListRetry is how long the list of jobs is not read again after that failed.
+// jobListRetry is the delay before the list of jobs is read again after a failed read.
 const jobListRetry = protocol.Second
 
-// watchJobs notices the jobs that other controllers accept while this one can't be reached.
-// After changes were missed it reads them all again.
+// watchJobs watches the job records, to detect the jobs that other controllers accept while this
+// leader can't be reached. If the watch missed changes, all job records are read again.
 func (jm *jobManager) watchJobs(revision uint64) {
 	jm.store.Watch(priorityUrgent, records.JobPrefix, revision, jm.ended, jm.onJobChanged, jm.rereadJobs)
 }
@@ -56,8 +56,9 @@
 	})
 }
 
-// observeJobRecord adds the job of a record, unless it is known. It returns nil if the job is
-// over, or its record can't be read.
+// observeJobRecord adds the job of a record to the cluster state, unless the leader tracks it
+// already, and returns the job. It returns nil if the job is finished, or if its record can't be
+// decoded.
 func (jm *jobManager) observeJobRecord(e protocol.Entry) *state.Job {
 	ref := strings.TrimPrefix(e.Key, records.JobPrefix)
 	if j := jm.cluster.Job(ref); j != nil {
@@ -79,12 +80,12 @@
 	return j
 }
 
-// addJob adds a job to the cluster state.
+// addJob adds a job to the cluster state, and links it to its dependencies and its attempts.
 func (jm *jobManager) addJob(j *state.Job) {
 	j.Submitted = min(jm.now.Steady, jm.steadyTime(j.SubmittedWall))
 	jm.cluster.AddJob(j)
 	jm.dependencies.linkDependencies(j)
-	// Attempts of the job may have been reported before it was known.
+	// Workers may have reported attempts of the job before its record was read.
 	for _, a := range jm.cluster.BindAttempts(jm.now.Steady, j) {
 		jm.dependencies.onTaskLaunched(j)
 		jm.records.recordLaunch(a, jm.now.Steady)
@@ -100,8 +101,8 @@
 	jm.cycleNeeded = true
 }
 
-// reviewJobs looks at all jobs: it counts those that are due, goes on with cancellations, and
-// removes the jobs that are over and of which no attempt is left.
+// reviewJobs checks all jobs: it counts those whose objectives are due, continues cancellations,
+// and removes finished jobs that have no active attempt.
 func (jm *jobManager) reviewJobs() {
 	var finished []*state.Job
 	for _, j := range jm.cluster.Jobs() {
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -11,8 +11,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// submissions decides which jobs are accepted, and makes their records: as the leader, see
-// job_admission.go, or without it.
+// submissions accepts or rejects jobs, and creates their records, with or without the leader. For
+// the leader's part see job_admission.go.
 type submissions struct {
 	*environment
 	catalog    *machineCatalog
@@ -29,11 +29,12 @@
 type submission struct {
 	to   ReplyAddress
 	spec *protocol.JobSpec
-	// finished is called once the submission takes no part of its limit any more.
+	// finished is called when the submission no longer counts against the limit on lookups or
+	// submissions without the leader.
 	finished func()
 }
 
-// Reasons for which a job can never run. Their texts are part of the answer.
+// Reasons why a job can never run. Their texts are part of the reply.
 var (
 	errUnknownTeam   = errors.New("unknown team")
 	errTeamRetired   = errors.New("the team takes no new jobs")
@@ -70,13 +71,14 @@
 	return t.Capacity.Covers(s.TaskResources) && s.AllowsType(t.Name) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone))
 }
 
-// withinLimit checks an amount against a limit, of which 0 means none.
+// withinLimit reports whether an amount is within a limit, in which 0 means unlimited.
 func withinLimit(limit, amount protocol.Resources) bool {
 	return (limit.CPU == 0 || amount.CPU <= limit.CPU) && (limit.GPU == 0 || amount.GPU <= limit.GPU)
 }
 
-// submitWithoutLeader creates a job's record without the leader, which notices it. What this
-// controller does not know yet it reads first.
+// submitWithoutLeader creates a job's record without the leader, which detects the job by its
+// watch on job records. It first reads the machine types, the configuration and the feature level
+// if this controller does not have them.
 func (sb *submissions) submitWithoutLeader(s submission) {
 	resume := func(ok bool, why refusal) {
 		if !ok {
@@ -106,7 +108,7 @@
 	}
 }
 
-// createWithoutLeader accepts a job, or rejects it, by what this controller knows.
+// createWithoutLeader accepts or rejects a job by the state that this controller has.
 func (sb *submissions) createWithoutLeader(s submission) {
 	if err := sb.validate(s.spec); err != nil {
 		s.finished()
@@ -126,7 +128,7 @@
 	})
 }
 
-// recordWithoutLeader creates a job's record. phase is what the user is told.
+// recordWithoutLeader creates a job's record. phase is the one in the reply to the user.
 func (sb *submissions) recordWithoutLeader(s submission, phase protocol.Phase) {
 	j := state.NewJob(s.spec)
 	j.SubmittedWall = sb.now.Wall
@@ -141,26 +143,26 @@
 			done(revision, err)
 		})
 	}
-	sb.createRecord(jobCreation{to: s.to, job: j, phase: phase, write: write, notWritten: s.finished})
+	sb.createRecord(jobCreation{to: s.to, job: j, phase: phase, write: write, writeSkipped: s.finished})
 }
 
-// resolveDependencies goes on with a submission if all jobs that it depends on were accepted.
-// Whether the job itself was accepted is found out before: what became of its dependencies is
-// then of no matter.
+// resolveDependencies continues a submission if all jobs that it depends on were accepted. It first
+// checks whether the job itself was accepted before: in that case the state of its dependencies
+// does not matter.
 func (sb *submissions) resolveDependencies(s submission, resolved func(cancelled bool)) {
 	sb.directory.findJob(priorityUser, s.spec.Ref, func(found jobLookup, err error) {
 		switch {
 		case errors.Is(err, errJobNotFound):
-			sb.directory.checkDependencies(priorityUser, s.spec.DependsOn, func(v dependencyVerdict) {
+			sb.directory.checkDependencies(priorityUser, s.spec.DependsOn, func(status dependencyStatus) {
 				switch {
-				case v.missing != "":
+				case status.invalid != "":
 					s.finished()
-					sb.rejectUnlessAccepted(s.to, s.spec, http.StatusUnprocessableEntity, "awaits: "+v.missing+" is no job that can be awaited")
-				case v.directUnread || v.undecided && !v.cancelled:
+					sb.rejectUnlessAccepted(s.to, s.spec, http.StatusUnprocessableEntity, "awaits: "+status.invalid+" is no job that can be awaited")
+				case status.directLookupFailed || status.inconclusive && !status.cancelled:
 					s.finished()
 					sb.refuse(s.to, refusalStateService)
 				default:
-					resolved(v.cancelled)
+					resolved(status.cancelled)
 				}
 			})
 		case err != nil:
@@ -173,15 +175,15 @@
 	})
 }
 
-// reject answers that a job can never run, unless it was accepted before: machine types may
-// have been others then.
+// reject replies that a job can never run, unless it was accepted before, when the machine types
+// may have been different.
 func (sb *submissions) reject(to ReplyAddress, spec *protocol.JobSpec, reason error) {
 	if sb.config.state == nil || sb.election.mayActAsLeader() {
 		sb.rejectUnlessAccepted(to, spec, http.StatusUnprocessableEntity, reason.Error())
 		return
 	}
-	// The revision that this controller knows may be an old one, and what it rejects depends on
-	// nothing that would show it.
+	// This controller's revision of the configuration may be outdated, and a rejection involves no
+	// transaction that would detect that.
 	sb.config.readHead(priorityUser, func(err error) {
 		reason := sb.validate(spec)
 		if err != nil || reason == nil {
@@ -210,18 +212,18 @@
 type jobCreation struct {
 	to    ReplyAddress
 	job   *state.Job
-	phase protocol.Phase // that the user is told, unless this controller leads and knows better
-	// write writes the record. notWritten is called instead if that is not tried.
-	write      func(when []protocol.Condition, then []protocol.Change, done func(revision uint64, err error))
-	notWritten func()
+	phase protocol.Phase // in the reply, unless this controller leads and has a more recent one
+	// write writes the record. writeSkipped is called instead if no write is attempted.
+	write        func(when []protocol.Condition, then []protocol.Change, done func(revision uint64, err error))
+	writeSkipped func()
 }
 
-// createRecord records a job if it is not there yet, and answers once it is durable.
+// createRecord creates a job's record if there is none, and replies once the record is durable.
 func (sb *submissions) createRecord(c jobCreation) {
 	ref, term := c.job.Spec.Ref, sb.term
 	value := records.EncodeJob(c.job)
 	if len(value) > sb.store.Accepted().MaxValueBytes {
-		c.notWritten()
+		c.writeSkipped()
 		sb.rejectTooLong(c)
 		return
 	}
@@ -243,16 +245,16 @@
 	})
 }
 
-// rejectTooLong rejects a job whose record does not fit. It may have been accepted before under
-// a larger limit, and the record may have been shorter: it names an epoch.
+// rejectTooLong rejects a job whose record exceeds the size limit of a value. The job may have been
+// accepted before, under a larger limit or with a shorter record: the record contains an epoch.
 func (sb *submissions) rejectTooLong(c jobCreation) {
 	sb.rejectUnlessAccepted(c.to, c.job.Spec, http.StatusBadRequest, descriptionTooLong)
 }
 
-// onRecordCreated answers that a job is accepted. A leader adds it to its cluster state only if
-// the record was written in this term, and the job is not over already: the leader may have
-// noticed it long before the answer comes, or another leader may have, and ended it. A job
-// that is not added here it notices as those that other controllers accept.
+// onRecordCreated replies that a job is accepted. A leader adds the job to its cluster state only
+// if the record was written in this term and the job is not finished yet: this leader, or another
+// one, may have detected the job long before the answer to the write arrives, and finished it. A
+// job that is not added here is detected by the watch, like those that other controllers accept.
 func (sb *submissions) onRecordCreated(c jobCreation, term *leaderTerm) {
 	ref := c.job.Spec.Ref
 	if f, finished := sb.directory.finishedJobs.find(ref); finished {
@@ -269,7 +271,7 @@
 	sb.reply(c.to, http.StatusCreated, body)
 }
 
-// replyIfFound answers how a job stands whose record exists already.
+// replyIfFound replies with the status of a job whose record exists already.
 func (sb *submissions) replyIfFound(to ReplyAddress, ref string) {
 	sb.directory.findJob(priorityUser, ref, func(found jobLookup, err error) {
 		if err != nil {
