--- a/internal/controller/completion_records.go
+++ b/internal/controller/completion_records.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// maxSharedCompletionTasks is up to which size arrays share records of completions; larger
-	// ones have some for themselves.
+	// maxSharedCompletionTasks is the largest number of tasks of an array that shares completion
+	// records with others. Larger arrays have records of their own, one for each chunk of tasks.
 	maxSharedCompletionTasks = 2048
-	// completionBatchDelay is how long completions are let come together.
+	// completionBatchDelay is how long completions are collected before they are written.
 	completionBatchDelay = 700 * protocol.Millisecond
 	chunkWritePause      = 500 * protocol.Millisecond
 	chunkReadRetry       = 300 * protocol.Millisecond
 )
 
-// chunkWriter batches the records of completed tasks of large arrays. Each write depends on the
-// record's own revision: one that got no answer and is carried out after the next one would
-// take back completions that are durable, and that their workers were told to forget.
+// chunkWriter batches the completion records of large arrays. Each write depends on the record's
+// revision: a write without an answer that is carried out after the next one would otherwise revert
+// completions that are durable, and whose reports the workers have deleted at the leader's command.
 type chunkWriter struct {
 	dirty           map[chunkKey]bool
-	revisionUnknown map[chunkKey]bool // a write may have been carried out or not
+	revisionUnknown map[chunkKey]bool // chunks whose last write conflicted or has an unknown outcome
 	inFlight        bool
-	next            micros
+	nextWrite       micros // no chunk is written before
 }
 
 // chunkKey is a chunk of an array.
@@ -45,20 +45,21 @@
 	return cmp.Or(cmp.Compare(k.ref, o.ref), cmp.Compare(k.chunk, o.chunk))
 }
 
-// completionRecordSize is what the completions of an array take in a shared record: a bit for
-// each task, in base64.
+// completionRecordSize is the number of bytes that the completions of an array take in a shared
+// record: a bit for each task, in base64.
 func completionRecordSize(j *state.Job) int {
 	const quotes = 2
 	base64Size := (len(j.Tasks) + 23) / 24 * 4
 	return len(j.Spec.Ref) + completionEntrySize + base64Size + quotes
 }
 
-// storedCompletionSize is what completions take in a shared record that was read.
+// storedCompletionSize is the number of bytes that the completions of an array take in a shared
+// record that was read.
 func storedCompletionSize(ref string, chunk []byte) int {
 	return len(ref) + len(chunk) + completionEntrySize
 }
 
-// recordCompletion has the completion of a task of an array recorded.
+// recordCompletion queues the completion of a task of an array to be recorded.
 func (rs *recordStore) recordCompletion(j *state.Job, index int) {
 	if len(j.Tasks) <= maxSharedCompletionTasks {
 		rs.completionShards.put(j.Spec.Ref, completionRecordSize(j), rs.shardCapacity(), rs.now.Steady+completionBatchDelay, true)
@@ -68,13 +69,13 @@
 	if w.dirty == nil {
 		w.dirty = make(map[chunkKey]bool)
 	}
-	if len(w.dirty) == 0 && w.next < rs.now.Steady {
-		w.next = rs.now.Steady + completionBatchDelay
+	if len(w.dirty) == 0 && w.nextWrite < rs.now.Steady {
+		w.nextWrite = rs.now.Steady + completionBatchDelay
 	}
 	w.dirty[chunkKey{j.Spec.Ref, index / records.ChunkTasks}] = true
 }
 
-// encodeCompletions makes the record of completions that some arrays share.
+// encodeCompletions encodes the completion record that some arrays share.
 func (rs *recordStore) encodeCompletions(refs []string) (value []byte, onCommit func()) {
 	var jobs []*state.Job
 	var completed [][]int
@@ -107,10 +108,10 @@
 	completed []int
 }
 
-// writeCompletionChunks writes the completions of large arrays that are due.
+// writeCompletionChunks writes the completions of large arrays when they are due.
 func (rs *recordStore) writeCompletionChunks() {
 	w := &rs.chunkWriter
-	if w.inFlight || len(w.dirty) == 0 || rs.now.Steady < w.next {
+	if w.inFlight || len(w.dirty) == 0 || rs.now.Steady < w.nextWrite {
 		return
 	}
 	batch, ready := rs.collectChunks()
@@ -131,7 +132,7 @@
 	w.inFlight = true
 	rs.election.transaction(priorityUrgent, when, then, func(revision uint64, err error) {
 		w.inFlight = false
-		w.next = rs.now.Steady + chunkWritePause
+		w.nextWrite = rs.now.Steady + chunkWritePause
 		for _, cw := range batch {
 			if err == nil {
 				cw.job.SetChunkRevision(cw.key.chunk, revision)
@@ -143,8 +144,8 @@
 	})
 }
 
-// collectChunks takes the chunks for the next transaction. It is not ready while the revision
-// of one of them has to be read.
+// collectChunks selects the chunks for the next transaction. ready is false if the revision of one
+// of them has to be read first.
 func (rs *recordStore) collectChunks() (batch []chunkWrite, ready bool) {
 	w := &rs.chunkWriter
 	keys := make([]chunkKey, 0, len(w.dirty))
@@ -171,7 +172,7 @@
 	return batch, true
 }
 
-// onFailed has a chunk written again.
+// onFailed queues a chunk to be written again.
 func (w *chunkWriter) onFailed(cw chunkWrite, err error) {
 	if cw.job.State == state.JobActive {
 		w.dirty[cw.key] = true
@@ -184,7 +185,8 @@
 	}
 }
 
-// refreshChunkRevision reads the revision of a chunk's record after a write without an answer.
+// refreshChunkRevision reads the revision of a chunk's record after a write that conflicted or has
+// an unknown outcome.
 func (rs *recordStore) refreshChunkRevision(j *state.Job, k chunkKey) {
 	w := &rs.chunkWriter
 	w.inFlight = true
@@ -194,7 +196,7 @@
 		}
 		w.inFlight = false
 		if errors.Is(err, statestore.ErrUnavailable) {
-			w.next = rs.now.Steady + chunkReadRetry
+			w.nextWrite = rs.now.Steady + chunkReadRetry
 			return
 		}
 		delete(w.revisionUnknown, k)
--- a/internal/controller/record_shards.go
+++ b/internal/controller/record_shards.go
@@ -8,33 +8,33 @@
 	"mapleslip/internal/protocol"
 )
 
-// shardWriteState is whether a record is on its way to the state service.
+// shardWriteState tells whether a record is being written to the state service, and how urgently.
 type shardWriteState uint8
 
 const (
 	shardIdle shardWriteState = iota
 	shardWritingUrgent
-	shardWritingDeferred // may wait in line for a second or more
+	shardWritingDeferred // the write may be queued for a second or more
 
 	shardWriteStates = iota
 )
 
-// recordShard is one record that many entries share.
+// recordShard is one record of the state service that many entries share.
 type recordShard struct {
 	key         string
-	revision    uint64         // 0: it is not in the state service
-	entries     map[string]int // bytes that each may take, by name
-	size        int            // of all entries
-	storedBytes int            // of the record as the state service has it
+	revision    uint64         // 0 if the record is not in the state service
+	entries     map[string]int // maximum size of each entry in bytes, by name
+	size        int            // sum over the entries
+	storedBytes int            // size of the record in the state service
 
-	due             micros // when it has to be written, Forever: it is up to date
-	urgent          bool   // work waits for that
+	due             micros // when the record has to be written, Forever if it is up to date
+	urgent          bool   // other work waits for the write
 	writeState      shardWriteState
-	writeAlone      bool // a transaction with it was refused as malformed: it goes by itself
-	revisionUnknown bool // a write of it may have been carried out or not
+	writeAlone      bool // a transaction with it was rejected as malformed, so it gets one of its own
+	revisionUnknown bool // the last write conflicted or has an unknown outcome
 
-	// replacements took entries of it when it was split. They have to be durable before it is
-	// written without those.
+	// replacements are the records that received entries when this one was split. They have to be
+	// durable before this one is written without those entries.
 	replacements []*recordShard
 }
 
@@ -42,15 +42,15 @@
 	return &recordShard{key: key, entries: make(map[string]int), due: due}
 }
 
-// names lists the entries in order.
+// names lists the names of the entries in order.
 func (s *recordShard) names() []string { return slices.Sorted(maps.Keys(s.entries)) }
 
-// isDue reports whether the record can and has to be written.
+// isDue reports whether the record has to be written, and no write of it is in flight.
 func (s *recordShard) isDue(now micros) bool { return s.due <= now && s.writeState == shardIdle }
 
-// replacementsWritten reports whether what was taken out of a record is durable elsewhere, or
-// comes to be with it: else a successor would not find it. What a record waits for is as urgent
-// as the record.
+// replacementsWritten reports whether the entries that were split off a record are durable in other
+// records, or are written in the same transaction. Otherwise a new leader would not find them. The
+// replacements that still have to be written become urgent if the record is.
 func (s *recordShard) replacementsWritten(batch []*recordShard) bool {
 	written := true
 	for _, r := range s.replacements {
@@ -62,21 +62,21 @@
 	return written
 }
 
-// recordShards spreads entries over records of limited size: a few changes of the state service
-// then carry what would otherwise be one each. A write depends on the record's own revision,
-// so that one that is carried out late can't bring back what it said before.
+// recordShards distributes entries over records of limited size, so that they take a few changes in
+// the state service instead of one each. Each write depends on the record's revision, so that a
+// write that is carried out late can't restore older contents.
 type recordShards struct {
 	prefix     string
 	shards     []*recordShard
 	shardOf    map[string]*recordShard // by entry
 	lastNumber int                     // of the newest record
 
-	inFlight        [shardWriteStates]bool   // transactions that are on their way
-	notBefore       [shardWriteStates]micros // none is sent before
-	readingRevision bool                     // of a record whose revision is unknown
-	deferredSince   micros                   // since when records that nothing waits for wait for others
+	inFlight        [shardWriteStates]bool   // whether a transaction of this kind is in flight
+	notBefore       [shardWriteStates]micros // no transaction of this kind is sent before
+	readingRevision bool                     // the revision of a record is being read
+	deferredSince   micros                   // since when deferred records wait behind urgent ones
 
-	// encode makes the record of some entries. onCommit, which may be nil, is called once the
+	// encode encodes the record of some entries. onCommit, which may be nil, is called once the
 	// record is durable.
 	encode func(names []string) (value []byte, onCommit func())
 }
@@ -85,20 +85,22 @@
 	return &recordShards{prefix: prefix, shardOf: make(map[string]*recordShard), encode: encode}
 }
 
-// reserveNumber has no new record take the key of one that can't be read.
+// reserveNumber prevents new records from taking the key of a stored record, including one that
+// can't be decoded.
 func (s *recordShards) reserveNumber(key string) {
 	if n, err := strconv.Atoi(key[len(s.prefix):]); err == nil {
 		s.lastNumber = max(s.lastNumber, n)
 	}
 }
 
-// nextKey is the key of a new record.
+// nextKey returns the key for a new record.
 func (s *recordShards) nextKey() string {
 	s.lastNumber++
 	return s.prefix + strconv.Itoa(s.lastNumber)
 }
 
-// addStored adds a record that was read. Its entries are assigned with assignStored.
+// addStored adds a record that was read from the state service. Its entries are added with
+// assignStored.
 func (s *recordShards) addStored(e protocol.Entry) *recordShard {
 	s.reserveNumber(e.Key)
 	shard := newRecordShard(e.Key, protocol.Forever)
@@ -107,21 +109,21 @@
 	return shard
 }
 
-// assign puts an entry into a record.
+// assign adds an entry to a record.
 func (s *recordShards) assign(shard *recordShard, name string, size int) {
 	shard.entries[name] = size
 	shard.size += size
 	s.shardOf[name] = shard
 }
 
-// unassign takes an entry out of its record.
+// unassign removes an entry from its record. The caller updates shardOf.
 func (s *recordShards) unassign(shard *recordShard, name string) {
 	shard.size -= shard.entries[name]
 	delete(shard.entries, name)
 }
 
-// assignStored assigns an entry of a record that was read. While a record is split two name it:
-// the one that was written last keeps it.
+// assignStored assigns an entry of a record that was read from the state service. While a record is
+// being split, two records may contain the entry: the one that was written last keeps it.
 func (s *recordShards) assignStored(shard *recordShard, name string, size int) {
 	if other := s.shardOf[name]; other != nil {
 		if other.revision > shard.revision {
@@ -132,9 +134,10 @@
 	s.assign(shard, name, size)
 }
 
-// chooseShard is the record that a new entry comes into, nil if none has room: one that has to
-// be written anyway, before any of the others, so that the entries of a cycle take as few
-// changes as can be. A record on its way is no place where the entry would wait for it.
+// chooseShard returns the record for a new entry, or nil if none has room. It prefers a record that
+// has to be written anyway, so that the entries of a scheduling cycle take as few changes as
+// possible. A record with a deferred write in flight is not chosen, since the entry would have to
+// wait for that write.
 func (s *recordShards) chooseShard(size, capacity int, due micros) *recordShard {
 	var best *recordShard
 	for _, o := range s.shards {
@@ -151,7 +154,8 @@
 	return best
 }
 
-// put says that an entry is new or has changed, and by when it has to be written.
+// put adds or updates an entry, to be written at the instant due. urgent is true if other work
+// waits for the write.
 func (s *recordShards) put(name string, size, capacity int, due micros, urgent bool) {
 	shard := s.shardOf[name]
 	if shard == nil {
@@ -165,7 +169,8 @@
 	shard.due, shard.urgent = min(shard.due, due), shard.urgent || urgent
 }
 
-// drop takes an entry out. Its record is written by due, Forever: when something else changes.
+// drop removes an entry. Its record is written at the instant due. With Forever it is written only
+// when another entry changes.
 func (s *recordShards) drop(name string, due micros) {
 	shard := s.shardOf[name]
 	if shard == nil {
@@ -181,8 +186,8 @@
 	return slices.ContainsFunc(s.shards, func(shard *recordShard) bool { return len(shard.replacements) > 0 })
 }
 
-// split moves half of a record to another one, which is written first, or with it. It reports
-// false if the record has one entry only.
+// split moves half of a record's entries to a new record, which is written before it or in the same
+// transaction. It returns false if the record has fewer than two entries.
 func (s *recordShards) split(shard *recordShard, now micros) bool {
 	names := shard.names()
 	if len(names) < 2 {
--- a/internal/controller/record_store.go
+++ b/internal/controller/record_store.go
@@ -22,12 +22,12 @@
 	completionShards *recordShards
 	launchShards     *recordShards
 
-	launches          map[string]*state.Attempt // by task, those that a record names or will
+	launches          map[string]*state.Attempt // by task, those that are recorded or queued to be
 	launchesWrittenAt micros                    // when a record of launches was last sent
 	chunkWriter       chunkWriter
 	nextImageRecord   micros
 
-	orphanedKeys    []string // of records that belong to nothing: to be deleted
+	orphanedKeys    []string // keys of records without an owner, to be deleted
 	deletingOrphans bool
 }
 
@@ -40,8 +40,8 @@
 	return rs
 }
 
-// Bytes of entries in shared records besides their names. A record that comes out too long is
-// split.
+// Bytes of entries in shared records besides their names. These are estimates: a record whose
+// encoding exceeds the limit is split.
 const (
 	launchEntrySize     = 24
 	hostEntrySize       = 40
@@ -51,17 +51,17 @@
 )
 
 const (
-	// maxLaunchRecordDelay is how long a launch waits for others to share its record.
+	// maxLaunchRecordDelay limits how long a launch waits for other launches to share its record.
 	maxLaunchRecordDelay = protocol.Second
-	// finalWriteRecency is how long the latency of the last final record says anything.
+	// finalWriteRecency is how long the latency of the last final record is regarded as current.
 	finalWriteRecency = 3 * protocol.Second
 
-	// imageRecordInterval is how often the images of hosts are recorded anew where they take few
-	// records. Which ones a host has is worth knowing after a failover, but nothing depends on
-	// it.
+	// imageRecordInterval is the shortest interval at which the images of hosts are recorded. It
+	// applies if they take few records. The list of a host's images is useful to a new leader, but
+	// nothing depends on it.
 	imageRecordInterval = 10 * protocol.Second
-	// imageRecordRateShare is the part of the write rate that records of hosts may take for
-	// that. Small records are many, and images change all the time.
+	// imageRecordRateShare is the share of the write rate that the records of images may take.
+	// With small records there are many of them, and images change all the time.
 	imageRecordRateShare = 0.1
 
 	orphanDeletionRetry = 2 * protocol.Second
@@ -75,25 +75,25 @@
 
 func bookingRecordSize(ref string) int { return len(ref) + bookingEntrySize }
 
-// shardCapacity is how many bytes of a record entries may take.
+// shardCapacity is how many bytes the entries of a record may take.
 func (rs *recordStore) shardCapacity() int { return rs.store.Target().MaxValueBytes - shardOverhead }
 
-// hostShardCapacity is how many bytes of a record hosts may take. Some are left for images,
-// which are written as far as they fit.
+// hostShardCapacity is how many bytes the hosts in a record may take. The rest is left for their
+// images, which are included if all of them fit.
 func (rs *recordStore) hostShardCapacity() int { return rs.store.Target().MaxValueBytes * 6 / 10 }
 
-// recordLaunch has a launch recorded by an instant.
+// recordLaunch queues a launch to be recorded at the instant due.
 func (rs *recordStore) recordLaunch(a *state.Attempt, due micros) {
 	task := a.Name.String()
 	rs.launches[task] = a
 	rs.launchShards.put(task, launchRecordSize(a), rs.shardCapacity(), due, due < protocol.Forever)
 }
 
-// launchRecordDue is when the record of a launch has to be written: at once, unless final
-// records wait in line. Then one of launches does not follow the last one sooner than that
-// takes, up to a second: jobs of one task that come several a second would have one written
-// for each, while others' launches and their own ends have to wait. A class with an objective
-// on starting does not wait.
+// launchRecordDue is when the record of a launch has to be written: at once, unless final records
+// were written lately. In that case launch records are spaced by the latency of the last final
+// record, up to a second: if several jobs of one task arrive every second, each would otherwise
+// cause a record of its own, which delays the launches of other jobs and the final records of the
+// same jobs. A class with a start objective is not delayed.
 func (rs *recordStore) launchRecordDue(s *protocol.JobSpec) micros {
 	now, finals := rs.now.Steady, &rs.jobs.finals
 	if rs.startObjective(s.Class) > 0 || now-finals.lastFinishedAt > finalWriteRecency {
@@ -102,7 +102,8 @@
 	return max(now, rs.launchesWrittenAt+min(finals.lastLatency, maxLaunchRecordDelay))
 }
 
-// encodeLaunches makes the record that some launches share. What is over falls out of it.
+// encodeLaunches encodes the record that some launches share. Launches whose attempts have ended
+// are dropped from it.
 func (rs *recordStore) encodeLaunches(tasks []string) (value []byte, onCommit func()) {
 	var launches []records.Launch
 	var attempts []*state.Attempt
@@ -126,20 +127,20 @@
 	}
 }
 
-// recordHost has a host recorded. Nothing is launched on it before: a successor must know where
-// tasks may be.
+// recordHost queues a host to be recorded. Nothing is launched on it before the record is durable,
+// since a new leader needs the list of all hosts on which tasks may be.
 func (rs *recordStore) recordHost(h *state.Host) {
 	if !h.Record.Written {
 		rs.putHost(h, rs.now.Steady, true)
 	}
 }
 
-// putHost has a host's record written by an instant.
+// putHost queues a host's record to be written at the instant due.
 func (rs *recordStore) putHost(h *state.Host, due micros, urgent bool) {
 	rs.hostShards.put(h.Name, hostRecordSize(h), rs.hostShardCapacity(), due, urgent)
 }
 
-// encodeHosts makes the record that some hosts share, with their images if they fit.
+// encodeHosts encodes the record that some hosts share, with their images if these fit.
 func (rs *recordStore) encodeHosts(names []string) (value []byte, onCommit func()) {
 	var hosts []*state.Host
 	for _, name := range names {
@@ -174,13 +175,13 @@
 	}
 }
 
-// imageRecordDelay is how long after one time the images are recorded the next time, so that
-// all records of hosts take no more than their part of a rate.
+// imageRecordDelay is the delay between two records of the images, chosen so that the records of
+// all hosts take no more than imageRecordRateShare of a rate.
 func imageRecordDelay(shards int, rate float64) micros {
 	return max(imageRecordInterval, protocol.FromSeconds(float64(shards)/(rate*imageRecordRateShare)))
 }
 
-// recordImages has the images of hosts recorded, now and then.
+// recordImages queues the records of hosts with changed images, at the interval imageRecordDelay.
 func (rs *recordStore) recordImages() {
 	if rs.now.Steady < rs.nextImageRecord {
 		return
@@ -193,7 +194,7 @@
 	}
 }
 
-// encodeBookings makes the record that some bookings share.
+// encodeBookings encodes the record that some bookings share.
 func (rs *recordStore) encodeBookings(refs []string) (value []byte, onCommit func()) {
 	return records.EncodeBookings(refs, func(ref string) micros {
 		if j := rs.cluster.Job(ref); j != nil {
@@ -203,8 +204,8 @@
 	}), nil
 }
 
-// deleteOrphanedRecords deletes records that belong to nothing, a transaction at a time. One
-// that is left over only costs its reader a look.
+// deleteOrphanedRecords deletes records without an owner, one transaction at a time. A record that
+// remains does no harm: it only costs a new leader an additional check.
 func (rs *recordStore) deleteOrphanedRecords() {
 	if rs.deletingOrphans || len(rs.orphanedKeys) == 0 {
 		return
--- a/internal/controller/shard_writer.go
+++ b/internal/controller/shard_writer.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// maxTxnBytes is how much of a transaction records may take; its limit is 64 KiB.
+	// maxTxnBytes is how many bytes of a transaction the records may take. A transaction is limited
+	// to 64 KiB.
 	maxTxnBytes       = 56 << 10
 	txnBytesPerRecord = 100 // besides the value
-	// maxDeferredShards is how many records a transaction carries that nothing waits for: each
-	// is kept from being written again for as long as that takes, which is long while others
-	// wait.
+	// maxDeferredShards limits the records in a transaction that no work waits for. None of them can
+	// be written again until the transaction ends, which takes long while other requests wait.
 	maxDeferredShards = 3
-	// maxDeferral is how long records that nothing waits for are held back by those that
-	// something waits for.
+	// maxDeferral limits how long urgent records delay those that no work waits for.
 	maxDeferral     = 2 * protocol.Second
 	shardWriteRetry = 300 * protocol.Millisecond
-	// unwritableRetry is how long a record is left alone that can't be written: the state
-	// service refuses it for another reason than its limits, or one entry alone is too long.
+	// unwritableRetry is the delay before a record is tried again that can't be written: the state
+	// service rejects it for a reason other than its limits, or a single entry is too long.
 	unwritableRetry = 60 * protocol.Second
 )
 
-// writeDueShards writes the records that are due: those that work waits for, as many as one
-// transaction takes, and besides some of those that nothing waits for. Together these would
-// have hosts that have just come up wait to be recorded until the images of all others were.
+// writeDueShards writes the records that are due: the urgent ones, as many as one transaction
+// takes, and in another transaction a few of the deferred ones. If all were written together, hosts
+// that have just booted would not be recorded until the images of all other hosts were.
 func (rs *recordStore) writeDueShards(s *recordShards) {
 	now := rs.now.Steady
 	if s.readingRevision {
 		return
 	}
-	// No record is written before an unknown revision is known: carried out after another that
-	// names the same task, the uncertain write would be the newer of the two to a new leader.
+	// No record is written while the revision of one is unknown. If the uncertain write were carried
+	// out after that of another record with the same task, a new leader would take its contents for
+	// the newer ones.
 	urgent, deferred := false, false
 	for _, shard := range s.shards {
 		if !shard.isDue(now) {
@@ -50,24 +50,26 @@
 	if !deferred || !urgent || s.inFlight[shardWritingDeferred] {
 		s.deferredSince = now
 	}
-	mayWrite := func(how shardWriteState) bool { return !s.inFlight[how] && now >= s.notBefore[how] }
+	mayWrite := func(writeState shardWriteState) bool {
+		return !s.inFlight[writeState] && now >= s.notBefore[writeState]
+	}
 	if urgent && mayWrite(shardWritingUrgent) {
 		rs.writeShards(s, shardWritingUrgent)
 	}
-	// Where something is urgent all the time the others get their turn now and then.
+	// If urgent records are due all the time, deferred ones are still written after maxDeferral.
 	if deferred && (!urgent || now-s.deferredSince >= maxDeferral) && mayWrite(shardWritingDeferred) {
 		rs.writeShards(s, shardWritingDeferred)
 	}
 }
 
-// shardBatch is the records of one transaction.
+// shardBatch holds the records of one transaction.
 type shardBatch struct {
-	how      shardWriteState
-	shards   []*recordShard
-	when     []protocol.Condition
-	then     []protocol.Change
-	sizes    []int    // of the records
-	onCommit []func() // of the records, may be nil
+	writeState shardWriteState // shardWritingUrgent or shardWritingDeferred
+	shards     []*recordShard
+	when       []protocol.Condition
+	then       []protocol.Change
+	sizes      []int    // encoded size of each record in bytes
+	onCommit   []func() // callback of each record, may be nil
 }
 
 func (b *shardBatch) add(shard *recordShard, value []byte, onCommit func()) {
@@ -76,23 +78,23 @@
 	b.then = append(b.then, protocol.Change{Key: shard.key, Value: value})
 	b.sizes = append(b.sizes, len(value))
 	b.onCommit = append(b.onCommit, onCommit)
-	shard.writeState, shard.due, shard.urgent = b.how, protocol.Forever, false
+	shard.writeState, shard.due, shard.urgent = b.writeState, protocol.Forever, false
 }
 
-// collectBatch takes the records that are due and of an urgency, as many as one transaction
-// carries. Those that come out too long are split.
-func (rs *recordStore) collectBatch(s *recordShards, how shardWriteState) *shardBatch {
+// collectBatch selects the records of an urgency that are due, as many as one transaction carries.
+// A record whose encoding is too long is split.
+func (rs *recordStore) collectBatch(s *recordShards, writeState shardWriteState) *shardBatch {
 	limit := rs.store.Target().MaxChanges
-	if how == shardWritingDeferred {
+	if writeState == shardWritingDeferred {
 		limit = min(maxDeferredShards, limit)
 	}
 	if s.isSplitting() {
-		limit = rs.store.Accepted().MaxChanges // a record and its parts go together if they can
+		limit = rs.store.Accepted().MaxChanges // writes a record with its replacements if possible
 	}
-	b := &shardBatch{how: how}
+	b := &shardBatch{writeState: writeState}
 	size := 0
 	for _, shard := range s.shards {
-		if !shard.isDue(rs.now.Steady) || shard.urgent != (how == shardWritingUrgent) {
+		if !shard.isDue(rs.now.Steady) || shard.urgent != (writeState == shardWritingUrgent) {
 			continue
 		}
 		if len(shard.entries) == 0 && shard.revision == 0 {
@@ -102,8 +104,9 @@
 		if !shard.replacementsWritten(b.shards) || shard.writeAlone && len(b.shards) > 0 {
 			continue
 		}
-		// A record of which nothing is left is emptied and not deleted: a late copy of the write
-		// that made it, which depends on there being none, would bring it back as the newest.
+		// A record without entries is written empty instead of being deleted. A late copy of the
+		// write that created it, which requires that there is none, would otherwise restore it as
+		// the newest record.
 		value, onCommit := s.encode(shard.names())
 		if len(value) > rs.store.Target().MaxValueBytes {
 			rs.splitShard(s, shard, len(value))
@@ -120,23 +123,23 @@
 	return b
 }
 
-// writeShards writes records that are due and of an urgency, in one transaction.
-func (rs *recordStore) writeShards(s *recordShards, how shardWriteState) {
-	b := rs.collectBatch(s, how)
+// writeShards writes records of an urgency that are due, in one transaction.
+func (rs *recordStore) writeShards(s *recordShards, writeState shardWriteState) {
+	b := rs.collectBatch(s, writeState)
 	if len(b.shards) == 0 {
 		return
 	}
 	priority := priorityUrgent
-	if how == shardWritingDeferred {
+	if writeState == shardWritingDeferred {
 		priority = priorityNormal
 	}
-	s.inFlight[how] = true
+	s.inFlight[writeState] = true
 	if s == rs.launchShards {
 		b.when = rs.config.withRevisionCondition(b.when)
 		rs.launchesWrittenAt = rs.now.Steady
 	}
 	rs.election.transaction(priority, b.when, b.then, func(revision uint64, err error) {
-		s.inFlight[how] = false
+		s.inFlight[writeState] = false
 		rs.config.handleRevisionConflict(err)
 		if err == nil {
 			b.onCommitted(revision)
@@ -144,14 +147,15 @@
 		}
 		b.onFailed(err, rs.now.Steady)
 		if errors.Is(err, statestore.ErrMalformed) && len(b.shards) == 1 {
-			b.shards[0].due = rs.now.Steady + unwritableRetry // it is logged, and holds up no others
+			// The client has logged the refusal. Other records are not delayed.
+			b.shards[0].due = rs.now.Steady + unwritableRetry
 			return
 		}
-		s.notBefore[how] = rs.now.Steady + shardWriteRetry
+		s.notBefore[writeState] = rs.now.Steady + shardWriteRetry
 	})
 }
 
-// onCommitted notes that the records are durable.
+// onCommitted updates the records of a batch that is durable.
 func (b *shardBatch) onCommitted(revision uint64) {
 	for i, shard := range b.shards {
 		shard.writeState = shardIdle
@@ -163,17 +167,18 @@
 	}
 }
 
-// onFailed has the records written again.
+// onFailed queues the records of a batch to be written again.
 func (b *shardBatch) onFailed(err error, now micros) {
 	for _, shard := range b.shards {
 		shard.writeState = shardIdle
-		shard.due, shard.urgent = now, shard.urgent || b.how == shardWritingUrgent
+		shard.due, shard.urgent = now, shard.urgent || b.writeState == shardWritingUrgent
 		shard.writeAlone = shard.writeAlone || errors.Is(err, statestore.ErrMalformed)
 		shard.revisionUnknown = shard.revisionUnknown || errors.Is(err, statestore.ErrOutcomeUnknown) || statestore.ConflictsOn(err, shard.key)
 	}
 }
 
-// refreshShardRevision reads the revision of a record after a write without an answer.
+// refreshShardRevision reads the revision of a record after a write that conflicted or has an
+// unknown outcome.
 func (rs *recordStore) refreshShardRevision(s *recordShards, shard *recordShard) {
 	s.readingRevision = true
 	rs.store.Get(priorityUrgent, shard.key, func(e protocol.Entry, err error) {
@@ -189,7 +194,8 @@
 	})
 }
 
-// splitShard splits a record that came out too long.
+// splitShard splits a record whose encoding is too long. A record with a single entry can't be
+// split: it is logged, and tried again after unwritableRetry.
 func (rs *recordStore) splitShard(s *recordShards, shard *recordShard, size int) {
 	if !s.split(shard, rs.now.Steady) {
 		rs.log.Error("record too long", "key", shard.key, "bytes", size)
@@ -197,9 +203,9 @@
 	}
 }
 
-// splitLargeShards has records that are stored above what is written now written again, and
-// split by that: one of each kind at a time and after everything else, so that nothing has to
-// be split when the state service takes no larger ones any more.
+// splitLargeShards rewrites, and thereby splits, records whose stored size exceeds the size that is
+// written now: one of each kind at a time, and not urgent, so that no record has to be split when
+// the state service stops accepting larger ones.
 func (rs *recordStore) splitLargeShards() {
 	maxBytes := rs.store.Target().MaxValueBytes
 	for _, s := range []*recordShards{rs.launchShards, rs.hostShards, rs.completionShards, rs.bookingShards} {
@@ -211,8 +217,8 @@
 	}
 }
 
-// nextLarge is the first record that is stored above a size, and how many there are; nil while
-// one of them is being written.
+// nextLarge returns the first record whose stored size exceeds maxBytes, or nil while one of these
+// is being written or split. With a record, count is the number of such records.
 func (s *recordShards) nextLarge(maxBytes int) (next *recordShard, count int) {
 	for _, shard := range s.shards {
 		if shard.storedBytes <= maxBytes {
--- a/internal/controller/write_rate_test.go
+++ b/internal/controller/write_rate_test.go
@@ -7,8 +7,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// A leader tries for all of the published rate, of which its share is the larger one, since the
-// others mostly write nothing; one that does not lead any more keeps to its share.
+// A leader probes up to the whole published write rate, since the followers mostly write nothing. A
+// controller that no longer leads goes back to its share.
 func TestLeaderTriesForWholeWriteRate(t *testing.T) {
 	c := busyLeader(t, 8, 0)
 	c.election.role, c.election.lease.validUntil = RoleLeader, c.now.Steady+1000*protocol.Second
@@ -19,12 +19,12 @@
 		c.probeWriteRate()
 	}
 	if got := c.store.WriteRate() * WriteShare(3, true); math.Abs(got-published) > 1e-6 {
-		t.Errorf("%g a second of %g", got, published)
+		t.Errorf("the leader uses %g changes a second, want %g", got, published)
 	}
 	c.effects = nil
 	c.election.role = RoleFollower
 	c.probeWriteRate()
 	if c.store.WriteRate() != published || len(c.effects) != 1 {
-		t.Errorf("%g of %g, then %v", c.store.WriteRate(), published, c.effects)
+		t.Errorf("after leading: write rate %g, want %g; effects %v", c.store.WriteRate(), published, c.effects)
 	}
 }
