--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,9 +11,9 @@
 	"mapleslip/internal/statestore"
 )
 
-// Controller is one controller of a deployment: it hands events to the component that they are
-// for. The components below live as long as the process; what a leader holds besides is in
-// environment.term.
+// Controller is one controller of a deployment. It dispatches each event to the component that
+// handles it. The components below live as long as the process; the components that exist only
+// while this controller leads are in environment.term.
 type Controller struct {
 	*environment
 
@@ -33,11 +33,11 @@
 	refusalLog refusalLog
 }
 
-// seedStream keeps a controller's random numbers apart from those of others that are seeded
-// alike.
+// seedStream is the PCG stream of a controller's random numbers. It makes them differ from those
+// of other generators with the same seed.
 const seedStream = 0x6d61706c65
 
-// New makes a controller. It does nothing before Start.
+// New creates a controller. The controller does nothing before Start is called.
 func New(p *protocol.Platform, o protocol.OperatorSettings, seed uint64, log *slog.Logger) *Controller {
 	env := &environment{
 		platform: p, operator: o, rng: rand.New(rand.NewPCG(seed, seedStream)), log: log, outbox: newOutbox(),
@@ -65,7 +65,7 @@
 	return c
 }
 
-// connect tells each component which others it works with.
+// connect sets the references between the components of a controller.
 func (c *Controller) connect() {
 	c.election.features, c.election.recovery, c.election.store = c.features, c.recovery, c.store
 	c.membership.election, c.membership.router = c.election, c.router
@@ -92,13 +92,13 @@
 	c.rollouts.membership, c.rollouts.store, c.rollouts.submissions, c.rollouts.users = c.membership, c.store, c.submissions, c.users
 }
 
-// EnableTracing has the controller emit spans.
+// EnableTracing makes the controller emit spans.
 func (c *Controller) EnableTracing() { c.tracing = true }
 
-// Role is the state of this controller's election.
+// Role returns the current role of this controller in the election.
 func (c *Controller) Role() Role { return c.election.role }
 
-// EnableRollouts switches roll-outs on, before Start.
+// EnableRollouts enables roll-outs. It must be called before Start.
 func (c *Controller) EnableRollouts(s rollout.Settings) {
 	s.ValueBytes = c.store.Target().MaxValueBytes
 	s.OtherControllers = len(c.platform.Peers)
@@ -106,7 +106,8 @@
 	c.stats.Checks = make(map[string]uint64)
 }
 
-// EnableConfiguration lets the configuration change, before Start.
+// EnableConfiguration enables changes of the configuration at run time. It must be called before
+// Start.
 func (c *Controller) EnableConfiguration(o configuration.Options) {
 	b := configuration.Baseline{
 		Teams: c.platform.Teams, Zones: c.platform.Zones, Operator: c.operator, ValueBytes: c.store.Target().MaxValueBytes,
@@ -116,23 +117,24 @@
 	}
 }
 
-// EffectiveRevision is the revision of the configuration that this controller decided by at its
-// last step; ok is false if it decides nothing by any.
+// EffectiveRevision returns the revision of the configuration that this controller applied in
+// its last step. ok is false if it may not apply any revision.
 func (c *Controller) EffectiveRevision() (revision uint64, ok bool) {
 	return c.config.effectiveRevision()
 }
 
-// SetFeatureRange says which feature levels this program serves, before Start.
+// SetFeatureRange sets the range of feature levels that this build supports. It must be called
+// before Start.
 func (c *Controller) SetFeatureRange(r featuregate.Range, build string) {
 	c.features.state = &featureState{serves: r, build: build}
 }
 
-// DisableFeatureLevels has the controller behave as one of a version before there were levels,
-// for tests, before Start: it writes no entry of the registry, asks for no level, and reads no
-// record of the later format.
+// DisableFeatureLevels makes the controller behave like a version without feature levels, for
+// tests: it does not write its registry entry, does not request a level, and does not read
+// records of the later format. It must be called before Start.
 func (c *Controller) DisableFeatureLevels() { c.features.state = nil }
 
-// Start begins the controller's work.
+// Start starts the controller as a follower.
 func (c *Controller) Start(at instant) []Effect {
 	c.now, c.startedAt = at, at.Steady
 	c.election.becomeFollower()
@@ -144,8 +146,8 @@
 func (c *Controller) Step(at instant, ev Event) []Effect {
 	at.Steady = max(at.Steady, c.now.Steady)
 	c.now = at
-	// Before anything else: the process may have been frozen for longer than the lease, and for
-	// longer than workers may be answered without one.
+	// The lease is checked before anything else: the process may have been suspended for longer
+	// than the lease, and for longer than a leader may answer workers after its lease expired.
 	c.election.checkLease()
 	c.runTimers()
 	c.dispatch(ev)
@@ -157,7 +159,7 @@
 	return c.flush()
 }
 
-// dispatch hands an event to the component that it is for.
+// dispatch passes an event to the component that handles it.
 func (c *Controller) dispatch(ev Event) {
 	switch e := ev.(type) {
 	case UserRequest:
@@ -183,7 +185,7 @@
 	}
 }
 
-// onCallResult hands the result of a call to whoever made it.
+// onCallResult passes the result of a call to the callback of the component that made the call.
 func (c *Controller) onCallResult(r CallResult) {
 	call, open := c.calls[r.ID]
 	if !open {
@@ -201,8 +203,8 @@
 	c.logRefusals()
 }
 
-// probeWriteRate tries a higher rate of changes where it is time for that. A leader's share of
-// the rate is all there is: the others mostly write nothing.
+// probeWriteRate tries a higher rate of changes in the state service when the next try is due. A
+// leader tries with its own share of the rate, because the other controllers rarely write.
 func (c *Controller) probeWriteRate() {
 	share := 1.0
 	if c.election.role.leads() {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -11,35 +11,35 @@
 	"mapleslip/internal/protocol"
 )
 
-// A follower learns who leads from its watch. If that had to wait behind users' reads, as it
-// once did, the follower would refuse every user after a failover, and be too busy with that to
-// learn of it.
+// A follower learns of a new leader from its watch of the leader key. If the watch waited behind
+// users' reads, as it once did, the follower would refuse all users after a failover and would not
+// learn of the new leader, because refusing them would keep it busy.
 func TestLeaderWatchHasHighestPriority(t *testing.T) {
 	p := &protocol.Platform{ControllerName: "n0", Peers: []protocol.Peer{{Name: "n1", Address: "n1"}}, StateRequestRate: 100, StateWriteRate: 20}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	first := c.Start(instant{})
 	if read, ok := first[0].(Call); !ok || read.Path != "/store/lead" || read.Priority != priorityLeadership {
-		t.Fatalf("%v", first)
+		t.Fatalf("first effect is not a read of the leader key with leadership priority: %v", first)
 	}
-	var watch, poll *Call
-	note := func(effects []Effect) {
+	var watch, userRead *Call
+	collect := func(effects []Effect) {
 		for _, e := range effects {
 			if call, ok := e.(Call); ok && strings.HasPrefix(call.Path, "/follow?under=lead") {
 				watch = &call
 			} else if ok && strings.HasPrefix(call.Path, "/store/j/") {
-				poll = &call
+				userRead = &call
 			}
 		}
 	}
-	note(c.Step(instant{Steady: 1000}, CallResult{
+	collect(c.Step(instant{Steady: 1000}, CallResult{
 		ID: first[0].(Call).ID, Status: 200,
 		Body: []byte(`{"path":"lead","data":{"node":"gone","epoch":3,"lease":1,"answer_on":1},"stamp":9,"hold":1}`),
 	}))
-	note(c.Step(instant{Steady: 2000}, UserRequest{Op: protocol.OpQuery, Ref: "req-000001"}))
-	if watch == nil || poll == nil || watch.Priority >= poll.Priority {
-		t.Errorf("watch %+v, poll %+v", watch, poll)
+	collect(c.Step(instant{Steady: 2000}, UserRequest{Op: protocol.OpQuery, Ref: "req-000001"}))
+	if watch == nil || userRead == nil || watch.Priority >= userRead.Priority {
+		t.Errorf("watch of the leader key does not precede the user's read: watch %+v, read %+v", watch, userRead)
 	}
-	// What the state service's rate has no room for is refused at once.
+	// Requests above the state service's rate are refused at once.
 	refused := 0
 	for range 100 {
 		for _, e := range c.Step(instant{Steady: 3000}, UserRequest{Op: protocol.OpQuery, Ref: "req-000002"}) {
@@ -49,12 +49,12 @@
 		}
 	}
 	if refused < 80 {
-		t.Errorf("%d of 100 were refused at once", refused)
+		t.Errorf("%d of 100 queries were refused at once, want at least 80", refused)
 	}
 }
 
-// A new leader's records may come when its lease has expired meanwhile, from a slow state
-// service or to a process that was frozen: they are ignored then, and stop nothing.
+// The records that a new leader reads may arrive after its lease has expired, if the state service
+// is slow or the process was suspended. They must be ignored, and must not stop the controller.
 func TestRecordsAfterLeaseExpiry(t *testing.T) {
 	p := &protocol.Platform{ControllerName: "n0", StateRequestRate: 100, StateWriteRate: 20, MaxValueBytes: 8 << 10, HeartbeatInterval: protocol.Second, WorkerLease: 30 * protocol.Second}
 	c := New(p, protocol.DefaultOperatorSettings(), 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(lists) < 5 {
-		t.Fatalf("%d lists of records", len(lists))
+		t.Fatalf("%d requests list records, want at least 5", len(lists))
 	}
 	c.election.followAfter(protocol.Second)
 	for _, call := range lists {
@@ -81,6 +81,6 @@
 		c.Step(instant{Steady: 2000}, CallResult{ID: call.ID, Status: 200, Body: []byte(body)})
 	}
 	if c.term != nil || c.config.state.revision != 0 {
-		t.Errorf("term %v, revision %d", c.term, c.config.state.revision)
+		t.Errorf("records were applied after the lease had expired: term %v, revision %d", c.term, c.config.state.revision)
 	}
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,23 +1,24 @@
-// Package controller is one controller of a deployment. The leader accepts jobs, plans, sends
-// commands to workers and scales the deployment; the other controllers forward to it and serve
-// users from the state service while it can't be reached.
+// Package controller implements one controller of a deployment. The leader accepts jobs, plans,
+// sends commands to workers and scales the deployment. The other controllers forward requests to
+// the leader and, while the leader can't be reached, serve users from the state service.
 //
 // A Controller is an event loop without I/O: Step takes one event with its time, changes the
-// state, and returns the effects to be carried out. All state belongs to the one goroutine
-// that calls Step. Step's cost does not grow with the number of hosts or jobs; what needs a
-// look at all of them is done on ticks, in bounded steps.
+// state, and returns the effects that the driver has to carry out. All state belongs to the one
+// goroutine that calls Step. The cost of Step does not grow with the number of hosts or jobs:
+// work that visits all of them runs on ticks, in bounded steps.
 //
 // # Components
 //
-// The state is divided between components, each a type in a file of its own that says which
-// others it works with. Those of Controller live as long as the process: the election, the
-// membership, the gateways for users and workers, submissions, the configuration, feature
-// levels and roll-outs. Those of leaderTerm live for one term of leadership, an epoch: the
-// jobs, the hosts, the scheduler, the autoscaler and the records. A term is dropped when the
-// lease on leadership is lost, and its callbacks check ended before they change anything.
+// The state is divided between components. Each component is a type in a file of its own, with
+// fields for the other components that it uses. The components of Controller live as long as
+// the process: the election, the membership, the gateways for users and workers, submissions,
+// the configuration, feature levels and roll-outs. The components of leaderTerm live for one
+// term of leadership, an epoch: the jobs, the hosts, the scheduler, the autoscaler and the
+// records. A term is discarded when the lease on leadership is lost; its callbacks check ended
+// before they change anything.
 //
-// docs/ARCHITECTURE.md shows how a request, a heartbeat, a failover and a change of the
-// configuration go through them.
+// docs/ARCHITECTURE.md shows how the components handle a request, a heartbeat, a failover and a
+// change of the configuration.
 package controller
 
 import "mapleslip/internal/protocol"
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -2,10 +2,10 @@
 
 import "mapleslip/internal/statestore"
 
-// Effect is something to be done outside. The driver carries effects out in their order.
+// Effect is an action outside of the controller. The driver carries effects out in order.
 type Effect interface{ effect() }
 
-// Target is who a call goes to.
+// Target is the kind of the service that a call goes to.
 type Target uint8
 
 // Targets of calls.
@@ -14,21 +14,21 @@
 	ToCloud
 	ToPeer
 	ToWorker
-	ToInstance // a check of an instance of a service
+	ToInstance // a health check of an instance of a service
 )
 
-// Priority orders calls to the metered services: leadership goes before all others, which
-// share the rates.
+// Priority orders calls to the rate-limited services. Calls for leadership precede all others,
+// which share the rates.
 type Priority = statestore.Priority
 
 // Priorities of calls.
 const (
 	priorityLeadership      Priority = iota
-	priorityLatencyCritical          // somebody waits for the answer, and for work that has to start at once
-	priorityUser                     // somebody waits for the answer
-	priorityUrgent                   // work waits
+	priorityLatencyCritical          // a user waits for the answer, and a job must start at once
+	priorityUser                     // a user waits for the answer
+	priorityUrgent                   // jobs or tasks wait for the result
 	priorityNormal
-	priorityFinalRecord // a job is over; beside what work waits for
+	priorityFinalRecord // the record of a finished job; no job or task waits for it
 )
 
 // Reply answers a request.
@@ -37,34 +37,35 @@
 	Status     int
 	Body       []byte
 	RetryAfter micros
-	Frame      bool // the body is a whole frame for another controller
+	Frame      bool // the body is a complete frame for another controller
 }
 
-// Call asks for an outbound call. The driver answers it with a CallResult of the same ID.
+// Call requests an outbound call. The driver reports its outcome as a CallResult with the same
+// ID.
 type Call struct {
 	ID       uint64
 	Target   Target
-	Addr     string // of a peer, a worker or an instance
+	Addr     string // the address of a peer, a worker or an instance
 	Method   string
 	Path     string
 	Body     []byte
 	Timeout  micros
 	Priority Priority
-	Changes  int // puts and deletes, of a call to the state service
+	Changes  int // the number of puts and deletes, in a call to the state service
 }
 
-// RateShare tells whether this controller leads, and so which part of the metered services'
-// rates it may use.
+// RateShare reports to the driver whether this controller leads, which determines the share of
+// the rates of the rate-limited services that it may use.
 type RateShare struct{ Leads bool }
 
-// WriteRate tells that the state service takes another rate of changes, of all controllers
-// together, than it did. Lowered: it has just refused some, so nothing is saved up.
+// WriteRate reports to the driver that the rate of changes which the state service accepts, for
+// all controllers together, has changed.
 type WriteRate struct {
 	PerSecond float64
-	Lowered   bool
+	Lowered   bool // the service has just refused changes, so no burst allowance may be kept
 }
 
-// SetLogLevel sets the level of the log, "": as the process was started.
+// SetLogLevel sets the log level. An empty level restores the level of the process's start.
 type SetLogLevel struct{ Level string }
 
 func (Reply) effect()       {}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -7,8 +7,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// environment is what every component of a controller works with: the settings, the time of
-// the event at hand, the effects that it leads to, and timers. Only Step changes the time;
+// environment contains what all components of a controller share: the settings, the time of the
+// current event, the effects of the current step, and the timers. Only Step changes the time;
 // only the configuration manager changes the operators' settings.
 type environment struct {
 	platform *protocol.Platform
@@ -19,40 +19,41 @@
 	stats    Stats
 
 	now       instant
-	startedAt micros // when the process began
+	startedAt micros // time at which the process started
 
-	// term is what this controller holds while it leads, nil otherwise. Only the election
-	// ends a term, and only the recovery begins one.
+	// term is the current term of leadership, nil while this controller does not lead. Only the
+	// election ends a term, and only the recovery begins one.
 	term *leaderTerm
 
 	outbox
 	timerQueue
 	lagDetector
 
-	damagedRecords map[string]uint64 // records that can't be read, with the revisions that were logged
+	damagedRecords map[string]uint64 // logged revisions of undecodable records, by key
 }
 
-// controllers is how many controllers the deployment has.
+// controllers returns the number of controllers in the deployment.
 func (env *environment) controllers() int { return len(env.platform.Peers) + 1 }
 
-// steadyTime turns a time of day into the steady clock's.
+// steadyTime converts a time of day into a time of the steady clock.
 func (env *environment) steadyTime(wall micros) micros { return env.now.Steady + wall - env.now.Wall }
 
-// wallTime turns the steady clock's time into a time of day.
+// wallTime converts a time of the steady clock into a time of day.
 func (env *environment) wallTime(steady micros) micros { return steady - env.now.Steady + env.now.Wall }
 
-// maxClockDrift is how far apart steady clocks may be after a span, with a little for timers
-// that fire late.
+// maxClockDrift returns by how much the steady clocks of two hosts may differ after a span: 1 in
+// 1000, plus 5 ms for timers that fire late.
 func maxClockDrift(span micros) micros { return span/1000 + 5*protocol.Millisecond }
 
-// logMalformed notes an answer that does not follow the protocol. It is treated as no answer.
+// logMalformed logs and counts a message that does not follow the protocol. A malformed answer
+// is handled like a missing one.
 func (env *environment) logMalformed(from string, err error) {
 	env.stats.Malformed++
 	env.log.Info("malformed message", "from", from, "err", err, "count", env.stats.Malformed)
 }
 
-// logDamagedRecord reports a record that can't be read, once for each of its revisions. The
-// record stays as it is.
+// logDamagedRecord logs a record that can't be decoded, once for each of its revisions. The
+// record is left unchanged in the state service.
 func (env *environment) logDamagedRecord(e protocol.Entry, err error) {
 	if logged, ok := env.damagedRecords[e.Key]; ok && logged == e.Revision {
 		return
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -5,7 +5,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// Event is something that happened outside.
+// Event is an input of the controller: a request, a heartbeat, the result of a call, or a tick.
 type Event interface{ event() }
 
 // UserRequest is a user's or an operator's request, from a connection or forwarded by another
@@ -21,26 +21,27 @@
 type WorkerHeartbeat struct {
 	Reply ReplyAddress
 	Body  []byte
-	// ReturnedFromLeader: forwarded by a controller that had sent the worker here before.
+	// ReturnedFromLeader is set if another controller forwarded the heartbeat after it had
+	// redirected the worker to this controller and the worker had returned to it.
 	ReturnedFromLeader bool
 }
 
-// PeerStatusRequest is another controller's question for the status of this one.
+// PeerStatusRequest is another controller's request for the status of this one.
 type PeerStatusRequest struct {
 	Reply ReplyAddress
-	Epoch uint64 // under which the other one leads, 0: it does not
+	Epoch uint64 // the epoch under which the sender leads, 0 if it does not lead
 	From  string
-	Body  []byte // a leader's handover state
+	Body  []byte // the handover state of a leader
 }
 
-// WorkerProbe is a leader's command to a worker, for this controller to send.
+// WorkerProbe is a request of the leader to send a command to a worker on its behalf.
 type WorkerProbe struct {
 	Reply ReplyAddress
 	Addr  string
 	Body  []byte
 }
 
-// HealthCheckRequest is a leader's check of an instance, for this controller to make.
+// HealthCheckRequest is a request of the leader to check an instance of a service on its behalf.
 type HealthCheckRequest struct {
 	Reply      ReplyAddress
 	Kind       protocol.CheckKind
@@ -48,38 +49,38 @@
 	Timeout    micros
 }
 
-// FeatureRangeRequest is a leader's question for the feature levels that this controller
-// serves.
+// FeatureRangeRequest is a leader's request for the range of feature levels that this controller
+// supports.
 type FeatureRangeRequest struct{ Reply ReplyAddress }
 
 // ConfigGrantRequest is a leader's grant of a lease on a revision of the configuration.
 type ConfigGrantRequest struct {
 	Reply    ReplyAddress
 	Grant    configuration.Grant
-	Document []byte // nil: this controller has it
+	Document []byte // the configuration document, nil if this controller has it already
 }
 
-// HealthzRequest is the load balancer's question for this controller's health.
+// HealthzRequest is the load balancer's health check of this controller.
 type HealthzRequest struct{ Reply ReplyAddress }
 
-// CallResult is the end of a call. Status 0: there was no answer.
+// CallResult is the outcome of a call.
 type CallResult struct {
 	ID      uint64
-	Status  int
+	Status  int // 0 if there was no answer
 	Body    []byte
-	NotSent bool // certainly not executed
-	// ConnectionRefused: the other side could not be connected to. A call that was not sent for
-	// another reason says nothing of the other side.
+	NotSent bool // the request was certainly not executed
+	// ConnectionRefused is set if no connection to the other side could be opened. A call that
+	// was not sent for another reason gives no information about the other side.
 	ConnectionRefused bool
 }
 
-// notAttempted reports whether a call was not made for want of a connection of this
-// controller's own, or of room in a rate: it says nothing of the other side.
+// notAttempted reports whether a call was not made because this controller had no free
+// connection or had used up a rate. Such a result gives no information about the other side.
 func (r CallResult) notAttempted() bool { return r.NotSent && !r.ConnectionRefused }
 
-// Tick is the passing of time. Periodic work is done with ticks.
+// Tick is a periodic event that drives periodic work.
 type Tick struct {
-	Backlog int // events that wait
+	Backlog int // the number of events that wait in the driver's queue
 }
 
 func (UserRequest) event()         {}
@@ -93,15 +94,15 @@
 func (CallResult) event()          {}
 func (Tick) event()                {}
 
-// ReplyAddress is where an answer goes.
+// ReplyAddress identifies the recipient of a reply.
 type ReplyAddress struct {
 	Conn     uint64
-	Peer     bool   // the other side is a controller
-	internal uint64 // this controller itself, see callInternally
+	Peer     bool   // the recipient is another controller
+	internal uint64 // the ID of an internal call, see callInternally; 0 for an external recipient
 }
 
-// PeerEvent is the event that a message of another controller is to this one, nil if it is
-// none that is sent to ask.
+// PeerEvent converts a message of another controller into an event. It returns nil for a message
+// that is not a request.
 func PeerEvent(to ReplyAddress, m *protocol.PeerMessage) Event {
 	if m == nil {
 		return nil
--- a/internal/controller/lag.go
+++ b/internal/controller/lag.go
@@ -2,37 +2,37 @@
 
 import "mapleslip/internal/protocol"
 
-// What shows that a controller falls behind: it was not run for that long, or that many events
-// wait.
+// Thresholds of lag. A controller lags if its last tick is longer ago than lagGap, or if more than
+// lagBacklog events wait.
 const (
 	lagGap         = 1 * protocol.Second
 	lagBacklog     = 256
 	lagLogInterval = 5 * protocol.Second
 )
 
-// lagDetector notices that this controller falls behind.
+// lagDetector records when this controller lags behind its events.
 type lagDetector struct {
-	lastTick   micros // when the last tick was handled
-	lastLag    micros // when this controller was last found to fall behind
-	lastLagLog micros
+	lastTick   micros // time at which the last tick was handled
+	lastLag    micros // time at which lag was last detected
+	lastLagLog micros // time at which lag was last logged
 }
 
-// detectLag notices that this controller falls behind. What it has not heard then may wait in
-// its own queue, so for a while the silence of others proves nothing.
+// detectLag checks on a tick whether this controller lags. Messages of other processes may then
+// still wait in its own queue, so for a while their silence does not prove that they have failed.
 func (env *environment) detectLag(backlog int) {
-	at := env.now.Steady
-	gap := at - env.lastTick
+	now := env.now.Steady
+	gap := now - env.lastTick
 	if env.lastTick > 0 && gap > lagGap || backlog > lagBacklog {
-		env.lastLag = at
-		if at-env.lastLagLog > lagLogInterval {
-			env.lastLagLog = at
+		env.lastLag = now
+		if now-env.lastLagLog > lagLogInterval {
+			env.lastLagLog = now
 			env.log.Info("falling behind", "not_run_ms", int64(gap/protocol.Millisecond), "events_waiting", backlog)
 		}
 	}
-	env.lastTick = at
+	env.lastTick = now
 }
 
-// isLagging reports whether this controller fell behind within a span.
+// isLagging reports whether lag was detected within the last span.
 func (env *environment) isLagging(within micros) bool {
 	return env.lastLag > 0 && env.now.Steady-env.lastLag < within
 }
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -6,7 +6,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// outbox collects the effects of a step, and knows which calls are open.
+// outbox collects the effects of a step, and the callbacks of calls that have no result yet.
 type outbox struct {
 	effects []Effect
 	calls   map[uint64]openCall
@@ -16,7 +16,7 @@
 	internalCallSeq uint64
 }
 
-// openCall is an outbound call whose result has not come yet.
+// openCall is an outbound call without a result yet.
 type openCall struct {
 	target Target
 	done   func(CallResult)
@@ -26,7 +26,7 @@
 	return outbox{calls: make(map[uint64]openCall), internalCalls: make(map[uint64]func(int, []byte))}
 }
 
-// flush takes the effects that were collected.
+// flush returns the collected effects and clears them.
 func (o *outbox) flush() []Effect {
 	effects := o.effects
 	o.effects = nil
@@ -35,7 +35,7 @@
 
 func (o *outbox) emit(e Effect) { o.effects = append(o.effects, e) }
 
-// send makes an outbound call. done is called with its result.
+// send emits an outbound call. done is called with its result.
 func (o *outbox) send(c Call, done func(CallResult)) {
 	o.callSeq++
 	c.ID = o.callSeq
@@ -61,7 +61,7 @@
 // reply answers a request.
 func (o *outbox) reply(to ReplyAddress, status int, body []byte) { o.replyAfter(to, status, body, 0) }
 
-// replyAfter answers a request, and says when it may be repeated.
+// replyAfter answers a request with the time after which the request may be repeated.
 func (o *outbox) replyAfter(to ReplyAddress, status int, body []byte, retryAfter micros) {
 	if to.internal > 0 {
 		o.onInternalReply(to, status, body)
@@ -75,8 +75,8 @@
 	o.reply(to, status, protocol.ErrorBody(message))
 }
 
-// replyNotLeader tells another controller that this one does not serve what only the leader
-// does.
+// replyNotLeader answers another controller that this one is not the leader and does not serve the
+// request.
 func (o *outbox) replyNotLeader(to ReplyAddress) { o.reply(to, 0, nil) }
 
 // replyFrame answers another controller with a frame.
@@ -84,8 +84,8 @@
 	o.emit(Reply{To: to, Status: http.StatusOK, Body: protocol.AppendPeer(nil, m), Frame: true})
 }
 
-// callInternally makes a request as a user would, to this controller. done is called with the
-// reply.
+// callInternally lets this controller make a user's request to itself. request is called with the
+// address for the reply, and done with the reply.
 func (o *outbox) callInternally(request func(to ReplyAddress), done func(status int, body []byte)) {
 	o.internalCallSeq++
 	o.internalCalls[o.internalCallSeq] = done
--- a/internal/controller/refusals.go
+++ b/internal/controller/refusals.go
@@ -8,8 +8,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// refusal is why a user's request, or a worker's heartbeat, can't be served now. Its text is
-// part of the answer, and a label of a metric.
+// refusal is the reason why a user's request or a worker's heartbeat can't be served now. Its text
+// is part of the reply and a label of a metric.
 type refusal string
 
 // Refusals.
@@ -28,48 +28,48 @@
 	refusalTasksStopping   refusal = "tasks of the job may still be on machines"
 )
 
-// defaultRetryAfter is when a request that can't be served now may be repeated.
+// defaultRetryAfter is the time after which a refused request may be repeated.
 const defaultRetryAfter = protocol.Second
 
-// refuse answers that a request can't be served now.
-func (env *environment) refuse(to ReplyAddress, why refusal) {
-	env.refuseUntil(to, why, defaultRetryAfter)
+// refuse answers that a request can't be served now and may be repeated after defaultRetryAfter.
+func (env *environment) refuse(to ReplyAddress, reason refusal) {
+	env.refuseUntil(to, reason, defaultRetryAfter)
 }
 
-// refuseUntil answers that a request can't be served now, and when it may be repeated.
-func (env *environment) refuseUntil(to ReplyAddress, why refusal, retryAfter micros) {
+// refuseUntil answers that a request can't be served now and may be repeated after retryAfter.
+func (env *environment) refuseUntil(to ReplyAddress, reason refusal, retryAfter micros) {
 	if env.stats.Refused == nil {
 		env.stats.Refused = make(map[string]uint64)
 	}
-	env.stats.Refused[string(why)]++
-	env.replyAfter(to, http.StatusServiceUnavailable, protocol.ErrorBody(string(why)), retryAfter)
+	env.stats.Refused[string(reason)]++
+	env.replyAfter(to, http.StatusServiceUnavailable, protocol.ErrorBody(string(reason)), retryAfter)
 }
 
-// refusalLogInterval is how often the log says what was refused.
+// refusalLogInterval is how often the numbers of refusals are logged.
 const refusalLogInterval = 5 * protocol.Second
 
-// refusalLog logs how much was refused, now and then.
+// refusalLog is the state of the periodic log of refusals.
 type refusalLog struct {
-	next   micros
-	logged map[string]uint64 // counts that were logged, by reason
+	nextLog micros
+	logged  map[string]uint64 // counts that were already logged, by reason
 }
 
-// logRefusals logs what was refused since it last did.
+// logRefusals logs the number of refusals since the last log line, by reason.
 func (c *Controller) logRefusals() {
 	l := &c.refusalLog
-	if c.now.Steady < l.next {
+	if c.now.Steady < l.nextLog {
 		return
 	}
-	l.next = c.now.Steady + refusalLogInterval
-	for _, why := range slices.Sorted(maps.Keys(c.stats.Refused)) {
-		count := c.stats.Refused[why]
-		if count == l.logged[why] {
+	l.nextLog = c.now.Steady + refusalLogInterval
+	for _, reason := range slices.Sorted(maps.Keys(c.stats.Refused)) {
+		count := c.stats.Refused[reason]
+		if count == l.logged[reason] {
 			continue
 		}
 		if l.logged == nil {
 			l.logged = make(map[string]uint64)
 		}
-		c.log.Info("requests refused", "reason", why, "count", count-l.logged[why], "role", c.election.role.String())
-		l.logged[why] = count
+		c.log.Info("requests refused", "reason", reason, "count", count-l.logged[reason], "role", c.election.role.String())
+		l.logged[reason] = count
 	}
 }
--- a/internal/controller/spans.go
+++ b/internal/controller/spans.go
@@ -1,8 +1,8 @@
 package controller
 
-// Span is something that took time, for tracing. It is over when it is emitted.
+// Span is a finished operation, for tracing.
 type Span struct {
-	Name     string // of a fixed set: no names of jobs or hosts
+	Name     string // from a fixed set, without names of jobs or hosts
 	From, To micros // steady clock
 	Stages   []SpanStage
 	Counts   []SpanCount
@@ -14,7 +14,7 @@
 	From, To micros
 }
 
-// SpanCount is a number that goes with a span.
+// SpanCount is a named number that is attached to a span.
 type SpanCount struct {
 	Name  string
 	Value int64
--- a/internal/controller/state_service.go
+++ b/internal/controller/state_service.go
@@ -2,7 +2,7 @@
 
 import "mapleslip/internal/statestore"
 
-// storeEnvironment gives the client of the state service what it works with.
+// storeEnvironment provides the state service's client with the clock, timers and outbound calls.
 type storeEnvironment struct{ env *environment }
 
 // Now is part of statestore.Environment.
@@ -22,8 +22,8 @@
 	})
 }
 
-// storeObserver hands what the client of the state service has learnt to the components that
-// go by it.
+// storeObserver passes the observations of the state service's client to the components that use
+// them.
 type storeObserver struct{ c *Controller }
 
 // Malformed is part of statestore.Observer.
--- a/internal/controller/stats.go
+++ b/internal/controller/stats.go
@@ -10,39 +10,39 @@
 // stageCount is the number of a scheduling cycle's stages.
 const stageCount = int(stageScaling) + 1
 
-// Stats is what a controller has counted since it began, and how it stands. The maps' keys are
-// of fixed sets, or classes of jobs.
+// Stats contains a controller's counters since its start and its current state. The keys of the
+// maps are from fixed sets, or are classes of jobs.
 type Stats struct {
 	Role             Role
 	Epoch            uint64
 	SchedulingSteps  uint64
 	SchedulingCycles uint64
-	RowsByStage      [stageCount]uint64 // of the slot table that were looked at, by stage of a cycle
+	RowsByStage      [stageCount]uint64 // visited rows of the slot table, by cycle stage
 	CutStepsByStage  [stageCount]uint64 // scheduling steps that reached their limit, by stage
-	Refused          map[string]uint64  // requests, by reason
+	Refused          map[string]uint64  // refused requests, by reason
 	Malformed        uint64             // messages that did not follow the protocol
 	Failovers        uint64
 	LostTasks        uint64            // tasks that ended with their host
-	Checks           map[string]uint64 // of instances, by outcome
-	DisputedChecks   uint64            // checks that failed where another controller saw nothing wrong
+	Checks           map[string]uint64 // health checks of instances, by outcome
+	DisputedChecks   uint64            // failed checks that succeeded from another controller
 
-	ConfigChanges  uint64        // revisions made
+	ConfigChanges  uint64        // created revisions of the configuration
 	ConfigOutdated uint64        // transactions refused because the head had changed
-	Config         *ConfigStats  // nil: the configuration does not change while this runs
-	Features       *FeatureStats // nil: this controller behaves as one that knows of no levels
+	Config         *ConfigStats  // nil if the configuration can't change at run time
+	Features       *FeatureStats // nil if feature levels are disabled
 
-	// What only a leader knows.
+	// The fields below are set by a leader only.
 	Hosts             map[string]int                    // by state
-	WaitingJobs       map[string]int                    // jobs with tasks that wait for a place, by class
+	WaitingJobs       map[string]int                    // jobs with unplaced tasks, by class
 	RunningTasks      map[string]int                    // by class
-	Objectives        map[slo.Kind]map[string]slo.Count // jobs that met their objectives or did not, by class and by team
-	LongestStartWait  map[string]micros                 // for which a largest job of a class has waited to start, by class
-	BlockedJobs       int                               // jobs that wait for others
-	UnreconciledHosts int                               // recorded hosts that have not been heard of in this term
-	Rollouts          map[string]int                    // by state; nil where they are off
+	Objectives        map[slo.Kind]map[string]slo.Count // jobs by outcome, by class and by team
+	LongestStartWait  map[string]micros                 // longest waits of large jobs, by class
+	BlockedJobs       int                               // jobs that wait for other jobs
+	UnreconciledHosts int                               // recorded hosts, silent in this term
+	Rollouts          map[string]int                    // by state; nil if roll-outs are disabled
 }
 
-// Snapshot is how the controller stands. It costs a look at every job and host.
+// Snapshot returns the current statistics. It iterates over all jobs and hosts.
 func (c *Controller) Snapshot() Stats {
 	s := c.stats
 	s.Role, s.Epoch = c.election.role, c.election.lease.epoch
@@ -53,13 +53,13 @@
 	s.Features = c.features.featureStats()
 	s.Refused, s.Checks = maps.Clone(c.stats.Refused), maps.Clone(c.stats.Checks)
 	if c.term != nil {
-		c.term.addTo(&s)
+		c.term.addLeaderStats(&s)
 	}
 	return s
 }
 
-// addTo adds what a leader knows.
-func (t *leaderTerm) addTo(s *Stats) {
+// addLeaderStats adds the statistics that only a leader has.
+func (t *leaderTerm) addLeaderStats(s *Stats) {
 	if t.rollouts.manager != nil {
 		s.Rollouts = t.rollouts.manager.States()
 	}
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -2,14 +2,14 @@
 
 import "container/heap"
 
-// timer is a function that runs at an instant.
+// timer is a function that is due at a point in time.
 type timer struct {
 	at  micros
 	seq uint64
 	run func()
 }
 
-// timerHeap orders timers by their instants, those of one instant by when they were set.
+// timerHeap orders timers by due time, and timers with the same due time by creation.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -31,19 +31,19 @@
 	return last
 }
 
-// timerQueue is the timers that have not run yet.
+// timerQueue contains the timers that have not run yet.
 type timerQueue struct {
 	timers   timerHeap
 	timerSeq uint64
 }
 
-// after runs a function once a while has passed, within the resolution of ticks.
+// after runs a function after a delay, with the resolution of ticks.
 func (env *environment) after(delay micros, run func()) {
 	env.timerSeq++
 	heap.Push(&env.timers, timer{env.now.Steady + delay, env.timerSeq, run})
 }
 
-// runTimers runs the timers that are due. Those that they set run with a later event.
+// runTimers runs the timers that are due. Timers that are created meanwhile run with a later event.
 func (env *environment) runTimers() {
 	last := env.timerSeq
 	for len(env.timers) > 0 && env.timers[0].at <= env.now.Steady && env.timers[0].seq <= last {
