--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -9,8 +9,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// election owns the role of this controller and its lease on leadership. Its methods are the
-// only ones that change the role.
+// election owns the role of this controller and its lease on leadership. Only its methods change
+// the role.
 type election struct {
 	*environment
 	features *featureManager
@@ -19,40 +19,40 @@
 
 	role           Role
 	roleSince      micros
-	roleGeneration uint64 // raised when the role starts over, so that older answers are dropped
+	roleGeneration uint64 // incremented by resetToFollower to invalidate earlier callbacks
 	lease          leaderLease
 
-	leader               records.Leader // as known from the state service
-	leaderKeyRead        bool           // the leader key was read since the process began
-	leaderSuspectUntil   micros         // the leader did not answer: it is not asked before
-	leaderRecheckedAt    micros         // when the leader's record was last read again
-	stepDownBackoffUntil micros         // this controller gave its lease back: until then others go first
-	deferredEpoch        uint64         // the epoch after which another controller was let go first
+	leader               records.Leader // the last known leader's record
+	leaderKeyRead        bool           // the leader key was read since the process started
+	leaderSuspectUntil   micros         // the leader did not answer; no forwarding before
+	leaderRecheckedAt    micros         // time at which the leader's record was last read again
+	stepDownBackoffUntil micros         // campaigns are delayed until then, after a step-down
+	deferredEpoch        uint64         // the epoch after which this controller has deferred
 }
 
-// Pauses of the election. The random ones differ from controller to controller, so that not
-// all of them try at once.
+// Delays of the election. The jitter is random, so that the controllers don't all campaign at the
+// same time.
 const (
 	leaderReadRetry      = 400 * protocol.Millisecond
 	leaderRecheckPause   = 500 * protocol.Millisecond
 	maxCampaignJitter    = 150 * protocol.Millisecond
-	formerLeaderDelay    = 300 * protocol.Millisecond // one that just lost its lease is more likely in trouble
+	formerLeaderDelay    = 300 * protocol.Millisecond // former leaders are likelier to be faulty
 	stepDownDelay        = 2 * protocol.Second
 	minRetryDelay        = 300 * protocol.Millisecond
 	maxRetryJitter       = 200 * protocol.Millisecond
-	renewalsPerLeaseTime = 4 // a lease is renewed after its time divided by this
+	renewalsPerLeaseTime = 4 // a lease is renewed after its duration divided by this
 )
 
-// setRole is the one place where the role changes.
+// setRole changes the role. No other function assigns it.
 func (el *election) setRole(r Role) {
 	if el.role == r {
 		return
 	}
 	el.log.Info("role", "from", el.role.String(), "to", r.String(), "epoch", el.lease.epoch,
 		"after_ms", int64((el.now.Steady-el.roleSince)/protocol.Millisecond))
-	was := el.role
+	previous := el.role
 	el.role, el.roleSince = r, el.now.Steady
-	if was.leads() != r.leads() {
+	if previous.leads() != r.leads() {
 		el.emit(RateShare{Leads: r.leads()})
 	}
 	if !r.leads() {
@@ -60,17 +60,18 @@
 	}
 }
 
-// startOver returns a function that reports whether this controller has followed ever since.
-func (el *election) startOver() (following func() bool) {
+// resetToFollower makes this controller a follower and invalidates the callbacks of earlier calls.
+// It returns a function that reports whether the controller has been a follower since then.
+func (el *election) resetToFollower() (following func() bool) {
 	el.setRole(RoleFollower)
 	el.roleGeneration++
 	generation := el.roleGeneration
 	return func() bool { return generation == el.roleGeneration && el.role == RoleFollower }
 }
 
-// becomeFollower reads the leader key and watches it.
+// becomeFollower makes this controller a follower that reads the leader key and watches it.
 func (el *election) becomeFollower() {
-	following := el.startOver()
+	following := el.resetToFollower()
 	el.lease = leaderLease{epoch: el.lease.epoch}
 	el.store.Get(priorityLeadership, records.KeyLeader, func(e protocol.Entry, err error) {
 		if !following() {
@@ -84,31 +85,32 @@
 			})
 			return
 		}
-		first := !el.leaderKeyRead
+		firstRead := !el.leaderKeyRead
 		el.leaderKeyRead = true
 		if err != nil {
 			el.campaign(following)
 			return
 		}
 		el.observeLeaderRecord(e)
-		if first && el.leader.Controller == el.platform.ControllerName {
+		if firstRead && el.leader.Controller == el.platform.ControllerName {
 			el.revokePreviousLease()
 		}
 		el.watchLeader(following, e.Revision)
 	})
 }
 
-// revokePreviousLease ends the lease of the process before this one, which led, as its
-// successor finds when it first reads the leader key. Nobody else has this process's address,
-// so that one is no more; whatever of it is still on its way depends on the leader key's
-// revision, or on an epoch that the next leader raises. Otherwise a leader that is back at
-// once leaves the deployment without one until its own lease has expired.
+// revokePreviousLease revokes the lease of this controller's previous process. It is called when
+// the first read of the leader key shows that the previous process was the leader. That process
+// has ended, because this one has its address. Requests that it may have left in flight are
+// harmless: they depend on the revision of the leader key, or carry an epoch that the next leader
+// supersedes. Without the revocation, a leader that restarts at once would leave the deployment
+// without a leader until its own lease expires.
 func (el *election) revokePreviousLease() {
 	el.log.Info("revoking the lease of the previous process", "epoch", el.leader.Epoch)
 	el.store.RevokeLease(priorityLeadership, el.leader.Lease)
 }
 
-// observeLeaderRecord goes by the leader's record, unless a later leader is known.
+// observeLeaderRecord stores the leader's record, unless a leader of a later epoch is known.
 func (el *election) observeLeaderRecord(e protocol.Entry) {
 	l, err := records.DecodeLeader(e.Value)
 	if err != nil {
@@ -124,9 +126,8 @@
 	el.leader = l
 }
 
-// recheckLeader reads the leader's record again when the controller that is taken for the
-// leader says that it does not lead, or does not answer: the watch that would tell may be slow
-// or lost.
+// recheckLeader reads the leader's record again. It is called when the known leader reports that
+// it does not lead, or does not answer, since the watch of the leader key may be slow or lost.
 func (el *election) recheckLeader() {
 	if el.role != RoleFollower || el.now.Steady-el.leaderRecheckedAt < leaderRecheckPause {
 		return
@@ -139,7 +140,7 @@
 	})
 }
 
-// watchLeader follows the leader key from a revision on, and campaigns once it is gone.
+// watchLeader watches the leader key from a revision on, and campaigns when the key is deleted.
 func (el *election) watchLeader(following func() bool, revision uint64) {
 	stop := func() bool { return !following() }
 	el.store.Watch(priorityLeadership, records.KeyLeader, revision, stop, func(e protocol.Entry) {
@@ -157,7 +158,7 @@
 	})
 }
 
-// campaign tries to take the leader key, after a short delay.
+// campaign tries to become the leader after a short random delay.
 func (el *election) campaign(following func() bool) {
 	delay := el.jitter(maxCampaignJitter)
 	if el.leader.Controller == el.platform.ControllerName {
@@ -173,17 +174,19 @@
 	})
 }
 
-func (el *election) jitter(below micros) micros { return micros(el.rng.Int64N(int64(below))) }
+// jitter returns a random delay below a limit.
+func (el *election) jitter(limit micros) micros { return micros(el.rng.Int64N(int64(limit))) }
 
-// acquireLease asks for a lease. Nobody leads whose version the registry does not have.
+// acquireLease requests a lease from the state service. A controller whose feature levels are not
+// in the registry yet must not lead, and retries later.
 func (el *election) acquireLease() {
 	if el.features.state != nil && !el.features.state.registered {
 		el.retryLater()
 		return
 	}
 	el.setRole(RoleAcquiringLease)
-	sent := el.now.Steady
-	el.lease.requestedAt = sent
+	sentAt := el.now.Steady
+	el.lease.requestedAt = sentAt
 	el.store.CreateLease(priorityLeadership, el.operator.LeaderLease, func(id uint64, err error) {
 		if el.role != RoleAcquiringLease {
 			return
@@ -193,18 +196,19 @@
 			return
 		}
 		el.lease.id = id
-		el.lease.validUntil = sent + el.operator.LeaderLease - maxClockDrift(el.operator.LeaderLease)
-		el.lease.nextRenewal = sent + el.operator.LeaderLease/renewalsPerLeaseTime
+		el.lease.validUntil = sentAt + el.operator.LeaderLease - maxClockDrift(el.operator.LeaderLease)
+		el.lease.nextRenewal = sentAt + el.operator.LeaderLease/renewalsPerLeaseTime
 		el.claimLeadership()
 	})
 }
 
-// retryLater follows, and looks for a leader again after a short random delay.
+// retryLater makes this controller a follower that reads the leader key again after a short
+// random delay.
 func (el *election) retryLater() { el.followAfter(minRetryDelay + el.jitter(maxRetryJitter)) }
 
-// followAfter follows, and looks for a leader again after a delay.
+// followAfter makes this controller a follower that reads the leader key again after a delay.
 func (el *election) followAfter(delay micros) {
-	following := el.startOver()
+	following := el.resetToFollower()
 	el.after(delay, func() {
 		if following() {
 			el.becomeFollower()
@@ -212,7 +216,7 @@
 	})
 }
 
-// claimLeadership reads the last epoch and claims the next one.
+// claimLeadership reads the record of the last epoch and claims the next epoch.
 func (el *election) claimLeadership() {
 	el.setRole(RoleClaiming)
 	el.store.Get(priorityLeadership, records.KeyEpoch, func(e protocol.Entry, err error) {
@@ -230,13 +234,13 @@
 				err = el.features.checkLevelSupported(last.Level)
 			}
 			if err != nil {
-				// Records in a format that this program does not know: it must not lead
-				// without seeing what they say.
+				// The records are damaged or of a format that this build does not support. A
+				// controller that can't read them must not lead.
 				el.logDamagedRecord(e, err)
 				el.followAfter(damagedRecordRetry)
 				return
 			}
-			if el.defersAfter(last) {
+			if el.shouldDeferCampaign(last) {
 				el.followAfter(leadership.DeferralTime)
 				return
 			}
@@ -245,9 +249,9 @@
 	})
 }
 
-// defersAfter reports whether another controller goes first after an epoch, which gave its
-// lease back for that. It has its turn once.
-func (el *election) defersAfter(last records.Epoch) bool {
+// shouldDeferCampaign reports whether this controller has to defer to another one, to which the
+// leader of the last epoch transferred leadership. It defers only once after an epoch.
+func (el *election) shouldDeferCampaign(last records.Epoch) bool {
 	el.lease.launchesUnrecorded = last.LaunchesUnrecorded
 	el.lease.transfers = leadership.RecentTransfers(last.Transfers, el.now.Wall)
 	if !leadership.ShouldDefer(el.platform.ControllerName, last.Number, el.now.Wall, last.Transfers) || el.deferredEpoch == last.Number {
@@ -257,7 +261,7 @@
 	return true
 }
 
-// claimEpoch raises the epoch and takes the leader key in one transaction.
+// claimEpoch increments the epoch and acquires the leader key in one transaction.
 func (el *election) claimEpoch(last records.Epoch, revision uint64) {
 	next := records.Epoch{
 		Number: last.Number + 1, LaunchesUnrecorded: el.lease.launchesUnrecorded, Transfers: el.lease.transfers, Level: last.Level,
@@ -276,7 +280,8 @@
 			return
 		}
 		if err != nil {
-			// Where the outcome is unknown, the key goes with the lease, which nobody renews.
+			// If the transaction was executed after all, the key expires with the lease, which
+			// is not renewed.
 			el.retryLater()
 			return
 		}
@@ -288,12 +293,12 @@
 	})
 }
 
-// predecessorAnswersUntil is until when the predecessor may answer workers: a recorded time
-// after its lease, which has expired by now. Without its record, this controller's own time is
-// taken.
+// predecessorAnswersUntil returns the time until which the previous leader may answer workers: its
+// recorded heartbeat grace after the end of its lease, which has expired by now. If its record is
+// not known, this controller's own heartbeat grace is used.
 func (el *election) predecessorAnswersUntil(predecessor records.Leader, epoch uint64) micros {
 	if epoch == 1 {
-		return el.now.Steady // there was none
+		return el.now.Steady // there was no previous leader
 	}
 	grace := predecessor.HeartbeatGrace
 	if grace == 0 {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -7,10 +7,11 @@
 	"mapleslip/internal/state"
 )
 
-// handoverWriter keeps what a successor must know: since when hosts are silent, and which zones
-// look cut off. It is in the state service and, as far as it changed, in the leader's status
-// requests, so that it is there also if the state service was down since. A new leader that
-// began from nothing would need the whole time of silence again before it did anything.
+// handoverWriter maintains the handover state for the next leader: since when hosts have been
+// silent, and which zones appear partitioned. The leader writes it to the state service and
+// includes changes in its status requests to the other controllers, so that it survives an outage
+// of the state service. Without it, a new leader would have to observe the whole time of silence
+// again before it could act.
 type handoverWriter struct {
 	*termContext
 	election   *election
@@ -18,13 +19,13 @@
 	membership *membership
 	records    *recordStore
 
-	persisted   protocol.HandoverState // as the state service has it
+	persisted   protocol.HandoverState // the state in the state service
 	sentToPeers map[string]sentHandover
-	next        micros // when it is looked at again
+	nextUpdate  micros // time of the next update
 	writing     bool
 }
 
-// sentHandover is what another controller has acknowledged.
+// sentHandover describes the handover state that another controller has acknowledged.
 type sentHandover struct {
 	stateAt        micros // HandoverState.At
 	acknowledgedAt micros
@@ -33,35 +34,36 @@
 const (
 	handoverInterval = protocol.Second
 	handoverRetry    = 2 * protocol.Second
-	// partitionRefreshInterval is how often a partition that lasts is written again: a
-	// successor goes by when it was last seen.
+	// partitionRefreshInterval is how often the record of a lasting partition is written again:
+	// the next leader uses the time at which the partition was last seen.
 	partitionRefreshInterval = 10 * protocol.Second
-	// handoverResendInterval is how often a controller is told again what it was told: it may
-	// have been started anew since, which its name does not show.
+	// handoverResendInterval is how often an unchanged state is sent to a controller again, which
+	// may have restarted without a change of its name and lost it.
 	handoverResendInterval = 5 * protocol.Second
 
-	handoverBaseSize = 200 // bytes of a record besides its entries
-	partitionSize    = 48  // bytes of a partition besides its zone's name
+	handoverBaseSize = 200 // bytes of a record without its entries
+	partitionSize    = 48  // bytes of a partition without its zone's name
 )
 
-// needsSending reports whether a controller has to be told a handover state.
+// needsSending reports whether a handover state has to be sent to a controller: it has not
+// acknowledged this state, or did so too long ago.
 func (hw *handoverWriter) needsSending(peer string, h protocol.HandoverState) bool {
 	sent := hw.sentToPeers[peer]
 	return sent.stateAt != h.At || hw.now.Steady-sent.acknowledgedAt >= handoverResendInterval
 }
 
-// onSent notes that a controller has acknowledged a handover state.
+// onSent records that a controller has acknowledged a handover state.
 func (hw *handoverWriter) onSent(peer string, h protocol.HandoverState) {
 	hw.sentToPeers[peer] = sentHandover{h.At, hw.now.Steady}
 }
 
-// updateHandover brings the handover state up to date, and its record where that differs. A
-// host counts as silent after a delay.
+// updateHandover updates the handover state, and writes its record if the content has changed or
+// a partition has to be refreshed. A host counts as silent after silentAfter without contact.
 func (hw *handoverWriter) updateHandover(silentAfter micros) {
-	if hw.now.Steady < hw.next || !hw.election.mayActAsLeader() {
+	if hw.now.Steady < hw.nextUpdate || !hw.election.mayActAsLeader() {
 		return
 	}
-	hw.next = hw.now.Steady + handoverInterval
+	hw.nextUpdate = hw.now.Steady + handoverInterval
 	h := hw.currentState(silentAfter)
 	if known := hw.membership.handover; !leadership.SameContent(h, known) || known.Epoch != h.Epoch {
 		hw.membership.handover = h
@@ -74,20 +76,20 @@
 	then := []protocol.Change{{Key: records.KeyHandover, Value: records.EncodeHandover(h)}}
 	hw.election.transaction(priorityUrgent, nil, then, func(_ uint64, err error) {
 		hw.writing = false
-		hw.next = hw.now.Steady + handoverRetry
+		hw.nextUpdate = hw.now.Steady + handoverRetry
 		if err == nil {
 			hw.persisted = h
 		}
 	})
 }
 
-// currentState is the handover state as of now, as far as it fits into a record.
+// currentState returns the current handover state, trimmed to the size of a record.
 func (hw *handoverWriter) currentState(silentAfter micros) protocol.HandoverState {
 	h := protocol.HandoverState{Epoch: hw.epoch, At: hw.now.Wall}
 	partitions := make(map[string]*protocol.Partition)
-	for zone, seen := range hw.hosts.partitionSeenAt {
+	for zone, seenAt := range hw.hosts.partitionSeenAt {
 		if hw.hosts.isCutOff(zone) {
-			partitions[zone] = &protocol.Partition{Zone: zone, Since: hw.now.Wall, LastSeen: hw.wallTime(seen)}
+			partitions[zone] = &protocol.Partition{Zone: zone, Since: hw.now.Wall, LastSeen: hw.wallTime(seenAt)}
 		}
 	}
 	size := handoverBaseSize
@@ -112,38 +114,40 @@
 	return leadership.Trim(h, hw.maxSilentHosts(len(h.SilentHosts), size))
 }
 
-// maxSilentHosts is how many silent hosts fit into the record. Those that have been silent for
-// longest are kept.
+// maxSilentHosts returns how many silent hosts fit into the record. If not all of them fit, the
+// hosts that have been silent for longest are kept.
 func (hw *handoverWriter) maxSilentHosts(hosts, size int) int {
 	limit := min(hosts, protocol.MaxSilentHosts)
 	capacity := hw.records.shardCapacity()
 	if size <= capacity {
 		return limit
 	}
-	sizeOfOne := size / max(1, hosts)
-	return min(limit, max(0, capacity/sizeOfOne))
+	sizePerHost := size / max(1, hosts)
+	return min(limit, max(0, capacity/sizePerHost))
 }
 
-// applyHandover takes what earlier leaders have seen into a new leader's cluster state.
+// applyHandover applies the handover state of the previous leaders to the cluster state of a new
+// leader.
 func (hw *handoverWriter) applyHandover() {
 	now, handover := hw.now, hw.membership.handover
 	hw.persisted, hw.sentToPeers = handover, make(map[string]sentHandover)
 	inherited := leadership.Inherit(handover)
 	for zone, p := range inherited.Partitions() {
 		if now.Wall-p.LastSeen < hw.hosts.partitionRetention() {
-			hw.hosts.partitionSeenAt[zone] = now.Steady // its hosts soon show whether it still is
+			// Heartbeats of the zone's hosts will soon show whether the partition persists.
+			hw.hosts.partitionSeenAt[zone] = now.Steady
 		}
 	}
-	silent := 0
+	silentHosts := 0
 	for _, h := range hw.cluster.Hosts() {
 		h.Agent.LastContact = now.Steady
 		if wall, ok := inherited.SilentSince(h.Name, h.Zone); ok {
 			h.Agent.LastContact = min(now.Steady, hw.steadyTime(wall))
-			silent++
+			silentHosts++
 		}
 	}
-	if silent > 0 {
-		hw.log.Info("taken from earlier leaders", "epoch", hw.epoch, "silent_hosts", silent, "partitions", len(inherited.Partitions()),
+	if silentHosts > 0 {
+		hw.log.Info("applied the handover state of earlier leaders", "epoch", hw.epoch, "silent_hosts", silentHosts, "partitions", len(inherited.Partitions()),
 			"seen_ms_ago", int64((now.Wall-handover.At)/protocol.Millisecond))
 	}
 }
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -9,38 +9,39 @@
 	"mapleslip/internal/statestore"
 )
 
-// leaderLease is what a controller holds of leadership.
+// leaderLease is the lease of this controller on leadership, with the data of its epoch.
 type leaderLease struct {
 	id          uint64
-	epoch       uint64 // the fencing token: workers drop commands of lower ones
-	keyRevision uint64 // of the leader key: every write of a leader depends on it
+	epoch       uint64 // the fencing token: workers drop commands with a lower one
+	keyRevision uint64 // the revision of the leader key, on which every write of a leader depends
 	requestedAt micros
-	validUntil  micros // the lease certainly lasts until then
+	validUntil  micros // time until which the lease certainly lasts
 
-	renewalInFlight    bool // a renewal was sent and may still be answered soon
+	renewalInFlight    bool // a renewal was sent recently and its answer is still awaited
 	renewalsSent       uint64
 	nextRenewal        micros
-	unansweredRenewals int // in a row that were sent and got no answer
+	unansweredRenewals int // consecutive renewals without an answer
 
-	predecessorAnswersUntil micros // until then a predecessor may answer workers
+	predecessorAnswersUntil micros // time until which the previous leader may answer workers
 
-	// What the epoch's record said when the leader key was taken.
+	// The content of the epoch's record when the leader key was acquired.
 	featureLevel       featuregate.Level
 	launchesUnrecorded bool
 	transfers          []protocol.LeadershipTransfer
 }
 
 const (
-	// resendsPerLease bounds how long a renewal is waited for before another one is sent: a
-	// lease divided by it.
+	// resendsPerLease limits how long the answer to a renewal is awaited before another one is
+	// sent: the duration of the lease divided by it.
 	resendsPerLease = 3
 	renewalRetry    = 150 * protocol.Millisecond
-	// maxUnansweredRenewals is how many renewals in a row may get no answer, while reads do,
-	// before a leader whose lease is uncertain lets another one lead.
+	// maxUnansweredRenewals is how many consecutive renewals may get no answer, while reads are
+	// answered, before a leader whose lease is uncertain steps down.
 	maxUnansweredRenewals = 5
 )
 
-// checkLease renews the lease and notices when it could have expired.
+// checkLease renews the lease when a renewal is due, and changes the role when the lease could
+// have expired.
 func (el *election) checkLease() {
 	if !el.role.holdsLease() {
 		return
@@ -60,9 +61,10 @@
 	}
 }
 
-// renewLease renews the lease. A leader whose lease could have expired asks first who leads: a
-// renewal that is carried out, and of which only the answer is lost, keeps everybody else from
-// leading, for as long as this controller goes on with it.
+// renewLease renews the lease. A leader whose lease could have expired reads the leader key first,
+// and sends the renewal only if it still holds the key. Without this check, renewals that are
+// executed but whose answers are lost would prevent all other controllers from leading for as long
+// as this controller continues to send them.
 func (el *election) renewLease() {
 	el.lease.renewalInFlight = true
 	if el.role != RoleLeaseUncertain {
@@ -83,12 +85,12 @@
 	})
 }
 
-// sendRenewal asks for another lease time. An answer counts for as long as it proves anything,
-// which is a whole lease from when the renewal was sent; one that is not answered soon is
-// followed by the next meanwhile, since a state service may be slower than that.
+// sendRenewal requests a renewal of the lease. A successful renewal extends the lease by its whole
+// duration from the time of sending, so a late answer is still used. If a renewal is not answered
+// soon, the next one is sent without waiting, since the state service may be slow.
 func (el *election) sendRenewal() {
 	el.lease.renewalsSent++
-	sent, id, number := el.now.Steady, el.lease.id, el.lease.renewalsSent
+	sentAt, id, number := el.now.Steady, el.lease.id, el.lease.renewalsSent
 	current := func() bool { return el.role.holdsLease() && el.lease.id == id }
 	el.after(el.operator.LeaderLease/resendsPerLease, func() {
 		if current() && el.lease.renewalsSent == number {
@@ -105,7 +107,7 @@
 		}
 		switch {
 		case err == nil:
-			el.onRenewed(sent)
+			el.onRenewed(sentAt)
 		case errors.Is(err, statestore.ErrLeaseExpired):
 			el.log.Info("stepping down: the lease has expired", "epoch", el.lease.epoch)
 			el.becomeFollower()
@@ -118,41 +120,42 @@
 	})
 }
 
-// onRenewed notes a renewal that was sent at an instant and carried out.
-func (el *election) onRenewed(sent micros) {
+// onRenewed extends the lease after a successful renewal that was sent at sentAt.
+func (el *election) onRenewed(sentAt micros) {
 	ttl := el.operator.LeaderLease
 	el.lease.unansweredRenewals = 0
-	el.lease.validUntil = max(el.lease.validUntil, sent+ttl-maxClockDrift(ttl))
-	el.lease.nextRenewal = max(el.lease.nextRenewal, sent+ttl/renewalsPerLeaseTime)
+	el.lease.validUntil = max(el.lease.validUntil, sentAt+ttl-maxClockDrift(ttl))
+	el.lease.nextRenewal = max(el.lease.nextRenewal, sentAt+ttl/renewalsPerLeaseTime)
 	if el.role == RoleLeaseUncertain && el.now.Steady < el.lease.validUntil {
-		// The key is attached to the lease, so nobody else has led meanwhile.
+		// The leader key is attached to the lease, so no other controller has led meanwhile.
 		el.setRole(RoleLeader)
 		el.term.cycleNeeded = true
 	}
 }
 
-// onRenewalFailed notes a renewal that failed. When renewals get no answers while reads do,
-// another controller should lead.
+// onRenewalFailed handles a failed renewal. If renewals get no answers while reads do, this
+// controller steps down so that another one can lead.
 func (el *election) onRenewalFailed(err error) {
 	if !errors.Is(err, statestore.ErrOutcomeUnknown) {
 		return
 	}
 	el.lease.unansweredRenewals++
 	if el.role == RoleLeaseUncertain && el.lease.unansweredRenewals >= maxUnansweredRenewals {
-		el.log.Info("stepping down: renewals get no answers, and reads do", "epoch", el.lease.epoch)
+		el.log.Info("stepping down: renewals get no answers while reads do", "epoch", el.lease.epoch)
 		el.stepDown()
 	}
 }
 
-// stepDown gives the lease back, and lets other controllers lead first for a while.
+// stepDown returns the lease. For stepDownBackoff, this controller's campaigns are delayed, so that
+// other controllers can lead first.
 func (el *election) stepDown() {
 	el.stepDownBackoffUntil = el.now.Steady + stepDownBackoff
 	el.store.RevokeLease(priorityLeadership, el.lease.id)
 	el.becomeFollower()
 }
 
-// stepDownSuperseded is called when a newer epoch shows, or a condition on the leader key does
-// not hold.
+// stepDownSuperseded steps down because a newer epoch was observed, or because a condition on the
+// leader key failed.
 func (el *election) stepDownSuperseded(reason string) {
 	if el.role.leads() {
 		el.log.Info("stepping down", "reason", reason, "epoch", el.lease.epoch)
@@ -160,8 +163,8 @@
 	}
 }
 
-// transaction executes a leader's transaction: it commits only while this controller holds the
-// leader key. done is not called once the term has ended.
+// transaction executes a transaction of the leader, which commits only if this controller holds
+// the leader key. done is not called after the term has ended.
 func (el *election) transaction(priority Priority, when []protocol.Condition, then []protocol.Change, done func(revision uint64, err error)) {
 	term := el.term
 	el.store.CompareAndSwap(priority, append([]protocol.Condition{el.leaderKeyHeld()}, when...), then, func(revision uint64, err error) {
@@ -176,20 +179,20 @@
 	})
 }
 
-// leaderKeyHeld is the condition that this controller holds the leader key.
+// leaderKeyHeld returns the condition that this controller holds the leader key.
 func (el *election) leaderKeyHeld() protocol.Condition {
 	return protocol.Condition{Key: records.KeyLeader, Revision: el.lease.keyRevision}
 }
 
-// mayActAsLeader reports whether this controller certainly holds the leader key: the lease
-// certainly lasts, and no transaction is on its way that gives the key back. That one may have
-// been carried out long before its answer comes, and then another controller leads while the
-// lease, without the key, lasts.
+// mayActAsLeader reports whether this controller certainly holds the leader key: the lease is
+// certainly valid, and no transaction that deletes the key is in flight. Such a transaction may
+// have been executed long before its answer arrives; another controller may then lead although
+// this controller's lease, which no longer has the key, is still valid.
 func (el *election) mayActAsLeader() bool {
 	return el.role == RoleLeader && el.now.Steady < el.lease.validUntil && !el.term.transfer.inFlight
 }
 
-// leaderWriteRate is how many changes a second the leader may make.
+// leaderWriteRate returns how many changes per second the leader may make in the state service.
 func (el *election) leaderWriteRate() float64 {
 	return max(1, el.store.WriteRate()*WriteShare(el.controllers(), true))
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -7,7 +7,7 @@
 	"mapleslip/internal/state"
 )
 
-// termContext is what every component of a leader's term works with.
+// termContext contains what all components of a leader's term share.
 type termContext struct {
 	*environment
 	owner *leaderTerm
@@ -15,19 +15,20 @@
 	cluster            *state.Cluster
 	epoch              uint64
 	startedAt          micros
-	recordsLoadedAt    micros            // when the records had been read
-	recoveryStages     []SpanStage       // of the failover, for tracing
+	recordsLoadedAt    micros            // time at which all records had been read
+	recoveryStages     []SpanStage       // stages of the failover, for tracing
 	reconciled         bool              // every recorded host has sent a heartbeat or is proven empty
-	launchesUnrecorded bool              // earlier launches may be in no record, see records.Epoch
-	cycleNeeded        bool              // something changed that a scheduling cycle should look at
-	releasedHosts      map[string]micros // hosts that are certainly gone, and since when
+	launchesUnrecorded bool              // earlier launches may lack records, see records.Epoch
+	cycleNeeded        bool              // a change requires a scheduling cycle
+	releasedHosts      map[string]micros // since when released hosts are gone, by host
 }
 
 // ended reports whether this controller no longer leads in this term. Callbacks check it
 // before they change anything.
 func (tc *termContext) ended() bool { return tc.term != tc.owner }
 
-// leaderTerm is what a leader holds during one epoch. It is dropped when leadership is lost.
+// leaderTerm contains the components and the state of a leader during one epoch. It is discarded
+// when leadership is lost.
 type leaderTerm struct {
 	*termContext
 
@@ -54,10 +55,11 @@
 	features featureTerm
 	rollouts rolloutTerm
 
-	lastSweep micros // when all jobs and hosts were last looked at
+	lastSweep micros // time of the last sweep over all jobs and hosts
 }
 
-// newLeaderTerm makes what a leader holds in the epoch of its lease before it has read anything.
+// newLeaderTerm creates the term for the epoch of this controller's lease, before any record has
+// been read.
 func (c *Controller) newLeaderTerm() *leaderTerm {
 	tc := &termContext{
 		environment: c.environment, cluster: state.NewCluster(), epoch: c.election.lease.epoch, startedAt: c.now.Steady,
@@ -91,7 +93,7 @@
 	return t
 }
 
-// connectTerm tells each component of a term which others it works with.
+// connectTerm sets the references between the components of a term.
 func (c *Controller) connectTerm(t *leaderTerm) {
 	t.connectJobs(c)
 	t.connectHosts(c)
@@ -150,11 +152,12 @@
 	t.records.config, t.records.election, t.records.store = c.config, c.election, c.store
 }
 
-// sweepInterval is how often everything is looked at that only time changes.
+// sweepInterval is how often the leader checks all state that can change by the passing of time
+// alone.
 const sweepInterval = 200 * protocol.Millisecond
 
-// runPeriodicWork does what is due while this controller leads. It comes with ticks only, so
-// that an event costs what it is about and nothing else.
+// runPeriodicWork does the work that is due while this controller leads. It runs on ticks only, so
+// that the cost of any other event depends on that event alone.
 func (c *Controller) runPeriodicWork() {
 	t := c.term
 	if c.election.role != RoleLeader && c.election.role != RoleLeaseUncertain {
@@ -165,7 +168,7 @@
 		t.lastSweep = c.now.Steady
 		t.hosts.checkHosts()
 		if t.ended() {
-			return // it has stepped down
+			return // this controller has stepped down
 		}
 	}
 	t.prober.runProbes()
@@ -187,7 +190,7 @@
 	t.records.writeDueShards(t.records.launchShards)
 	t.records.writeDueShards(t.records.completionShards)
 	t.records.writeCompletionChunks()
-	t.jobs.writeQueuedFinals() // of jobs that ended while the lease was uncertain
+	t.jobs.writeQueuedFinals() // final records of jobs that ended while the lease was uncertain
 	t.records.writeDueShards(t.records.bookingShards)
 	t.scheduler.runIfDue()
 	if !t.ended() && c.election.mayActAsLeader() {
--- a/internal/controller/transfer_controller.go
+++ b/internal/controller/transfer_controller.go
@@ -7,8 +7,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// transferController decides whether this leader hands leadership over to a controller that
-// the workers reach.
+// transferController decides whether this leader transfers leadership to a controller that the
+// workers can reach.
 type transferController struct {
 	*termContext
 	election *election
@@ -17,16 +17,18 @@
 	peers    *peerMonitor
 
 	recent       []protocol.LeadershipTransfer
-	inFlight     bool // the transaction that gives the lease back is on its way
+	inFlight     bool // the transaction that transfers leadership is in flight
 	lastDecision leadership.Decision
 }
 
-// stepDownBackoff is how long a controller that gave its lease back lets others go first.
+// stepDownBackoff is how long after it returned its lease a controller adds stepDownDelay to the
+// delay of its campaigns, so that other controllers can lead first.
 const stepDownBackoff = 30 * protocol.Second
 
-// considerTransfer gives the lease back if it is this controller that the workers can't reach,
-// and not the workers that are gone: to release them would end all that runs. It reports
-// whether it does. Where it may not, though others hear them, the zones count as cut off.
+// considerTransfer transfers leadership if workers are silent because they can't reach this
+// controller, rather than because they have failed: releasing their hosts would end all running
+// tasks. It reports whether a transfer is in flight. If leadership may not be transferred although
+// the workers reach other controllers, their zones count as partitioned.
 func (tr *transferController) considerTransfer(zones map[string]leadership.ZoneWorkers) bool {
 	if tr.inFlight {
 		return true
@@ -51,35 +53,37 @@
 		return true
 	case leadership.KeepHearsMost, leadership.KeepNobodyHearsMore:
 	case leadership.KeepNoImprovement, leadership.KeepTransferLimit, leadership.KeepNoSuccessor:
-		tr.notePartitions(zones, peers)
+		tr.markPartitions(zones, peers)
 	}
 	return false
 }
 
-// notePartitions counts zones as cut off whose workers others hear.
-func (tr *transferController) notePartitions(zones map[string]leadership.ZoneWorkers, peers map[string]leadership.Reachability) {
+// markPartitions marks a zone as partitioned if other controllers reach at least half as many of
+// its workers as this leader is missing.
+func (tr *transferController) markPartitions(zones map[string]leadership.ZoneWorkers, peers map[string]leadership.Reachability) {
 	for name, z := range zones {
 		reachable := 0
 		for _, r := range peers {
 			reachable += r[name]
 		}
-		if missed := z.Silent + z.Relayed; missed > 0 && 2*reachable >= missed {
+		if missing := z.Silent + z.Relayed; missing > 0 && 2*reachable >= missing {
 			tr.hosts.partitionSeenAt[name] = tr.now.Steady
 		}
 	}
 }
 
-// transferLeadership gives leadership up, so that a controller that the workers reach can lead.
-// Who heard how many workers is in the record of the epoch: the successor goes by it. The
-// leader key goes in the same transaction, so that nobody leads who does not see that.
+// transferLeadership returns the lease, so that a controller that the workers can reach can lead.
+// The transfer, with the number of workers that reached this leader, is written to the epoch's
+// record, which the next leader uses in its decisions. The same transaction deletes the leader key,
+// so that every later leader sees the transfer.
 func (tr *transferController) transferLeadership(to string, reachable map[string]int) {
 	tr.inFlight = true
-	t := protocol.LeadershipTransfer{
+	transfer := protocol.LeadershipTransfer{
 		From: tr.platform.ControllerName, To: to, Epoch: tr.epoch, At: tr.now.Wall, ReachableWorkers: reachable,
 	}
 	epoch := records.Epoch{
 		Number: tr.epoch, LaunchesUnrecorded: tr.launchesUnrecorded, Level: tr.features.activeLevel(),
-		Transfers: leadership.RecentTransfers(append(tr.recent, t), tr.now.Wall),
+		Transfers: leadership.RecentTransfers(append(tr.recent, transfer), tr.now.Wall),
 	}
 	then := []protocol.Change{{Key: records.KeyEpoch, Value: records.EncodeEpoch(epoch)}, {Key: records.KeyLeader}}
 	tr.election.transaction(priorityLeadership, tr.features.withLevelCondition(nil), then, func(_ uint64, err error) {
@@ -87,7 +91,7 @@
 			tr.inFlight, tr.cycleNeeded = false, true
 			return
 		}
-		tr.log.Info("giving the lease back: workers are heard by other controllers and not by this one", "epoch", tr.epoch, "to", to,
+		tr.log.Info("transferring leadership: workers reach other controllers but not this one", "epoch", tr.epoch, "to", to,
 			"heard_by_this_one", leadership.Reachability(reachable).Total())
 		tr.election.stepDown()
 	})
