--- a/internal/controller/leader_forwarding.go
+++ b/internal/controller/leader_forwarding.go
@@ -8,39 +8,39 @@
 
 const (
 	// forwardTimeout is how long the leader has to answer a forwarded request before this
-	// controller goes to the state service itself.
+	// controller serves the request from the state service.
 	forwardTimeout = 600 * protocol.Millisecond
-	// A leader that was heard within leaderAliveWindow has liveLeaderTimeout for a submission or
-	// a cancellation, which it may keep for a second and a half itself. With less, a leader with
-	// a full second of submissions to write would count as dead, and users be sent to the state
-	// service, which is what it waits for.
+	// A leader that made contact within leaderAliveWindow has liveLeaderTimeout to answer a
+	// submission or a cancellation, which it may hold for 1.5 s itself. With a shorter timeout, a
+	// leader with a full second of submissions to write would count as dead, and this controller
+	// would serve users from the state service, which is what that leader waits for.
 	leaderAliveWindow = 1500 * protocol.Millisecond
 	liveLeaderTimeout = 1900 * protocol.Millisecond
-	// leaderSuspectTime is how long a leader is not asked that did not answer.
+	// leaderSuspectTime is how long no requests are forwarded to a leader that did not answer.
 	leaderSuspectTime = 2 * protocol.Second
 
-	// MaxPeerCalls is how many calls to another controller a controller makes at once.
+	// MaxPeerCalls is the maximum number of concurrent calls from one controller to another.
 	MaxPeerCalls = 24
-	// maxForwardedSubmits is how many of them may be submissions that can wait.
+	// maxForwardedSubmits is how many of these calls may be submissions that can wait.
 	maxForwardedSubmits = MaxPeerCalls / 2
-	// connectionWait is how long what can't wait looks for a connection: those of users' queries
-	// are free again at any moment.
+	// connectionWait is how long a request that can't wait is retried if no connection to the
+	// leader is free. Connections used for users' queries become free again quickly.
 	connectionWait  = 400 * protocol.Millisecond
 	connectionRetry = connectionWait / 8
 )
 
-// forwardedRequest is a request on its way to the leader.
+// forwardedRequest is a request that is being forwarded to the leader.
 type forwardedRequest struct {
 	UserRequest
-	spec       *protocol.JobSpec // of a submission
-	receivedAt micros            // when the request came in
+	spec       *protocol.JobSpec // the job of a submission, nil for other requests
+	receivedAt micros            // time at which the request arrived
 	sentAt     micros
-	epoch      uint64 // of the leader that it was sent to
-	canWait    bool   // a submission that leaves connections for what can't wait
+	epoch      uint64 // the epoch of the leader that it was sent to
+	canWait    bool   // a submission that is not latency-critical, limited by maxForwardedSubmits
 }
 
-// forwardToLeader forwards a request that came in at an instant to the leader, or serves it
-// from the state service where the leader can't be reached.
+// forwardToLeader forwards a request that arrived at receivedAt to the leader, or serves it from
+// the state service if the leader can't be reached.
 func (g *userGateway) forwardToLeader(e UserRequest, spec *protocol.JobSpec, receivedAt micros) {
 	f := forwardedRequest{
 		UserRequest: e, spec: spec, receivedAt: receivedAt, sentAt: g.now.Steady, epoch: g.election.leader.Epoch,
@@ -65,29 +65,31 @@
 	}
 }
 
-// leaderHeardAt is when the leader was last heard.
-func (g *userGateway) leaderHeardAt() micros {
+// lastLeaderContact returns when this controller last received a status request or an answer from
+// the leader.
+func (g *userGateway) lastLeaderContact() micros {
 	return max(g.membership.leaderContactAt, g.membership.leaderAnsweredAt)
 }
 
-// forwardTimeout is how long the leader has to answer a request.
+// forwardTimeout returns how long the leader has to answer a request.
 func (g *userGateway) forwardTimeout(e UserRequest) micros {
-	heardAt := g.leaderHeardAt()
-	if e.Op != protocol.OpQuery && heardAt > 0 && g.now.Steady-heardAt <= leaderAliveWindow {
+	contactAt := g.lastLeaderContact()
+	if e.Op != protocol.OpQuery && contactAt > 0 && g.now.Steady-contactAt <= leaderAliveWindow {
 		return liveLeaderTimeout
 	}
 	return forwardTimeout
 }
 
-// onForwardFailed goes on with a request that the leader did not serve.
+// onForwardFailed continues with a request that the leader did not serve: it serves the request
+// in another way, or retries it.
 func (g *userGateway) onForwardFailed(f forwardedRequest, r CallResult) {
 	notAttempted := r.notAttempted()
 	sameLeader := g.election.leader.Epoch == f.epoch
-	if sameLeader && r.Status != http.StatusOK && !notAttempted && g.leaderHeardAt() < f.sentAt {
+	if sameLeader && r.Status != http.StatusOK && !notAttempted && g.lastLeaderContact() < f.sentAt {
 		g.election.leaderSuspectUntil = g.now.Steady + leaderSuspectTime
 	}
 	if g.election.mayActAsLeader() {
-		g.onUserRequest(f.UserRequest) // this controller has come to lead meanwhile
+		g.onUserRequest(f.UserRequest) // this controller has become the leader meanwhile
 		return
 	}
 	if notAttempted && !f.canWait && f.Op != protocol.OpQuery && g.now.Steady-f.receivedAt < connectionWait {
@@ -105,10 +107,10 @@
 	g.serveUnforwarded(f, since)
 }
 
-// serveUnforwarded serves a request that the leader has not taken. A submission has to come
-// again if the leader has answered this controller since an instant: it is there, and has more
-// to write than it can. What would be written from here besides only has the state service
-// refuse the leader's launches.
+// serveUnforwarded serves a request that the leader has not accepted. A submission is refused, and
+// the user has to repeat it, if the leader has answered this controller after since: the leader is
+// alive and has more to write than its rate allows. Further writes by this controller would only
+// make the state service refuse the leader's writes of launches.
 func (g *userGateway) serveUnforwarded(f forwardedRequest, since micros) {
 	if f.Op == protocol.OpSubmit && g.membership.leaderAnsweredAt > since {
 		g.refuse(f.Reply, refusalSubmitRate)
@@ -117,21 +119,21 @@
 	g.serveWithoutLeader(f.UserRequest, f.spec)
 }
 
-// retryForward forwards a request again that found no connection to the leader.
+// retryForward forwards a request again for which no connection to the leader was free.
 func (g *userGateway) retryForward(f forwardedRequest) {
 	if g.election.mayActAsLeader() {
-		g.onUserRequest(f.UserRequest) // this controller has come to lead meanwhile
+		g.onUserRequest(f.UserRequest) // this controller has become the leader meanwhile
 		return
 	}
 	g.forwardToLeader(f.UserRequest, f.spec, f.receivedAt)
 }
 
-// forwardLeaderOnly forwards a request that came in at an instant and that nobody else can
-// serve: operators' requests about roll-outs and the configuration. It looks for a connection
-// as what can't wait does: submissions may have all of them just then.
+// forwardLeaderOnly forwards a request that arrived at receivedAt and that only the leader can
+// serve: an operator's request about roll-outs or the configuration. If no connection is free, it
+// retries for connectionWait, since submissions may use all connections at the moment.
 func (g *userGateway) forwardLeaderOnly(e UserRequest, timeout, receivedAt micros) {
 	if g.election.mayActAsLeader() {
-		g.onUserRequest(e) // this controller has come to lead meanwhile
+		g.onUserRequest(e) // this controller has become the leader meanwhile
 		return
 	}
 	onFailed := func(r CallResult) {
@@ -146,9 +148,9 @@
 	}
 }
 
-// callLeader forwards a request to the leader, whose answer goes to whoever made the request,
-// and reports whether there is a leader to forward to. finished is called when the call is
-// over, and onFailed after it when the leader did not serve the request.
+// callLeader forwards a request to the leader and sends the leader's answer to the user. It
+// returns false if there is no leader to forward to. finished is called when the call has ended;
+// if the leader did not serve the request, onFailed is called after it.
 func (g *userGateway) callLeader(e UserRequest, timeout micros, finished func(), onFailed func(CallResult)) bool {
 	addr := g.membership.peerAddress(g.election.leader.Controller)
 	if addr == "" || g.now.Steady < g.election.leaderSuspectUntil || g.election.role.leads() {
--- a/internal/controller/user_gateway.go
+++ b/internal/controller/user_gateway.go
@@ -8,8 +8,8 @@
 	"mapleslip/internal/statestore"
 )
 
-// userGateway takes users' and operators' requests: it serves them as the leader, forwards them
-// to it, or serves them from the state service alone.
+// userGateway handles users' and operators' requests: it serves them as the leader, forwards them
+// to the leader, or serves them from the state service.
 type userGateway struct {
 	*environment
 	config      *configManager
@@ -21,22 +21,23 @@
 	store       *statestore.Client
 	submissions *submissions
 
-	forwardedSubmits int // submissions on their way to the leader, of those that can wait
+	forwardedSubmits int // submissions that can wait and are being forwarded to the leader
 	directQueries    int // queries being served from the state service
 	directSubmits    int // submissions being served from the state service
-	leaderLookups    int // lookups that this leader makes for users
+	leaderLookups    int // lookups in flight that this leader makes for users
 }
 
 const (
-	// maxDirectDelay is how long a request may wait for the state service's rate.
+	// maxDirectDelay is how long a request may be delayed by the state service's rate.
 	maxDirectDelay    = 400 * protocol.Millisecond
 	minDirectRequests = 2
 	minLeaderLookups  = 4
-	// userRateShare is the part of the request rate that users' queries may take.
+	// userRateShare is the share of this controller's request rate that users' queries may use.
 	userRateShare = 0.5
 )
 
-// onUserRequest handles a user's or an operator's request, wherever it came in.
+// onUserRequest handles a user's or an operator's request, received directly or forwarded by
+// another controller.
 func (g *userGateway) onUserRequest(e UserRequest) {
 	switch {
 	case e.Op >= protocol.OpConfig:
@@ -46,14 +47,14 @@
 	case e.Op == protocol.OpSubmit:
 		g.onSubmit(e)
 	case !protocol.ValidRef(e.Ref):
-		// No such id can ever have been accepted.
+		// A job with an invalid ID can't have been accepted.
 		g.replyError(e.Reply, http.StatusNotFound, noSuchJob)
 	default:
 		g.route(e, nil)
 	}
 }
 
-// onSubmit checks a submission.
+// onSubmit validates and routes a submission.
 func (g *userGateway) onSubmit(e UserRequest) {
 	spec, err := protocol.ParseJob(e.Body)
 	if err != nil {
@@ -68,8 +69,8 @@
 	g.route(e, spec)
 }
 
-// route serves a request about a job as the leader, or forwards it. spec is that of a
-// submission, nil otherwise.
+// route serves a request about a job as the leader, or forwards it to the leader. spec is the job
+// of a submission, nil for other requests.
 func (g *userGateway) route(e UserRequest, spec *protocol.JobSpec) {
 	if f, finished := g.directory.finishedJobs.find(e.Ref); finished {
 		g.directory.replyFinishedJob(e.Reply, e.Ref, f)
@@ -79,7 +80,8 @@
 	case g.election.mayActAsLeader():
 		g.serveAsLeader(e, spec)
 	case g.election.role == RoleLeaseUncertain && e.Op == protocol.OpCancel && g.term.cluster.Job(e.Ref) != nil:
-		// Nobody can be told now, but the tasks can end: a stop can do no harm.
+		// The cancellation can't be confirmed while the lease is uncertain, but the tasks can be
+		// stopped, which is always safe.
 		g.term.jobs.cancelJob(e.Reply, e.Ref)
 	case e.Reply.Peer:
 		g.replyNotLeader(e.Reply)
@@ -96,17 +98,17 @@
 		g.queryJob(e.Reply, e.Ref)
 	case protocol.OpCancel:
 		g.term.jobs.cancelJob(e.Reply, e.Ref)
-	default: // of other components
+	default: // handled by other components
 	}
 }
 
-// serveWithoutLeader serves a request from the state service alone. What its rate has no room
-// for is refused at once: waiting in line would only make the others late.
+// serveWithoutLeader serves a request from the state service. Requests above its rate are refused
+// at once, since queueing them would only delay the others.
 func (g *userGateway) serveWithoutLeader(e UserRequest, spec *protocol.JobSpec) {
 	switch e.Op {
 	case protocol.OpQuery:
 		rate := g.platform.StateRequestRate * ReadShare(g.controllers(), false) * userRateShare
-		if !hasRoom(g.directQueries, minDirectRequests, rate) {
+		if !hasCapacity(g.directQueries, minDirectRequests, rate) {
 			g.refuse(e.Reply, refusalNoLeader)
 			return
 		}
@@ -114,20 +116,21 @@
 		g.directory.replyFromStateService(e.Reply, e.Ref, func() { g.directQueries-- })
 	case protocol.OpSubmit:
 		rate := g.store.WriteRate() * WriteShare(g.controllers(), false)
-		if !hasRoom(g.directSubmits, minDirectRequests, rate) {
+		if !hasCapacity(g.directSubmits, minDirectRequests, rate) {
 			g.refuse(e.Reply, refusalNoLeader)
 			return
 		}
 		g.directSubmits++
 		g.submissions.submitWithoutLeader(submission{e.Reply, spec, func() { g.directSubmits-- }})
 	default:
-		// Only the leader can stop tasks; the user asks again.
+		// Only the leader can stop tasks, so the user has to repeat a cancellation.
 		g.refuse(e.Reply, refusalNoLeader)
 	}
 }
 
-// hasRoom reports whether a rate has room for another request within maxDirectDelay.
-func hasRoom(inFlight, minInFlight int, rate float64) bool {
+// hasCapacity reports whether a rate allows another request within maxDirectDelay, or fewer than
+// minInFlight requests are in flight.
+func hasCapacity(inFlight, minInFlight int, rate float64) bool {
 	return float64(inFlight) < max(float64(minInFlight), rate*maxDirectDelay.Seconds())
 }
 
@@ -145,10 +148,10 @@
 	g.directory.replyFromStateService(to, ref, func() { g.leaderLookups-- })
 }
 
-// lookupLimitReached reports whether this leader looks up as much for users as it may. Lookups
-// come second to what the leader has to write and read itself: a storm of queries for jobs that
-// nobody knows would use up the rate.
+// lookupLimitReached reports whether this leader makes as many lookups for users as it may. The
+// leader's own reads and writes have precedence over lookups: many queries for unknown jobs would
+// otherwise use up the rate.
 func (g *userGateway) lookupLimitReached() bool {
 	rate := g.platform.StateRequestRate * ReadShare(g.controllers(), true) * userRateShare
-	return !hasRoom(g.leaderLookups, minLeaderLookups, rate)
+	return !hasCapacity(g.leaderLookups, minLeaderLookups, rate)
 }
--- a/internal/controller/worker_router.go
+++ b/internal/controller/worker_router.go
@@ -6,49 +6,51 @@
 	"mapleslip/internal/protocol"
 )
 
-// workerRouter takes workers' heartbeats. The leader's are handled by its agents; while another
-// controller leads, workers are redirected to it.
+// workerRouter handles workers' heartbeats. On the leader it passes them to the agents component;
+// while another controller leads, it redirects workers to that one.
 //
-// Some workers can't get there, though the leader is well: a link or a filter is between them
-// and it. Sent back and forth, such a worker would lose its lease and all that runs on it. So
-// the heartbeat of a worker that can't reach the leader is forwarded, and the leader's own
-// answer goes back. Only who carries the message changes: nobody but the leader answers.
+// Some workers can't reach a healthy leader because of a broken link or a packet filter. If such a
+// worker were only redirected back and forth, its lease would expire and all its tasks would end.
+// So the heartbeat of a worker that can't reach the leader is forwarded to the leader, and the
+// leader's answer is returned to the worker. The follower only relays the messages; it does not
+// answer such a heartbeat itself.
 type workerRouter struct {
 	*environment
 	election   *election
 	membership *membership
 
-	workers               map[string]redirectedWorker // that came here while another controller led, by host
-	forwardedHeartbeats   int                         // on their way to the leader
-	forwardingPausedUntil micros                      // the leader did not answer one
+	workers               map[string]redirectedWorker // by host
+	forwardedHeartbeats   int                         // heartbeats in flight to the leader
+	forwardingPausedUntil micros                      // after an unanswered forwarded heartbeat
 }
 
-// redirectedWorker is a worker that came here while another controller led.
+// redirectedWorker is a worker that contacted this controller while another one led.
 type redirectedWorker struct {
 	lastSeen            micros
 	zone                string
-	redirectedAt        micros // when it was last sent to the leader of redirectedEpoch
-	redirectedEpoch     uint64
-	forwardUntil        micros // until then its heartbeats are forwarded without redirecting it first
-	leaderUnreachableAt micros // when it last showed that it can't reach the leader of unreachableEpoch
-	unreachableEpoch    uint64
+	redirectedAt        micros // time of its last redirect to the leader
+	redirectedEpoch     uint64 // the epoch of that leader
+	forwardUntil        micros // time until which its heartbeats are forwarded without a redirect
+	leaderUnreachableAt micros // time at which it was last unable to reach the leader
+	unreachableEpoch    uint64 // the epoch of that leader
 
-	// The newest of its heartbeats that came here.
+	// The agent epoch and sequence of its newest heartbeat to this controller.
 	agentEpoch, sequence uint64
 }
 
 const (
-	// redirectReturnWindow is how soon a worker that can't reach the leader comes back: after
-	// half a second and two tries that nobody answers.
+	// redirectReturnWindow is the time within which a redirected worker that can't reach the
+	// leader returns: after half a second and two unanswered tries.
 	redirectReturnWindow    = 15 * protocol.Second
 	heartbeatForwardTimeout = 1500 * protocol.Millisecond
 	forwardingPause         = 3 * protocol.Second // after the leader did not answer
 	maxForwardedHeartbeats  = 24
-	forwardLeases           = 2 // for how many leases the heartbeats of such a worker are forwarded
+	forwardLeases           = 2 // leases for which a worker's heartbeats are forwarded
 )
 
-// onHeartbeat handles a worker's heartbeat. Only the leader answers with 200: a worker that
-// gets a 200 which it has to drop stays here while its lease runs out.
+// onHeartbeat handles a worker's heartbeat. Only the leader, or an isolated controller whose answer
+// the worker can accept, answers with 200: a worker that had to drop a 200 answer would stay at
+// this controller until its lease expires.
 func (wr *workerRouter) onHeartbeat(e WorkerHeartbeat) {
 	r, err := protocol.ParseHeartbeat(e.Body)
 	if err != nil {
@@ -66,7 +68,7 @@
 		case e.Reply.Peer:
 			wr.replyNotLeader(e.Reply)
 		case wr.mayKeepAlive(r):
-			// The tasks go on under the token that the worker knows. It gets no commands.
+			// The worker's tasks continue under its current fencing token. It gets no commands.
 			wr.membership.workerAnsweredAt = wr.now.Steady
 			wr.replyCommands(e.Reply, r.Token, nil)
 		default:
@@ -75,9 +77,9 @@
 	}
 }
 
-// answerWhileRecovering answers a heartbeat to a leader that has not read the records yet. It
-// has no commands; the worker's lease is renewed, and its next heartbeat comes under the new
-// epoch.
+// answerWhileRecovering answers a heartbeat while this leader has not read all records yet. The
+// answer contains no commands; it renews the worker's lease, and the worker's next heartbeat
+// carries the new epoch.
 func (wr *workerRouter) answerWhileRecovering(e WorkerHeartbeat, r *protocol.Heartbeat) {
 	if r.Token <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
 		wr.replyCommands(e.Reply, wr.election.lease.epoch, nil)
@@ -86,25 +88,27 @@
 	wr.refuse(e.Reply, refusalRecovering)
 }
 
-// mayKeepAlive reports whether this controller and a worker are cut off together.
+// mayKeepAlive reports whether this controller may renew a worker's lease because both are isolated
+// from the quorum together.
 func (wr *workerRouter) mayKeepAlive(r *protocol.Heartbeat) bool {
 	if !wr.membership.isIsolatedFromQuorum() || r.Token == 0 {
 		return false
 	}
-	own := wr.platform.Zone
-	return r.Zone == own || !wr.membership.leaderExpectsOwnZoneOnly && wr.membership.mayAnswerZone(own, r.Zone)
+	ownZone := wr.platform.Zone
+	return r.Zone == ownZone || !wr.membership.leaderExpectsOwnZoneOnly && wr.membership.mayAnswerZone(ownZone, r.Zone)
 }
 
-// cannotReachLeader reports whether a worker seems unable to reach the leader: it was sent
-// there and came back, or it has served under this leader before and tries other controllers
-// now.
+// cannotReachLeader reports whether a worker appears to be unable to reach the leader: it was
+// redirected to the leader and returned, or it has worked under this leader before and now contacts
+// another controller. returned is true in the first case, and for the next forwardLeases leases.
 func (wr *workerRouter) cannotReachLeader(r *protocol.Heartbeat) (unreachable, returned bool) {
 	now, epoch := wr.now.Steady, wr.election.leader.Epoch
 	w, known := wr.workers[r.Host]
 	switch {
 	case w.redirectedEpoch > 0 && w.redirectedEpoch != epoch:
-		// It was sent to another leader, and not to this one yet. Counted as a return, workers
-		// that were sent to a leader that has ended make the next one give its lease back.
+		// The worker was redirected to an earlier leader, but not to the current one yet. If this
+		// counted as a return, workers that were redirected to a failed leader would make the
+		// next leader transfer leadership.
 	case w.redirectedAt > 0 && now-w.redirectedAt < redirectReturnWindow && r.Token <= epoch:
 		returned = true
 		w.forwardUntil = now + forwardLeases*wr.platform.WorkerLease
@@ -121,10 +125,11 @@
 	return unreachable, returned
 }
 
-// redirectOrForward sends a worker to the leader, or its heartbeat where the worker can't go.
+// redirectOrForward redirects a worker to the leader, or forwards its heartbeat if the worker
+// appears to be unable to reach the leader.
 func (wr *workerRouter) redirectOrForward(e WorkerHeartbeat, r *protocol.Heartbeat) {
 	if w, known := wr.workers[r.Host]; known && !r.NewerThan(w.agentEpoch, w.sequence) {
-		// A late copy: it says nothing of whom the worker reaches now.
+		// A late or duplicate message gives no information on whom the worker can reach now.
 		wr.replyLeader(e)
 		return
 	}
@@ -142,14 +147,14 @@
 			wr.replyAfter(e.Reply, int(m.Status), m.Body, m.RetryAfter)
 			return
 		}
-		// It does not lead any more, or can't be reached from here either.
+		// That controller does not lead any more, or can't be reached from this one either.
 		wr.forwardingPausedUntil = wr.now.Steady + forwardingPause
 		wr.election.recheckLeader()
 		wr.redirect(e, r.Host)
 	})
 }
 
-// redirect sends a worker to whoever leads.
+// redirect answers a heartbeat with a redirect to the current leader, and records the redirect.
 func (wr *workerRouter) redirect(e WorkerHeartbeat, host string) {
 	w := wr.workers[host]
 	w.lastSeen, w.redirectedAt, w.redirectedEpoch = wr.now.Steady, wr.now.Steady, wr.election.leader.Epoch
@@ -157,7 +162,8 @@
 	wr.replyLeader(e)
 }
 
-// replyLeader answers a heartbeat with who leads, as far as known.
+// replyLeader answers a heartbeat with the name of the leader, "" if no other controller is known
+// to lead.
 func (wr *workerRouter) replyLeader(e WorkerHeartbeat) {
 	leader := wr.election.leader.Controller
 	if leader == wr.platform.ControllerName {
@@ -166,10 +172,10 @@
 	wr.reply(e.Reply, http.StatusMisdirectedRequest, protocol.LeaderBody(leader))
 }
 
-// summarizeRedirectedWorkers counts the workers that came here lately, and forgets the others.
-// The body tells, zone by zone, how many of them can't reach the leader: workers that come by
-// and are redirected are no sign of that. After a restart of all controllers each worker comes
-// by.
+// summarizeRedirectedWorkers counts the workers that contacted this controller recently, and
+// removes old entries. The body contains, by zone, how many of them appear to be unable to reach
+// the leader. A contact and a redirect alone are no sign of that: after a restart of all
+// controllers, every worker contacts some controller and may be redirected.
 func (wr *workerRouter) summarizeRedirectedWorkers() (count uint32, body []byte) {
 	now := wr.now.Steady
 	unreachable := make(map[string]int)
@@ -177,8 +183,8 @@
 		switch {
 		case now-w.lastSeen <= redirectReturnWindow:
 			count++
-			lately := w.leaderUnreachableAt > 0 && now-w.leaderUnreachableAt <= redirectReturnWindow
-			if lately && w.unreachableEpoch == wr.election.leader.Epoch {
+			recent := w.leaderUnreachableAt > 0 && now-w.leaderUnreachableAt <= redirectReturnWindow
+			if recent && w.unreachableEpoch == wr.election.leader.Epoch {
 				unreachable[w.zone]++
 			}
 		case now >= w.forwardUntil:
@@ -188,8 +194,8 @@
 	return count, protocol.AppendReachability(nil, unreachable)
 }
 
-// onWorkerProbe sends a command to a worker for the leader. Whether the command has any effect
-// is for the worker to say, by the fencing token and agent epoch that it names.
+// onWorkerProbe sends a command to a worker on behalf of the leader. The worker decides from the
+// fencing token and the agent epoch in the command whether it takes effect.
 func (wr *workerRouter) onWorkerProbe(e WorkerProbe) {
 	wr.sendToWorker(e.Addr, e.Body, commandTimeout*3/4, func(r CallResult) {
 		wr.reply(e.Reply, r.Status, r.Body)
