--- a/internal/controller/gang_preemption.go
+++ b/internal/controller/gang_preemption.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// gangBookingDelay is when the places that were made for a gang may begin.
+	// gangBookingDelay is the time until a gang's places on preempted hosts begin.
 	gangBookingDelay = protocol.Second
-	// gangVictimsWork is what it costs to look at a host for a gang, in rows of the slot table.
+	// gangVictimsWork is the work of evaluating a host for a gang, in rows of the slot table.
 	gangVictimsWork = 8
-	// anyZone stands for all zones together, for gangs that may be in several.
+	// anyZone is the key for all zones together, for gangs that may span several zones.
 	anyZone = ""
 )
 
-// gangRoom is room for tasks of a gang on a host, once its victims are stopped.
-type gangRoom struct {
+// gangCandidate is a host that can run some tasks of a gang once the victims there are stopped.
+type gangCandidate struct {
 	host     *state.Host
 	tasks    int
 	victims  []*state.Attempt
 	ready    micros
-	taskCost float64 // seconds lost, for each task
+	taskCost float64 // seconds lost per task
 }
 
-// preemptForWholeGang makes room for all tasks of a gang where some have no place, or have one
-// that is ready only after the gang is due. Those give their places back.
+// preemptForWholeGang frees capacity for all tasks of a gang if some of them have no place, or have
+// a place that is ready only after due. In the second case the gang's assignments are withdrawn.
 func (p *preemption) preemptForWholeGang(due micros) {
 	j := p.job
 	if p.now.Steady < j.Preemption.ReservedUntil || p.request.Limit < len(p.tasks) {
@@ -42,7 +42,7 @@
 	if len(p.latePlaces(due)) == 0 || !p.canWithdraw() {
 		return
 	}
-	p.readyWithout = due
+	p.readyWithoutPreemption = due
 	if p.preemptForGang() {
 		for i := range p.result.Start {
 			p.agents.onAttemptLost(j.Tasks[p.tasks[i]].Current)
@@ -50,7 +50,7 @@
 	}
 }
 
-// canWithdraw reports whether no launch of what this cycle placed has left yet.
+// canWithdraw reports whether no launch of the tasks that this cycle placed has been sent.
 func (p *preemption) canWithdraw() bool {
 	for i := range p.result.Start {
 		if a := p.job.Tasks[p.tasks[i]].Current; a == nil || a.State != state.AttemptAssigned {
@@ -60,60 +60,60 @@
 	return true
 }
 
-// preemptForGang makes room for all tasks of a gang, in the zone where the least work is lost.
-// What comes free is booked for it until it has started; otherwise smaller jobs would take it,
-// one machine at a time. It reports whether it could.
+// preemptForGang frees capacity for all tasks of a gang, in the zone where the least work is lost.
+// The freed capacity is booked for the gang until it has started; otherwise smaller jobs would take
+// it, one machine at a time. It returns false if no zone has enough.
 func (p *preemption) preemptForGang() bool {
 	j := p.job
 	if p.cycle.isUnschedulable(j, len(p.tasks)) {
 		j.Preemption.RetryAt = p.now.Steady + bookingRetryDelay
 		return false
 	}
-	rooms, tooLate := p.findGangRooms()
-	best := p.cheapestGangRooms(rooms)
+	candidates, tooLate := p.findGangCandidates()
+	best := p.cheapestGangCandidates(candidates)
 	if best == nil {
 		if !tooLate && len(p.request.TasksByZone) == 0 {
 			p.cycle.markUnschedulable(j, len(p.tasks))
 		}
-		j.Preemption.RetryAt = p.now.Steady + bookingRetryDelay // there is nothing, for a while
+		j.Preemption.RetryAt = p.now.Steady + bookingRetryDelay // no change is expected sooner
 		return false
 	}
 	j.Preemption.ReservedUntil = p.now.Steady + reservationTime
 	j.Booking.Places = j.Booking.Places[:0]
-	for _, room := range best {
-		p.stopVictims(room.victims)
-		delete(p.cycle.preemptible, room.host)
-		p.bookRoom(room)
+	for _, candidate := range best {
+		p.stopVictims(candidate.victims)
+		delete(p.cycle.preemptible, candidate.host)
+		p.bookCandidate(candidate)
 	}
 	return true
 }
 
-// bookRoom books a room for as many tasks as still need one.
-func (p *preemption) bookRoom(room gangRoom) {
+// bookCandidate books places on a candidate for as many tasks as still need one.
+func (p *preemption) bookCandidate(candidate gangCandidate) {
 	b := &p.job.Booking
-	place := state.BookedPlace{Machine: room.host.Name, Begin: p.now.Steady + gangBookingDelay, Ready: room.ready}
-	for range min(room.tasks, len(p.tasks)-len(b.Places)) {
+	place := state.BookedPlace{Machine: candidate.host.Name, Begin: p.now.Steady + gangBookingDelay, Ready: candidate.ready}
+	for range min(candidate.tasks, len(p.tasks)-len(b.Places)) {
 		b.Places = append(b.Places, place)
 	}
 }
 
-// findGangRooms finds hosts on which preemption makes room for tasks of a gang, by zone. stopAtLimit
-// reports whether some would have room too late.
-func (p *preemption) findGangRooms() (rooms map[string][]gangRoom, tooLate bool) {
-	rooms = make(map[string][]gangRoom)
+// findGangCandidates returns the hosts on which preemption frees capacity for tasks of a gang, by
+// zone. tooLate reports whether a host was left out because it would be ready too late.
+func (p *preemption) findGangCandidates() (candidates map[string][]gangCandidate, tooLate bool) {
+	candidates = make(map[string][]gangCandidate)
 	s := p.job.Spec
 	p.slotTable.VisitPreemptible(p.request, 1, maxVictimHosts+2*len(p.tasks), func(m *slottable.Machine) bool {
 		h := p.cluster.Host(m.Name)
 		if h == nil || !p.couldHost(h, s) {
 			return false
 		}
-		copies := p.roomAfterPreemption(p.cycle, h).MaxCopies(s.TaskResources)
+		copies := p.freeAfterPreemption(p.cycle, h).MaxCopies(s.TaskResources)
 		if copies < 1 {
 			return false
 		}
 		p.slotTable.Work += gangVictimsWork
-		room := p.evaluateGangRoom(h, min(int(copies), len(p.tasks)))
-		if p.isTooLate(room.ready) {
+		candidate := p.evaluateGangCandidate(h, min(int(copies), len(p.tasks)))
+		if p.isTooLate(candidate.ready) {
 			tooLate = true
 			return true
 		}
@@ -121,31 +121,31 @@
 		if s.SingleZone {
 			zone = h.Zone
 		}
-		rooms[zone] = append(rooms[zone], room)
+		candidates[zone] = append(candidates[zone], candidate)
 		return true
 	})
-	return rooms, tooLate
+	return candidates, tooLate
 }
 
-// evaluateGangRoom finds out what it costs to make room for some tasks on a host.
-func (p *preemption) evaluateGangRoom(h *state.Host, tasks int) gangRoom {
+// evaluateGangCandidate calculates the cost of freeing capacity for a number of tasks on a host.
+func (p *preemption) evaluateGangCandidate(h *state.Host, tasks int) gangCandidate {
 	victims, lostSeconds := p.chooseVictims(h, p.job, tasks)
-	ready := p.readyOn(h) + p.saveTime(victims)
+	ready := p.readyOn(h) + p.checkpointTime(victims)
 	lostSeconds += (ready - p.now.Steady).Seconds()
-	return gangRoom{host: h, tasks: tasks, victims: victims, ready: ready, taskCost: lostSeconds / float64(tasks)}
+	return gangCandidate{host: h, tasks: tasks, victims: victims, ready: ready, taskCost: lostSeconds / float64(tasks)}
 }
 
-// cheapestGangRooms chooses rooms for all tasks in the zone where the least is lost, nil if no
-// zone has enough.
-func (p *preemption) cheapestGangRooms(rooms map[string][]gangRoom) []gangRoom {
-	var best []gangRoom
+// cheapestGangCandidates chooses candidates for all tasks in the zone where the least work is lost,
+// nil if no zone has enough.
+func (p *preemption) cheapestGangCandidates(candidates map[string][]gangCandidate) []gangCandidate {
+	var best []gangCandidate
 	var bestCost float64
 	used := p.request.TasksByZone
-	for _, zone := range slices.Sorted(maps.Keys(rooms)) {
+	for _, zone := range slices.Sorted(maps.Keys(candidates)) {
 		if p.job.Spec.SingleZone && len(used) > 0 && used[zone] == 0 {
 			continue
 		}
-		chosen, cost, enough := cheapestRooms(rooms[zone], len(p.tasks))
+		chosen, cost, enough := cheapestCandidates(candidates[zone], len(p.tasks))
 		if enough && (best == nil || cost < bestCost) {
 			best, bestCost = chosen, cost
 		}
@@ -153,16 +153,16 @@
 	return best
 }
 
-// cheapestRooms chooses rooms for some tasks, those that cost least first. enough reports
-// whether there are that many.
-func cheapestRooms(rooms []gangRoom, tasks int) (chosen []gangRoom, cost float64, enough bool) {
-	slices.SortStableFunc(rooms, func(a, b gangRoom) int { return cmp.Compare(a.taskCost, b.taskCost) })
+// cheapestCandidates chooses candidates for a number of tasks, the cheapest per task first. enough
+// reports whether the candidates suffice.
+func cheapestCandidates(candidates []gangCandidate, tasks int) (chosen []gangCandidate, cost float64, enough bool) {
+	slices.SortStableFunc(candidates, func(a, b gangCandidate) int { return cmp.Compare(a.taskCost, b.taskCost) })
 	count := 0
-	for i, room := range rooms {
-		count += room.tasks
-		cost += room.taskCost * float64(room.tasks)
+	for i, candidate := range candidates {
+		count += candidate.tasks
+		cost += candidate.taskCost * float64(candidate.tasks)
 		if count >= tasks {
-			return rooms[:i+1], cost, true
+			return candidates[:i+1], cost, true
 		}
 	}
 	return nil, 0, false
--- a/internal/controller/opportunistic.go
+++ b/internal/controller/opportunistic.go
@@ -5,20 +5,21 @@
 	"mapleslip/internal/state"
 )
 
-// isOpportunistic reports whether a job's tasks give way to whatever else is placed.
+// isOpportunistic reports whether a job's tasks may be evicted for tasks of any job that is not
+// opportunistic.
 func isOpportunistic(j *state.Job) bool { return j.Priority == protocol.PriorityLow }
 
-// opportunisticWithoutRentalFor is how long an opportunistic job is content with spare capacity.
-// After that it is served like others, only behind them: an accepted job must run.
-const opportunisticWithoutRentalFor = 900 * protocol.Second
+// opportunisticRentalDelay is how long an opportunistic job uses only spare capacity. After that
+// machines are also kept and rented for it, with the lowest priority: every accepted job has to
+// run.
+const opportunisticRentalDelay = 900 * protocol.Second
 
-// usesSpareCapacityOnly reports whether a job neither keeps a machine at the full price nor has
-// one rented.
+// usesSpareCapacityOnly reports whether no on-demand machine is kept or rented for a job.
 func (sc *scheduler) usesSpareCapacityOnly(j *state.Job) bool {
-	return isOpportunistic(j) && j.Spec.AllowSpot && sc.now.Steady-j.EligibleAt < opportunisticWithoutRentalFor
+	return isOpportunistic(j) && j.Spec.AllowSpot && sc.now.Steady-j.EligibleAt < opportunisticRentalDelay
 }
 
-// hasRetainingWork reports whether a host has work for which it is to be kept.
+// hasRetainingWork reports whether a host runs a task for which it should be kept.
 func (sc *scheduler) hasRetainingWork(h *state.Host) bool {
 	for _, a := range h.Attempts() {
 		if a.State.HoldsResources() && (a.Job == nil || h.Spot || !sc.usesSpareCapacityOnly(a.Job)) {
@@ -28,7 +29,7 @@
 	return false
 }
 
-// evictOpportunistic stops the opportunistic tasks on a host that are in the way of a task.
+// evictOpportunistic stops the opportunistic tasks on a host whose resources another task needs.
 func (sc *scheduler) evictOpportunistic(h *state.Host, need protocol.Resources) {
 	free := h.Type.Capacity
 	var candidates []victim
@@ -50,7 +51,7 @@
 	}
 }
 
-// evictAll stops what is on a host that is to be released, with time to save progress.
+// evictAll stops all tasks on a host that is to be released, with time for their checkpoints.
 func (sc *scheduler) evictAll(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State.HoldsResources() && !a.StopRequested && a.Job != nil {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// localityWaitFetches is for how many times the fetch of its image an array takes machines
-	// without the image only after the jobs that find theirs there. Four instead of one:
-	// hsos-foldrenges-fleet 0.80/0.78 on six paired seeds.
+	// localityWaitFetches is how long an array takes machines without its image only after the jobs
+	// whose image is there, in fetch times of its image. With 4 instead of 1, hsos-foldrenges-fleet
+	// had 0.80/0.78 on six paired seeds.
 	localityWaitFetches = 1
-	// bookingRetryDelay is how long it is not tried again to book a deadline job whose booking
-	// would have come too late.
+	// bookingRetryDelay is the pause after a deadline job could not be booked in time, and after
+	// preemption could not free enough capacity for a gang.
 	bookingRetryDelay = 2 * protocol.Second
-	// bookingBatchDelay is how long new bookings are collected into a record.
+	// bookingBatchDelay is how long new bookings are collected before they are recorded together.
 	bookingBatchDelay = protocol.Second
-	// attemptSeqBits is how many bits of an attempt number are the sequence within an epoch.
+	// attemptSeqBits is the number of low bits of an attempt number that count the attempts of an
+	// epoch.
 	attemptSeqBits = 24
 )
 
-// prefersLocality reports whether an array takes only machines that have its image, as long as
-// another job can use the others at once. In an overload the jobs that wait need different
-// images: a machine that comes free went to the first in the queue, which had to fetch, while a
-// few places on was one that could have run at once. What is left after all had that choice is
-// given to the same jobs in the same cycle, so no machine stays free for it. A job that has
-// waited for as long as a fetch, or that has a booking, is served in its turn.
-func (sc *scheduler) prefersLocality(w *pendingJob) bool {
-	j := w.job
+// prefersLocality reports whether an array takes machines without its image only after all jobs
+// were planned once. In an overload the pending jobs need different images. Without this rule a
+// machine that becomes free goes to the first job of the queue, which has to fetch its image, while
+// a job a few places behind could start there at once. The machines that no other job takes are
+// offered to the array in the same cycle, so none stays free because of the rule. The rule does not
+// apply to a job that has waited for the fetch time of its image or that has a booking.
+func (sc *scheduler) prefersLocality(pj *pendingJob) bool {
+	j := pj.job
 	s := j.Spec
 	if s.Kind != protocol.Array || j.Priority < protocol.PriorityStandard || isOpportunistic(j) {
 		return false
@@ -40,67 +41,68 @@
 	return sc.now.Steady-j.EligibleAt < localityWaitFetches*sc.estimates.longestFetch(s)
 }
 
-// placeWithImage starts what an array can at once on machines that have its image.
-func (sc *scheduler) placeWithImage(c *schedulingCycle, w *pendingJob) {
-	if !sc.buildRequest(w) {
+// placeWithImage starts as many tasks of an array as possible on machines that have its image.
+func (sc *scheduler) placeWithImage(c *schedulingCycle, pj *pendingJob) {
+	if !sc.buildRequest(pj) {
 		return
 	}
-	r := w.request
-	r.Limit = sc.quotaAllowance(c, w.job, c.heldForTeam[w.job.Spec.Team])
+	r := pj.request
+	r.Limit = sc.quotaAllowance(c, pj.job, c.heldForTeam[pj.job.Spec.Team])
 	r.ImageLocalOnly = true
 	if r.Limit <= 0 {
 		return
 	}
-	w.result = sc.slotTable.Try(r, false)
-	for i, place := range w.result.Start {
-		sc.assignTask(w, w.tasks[i], place)
+	pj.result = sc.slotTable.Try(r, false)
+	for i, place := range pj.result.Start {
+		sc.assignTask(pj, pj.tasks[i], place)
 	}
 }
 
-// placeJob gives a job what places it can have, in its turn.
-func (sc *scheduler) placeJob(c *schedulingCycle, w *pendingJob) {
-	if !sc.buildRequest(w) {
+// placeJob assigns and books places for a job. Jobs are placed in queue order.
+func (sc *scheduler) placeJob(c *schedulingCycle, pj *pendingJob) {
+	if !sc.buildRequest(pj) {
 		return
 	}
-	j, r, team := w.job, w.request, w.job.Spec.Team
+	j, r, team := pj.job, pj.request, pj.job.Spec.Team
 	r.Limit = sc.quotaAllowance(c, j, c.heldForTeam[team])
 	if r.Gang && r.Limit < r.Tasks && j.Priority <= protocol.PriorityHigh && !j.Failures.Suspect {
-		// Its team's limit leaves no room for all of its tasks at once. Without this, smaller
-		// jobs of the team would take what comes free, one task at a time, for as long as they
-		// last.
+		// The team's limit does not allow all tasks of the gang at once. Resources are held for
+		// it: otherwise smaller jobs of the team would use every part of the limit that becomes
+		// available, one task at a time, and the gang would wait until those jobs have ended.
 		c.heldForTeam[team] = c.heldForTeam[team].Add(j.Spec.TaskResources, int64(r.Tasks))
 	}
-	w.result = sc.slotTable.Next(r)
-	sc.bookPlaces(w)
-	for i, place := range w.result.Start {
-		sc.assignTask(w, w.tasks[i], place)
+	pj.result = sc.slotTable.Next(r)
+	sc.bookPlaces(pj)
+	for i, place := range pj.result.Start {
+		sc.assignTask(pj, pj.tasks[i], place)
 	}
-	if len(w.result.Start) == maxTasksPerCycle {
-		sc.cycleNeeded = true // the rest of a long array comes with the next cycle
+	if len(pj.result.Start) == maxTasksPerCycle {
+		sc.cycleNeeded = true // the next cycle places more tasks of a long array
 	}
-	if len(w.result.Booked) > 0 {
-		j.Booking.Zone = w.result.Booked[0].Machine.Zone
-		sc.persistBooking(w)
+	if len(pj.result.Booked) > 0 {
+		j.Booking.Zone = pj.result.Booked[0].Machine.Zone
+		sc.persistBooking(pj)
 	}
 }
 
-// bookPlaces notes what was booked for a job, in place of its last booking.
-func (sc *scheduler) bookPlaces(w *pendingJob) {
-	b := &w.job.Booking
+// bookPlaces replaces a job's booking by the places that this cycle booked.
+func (sc *scheduler) bookPlaces(pj *pendingJob) {
+	b := &pj.job.Booking
 	b.Places = b.Places[:0]
-	for _, place := range w.result.Booked {
+	for _, place := range pj.result.Booked {
 		b.Places = append(b.Places, state.BookedPlace{Machine: place.Machine.Name, Begin: place.Begin, Ready: place.Ready})
 	}
-	if w.result.Late {
+	if pj.result.Late {
 		b.RetryAt = sc.now.Steady + bookingRetryDelay
 	}
 }
 
-// persistBooking has a deadline job's booking recorded.
-func (sc *scheduler) persistBooking(w *pendingJob) {
-	j := w.job
-	j.Booking.Start = w.result.Booked[0].Begin
-	if j.Spec.Deadline == 0 || !w.result.Viable || j.Booking.Persisted {
+// persistBooking sets the start of a job's booking. For a deadline job whose booking meets the
+// deadline it also queues the booking record, unless that was done before.
+func (sc *scheduler) persistBooking(pj *pendingJob) {
+	j := pj.job
+	j.Booking.Start = pj.result.Booked[0].Begin
+	if j.Spec.Deadline == 0 || !pj.result.Viable || j.Booking.Persisted {
 		return
 	}
 	j.Booking.Persisted = true
@@ -108,8 +110,8 @@
 	sc.records.bookingShards.put(ref, bookingRecordSize(ref), sc.records.shardCapacity(), due, false)
 }
 
-// quotaAllowance is how many more tasks of a job its team's limit allows, with all that may
-// still be on hosts counted, and what is held for others of the team.
+// quotaAllowance returns how many more tasks of a job its team's limit allows. Tasks that may still
+// run on hosts, and the resources held for other jobs of the team, count against the limit.
 func (sc *scheduler) quotaAllowance(c *schedulingCycle, j *state.Job, held protocol.Resources) int {
 	team, _ := sc.config.team(j.Spec.Team)
 	limit := team.Limit
@@ -131,17 +133,16 @@
 	return int(max(allowed, 0))
 }
 
-// assignTask gives a task a place. The launch leaves with the answer to the host's next
-// heartbeat.
-func (sc *scheduler) assignTask(w *pendingJob, index int, place slottable.Place) {
-	j := w.job
+// assignTask assigns a task to a host. The reply to the host's next heartbeat carries the launch.
+func (sc *scheduler) assignTask(pj *pendingJob, index int, place slottable.Place) {
+	j := pj.job
 	h := sc.cluster.Host(place.Machine.Name)
 	if h == nil || !sc.isSchedulable(h) {
 		return
 	}
 	name := protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: index}, Number: sc.attemptNumber(j)}
 	if h.Find(name) != nil {
-		return // the host still knows this attempt: it would ignore the launch
+		return // the host still has this attempt and would ignore the launch
 	}
 	if !isOpportunistic(j) {
 		sc.evictOpportunistic(h, j.Spec.TaskResources)
@@ -156,7 +157,7 @@
 		"ready_in_ms", int64((place.Ready-sc.now.Steady)/protocol.Millisecond))
 }
 
-// attemptNumber is the number of a job's next attempt. All tasks of a gang have the same one.
+// attemptNumber returns the number of a job's next attempt. The tasks of a gang share one number.
 func (sc *scheduler) attemptNumber(j *state.Job) uint64 {
 	if j.Spec.Kind != protocol.Gang {
 		return sc.nextAttemptNumber()
@@ -167,7 +168,7 @@
 	return j.Gang.Attempt
 }
 
-// nextAttemptNumber makes a number that no epoch has used.
+// nextAttemptNumber returns a number that is unique over all epochs.
 func (sc *scheduler) nextAttemptNumber() uint64 {
 	sc.attemptSeq++
 	return sc.epoch<<attemptSeqBits | sc.attemptSeq
--- a/internal/controller/placement_request.go
+++ b/internal/controller/placement_request.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// maxTasksPerCycle is how many tasks of a job one cycle looks for places for.
+	// maxTasksPerCycle is the number of tasks of one job that a cycle tries to place.
 	maxTasksPerCycle = 256
-	// heldBookingDelay is how much longer what was preempted for a booking may take to end.
+	// heldBookingDelay is the time that preempted tasks still get to end: a booking of the capacity
+	// that they free begins no sooner than this from now.
 	heldBookingDelay = 2 * protocol.Second
 )
 
-// buildRequest makes a job's request to the slot table, in its turn. It reports whether there is
-// something to place.
-func (sc *scheduler) buildRequest(w *pendingJob) bool {
-	j := w.job
+// buildRequest creates a job's request to the slot table for this cycle. It returns false if no
+// task can be placed now.
+func (sc *scheduler) buildRequest(pj *pendingJob) bool {
+	j := pj.job
 	if !sc.checkPlaceable(j) {
 		return false
 	}
 	zones := zonesInUse(j)
 	if j.Spec.SingleZone && len(zones) > 1 {
-		// A record names where a task was before, in another zone: its job has started anew
-		// since, and the leader before this one ended before all launches were recorded. Until
-		// one of the two is proven gone, either zone may be the wrong one.
+		// A launch record has a task of an earlier start of the job in another zone. The job was
+		// restarted, and the previous leader stopped before it had recorded all launches. Until
+		// one of the two starts is proven gone, either zone may be the wrong one.
 		return false
 	}
-	w.tasks = sc.queuedTasks(j)
-	if len(w.tasks) == 0 || j.Spec.Kind == protocol.Gang && len(w.tasks) != j.QueuedTasks {
+	pj.tasks = sc.queuedTasks(j)
+	if len(pj.tasks) == 0 || j.Spec.Kind == protocol.Gang && len(pj.tasks) != j.QueuedTasks {
 		return false
 	}
-	w.request = sc.newRequest(j, len(w.tasks), zones)
+	pj.request = sc.newRequest(j, len(pj.tasks), zones)
 	if j.Failures.Suspect && j.Spec.Kind != protocol.Gang {
-		w.tasks = w.tasks[:1]
-		w.request.Tasks = 1
+		pj.tasks = pj.tasks[:1]
+		pj.request.Tasks = 1
 	}
-	if len(j.Preemption.Reservations) > 0 && !sc.applyReservations(w) {
+	if len(j.Preemption.Reservations) > 0 && !sc.applyReservations(pj) {
 		return false
 	}
-	sc.keepBooking(w)
-	w.request.ReadyBy = sc.objectives.startDeadline(j)
+	sc.keepBooking(pj)
+	pj.request.ReadyBy = sc.objectives.startDeadline(j)
 	return true
 }
 
-// checkPlaceable reports whether tasks of a job may be placed now. A suspect job of which
-// something shows that it can run is suspect no more.
+// checkPlaceable reports whether tasks of a job may be placed now. A suspect job that is proven to
+// be able to run is no longer suspect afterwards.
 func (sc *scheduler) checkPlaceable(j *state.Job) bool {
 	if j.State != state.JobActive || j.QueuedTasks == 0 || sc.now.Steady < j.Failures.BackoffUntil {
 		return false
@@ -56,13 +57,14 @@
 		sc.faults.confirmHealthy(j)
 	}
 	if j.Failures.Suspect && j.AttemptCount > 0 {
-		return false // what is being tried says whether it can run
+		return false // the attempt in progress will show whether the job can run
 	}
-	// What is left of a gang's attempt has to end before the next one.
+	// All tasks of a gang's previous attempt have to end before its next attempt starts.
 	return j.Spec.Kind != protocol.Gang || !j.Gang.Started && !sc.hasStoppingAttempt(j)
 }
 
-// zonesInUse counts a job's placed tasks by zone, nil if zones are of no matter to it.
+// zonesInUse returns the number of a job's placed tasks by zone, nil if the job has no constraint
+// on its zones.
 func zonesInUse(j *state.Job) map[string]int {
 	if !j.Spec.SpreadZones && !j.Spec.SingleZone {
 		return nil
@@ -82,8 +84,8 @@
 	return task != nil && task.Current == a
 }
 
-// queuedTasks are the indices of a job's tasks that can be placed now, as many as one cycle
-// looks at.
+// queuedTasks returns the indices of a job's tasks that can be placed now, at most
+// maxTasksPerCycle.
 func (sc *scheduler) queuedTasks(j *state.Job) []int {
 	firstQueued := -1
 	tasks := make([]int, 0, min(j.QueuedTasks, maxTasksPerCycle))
@@ -105,7 +107,8 @@
 	return tasks
 }
 
-// newRequest makes a request for some tasks of a job, of which others are in some zones.
+// newRequest creates a request for a number of a job's tasks. zones has the number of its placed
+// tasks by zone.
 func (sc *scheduler) newRequest(j *state.Job, tasks int, zones map[string]int) *slottable.Request {
 	s := j.Spec
 	r := &slottable.Request{
@@ -130,10 +133,10 @@
 	return r
 }
 
-// keepBooking has a request keep the job's booking of the last cycle, if all its hosts are still
-// there.
-func (sc *scheduler) keepBooking(w *pendingJob) {
-	j, r, now := w.job, w.request, sc.now.Steady
+// keepBooking adds the job's booking of the last cycle to its request, if all booked hosts are
+// still in the slot table.
+func (sc *scheduler) keepBooking(pj *pendingJob) {
+	j, r, now := pj.job, pj.request, sc.now.Steady
 	for _, b := range j.Booking.Places {
 		h := sc.cluster.Host(b.Machine)
 		if h == nil || sc.machines[h] == nil {
@@ -149,27 +152,29 @@
 	}
 }
 
-// applyReservations lets tasks wait for the room that was made for them, rather than fetch
-// elsewhere, and prefer it once it is free. It reports whether there are other tasks, or room.
-func (sc *scheduler) applyReservations(w *pendingJob) bool {
-	j, r := w.job, w.request
+// applyReservations makes a request prefer the hosts that are reserved for the job. As many tasks
+// as there are reserved hosts without enough free capacity are taken out of the request: they
+// wait for their host rather than fetch their image elsewhere. It returns false if no task
+// remains.
+func (sc *scheduler) applyReservations(pj *pendingJob) bool {
+	j, r := pj.job, pj.request
 	j.Preemption.Reservations = slices.DeleteFunc(j.Preemption.Reservations, func(reserved state.Reservation) bool {
 		return sc.now.Steady >= reserved.Until || sc.machines[reserved.Host] == nil || !sc.isSchedulable(reserved.Host)
 	})
-	waiting := 0
+	awaitingCapacity := 0
 	for _, reserved := range j.Preemption.Reservations {
 		m := sc.machines[reserved.Host]
 		r.Preferred = append(r.Preferred, m)
 		if !m.Free().Covers(r.Resources) {
-			waiting++
+			awaitingCapacity++
 		}
 	}
-	w.tasks = w.tasks[:max(0, len(w.tasks)-waiting)]
-	r.Tasks = len(w.tasks)
+	pj.tasks = pj.tasks[:max(0, len(pj.tasks)-awaitingCapacity)]
+	r.Tasks = len(pj.tasks)
 	return r.Tasks > 0
 }
 
-// hasStoppingAttempt reports whether an attempt of a job is being stopped.
+// hasStoppingAttempt reports whether the newest attempt of any task of a job is being stopped.
 func (sc *scheduler) hasStoppingAttempt(j *state.Job) bool {
 	return slices.ContainsFunc(j.ActiveAttempts(), func(a *state.Attempt) bool { return a.StopRequested && isCurrent(a) })
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -9,58 +9,60 @@
 )
 
 const (
-	// maxVictimHosts bounds the hosts on which a job looks for work to stop. Those that have its
-	// image come first.
+	// maxVictimHosts limits the hosts of a zone on which victims are chosen for a task. Hosts that
+	// have the task's image come first.
 	maxVictimHosts = 12
-	// preemptionRetryDelay is how long a job for which no room could be made is left alone.
+	// preemptionRetryDelay is the pause after preemption could not free capacity for a job.
 	preemptionRetryDelay = 500 * protocol.Millisecond
-	// reservationTime is how long room that was made is kept for a job.
+	// reservationTime is how long capacity freed by preemption is reserved for a job.
 	reservationTime = 10 * protocol.Second
-	// preemptionDelay is how long it takes until a preempted task's room is free, beside what
-	// the task needs to save its progress.
+	// preemptionDelay is the time until a preempted task's resources are free, in addition to the
+	// time for its checkpoint.
 	preemptionDelay = protocol.Second
 
-	// A job waits for places that come free by themselves before others are preempted for it:
-	// for maxPreemptionWait, or a part of its class's objective on starting.
+	// Before other tasks are preempted for a job, the job waits for capacity that becomes free
+	// without preemption: for maxPreemptionWait or the class's start objective divided by
+	// preemptionWaitDivisor, whichever is shorter.
 	maxPreemptionWait     = 2 * protocol.Second
 	preemptionWaitDivisor = 16
-	// What a preemption has to gain at least: maxRequiredGain, or a part of the objective.
+	// A preemption has to make a job ready sooner by maxRequiredGain or the start objective divided
+	// by requiredGainDivisor, whichever is shorter.
 	maxRequiredGain     = 5 * protocol.Second
 	requiredGainDivisor = 4
-	// noPlaceDelay is how long a job without a place counts as waiting for one.
+	// noPlaceDelay is the assumed wait of a job that has no place.
 	noPlaceDelay = 10 * protocol.Second
 
-	// chooseVictimsWork is what it costs to choose victims on a host, in rows of the slot table.
+	// chooseVictimsWork is the work of choosing victims on a host, in rows of the slot table.
 	chooseVictimsWork = 16
 )
 
-// preemption makes room for a job of high priority by stopping work of lower priority.
+// preemption frees capacity for one job of high priority by stopping tasks of lower priority.
 type preemption struct {
 	*scheduler
 	*pendingJob
 	cycle *schedulingCycle
 
-	startObjective micros // time that the class has to start
-	readyWithout   micros // when the job is ready without preemption
-	deadline       micros // latest time at which room is of use, 0: any
-	immediate      bool   // victims get no time to save their progress
-	usedHosts      map[*state.Host]bool
-	tasksByZone    map[string]int
+	startObjective         micros               // of the job's class, Forever if it has none
+	readyWithoutPreemption micros               // when the job would be ready without preemption
+	deadline               micros               // latest useful time for freed capacity, 0 if none
+	skipCheckpoints        bool                 // victims get no time for a checkpoint
+	usedHosts              map[*state.Host]bool // hosts reserved for the job
+	tasksByZone            map[string]int       // placed tasks and reserved hosts of the job
 }
 
-// preempt makes room for a job of high priority where no place comes free soon: of the hosts
-// that could give it, on those where the least work is lost.
-func (sc *scheduler) preempt(c *schedulingCycle, w *pendingJob) {
-	j, now := w.job, sc.now.Steady
+// preempt frees capacity for a job of high priority that would get no place soon. Of the suitable
+// hosts it takes those where the least work is lost.
+func (sc *scheduler) preempt(c *schedulingCycle, pj *pendingJob) {
+	j, now := pj.job, sc.now.Steady
 	if j.Priority > protocol.PriorityHigh || j.Failures.Suspect || j.State != state.JobActive || now < j.Preemption.RetryAt {
 		return
 	}
-	if w.request == nil || w.request.Limit < 1 {
+	if pj.request == nil || pj.request.Limit < 1 {
 		return
 	}
-	p := sc.newPreemption(c, w)
+	p := sc.newPreemption(c, pj)
 	due := protocol.End(j.EligibleAt, p.startObjective)
-	if j.Spec.Kind == protocol.Gang && len(w.tasks) > 1 {
+	if j.Spec.Kind == protocol.Gang && len(pj.tasks) > 1 {
 		p.preemptForWholeGang(due)
 		return
 	}
@@ -69,24 +71,24 @@
 	p.preemptForLate(due)
 }
 
-func (sc *scheduler) newPreemption(c *schedulingCycle, w *pendingJob) *preemption {
-	s := w.job.Spec
+func (sc *scheduler) newPreemption(c *schedulingCycle, pj *pendingJob) *preemption {
+	s := pj.job.Spec
 	p := &preemption{
-		scheduler: sc, pendingJob: w, cycle: c, startObjective: sc.startObjective(s.Class),
+		scheduler: sc, pendingJob: pj, cycle: c, startObjective: sc.startObjective(s.Class),
 	}
 	if p.startObjective == 0 {
 		p.startObjective = protocol.Forever
 	}
-	// A class that has to start at once can't wait for others to save their progress.
-	p.immediate = p.startObjective < latencyCriticalWithin
-	p.readyWithout = sc.now.Steady + noPlaceDelay + sc.workload.classStats(s.Class).estimatedRuntime(s)
-	if n := len(w.result.Booked); n > 0 {
-		p.readyWithout = w.result.Booked[n-1].Ready
+	// A class with such a short start objective can't wait for the checkpoints of victims.
+	p.skipCheckpoints = p.startObjective < latencyCriticalWithin
+	p.readyWithoutPreemption = sc.now.Steady + noPlaceDelay + sc.workload.classStats(s.Class).estimatedRuntime(s)
+	if n := len(pj.result.Booked); n > 0 {
+		p.readyWithoutPreemption = pj.result.Booked[n-1].Ready
 	}
 	return p
 }
 
-// countReservations counts the room that was made for the job and its tasks as taken.
+// countReservations sets usedHosts and tasksByZone from the job's placed tasks and reservations.
 func (p *preemption) countReservations() {
 	p.usedHosts, p.tasksByZone = make(map[*state.Host]bool), p.pendingJob.tasksByZone()
 	for _, reserved := range p.job.Preemption.Reservations {
@@ -95,17 +97,19 @@
 	}
 }
 
-// tasksByZone counts a job's tasks by zone, with those that this cycle placed.
-func (w *pendingJob) tasksByZone() map[string]int {
+// tasksByZone returns the number of a job's placed tasks by zone, including those that this cycle
+// placed.
+func (pj *pendingJob) tasksByZone() map[string]int {
 	zones := make(map[string]int)
-	maps.Copy(zones, w.request.TasksByZone)
-	for _, place := range w.result.Start {
+	maps.Copy(zones, pj.request.TasksByZone)
+	for _, place := range pj.result.Start {
 		zones[place.Machine.Zone]++
 	}
 	return zones
 }
 
-// missingTasks is how many of the job's tasks have no place yet and may be preempted for.
+// missingTasks returns the number of the job's tasks that have no place and for which other tasks
+// may be preempted now.
 func (p *preemption) missingTasks() int {
 	wait := min(maxPreemptionWait, p.startObjective/preemptionWaitDivisor)
 	if p.now.Steady < p.job.EligibleAt+wait {
@@ -114,8 +118,9 @@
 	return min(len(p.tasks), p.request.Limit) - len(p.result.Start)
 }
 
-// latePlaces are the indices of places that are ready only after the job is due. A place that is
-// free but has to fetch the image first may be too late, where one with the image would not be.
+// latePlaces returns the indices of the places that are ready only after due. A free place on a
+// host that has to fetch the image may be too late where one on a host with the image would be in
+// time.
 func (p *preemption) latePlaces(due micros) []int {
 	if p.now.Steady >= due {
 		return nil
@@ -129,7 +134,7 @@
 	return late
 }
 
-// preemptForMissing makes room for the tasks that have no place.
+// preemptForMissing frees capacity for the tasks that have no place.
 func (p *preemption) preemptForMissing() {
 	for missing := p.missingTasks(); missing > 0; missing-- {
 		if !p.preemptForTask() {
@@ -139,7 +144,7 @@
 	}
 }
 
-// preemptForLate makes room for the tasks whose places are ready only after the job is due.
+// preemptForLate frees capacity for the tasks whose places are ready only after due.
 func (p *preemption) preemptForLate(due micros) {
 	p.deadline = due
 	for _, i := range p.latePlaces(due) {
@@ -147,24 +152,25 @@
 		if a == nil || a.State != state.AttemptAssigned {
 			continue
 		}
-		p.readyWithout = p.result.Start[i].Ready
+		p.readyWithoutPreemption = p.result.Start[i].Ready
 		p.tasksByZone[a.Host.Zone]--
 		if !p.preemptForTask() {
 			p.job.Preemption.RetryAt = p.now.Steady + preemptionRetryDelay
 			return
 		}
-		p.agents.onAttemptLost(a) // no launch has left yet
+		p.agents.onAttemptLost(a) // its launch has not been sent
 	}
 }
 
-// isTooLate reports whether room that is ready at a time is of no use. Stopping work for a place
-// that is ready hardly sooner than the one that the job has anyway only loses work.
+// isTooLate reports whether capacity that is ready at a time is of no use to the job. Preemption
+// for a place that is hardly sooner than the one without preemption only loses work.
 func (p *preemption) isTooLate(ready micros) bool {
 	requiredGain := min(maxRequiredGain, p.startObjective/requiredGainDivisor)
-	return ready+requiredGain > p.readyWithout || p.deadline > 0 && ready > p.deadline
+	return ready+requiredGain > p.readyWithoutPreemption || p.deadline > 0 && ready > p.deadline
 }
 
-// preemptForTask makes room for one task. It reports whether there was some.
+// preemptForTask frees capacity for one task on the host where the least work is lost. It returns
+// false if there is no suitable host.
 func (p *preemption) preemptForTask() bool {
 	j := p.job
 	if p.cycle.isUnschedulable(j, 1) {
@@ -172,11 +178,11 @@
 	}
 	var best []*state.Attempt
 	var bestLost float64
-	possible := false
+	anyWouldFit := false
 	p.slotTable.VisitPreemptible(p.request, 1, maxVictimHosts, func(m *slottable.Machine) bool {
 		h := p.cluster.Host(m.Name)
 		fits, wouldFit := p.couldTakeTask(h)
-		possible = possible || wouldFit
+		anyWouldFit = anyWouldFit || wouldFit
 		if !fits {
 			return false
 		}
@@ -186,7 +192,7 @@
 		}
 		p.slotTable.Work += chooseVictimsWork
 		victims, lostSeconds := p.chooseVictims(h, j, 1)
-		ready += p.saveTime(victims)
+		ready += p.checkpointTime(victims)
 		if p.isTooLate(ready) {
 			return true
 		}
@@ -197,7 +203,7 @@
 		return true
 	})
 	if best == nil {
-		if !possible {
+		if !anyWouldFit {
 			p.cycle.markUnschedulable(j, 1)
 		}
 		return false
@@ -206,8 +212,9 @@
 	return true
 }
 
-// couldTakeTask reports whether preemption could make room for a task on a host. wouldFit
-// reports whether it could but for what this job has on hosts and in zones already.
+// couldTakeTask reports whether preemption could free capacity for a task on a host. wouldFit is
+// also true if the host is excluded only because of the job's reservations or of its tasks by
+// zone.
 func (p *preemption) couldTakeTask(h *state.Host) (fits, wouldFit bool) {
 	switch {
 	case h == nil:
@@ -219,18 +226,18 @@
 	case p.isZoneExcluded(h.Zone):
 		return false, true
 	}
-	fits = p.roomAfterPreemption(p.cycle, h).Covers(p.job.Spec.TaskResources)
+	fits = p.freeAfterPreemption(p.cycle, h).Covers(p.job.Spec.TaskResources)
 	return fits, fits
 }
 
-// isZoneExcluded reports whether the job may have no further tasks in a zone.
+// isZoneExcluded reports whether the job's zone constraints allow no further task in a zone.
 func (p *preemption) isZoneExcluded(zone string) bool {
 	s, used := p.job.Spec, p.request.TasksByZone
 	return s.SpreadZones && p.tasksByZone[zone] >= p.request.MaxPerZone || s.SingleZone && len(used) > 0 && used[zone] == 0
 }
 
-// readyOn is when a task of the job would be ready on a host, if nothing there had to save its
-// progress.
+// readyOn returns when a task of the job would be ready on a host, without the time for the
+// victims' checkpoints.
 func (p *preemption) readyOn(h *state.Host) micros {
 	ready := p.now.Steady + preemptionDelay
 	if _, ok := h.Images[p.job.Spec.Image]; !ok {
@@ -239,18 +246,19 @@
 	return ready
 }
 
-// saveTime is how long victims need to save their progress, as far as they get the time for it.
-func (p *preemption) saveTime(victims []*state.Attempt) micros {
+// checkpointTime returns how long the victims need for their checkpoints, 0 if they get no time for
+// one.
+func (p *preemption) checkpointTime(victims []*state.Attempt) micros {
 	var longest micros
 	for _, a := range victims {
-		if a.Job.Spec.CanCheckpoint() && !p.immediate {
+		if a.Job.Spec.CanCheckpoint() && !p.skipCheckpoints {
 			longest = max(longest, a.Job.Spec.CheckpointDuration)
 		}
 	}
 	return longest
 }
 
-// reserveHost preempts victims, and keeps the room for the job.
+// reserveHost stops the victims on a host and reserves the host for a task of the job.
 func (p *preemption) reserveHost(victims []*state.Attempt) {
 	h := victims[0].Host
 	delete(p.cycle.preemptible, h)
@@ -262,18 +270,20 @@
 	p.stopVictims(victims)
 }
 
-// couldHost reports whether a job's task could be on a host, were it empty.
+// couldHost reports whether a job's task could run on a host if the host were empty.
 func (sc *scheduler) couldHost(h *state.Host, s *protocol.JobSpec) bool {
 	return sc.isSchedulable(h) && (!h.Spot || s.AllowSpot) && (s.Zone == "" || s.Zone == h.Zone) &&
 		h.Type.Capacity.Covers(s.TaskResources) && s.AllowsType(h.TypeName)
 }
 
-// roomAfterPreemption is what a host would have free if all gave way that may.
-func (sc *scheduler) roomAfterPreemption(c *schedulingCycle, h *state.Host) protocol.Resources {
+// freeAfterPreemption returns the resources that would be free on a host if all its preemptible
+// tasks were stopped.
+func (sc *scheduler) freeAfterPreemption(c *schedulingCycle, h *state.Host) protocol.Resources {
 	return h.Type.Capacity.Add(h.Used(), -1).Add(sc.preemptibleResources(c, h), 1)
 }
 
-// preemptibleResources is what a host's preemptible work takes, and what is being stopped.
+// preemptibleResources returns the resources of the tasks on a host that are preemptible or already
+// being stopped.
 func (sc *scheduler) preemptibleResources(c *schedulingCycle, h *state.Host) protocol.Resources {
 	sum, ok := c.preemptible[h]
 	if ok {
@@ -288,8 +298,8 @@
 	return sum
 }
 
-// isPreemptible reports whether a job's tasks may be stopped for one of the two higher
-// priorities.
+// isPreemptible reports whether a job's tasks may be stopped for a job of one of the two higher
+// priorities. Tasks of a gang of several are not preemptible.
 func (sc *scheduler) isPreemptible(j *state.Job) bool {
 	return j.Priority > protocol.PriorityHigh && (j.Spec.Kind != protocol.Gang || j.Spec.Tasks == 1)
 }
--- a/internal/controller/preemption_victims.go
+++ b/internal/controller/preemption_victims.go
@@ -7,20 +7,20 @@
 	"mapleslip/internal/state"
 )
 
-// restartSeconds is what a victim loses beside the work that it has to do again.
+// restartSeconds is the time that a victim's restart takes in addition to the work that it repeats.
 const restartSeconds = 2
 
-// victim is an attempt that could be stopped, and the seconds that it would lose.
+// victim is an attempt that could be stopped, with the seconds of work that it would lose.
 type victim struct {
 	attempt     *state.Attempt
 	lostSeconds float64
 }
 
-// stopVictims stops the work of others for the job.
+// stopVictims stops the chosen attempts of other jobs.
 func (p *preemption) stopVictims(victims []*state.Attempt) {
 	for _, a := range victims {
 		p.log.Debug("preempted", "task", a.Name.String(), "host", a.Host.Name, "for", p.job.Spec.Ref)
-		if p.immediate {
+		if p.skipCheckpoints {
 			p.commands.requestStop(a, 0)
 		} else {
 			p.commands.requestCheckpointedStop(a)
@@ -28,9 +28,9 @@
 	}
 }
 
-// chooseVictims finds attempts of lower priority on a host whose end makes room for some tasks
-// of a job, those that lose least, and the seconds that are lost by it. There are none if nothing
-// is in the way, or if all together are not enough.
+// chooseVictims chooses the attempts of lower priority on a host that have to end for a number of a
+// job's tasks to fit, those that lose the least work first, and returns them with the seconds lost.
+// It chooses none if the tasks fit already, or if they would not fit even without all candidates.
 func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, tasks int) ([]*state.Attempt, float64) {
 	free := h.Type.Capacity.Add(h.Used(), -1)
 	var candidates []victim
@@ -53,8 +53,8 @@
 	return attempts, lostSeconds
 }
 
-// lostWork is how much work an attempt loses that is stopped: all of it, or at most so much if
-// it can save its progress.
+// lostWork returns how much work an attempt loses if it is stopped: all of it, or at most
+// sinceCheckpoint if its job saves checkpoints.
 func (sc *scheduler) lostWork(a *state.Attempt, sinceCheckpoint micros) micros {
 	if a.StartedAt == 0 {
 		return 0
@@ -66,9 +66,10 @@
 	return ran
 }
 
-// minimalVictims chooses attempts whose end makes need free, those that lose least. One that
-// loses little may free nothing that is short: it is left out. There are none if nothing is in
-// the way, or if all together are not enough.
+// minimalVictims chooses the candidates that have to end for need to be free, those that lose the
+// least work first. Candidates that are not necessary are left out again: one that loses little
+// may free none of the missing resources. It chooses none if need is free already, or if all
+// candidates together are not enough.
 func minimalVictims(candidates []victim, free, need protocol.Resources) (chosen []victim) {
 	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].lostSeconds < candidates[b].lostSeconds })
 	count := 0
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -8,27 +8,28 @@
 	"mapleslip/internal/state"
 )
 
-// pendingJob is a job that still needs places, with its request.
+// pendingJob is a job that needs places, with its request and result in the current cycle.
 type pendingJob struct {
 	job             *state.Job
 	request         *slottable.Request
-	tasks           []int
-	withinGuarantee bool // its team's jobs up to this one fit into the guarantee
-	deadlineMissed  bool // too late for its deadline and every objective on finishing
-	hasReservation  bool // room was made for it
-	queueOrder      micros
+	tasks           []int  // indices of the tasks that the request is for
+	withinGuarantee bool   // the team's jobs up to this one fit into its guarantee
+	deadlineMissed  bool   // too late for all of its deadlines, see isDeadlineMissed
+	hasReservation  bool   // preemption freed capacity for it
+	queueOrder      micros // sort key among jobs that are equal otherwise
 	result          slottable.Result
 }
 
 const (
-	// maxOvertakenLateness is how long a job that is too late lets others pass.
-	maxOvertakenLateness = 600 * protocol.Second
-	// arrayQueueSpread is over how many machines an array's work counts as spread in the queue's
-	// order.
-	arrayQueueSpread = 8
+	// maxDeprioritizedLateness is the lateness from which on a late job is no longer ordered behind
+	// jobs that can still be in time.
+	maxDeprioritizedLateness = 600 * protocol.Second
+	// arrayQueueParallelism is the number of machines over which the queue order assumes an array's
+	// work to be spread.
+	arrayQueueParallelism = 8
 )
 
-// pendingJobs lists the jobs that need places, in the order in which they are tried.
+// pendingJobs returns the jobs that need places, in queue order.
 func (sc *scheduler) pendingJobs() []*pendingJob {
 	requested := make(map[string]protocol.Resources) // by team
 	var pending []*pendingJob
@@ -42,7 +43,7 @@
 			continue
 		}
 		if sc.mayHaveUnrecordedLaunches() && j.LeaderEpoch != sc.epoch {
-			continue // its tasks may be on hosts that have not been heard of yet
+			continue // its tasks may run on hosts that have not reported in this term
 		}
 		pending = append(pending, sc.newPendingJob(j, requested[team]))
 	}
@@ -50,10 +51,10 @@
 	return pending
 }
 
-// newPendingJob makes a job's place in the queue. requested is what its team's jobs up to this
-// one ask for.
+// newPendingJob creates a job's queue entry. requested is the sum of the resources that its team's
+// jobs up to this one request.
 func (sc *scheduler) newPendingJob(j *state.Job, requested protocol.Resources) *pendingJob {
-	w := &pendingJob{
+	pj := &pendingJob{
 		job:             j,
 		withinGuarantee: fitsGuarantee(sc.guarantee(j.Spec.Team), requested),
 		deadlineMissed:  sc.isDeadlineMissed(j),
@@ -61,31 +62,32 @@
 		queueOrder:      j.EligibleAt,
 	}
 	if j.Spec.Kind == protocol.Array {
-		// Jobs count alike, so a large one lets small ones pass that come a little later: by its
-		// work, spread over some machines.
+		// Jobs count the same whatever their size, so a large array is ordered behind small jobs
+		// that arrive a little later: by the time that its remaining work takes on
+		// arrayQueueParallelism machines.
 		runtime := sc.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec)
-		w.queueOrder += runtime * micros(j.Spec.Tasks-j.CompletedTasks) / arrayQueueSpread
+		pj.queueOrder += runtime * micros(j.Spec.Tasks-j.CompletedTasks) / arrayQueueParallelism
 	}
-	return w
+	return pj
 }
 
-// before orders the queue: suspect jobs come last, then it goes by priority, then come those for
-// which room was made, those that can still be in time, and those within their team's
-// guarantee, each by their turn.
-func (w *pendingJob) before(o *pendingJob) bool {
+// before reports whether a job precedes another one in the queue. Suspect jobs come last. The other
+// criteria are, in this order: priority, capacity freed by preemption, a deadline that can still be
+// met, the team's guarantee, and queueOrder.
+func (pj *pendingJob) before(other *pendingJob) bool {
 	switch {
-	case w.job.Failures.Suspect != o.job.Failures.Suspect:
-		return o.job.Failures.Suspect
-	case w.job.Priority != o.job.Priority:
-		return w.job.Priority < o.job.Priority
-	case w.hasReservation != o.hasReservation:
-		return w.hasReservation
-	case w.deadlineMissed != o.deadlineMissed:
-		return o.deadlineMissed
-	case w.withinGuarantee != o.withinGuarantee:
-		return w.withinGuarantee
+	case pj.job.Failures.Suspect != other.job.Failures.Suspect:
+		return other.job.Failures.Suspect
+	case pj.job.Priority != other.job.Priority:
+		return pj.job.Priority < other.job.Priority
+	case pj.hasReservation != other.hasReservation:
+		return pj.hasReservation
+	case pj.deadlineMissed != other.deadlineMissed:
+		return other.deadlineMissed
+	case pj.withinGuarantee != other.withinGuarantee:
+		return pj.withinGuarantee
 	}
-	return w.queueOrder < o.queueOrder
+	return pj.queueOrder < other.queueOrder
 }
 
 func (sc *scheduler) guarantee(name string) protocol.Resources {
@@ -93,20 +95,22 @@
 	return team.Guarantee
 }
 
-// fitsGuarantee checks an amount against a guarantee, of which 0 means that there is none.
+// fitsGuarantee reports whether an amount is within a guarantee. A value of 0 in the guarantee
+// means that there is none for that resource. Without any guarantee the result is false.
 func fitsGuarantee(guarantee, amount protocol.Resources) bool {
 	guaranteed := guarantee.CPU > 0 || guarantee.GPU > 0
 	return guaranteed && (guarantee.CPU == 0 || amount.CPU <= guarantee.CPU) && (guarantee.GPU == 0 || amount.GPU <= guarantee.GPU)
 }
 
-// isDeadlineMissed reports whether a job is too late for whatever was asked of its end. Such a
-// job lets those pass that are not: served in order of submission, in an overload each late job
-// would make the next one late too.
+// isDeadlineMissed reports whether a job is expected to miss its deadline and all objectives on
+// finishing, or the deadline of a dependent job, by less than maxDeprioritizedLateness. Such a
+// job is ordered behind jobs that can still be in time: in an overload that is served in order of
+// submission, each late job would make the next one late too.
 func (sc *scheduler) isDeadlineMissed(j *state.Job) bool {
 	due := earliestDeadline(sc.objectives.finishDeadline(j), j.Dependencies.InheritedDeadline)
 	if due == 0 {
 		return false
 	}
 	late := sc.now.Steady + sc.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec) - due
-	return late > 0 && late < maxOvertakenLateness
+	return late > 0 && late < maxDeprioritizedLateness
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -6,8 +6,8 @@
 	"mapleslip/internal/state"
 )
 
-// scheduler owns the slot table: it plans which task starts where, books places, and makes room
-// by preemption.
+// scheduler owns the slot table. It plans on which machine and when each task starts, books
+// places, and preempts tasks of lower priority.
 type scheduler struct {
 	*termContext
 	agents     *agents
@@ -24,10 +24,10 @@
 	workload   *workload
 
 	slotTable          slottable.Table
-	machines           map[*state.Host]*slottable.Machine // the rows of the slot table
-	cycle              *schedulingCycle                   // under way, nil: the last one is over
-	lastCycle          micros                             // when a step of a cycle was last run
-	attemptSeq         uint64                             // of attempt numbers
+	machines           map[*state.Host]*slottable.Machine // rows of the slot table, by host
+	cycle              *schedulingCycle                   // cycle in progress, nil if none
+	lastStepAt         micros                             // time of the last scheduling step
+	attemptSeq         uint64                             // of the last attempt number
 	lastInterruptedLog micros
 }
 
@@ -35,76 +35,81 @@
 	return &scheduler{termContext: tc, machines: make(map[*state.Host]*slottable.Machine)}
 }
 
-// schedulingCycle is one pass over the queue. It may take several steps: a step's work is
-// bounded, so that renewals, workers and users never wait behind it, and the next one carries on
-// where it stopped, in the same order. What was booked before stays marked in the slot table, so
-// that backfilling after it moves no booking.
+// schedulingCycle is one pass over the pending jobs. It may take several scheduling steps: the
+// work of a step is bounded, so that lease renewals, workers and users never wait for it. The next
+// step resumes at the same job and keeps the order of the jobs. Bookings of earlier steps stay
+// marked in the slot table, so backfilling in a later step moves none of them.
 type schedulingCycle struct {
-	stage         cycleStage
-	pending       []*pendingJob
-	next          int                           // of the stage's jobs
-	heldForTeam   map[string]protocol.Resources // by team, for jobs that come first
-	unreconciled  protocol.Resources            // that tasks on hosts not heard of yet may use
-	unknownTypes  bool                          // some of those hosts are of a type not known
+	stage       cycleStage
+	pending     []*pendingJob
+	next        int                           // index of the stage's next job
+	heldForTeam map[string]protocol.Resources // held for gangs earlier in the queue, by team
+	// unreconciled is the capacity of the hosts that have not reported in this term: tasks
+	// without a launch record may use it.
+	unreconciled  protocol.Resources
+	unknownTypes  bool // the machine type of one of these hosts is unknown
 	preemptible   map[*state.Host]protocol.Resources
-	unschedulable []unschedulableShape
-	localityFirst []*pendingJob // that were only placed on machines with their image so far
-	steps         int
-	work          int // rows of the slot table that were looked at
+	unschedulable []unschedulableShape // requests that preemption could not serve in this cycle
+	localityFirst []*pendingJob        // arrays planned only on machines with their image so far
+	steps         int                  // scheduling steps so far
+	work          int                  // rows of the slot table examined so far
 	startedAt     micros
 }
 
-// cycleStage is how far a cycle has come.
+// cycleStage is a stage of a scheduling cycle. A cycle runs its stages in the order of their
+// values.
 type cycleStage uint8
 
 // Stages of a cycle.
 const (
-	stagePlanning    cycleStage = iota // jobs get places and bookings, in their order
-	stageBackfilling                   // arrays that had the choice of machines with their image get what is left
-	stagePreempting                    // room is made for those of high priority
-	stageScaling                       // what to rent is found
+	stagePlanning    cycleStage = iota // assigns and books places for the jobs, in queue order
+	stageBackfilling                   // offers the remaining capacity to the jobs in localityFirst
+	stagePreempting                    // preempts tasks for jobs of high priority
+	stageScaling                       // plans which machines to rent and to release
 )
 
-// String is the stage's name in the log and in metrics.
+// String returns the stage's name as used in the log and in metrics.
 func (s cycleStage) String() string {
 	return [...]string{"planning", "filling", "preempting", "renting"}[s]
 }
 
-// CycleStages are the names of a cycle's stages, as indices of Stats.RowsByStage and
+// CycleStages returns the names of the stages in the order of the indices of Stats.RowsByStage and
 // Stats.CutStepsByStage.
 func CycleStages() []string {
 	return []string{stagePlanning.String(), stageBackfilling.String(), stagePreempting.String(), stageScaling.String()}
 }
 
-// setStage is the one place where a cycle changes its stage.
+// setStage moves the cycle to the first job of a stage. Every change of the stage goes through it.
 func (c *schedulingCycle) setStage(s cycleStage) { c.stage, c.next = s, 0 }
 
 const (
-	// stepWork is how many rows of the slot table a step looks at on a whole processor: a few
-	// milliseconds.
-	stepWork = 240_000
-	// minCPUShare is the smallest share of a processor that steps are made for.
+	// rowsPerStep is the number of slot table rows that a step may examine on a whole CPU. They
+	// take a few milliseconds.
+	rowsPerStep = 240_000
+	// minCPUShare is the CPU share below which the size of steps is not reduced further.
 	minCPUShare            = 0.1
 	interruptedLogInterval = 5 * protocol.Second
 )
 
-// maxStepWork bounds what one step looks at, in rows of the slot table.
+// maxStepWork returns the limit of a scheduling step's work, in rows of the slot table. It is
+// proportional to this controller's CPU share.
 func (sc *scheduler) maxStepWork() int {
-	return int(stepWork * max(minCPUShare, min(1, sc.platform.CPUShare)))
+	return int(rowsPerStep * max(minCPUShare, min(1, sc.platform.CPUShare)))
 }
 
-// runIfDue runs a scheduling step if a cycle is under way or due.
+// runIfDue runs a scheduling step if a cycle is in progress or due.
 func (sc *scheduler) runIfDue() {
-	since := sc.now.Steady - sc.lastCycle
+	since := sc.now.Steady - sc.lastStepAt
 	if sc.cycle != nil || since >= sc.operator.MaxCycleInterval || sc.cycleNeeded && since >= sc.operator.MinCycleInterval {
 		sc.runSchedulingStep()
 	}
 }
 
-// runSchedulingStep goes on with a cycle, or begins one: it assigns what can start now, keeps
-// bookings, makes room by preemption, and finds what to rent.
+// runSchedulingStep continues the cycle in progress or starts a new one. A cycle assigns the tasks
+// that can start now, books places, preempts tasks of lower priority, and plans which machines to
+// rent.
 func (sc *scheduler) runSchedulingStep() {
-	sc.lastCycle = sc.now.Steady
+	sc.lastStepAt = sc.now.Steady
 	if !sc.election.mayActAsLeader() || len(sc.catalog.types) == 0 {
 		sc.cycle, sc.cycleNeeded = nil, false
 		return
@@ -125,7 +130,8 @@
 	sc.runStage(c, stageBackfilling, c.localityFirst, sc.backfillJob)
 	sc.runStage(c, stagePreempting, c.pending, sc.preempt)
 	c.work += sc.slotTable.Work
-	// Scaling can't be carried on later: it waits for a step with work to spare.
+	// Scaling can't be split over several steps. If the first step of a cycle has used more than
+	// half of its work, scaling runs in a later step.
 	if c.stage == stageScaling && (sc.slotTable.Work < sc.maxStepWork()/2 || c.steps > 1) {
 		sc.finishCycle(c)
 		return
@@ -133,8 +139,8 @@
 	sc.onInterrupted(c)
 }
 
-// runStage goes on with a stage of a cycle, if that is where the cycle is, until the step's work
-// is done or the stage is over.
+// runStage processes the jobs of a stage, if the cycle is in that stage, until the step reaches its
+// work limit or all jobs are processed.
 func (sc *scheduler) runStage(c *schedulingCycle, stage cycleStage, jobs []*pendingJob, handle func(*schedulingCycle, *pendingJob)) {
 	if c.stage != stage {
 		return
@@ -149,23 +155,25 @@
 	}
 }
 
-// planJob gives a job its places, or only those on machines that have its image.
-func (sc *scheduler) planJob(c *schedulingCycle, w *pendingJob) {
-	if sc.prefersLocality(w) {
-		sc.placeWithImage(c, w)
-		c.localityFirst = append(c.localityFirst, w)
+// planJob assigns and books places for a job. A job that prefers locality is limited to machines
+// that have its image for now.
+func (sc *scheduler) planJob(c *schedulingCycle, pj *pendingJob) {
+	if sc.prefersLocality(pj) {
+		sc.placeWithImage(c, pj)
+		c.localityFirst = append(c.localityFirst, pj)
 		return
 	}
-	sc.placeJob(c, w)
+	sc.placeJob(c, pj)
 }
 
-// backfillJob gives a job that was only placed on machines with its image what is left.
-func (sc *scheduler) backfillJob(c *schedulingCycle, w *pendingJob) {
-	w.tasks, w.request, w.result = nil, nil, slottable.Result{}
-	sc.placeJob(c, w)
+// backfillJob plans a job again that was limited to machines with its image, now without that
+// limit.
+func (sc *scheduler) backfillJob(c *schedulingCycle, pj *pendingJob) {
+	pj.tasks, pj.request, pj.result = nil, nil, slottable.Result{}
+	sc.placeJob(c, pj)
 }
 
-// finishCycle ends a cycle with the plan for scaling.
+// finishCycle plans the scaling, which is the last stage, and ends the cycle.
 func (sc *scheduler) finishCycle(c *schedulingCycle) {
 	before := sc.slotTable.Work
 	sc.autoscaler.planScaling(c.pending)
@@ -175,7 +183,7 @@
 	sc.cycle = nil
 }
 
-// onInterrupted notes that a cycle goes on with the next step.
+// onInterrupted counts and logs that a cycle continues in the next step.
 func (sc *scheduler) onInterrupted(c *schedulingCycle) {
 	sc.stats.CutStepsByStage[c.stage]++
 	if now := sc.now.Steady; now-sc.lastInterruptedLog > interruptedLogInterval {
@@ -184,7 +192,7 @@
 	}
 }
 
-// emitCycleSpan tells of a cycle that is over.
+// emitCycleSpan emits the trace span of a finished cycle.
 func (sc *scheduler) emitCycleSpan(c *schedulingCycle) {
 	if !sc.tracing {
 		return
@@ -196,7 +204,7 @@
 	}})
 }
 
-// newCycle begins a cycle over the jobs that need places.
+// newCycle starts a cycle over the jobs that need places.
 func (sc *scheduler) newCycle() *schedulingCycle {
 	c := &schedulingCycle{
 		heldForTeam: make(map[string]protocol.Resources), preemptible: make(map[*state.Host]protocol.Resources), startedAt: sc.now.Steady,
@@ -208,11 +216,12 @@
 	return c
 }
 
-// mayHaveUnrecordedLaunches reports whether tasks may run on hosts that have not been heard of
-// in this term, and that no record names.
+// mayHaveUnrecordedLaunches reports whether tasks without a launch record may run on hosts that
+// have not reported in this term.
 func (sc *scheduler) mayHaveUnrecordedLaunches() bool { return !sc.reconciled && sc.launchesUnrecorded }
 
-// countUnreconciledHosts adds up what tasks may use on hosts that have not been heard of.
+// countUnreconciledHosts adds up the capacity of the hosts that have not reported in this term.
+// Their tasks use at most that much.
 func (sc *scheduler) countUnreconciledHosts(c *schedulingCycle) {
 	for _, h := range sc.cluster.Hosts() {
 		switch {
--- a/internal/controller/scheduler_test.go
+++ b/internal/controller/scheduler_test.go
@@ -11,9 +11,9 @@
 	"mapleslip/internal/state"
 )
 
-// busyLeader leads a fleet on which nearly every GPU is in use, by services,
-// short tasks and longer ones, each machine with a few of thirty images. Jobs of
-// four classes wait, more than can have a place.
+// busyLeader returns the leader of a fleet on which nearly every GPU is in use, by services,
+// short tasks and longer ones. Each machine has a few of 30 images. Jobs of four classes are
+// pending, more than can be placed.
 func busyLeader(tb testing.TB, machines, waiting int) *Controller {
 	tb.Helper()
 	const sec = protocol.Second
@@ -60,8 +60,7 @@
 		c.term.jobs.addJob(j)
 		return j
 	}
-	// What runs: one job of many tasks for each class, so that its tasks can be
-	// put anywhere.
+	// Running tasks belong to one large job of each class, so that they can be on any machine.
 	running := map[string]*state.Job{}
 	specs := map[string]protocol.JobSpec{
 		"serve": {Class: "serve", Kind: protocol.Service, Priority: protocol.PriorityCritical, TaskResources: protocol.Resources{CPU: 4000, GPU: 1000, Memory: 14_000}},
@@ -89,7 +88,7 @@
 		for range typ.Capacity.GPU / 1000 {
 			name := []string{"serve", "rerun", "rerun", "rerun", "small-train"}[rng.IntN(5)]
 			if rng.IntN(200) == 0 {
-				continue // a GPU that is free
+				continue // this GPU stays free
 			}
 			j := running[name]
 			a := t.cluster.Attach(c.now.Steady, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref, Index: used[name]}, Number: 1})
@@ -130,25 +129,25 @@
 	return c
 }
 
-// runPass plays rounds until a pass over the whole queue is over, and returns
-// the rows that it looked at and the rounds that it took.
-func runPass(c *Controller) (rows, rounds int) {
+// runCycle runs scheduling steps until a cycle over the whole queue is finished. It returns the
+// number of rows examined and of steps.
+func runCycle(c *Controller) (rows, steps int) {
 	c.term.cycleNeeded = true
 	for {
-		rounds++
+		steps++
 		c.term.scheduler.runSchedulingStep()
 		rows += c.term.scheduler.slotTable.Work
 		if c.term.scheduler.cycle == nil {
 			c.effects = nil
-			return rows, rounds
+			return rows, steps
 		}
 		c.now.Steady += c.operator.MinCycleInterval
 	}
 }
 
-// twoSeconds lets two seconds go by: what was stopped is gone, what was assigned
-// runs, and tasks end when they are expected to.
-func twoSeconds(c *Controller) {
+// advanceTwoSeconds advances the time by two seconds: stopped attempts are gone, assigned attempts
+// run, and the tasks of arrays end after their estimated run time.
+func advanceTwoSeconds(c *Controller) {
 	t := c.term
 	c.now.Steady += 2 * protocol.Second
 	c.now.Wall += 2 * protocol.Second
@@ -169,16 +168,16 @@
 	}
 }
 
-// BenchmarkSchedulingCycle is a pass over a queue that can't be served, on a fleet that is
-// nearly full, two seconds after the one before. rows/op counts what was looked
-// at, rounds/op in how many rounds. kind=first is a new leader's, in which every
-// job is looked at for the first time.
+// BenchmarkSchedulingCycle measures a cycle over a queue that can't be served completely, on a
+// fleet that is nearly full, two seconds after the previous cycle. rows/op counts the rows
+// examined, rounds/op the scheduling steps. kind=first is the first cycle of a new leader, which
+// examines every job for the first time.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, machines := range []int{1400, 14000} {
 		for _, waiting := range []int{150, 1000} {
 			for _, kind := range []string{"next", "first"} {
 				b.Run(fmt.Sprintf("machines=%d/waiting=%d/kind=%s", machines, waiting, kind), func(b *testing.B) {
-					rows, rounds := 0, 0
+					rows, steps := 0, 0
 					var c *Controller
 					b.ReportAllocs()
 					for i := range b.N {
@@ -186,20 +185,20 @@
 						if c == nil || kind == "first" || i%5 == 0 {
 							c = busyLeader(b, machines, waiting)
 							if kind == "next" {
-								runPass(c)
-								twoSeconds(c)
-								runPass(c)
+								runCycle(c)
+								advanceTwoSeconds(c)
+								runCycle(c)
 							}
 						}
 						if kind == "next" {
-							twoSeconds(c)
+							advanceTwoSeconds(c)
 						}
 						b.StartTimer()
-						n, r := runPass(c)
-						rows, rounds = rows+n, rounds+r
+						n, r := runCycle(c)
+						rows, steps = rows+n, steps+r
 					}
 					b.ReportMetric(float64(rows)/float64(b.N), "rows/op")
-					b.ReportMetric(float64(rounds)/float64(b.N), "rounds/op")
+					b.ReportMetric(float64(steps)/float64(b.N), "rounds/op")
 				})
 			}
 		}
--- a/internal/controller/slot_table_sync.go
+++ b/internal/controller/slot_table_sync.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// A host that is slower than estimated by more than slowHostRatio is avoided: it counts as
-	// ready later, by slowHostPenaltySeconds for each further time of the estimate.
+	// A host on which tasks take more than slowHostRatio times the usual time is avoided: it counts
+	// as ready later, by slowHostPenaltySeconds for each usual time beyond the first.
 	slowHostRatio          = 1.8
 	slowHostPenaltySeconds = 10
-	// suspectPenalty is how much later a host counts as ready on which jobs have failed.
+	// suspectPenalty is how much later a host counts as ready if jobs have failed on it and the
+	// cause is not known.
 	suspectPenalty = 10 * protocol.Second
-	// heartbeatTolerance is how late a second heartbeat may be for a host to take tasks.
+	// heartbeatTolerance is how much longer than two heartbeat intervals a host may be without
+	// contact before it gets no more tasks.
 	heartbeatTolerance = protocol.Second
-	// stopDelay is how long a stop takes beside half of its grace.
+	// stopDelay is the expected time of a stop in addition to half of its grace period.
 	stopDelay = protocol.Second
-	// minFetchLeft is how long a fetch under way lasts at least.
+	// minFetchLeft is the shortest time that a fetch in progress is expected to take still.
 	minFetchLeft = protocol.Second
 )
 
-// refreshSlotTable brings the rows up to date of hosts that have changed, or of which estimates
-// have run out.
+// refreshSlotTable updates the rows of hosts that have changed, or on which a task has run past its
+// expected end. Rows and assignments of hosts that are being released are removed.
 func (sc *scheduler) refreshSlotTable() {
 	sc.slotTable.Now = sc.now.Steady
 	for _, h := range sc.cluster.Hosts() {
@@ -36,7 +38,7 @@
 	}
 }
 
-// refreshHost brings a host's row up to date, if that is needed.
+// refreshHost updates a host's row if necessary.
 func (sc *scheduler) refreshHost(h *state.Host) {
 	m := sc.machines[h]
 	if m == nil {
@@ -52,7 +54,7 @@
 	}
 }
 
-// addMachine adds a host's row to the slot table.
+// addMachine adds a row for a host to the slot table.
 func (sc *scheduler) addMachine(h *state.Host) *slottable.Machine {
 	t := h.Type
 	m := &slottable.Machine{
@@ -65,7 +67,7 @@
 	return m
 }
 
-// removeMachine takes a host's row out of the slot table.
+// removeMachine removes a host's row from the slot table.
 func (sc *scheduler) removeMachine(h *state.Host) {
 	if m := sc.machines[h]; m != nil {
 		sc.slotTable.Remove(m)
@@ -73,7 +75,8 @@
 	}
 }
 
-// withdrawAssignments takes back assignments whose host can't be reached or is leaving.
+// withdrawAssignments withdraws the assignments to a host that can't be reached or is being
+// released.
 func (sc *scheduler) withdrawAssignments(h *state.Host) {
 	for _, a := range h.Attempts() {
 		if a.State == state.AttemptAssigned {
@@ -97,7 +100,7 @@
 		now-h.Agent.LastContact < 2*sc.platform.HeartbeatInterval+heartbeatTolerance
 }
 
-// refreshMachine makes a host's row from what is known of it.
+// refreshMachine rebuilds a host's row from the cluster state.
 func (sc *scheduler) refreshMachine(h *state.Host, m *slottable.Machine, schedulable, booting bool) {
 	h.Stale = false
 	m.Reset()
@@ -130,8 +133,7 @@
 	sc.slotTable.Update(m)
 }
 
-// hostPenalty is how much later a host counts as ready than it is, because it is slow or may be
-// faulty.
+// hostPenalty returns how much later a host counts as ready because it is slow or may be faulty.
 func hostPenalty(h *state.Host) micros {
 	var penalty micros
 	if h.RuntimeRatio > slowHostRatio {
@@ -143,7 +145,7 @@
 	return penalty
 }
 
-// addAttempt adds what an attempt takes of its host, and the image that it brings.
+// addAttempt adds an attempt's resources to its host's row, and the image that it fetches.
 func (sc *scheduler) addAttempt(m *slottable.Machine, a *state.Attempt) {
 	now, s := sc.now.Steady, a.Job.Spec
 	m.Occupy(slottable.Span{From: now, To: sc.expectedEnd(a), Resources: s.TaskResources, Opportunistic: isOpportunistic(a.Job)})
@@ -152,11 +154,11 @@
 		if !sc.slotTable.HasImage(m, s.Image) {
 			sc.slotTable.AddImage(m, s.Image, max(a.ExpectedReady, now+minFetchLeft))
 		}
-	default: // its image is among the host's
+	default: // the host has the image
 	}
 }
 
-// expectedEnd is when an attempt is expected to end.
+// expectedEnd returns when an attempt is expected to end, Forever if that is unknown.
 func (sc *scheduler) expectedEnd(a *state.Attempt) micros {
 	now, s := sc.now.Steady, a.Job.Spec
 	class := sc.workload.classStats(s.Class)
