--- a/internal/controller/config_changes.go
+++ b/internal/controller/config_changes.go
@@ -18,13 +18,14 @@
 	*configuration.Request
 }
 
-// changeConfig makes a revision. Whatever is wrong with it is said before anything is written.
+// changeConfig handles a request for a new revision. A request with an error is refused before
+// anything is written.
 func (cm *configManager) changeConfig(reply operatorReply, r *configuration.Request) {
 	c := configChange{configManager: cm, term: cm.term, reply: reply, Request: r}
 	s := cm.state
 	if s.head != nil {
 		if e, ok := s.head.FindRequest(r.ID); ok {
-			c.replyMade(e.Revision, true) // it was made before, and its answer got lost
+			c.replyMade(e.Revision, true) // already made: the first reply was lost
 			return
 		}
 	}
@@ -37,7 +38,7 @@
 	case !s.damaged && r.Repair:
 		c.reject(http.StatusConflict, "mend: the record of the configuration can be read")
 	case r.Expected < s.revision && s.head != nil && r.Expected+1 < s.head.Entries[0].Revision:
-		c.findEarlier()
+		c.findInHistory()
 	case r.Expected != s.revision:
 		c.rejectUnexpected()
 	case r.Rollback:
@@ -47,25 +48,26 @@
 	}
 }
 
-// reject answers that a change is not made.
+// reject replies with an error and the last revision. The change is not made.
 func (c configChange) reject(status int, format string, args ...any) {
 	text := protocol.AppendQuoted([]byte(`{"error":`), fmt.Sprintf(format, args...))
 	c.reply(status, fmt.Appendf(text, `,"revision":%d}`, c.state.revision))
 }
 
-// rejectUnexpected answers that the operator expected another revision.
+// rejectUnexpected replies that the last revision is not the one that the operator expected.
 func (c configChange) rejectUnexpected() {
 	c.reject(http.StatusConflict, "expected: the last revision is %d, not %d", c.state.revision, c.Expected)
 }
 
-// replyMade answers which revision a change made, or that it changed nothing.
+// replyMade replies with the revision that a change made, or with the last one and changed false if
+// there was nothing to change.
 func (c configChange) replyMade(revision uint64, changed bool) {
 	c.reply(http.StatusOK, fmt.Appendf(nil, `{"revision":%d,"changed":%t}`, revision, changed))
 }
 
-// findEarlier answers a request that expects an old revision. It may have been made so long ago
-// that its entry is in a page.
-func (c configChange) findEarlier() {
+// findInHistory replies to a request that expects an old revision. It may be the repetition of a
+// request that was carried out so long ago that its entry is in a page of the history.
+func (c configChange) findInHistory() {
 	c.readHistory(c.Expected+1, func(entries []configuration.Entry, err error) {
 		i := slices.IndexFunc(entries, func(e configuration.Entry) bool { return e.ID == c.ID })
 		switch {
@@ -79,7 +81,7 @@
 	})
 }
 
-// rollBack makes a revision that has the document of an earlier one.
+// rollBack makes a revision with the document of an earlier one.
 func (c configChange) rollBack() {
 	s := c.state
 	revision := s.revision
@@ -104,8 +106,9 @@
 	})
 }
 
-// write makes a revision durable, and then takes it into force: one transaction on the head's
-// revision, and on the leader key like each of a leader's.
+// write makes a revision durable and then applies it. It is written in one transaction, with a
+// condition on the revision of the head's record and, as in every transaction of a leader, on the
+// leader key.
 func (c configChange) write(changes []configuration.Change) {
 	s := c.state
 	if len(changes) == 0 && !c.Repair {
@@ -124,9 +127,9 @@
 	if w.EntriesLeftOut > 0 {
 		c.log.Warn("the history of the configuration is too long for the state service", "entries_left_out", w.EntriesLeftOut)
 	}
-	when := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.headRevision}}
+	conditions := []protocol.Condition{{Key: configuration.KeyHead, Revision: s.headRevision}}
 	c.term.config.writing = true
-	c.election.transaction(priorityLatencyCritical, when, revisionChanges(w), func(headRevision uint64, err error) {
+	c.election.transaction(priorityLatencyCritical, conditions, revisionChanges(w), func(headRevision uint64, err error) {
 		c.term.config.writing = false
 		switch {
 		case err == nil:
@@ -139,7 +142,7 @@
 	})
 }
 
-// nextRevision is what has to be written for a revision with some changes.
+// nextRevision returns the records to write for a revision with some changes.
 func (c configChange) nextRevision(changes []configuration.Change) (*configuration.RevisionWrite, error) {
 	s := c.state
 	e := configuration.Entry{At: c.now.Wall, Who: c.Who, Why: c.Why, ID: c.ID, Changes: changes}
@@ -153,19 +156,19 @@
 	return head.NextRevision(&s.bounds, e, s.options.HistoryPages)
 }
 
-// revisionChanges are the changes of the transaction that writes a revision.
+// revisionChanges returns the changes of the transaction that writes a revision.
 func revisionChanges(w *configuration.RevisionWrite) []protocol.Change {
-	then := []protocol.Change{{Key: configuration.KeyHead, Value: w.Head.Encode()}}
+	changes := []protocol.Change{{Key: configuration.KeyHead, Value: w.Head.Encode()}}
 	if w.Page != "" {
-		then = append(then, protocol.Change{Key: w.Page, Value: w.PageValue})
+		changes = append(changes, protocol.Change{Key: w.Page, Value: w.PageValue})
 	}
 	if w.DroppedPage != "" {
-		then = append(then, protocol.Change{Key: w.DroppedPage})
+		changes = append(changes, protocol.Change{Key: w.DroppedPage})
 	}
-	return then
+	return changes
 }
 
-// onWritten takes a revision into force that has been written.
+// onWritten applies a revision that has been written.
 func (c configChange) onWritten(head *configuration.Head, headRevision uint64) {
 	s := c.state
 	s.head, s.headRevision, s.known, s.damaged = head, headRevision, true, false
@@ -175,9 +178,9 @@
 	c.replyMade(head.Revision, true)
 }
 
-// findOutcome finds out whether a revision was made. Without an answer the write may have been
-// carried out, or may still be; refused, an earlier one of this leader was. The request's id
-// says which.
+// findOutcome determines whether a revision was made, by the request's id in the history. A write
+// without an answer may have been executed, or may be executed later. If a condition of the write
+// did not hold, an earlier write of this leader was executed.
 func (c configChange) findOutcome() {
 	s := c.state
 	c.term.config.writeUncertainUntil = c.now.Steady + configWriteUncertainty
--- a/internal/controller/config_enforcement.go
+++ b/internal/controller/config_enforcement.go
@@ -8,8 +8,8 @@
 	"mapleslip/internal/state"
 )
 
-// withdrawOutdatedDecisions takes back what a leader has decided by an earlier revision and not
-// carried out yet. Hosts are looked at only where the change is about them.
+// withdrawOutdatedDecisions withdraws decisions that the leader made under the previous revision
+// and has not carried out yet. It examines the hosts only if one of the two revisions has drains.
 func (cm *configManager) withdrawOutdatedDecisions(previous *configuration.Settings) {
 	if hasDrains(previous) || hasDrains(cm.state.settings) {
 		cm.withdrawFromDrainedHosts(previous)
@@ -19,7 +19,7 @@
 		if old.Limit == team.Limit && old.Guarantee == team.Guarantee {
 			continue
 		}
-		// A cycle under way has its jobs in the order of the guarantees before.
+		// The cycle in progress has ordered its jobs by the previous guarantees.
 		cm.term.scheduler.cycle = nil
 		cm.withdrawOverLimit(name, team.Limit)
 	}
@@ -30,7 +30,8 @@
 	return len(s.Zones)+len(s.Machines)+len(s.Nets) > 0
 }
 
-// withdrawFromDrainedHosts takes back assignments to hosts that are drained now.
+// withdrawFromDrainedHosts withdraws assignments to drained hosts that the previous revision did
+// not drain, or drained differently.
 func (cm *configManager) withdrawFromDrainedHosts(previous *configuration.Settings) {
 	for _, h := range cm.term.cluster.Hosts() {
 		drain := cm.drainOf(h)
@@ -47,7 +48,7 @@
 	}
 }
 
-// withdrawOverLimit takes back assignments of a team until it is within its limit.
+// withdrawOverLimit withdraws assignments of a team until the team is within its limit.
 func (cm *configManager) withdrawOverLimit(team string, limit protocol.Resources) {
 	cluster := cm.term.cluster
 	if withinLimit(limit, cluster.UsedByTeam[team]) {
@@ -59,32 +60,32 @@
 	})
 }
 
-// withdraw takes back an attempt that does not run yet. A launch that may be on its way is
-// repeated until the worker knows it; with the stop behind it nothing of it runs.
+// withdraw withdraws an attempt that does not run yet. A launch that may be in flight is repeated
+// until the worker reports the attempt; the stop that is sent with it keeps the task from running.
 func (cm *configManager) withdraw(a *state.Attempt) {
 	if a.State == state.AttemptAssigned || a.State == state.AttemptLaunched && a.LaunchUncertain {
 		cm.term.commands.requestStop(a, 0)
 	}
 }
 
-// forEachTeamAttempt goes through the attempts of a team's jobs, those that come last in the
-// queue first, until more returns false.
-func (cm *configManager) forEachTeamAttempt(team string, more func(*state.Attempt) bool) {
+// forEachTeamAttempt visits the attempts of a team's jobs until visit returns false. The jobs that
+// were submitted last come first.
+func (cm *configManager) forEachTeamAttempt(team string, visit func(*state.Attempt) bool) {
 	for _, j := range slices.Backward(slices.Clone(cm.term.cluster.Jobs())) {
 		if j.Spec.Team != team {
 			continue
 		}
 		for _, a := range slices.Clone(j.ActiveAttempts()) {
-			if !more(a) {
+			if !visit(a) {
 				return
 			}
 		}
 	}
 }
 
-// enforceRevision stops what runs against the revision in force, where that says so: on drained
-// hosts, and above a team's limit. It does so again and again, so that a new leader goes on
-// with it.
+// enforceRevision stops tasks that run against the revision in force, where the revision demands
+// it: on drained hosts, and above a team's limit. It runs periodically, so that a new leader
+// continues the enforcement.
 func (cm *configManager) enforceRevision() {
 	if cm.state == nil || !cm.election.mayActAsLeader() {
 		return
@@ -112,8 +113,8 @@
 	}
 }
 
-// stopExcess stops attempts of a team until it is within its limit. What is told to stop counts
-// until it is gone; nothing more is stopped for it.
+// stopExcess stops attempts of a team until the team is within its limit. An attempt that is being
+// stopped uses resources until it is gone, but no further attempt is stopped because of it.
 func (cm *configManager) stopExcess(team string, limit protocol.Resources) {
 	used := cm.term.cluster.UsedByTeam[team]
 	if withinLimit(limit, used) {
--- a/internal/controller/config_grants.go
+++ b/internal/controller/config_grants.go
@@ -5,8 +5,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// sendGrants tells the other controllers which revision the leader goes by, and so renews their
-// leases on it. A leader that is not certain to lead renews none.
+// sendGrants sends the leader's revision to the other controllers, which renews their leases on it.
+// A leader whose own lease may have expired renews none.
 func (cm *configManager) sendGrants(t *leaderTerm) {
 	if !cm.election.mayActAsLeader() {
 		return
@@ -35,9 +35,10 @@
 	}
 }
 
-// onConfigAck takes a controller's acknowledgement of a revision. If it knows a later one than
-// this leader, the record is gone or can't be read, or a write of this leader without an answer
-// was carried out: the record is read again.
+// onConfigAck handles a controller's acknowledgement of a revision. If the controller has a later
+// revision than this leader, the head's record is missing or can't be read, or a write of this
+// leader that got no answer was executed. The leader applies that revision and reads the record
+// again.
 func (cm *configManager) onConfigAck(t *leaderTerm, from string, ack *protocol.PeerMessage) {
 	if ack.Revision > cm.state.revision && len(ack.Body) > 0 {
 		if d, err := configuration.DecodeDocument(ack.Body); err == nil {
@@ -50,8 +51,8 @@
 	cm.answerWaiters(t)
 }
 
-// onConfigGrantRequest takes a leader's grant, and acknowledges the revision that is in force
-// here.
+// onConfigGrantRequest applies a grant from the leader, and acknowledges the revision that is in
+// force on this controller.
 func (cm *configManager) onConfigGrantRequest(e ConfigGrantRequest) {
 	s := cm.state
 	if s == nil || cm.election.role.holdsLease() {
@@ -67,7 +68,7 @@
 		}
 	}
 	if s.holder.ApplyGrant(cm.now.Steady, e.Grant, document != nil) == configuration.GrantAdopted {
-		s.known = false // the revision of the head's record is not
+		s.known = false // a grant does not contain the revision of the head's record
 		cm.applyRevision(e.Grant.Revision, document)
 	}
 	cm.updateLogLevel()
--- a/internal/controller/config_history.go
+++ b/internal/controller/config_history.go
@@ -9,15 +9,15 @@
 	"mapleslip/internal/protocol"
 )
 
-// maxHistoryBytes bounds the entries of an answer, in bytes.
+// maxHistoryBytes limits the entries in a reply, in bytes.
 const maxHistoryBytes = 40 << 10
 
-// hasPages reports whether older entries of the history are in pages.
+// hasPages reports whether older entries of the history are stored in pages.
 func hasPages(h *configuration.Head) bool { return h.LastPage >= h.FirstPage && h.LastPage > 0 }
 
-// readHistory reads the history that is kept, from a revision on at least: the pages before
-// the head's part where that does not go back so far. With an error comes the part that was
-// read.
+// readHistory reads the entries of the history from a revision on, or more. If the entries of the
+// head don't go back that far, it reads the pages as well. With an error, done gets the entries
+// that could be read.
 func (cm *configManager) readHistory(from uint64, done func(entries []configuration.Entry, err error)) {
 	h := cm.state.head
 	if h == nil {
@@ -32,7 +32,7 @@
 	first, last := configuration.PageKey(h.FirstPage), configuration.PageKey(h.LastPage)
 	cm.store.List(priorityNormal, configuration.PagePrefix, func(e protocol.Entry) {
 		if e.Key < first || e.Key > last {
-			return // left by what was before the record was mended
+			return // a page from before the head was repaired
 		}
 		page, err := configuration.DecodePage(e.Value)
 		if err != nil {
@@ -43,10 +43,11 @@
 	}, func(_ uint64, err error) { done(append(entries, h.Entries...), err) })
 }
 
-// replyHistory answers with the entries before a revision (0: the newest), the last one first.
+// replyHistory replies with the entries before a revision, or the newest ones if before is 0. The
+// last entry comes first.
 func (cm *configManager) replyHistory(reply operatorReply, before uint64) {
 	if h := cm.state.head; h != nil && before == 0 {
-		// The older ones are asked for if they are wanted.
+		// An operator who needs older entries sends another request.
 		reply(http.StatusOK, historyBody(h.Entries, 0, hasPages(h)))
 		return
 	}
@@ -59,8 +60,9 @@
 	})
 }
 
-// historyBody is an answer with the entries before a revision (0: all). more says that there
-// are older ones; so does the answer where it does not have all of them.
+// historyBody returns a reply with the entries before a revision, or all if before is 0. The
+// reply tells that there are more entries if more is true, or if it does not have all those before
+// the revision.
 func historyBody(entries []configuration.Entry, before uint64, more bool) []byte {
 	b := []byte(`{"history":[`)
 	for i, e := range slices.Backward(entries) {
--- a/internal/controller/config_manager.go
+++ b/internal/controller/config_manager.go
@@ -12,15 +12,15 @@
 
 var errHeadMissing = errors.New("it is not there any more")
 
-// revisionError is that of a head with an earlier revision than was known.
+// revisionError reports that the stored head has an earlier revision than the last known one.
 type revisionError struct{ stored, known uint64 }
 
 func (e *revisionError) Error() string {
 	return fmt.Sprintf("it has revision %d, and %d was known", e.stored, e.known)
 }
 
-// configManager owns the configuration that changes while the service runs, and writes its
-// revisions as the leader.
+// configManager owns the configuration that can change while the service runs. As the leader it
+// writes the revisions.
 type configManager struct {
 	*environment
 	election   *election
@@ -28,55 +28,57 @@
 	store      *statestore.Client
 	users      *userGateway
 
-	state *configState // nil: the configuration does not change while this runs
+	state *configState // nil if the configuration can't change while the service runs
 }
 
-// configState is what a controller knows of the configuration.
+// configState is a controller's state of the configuration.
 type configState struct {
 	options configuration.Options
 	bounds  configuration.Baseline
 	holder  configuration.Holder
 
-	head     *configuration.Head // the newest that was read or written, nil: there is none, or only its document is known
+	// head is the newest head that was read or written. It is nil if there is none, or if this
+	// controller has received only its document.
+	head     *configuration.Head
 	revision uint64
 	document configuration.Document
-	settings *configuration.Settings // what it comes to
+	settings *configuration.Settings // resolved from the document
 
-	// headRevision is that of the head's record, as far as known: what is accepted and launched
-	// depends on it.
+	// headRevision is the revision of the head's record in the state service. Transactions that
+	// accept or launch jobs depend on it.
 	headRevision uint64
-	known        bool
+	known        bool // headRevision is up to date as far as this controller can tell
 	damaged      bool // the head can't be read: the last good revision stays in force
 
-	headChanges int // times that a head was taken or written
+	headChanges int // number of times that a head was read or written
 
-	refreshing   bool // the head is being read
-	refreshAgain bool // and has to be once more
+	refreshing   bool // a read of the head is in flight
+	refreshAgain bool // the head has to be read again after it
 
-	logLevel string // as last told to the driver
+	logLevel string // last level that was sent to the driver
 }
 
-// configTerm is what a leader holds of the configuration during one epoch.
+// configTerm is a leader's state of the configuration during one epoch.
 type configTerm struct {
 	granter             *configuration.Granter
-	writing             bool
-	writeUncertainUntil micros // until then a write without an answer may be applied
-	nextReread          micros
+	writing             bool   // a write of a revision is in flight
+	writeUncertainUntil micros // until then a write without an answer may be executed
+	nextReread          micros // time of the next read of the head while a write is uncertain
 	waiters             []configWaiter
-	headFound           bool // the head was there when the records were read
+	headFound           bool // the records of the new leader include the head
 }
 
 const (
 	grantInterval = protocol.Second
-	// operatorTimeout is how long an operator is kept waiting.
+	// operatorTimeout is how long an operator's request may wait for its reply.
 	operatorTimeout = 1500 * protocol.Millisecond
-	// configWriteUncertainty is how long a write without an answer may still be carried out.
+	// configWriteUncertainty is how long a write without an answer may still be executed.
 	configWriteUncertainty = 60 * protocol.Second
 	configRereadInterval   = 3 * protocol.Second
 	configRefreshRetry     = 200 * protocol.Millisecond
 )
 
-// team is a team as the revision in force has it.
+// team returns a team's settings in the revision in force.
 func (cm *configManager) team(name string) (configuration.Team, bool) {
 	if cm.state != nil {
 		t, ok := cm.state.settings.Teams[name]
@@ -86,7 +88,7 @@
 	return configuration.Team{Team: t}, ok
 }
 
-// drainOf returns whether a host is drained, and how.
+// drainOf returns whether and how a host is drained.
 func (cm *configManager) drainOf(h *state.Host) configuration.Drain {
 	if cm.state == nil {
 		return configuration.NotDrained
@@ -94,8 +96,8 @@
 	return cm.state.settings.DrainOf(h.Name, h.Zone, h.Addr)
 }
 
-// effectiveRevision is the revision that this controller decides by at its last step; false: it
-// decides nothing by any.
+// effectiveRevision returns the revision on which this controller bases its decisions, as of its
+// last step. ok is false if it may use none.
 func (cm *configManager) effectiveRevision() (revision uint64, ok bool) {
 	if cm.state == nil {
 		return 0, false
@@ -106,7 +108,7 @@
 	return cm.state.revision, cm.state.holder.Holds(cm.now.Steady)
 }
 
-// updateLogLevel tells the driver which level the log has to have.
+// updateLogLevel sends the log level of the revision in force to the driver if it has changed.
 func (cm *configManager) updateLogLevel() {
 	if cm.state == nil {
 		return
@@ -121,16 +123,17 @@
 	}
 }
 
-// withRevisionCondition makes a transaction depend on the revision that this controller goes by.
-func (cm *configManager) withRevisionCondition(when []protocol.Condition) []protocol.Condition {
+// withRevisionCondition adds the condition to a transaction that the head is still at the revision
+// that this controller uses.
+func (cm *configManager) withRevisionCondition(conditions []protocol.Condition) []protocol.Condition {
 	if cm.state == nil {
-		return when
+		return conditions
 	}
-	return append(when, protocol.Condition{Key: configuration.KeyHead, Revision: cm.state.headRevision})
+	return append(conditions, protocol.Condition{Key: configuration.KeyHead, Revision: cm.state.headRevision})
 }
 
-// handleRevisionConflict notices a transaction that was refused because the head has changed: it
-// is read again, and what was refused is decided anew.
+// handleRevisionConflict reports whether a transaction was refused because the head has changed. If
+// so, it reads the head again, and the caller has to decide again about the refused operation.
 func (cm *configManager) handleRevisionConflict(err error) bool {
 	if cm.state == nil || !statestore.ConflictsOn(err, configuration.KeyHead) {
 		return false
@@ -141,11 +144,11 @@
 	return true
 }
 
-// refreshHead reads the head until it is known.
+// refreshHead reads the head, and retries until the read succeeds.
 func (cm *configManager) refreshHead() {
 	s := cm.state
 	if s.refreshing {
-		s.refreshAgain = true // the read under way may have been made before
+		s.refreshAgain = true // the read in flight may be older than the change
 		return
 	}
 	s.refreshing, s.refreshAgain = true, false
@@ -162,8 +165,8 @@
 	})
 }
 
-// readHead reads the head and goes by it. It always asks: what is decided after it goes by what
-// the state service had after whoever decides wanted to know.
+// readHead reads the head and applies it. It always sends a read to the state service: decisions in
+// done are then based on a value that the state service had after the call of readHead.
 func (cm *configManager) readHead(priority Priority, done func(err error)) {
 	changes := cm.state.headChanges
 	cm.store.Get(priority, configuration.KeyHead, func(e protocol.Entry, err error) {
@@ -172,7 +175,7 @@
 			cm.applyHead(e, true)
 		case errors.Is(err, statestore.ErrKeyNotFound):
 			err = nil
-			if changes == cm.state.headChanges { // otherwise it was made meanwhile
+			if changes == cm.state.headChanges { // otherwise the head was created meanwhile
 				cm.applyHead(e, false)
 			}
 		}
@@ -180,12 +183,12 @@
 	})
 }
 
-// applyHead goes by what the state service has for the head. One that can't be read, or does
-// not exist any more, stops nothing: the last good revision stays.
+// applyHead applies the head's record from the state service. If the record can't be read or no
+// longer exists, the last good revision stays in force.
 func (cm *configManager) applyHead(e protocol.Entry, found bool) {
 	s := cm.state
 	if s.known && e.Revision < s.headRevision && found {
-		return // it was read before what is known
+		return // the record was read before the known one
 	}
 	head, err := cm.decodeHead(e, found)
 	s.headRevision, s.known = e.Revision, true
@@ -202,7 +205,7 @@
 	}
 }
 
-// decodeHead reads the head, which is nil as long as there is no revision.
+// decodeHead decodes the head's record. The head is nil as long as there is no revision.
 func (cm *configManager) decodeHead(e protocol.Entry, found bool) (*configuration.Head, error) {
 	known := cm.state.revision
 	if !found {
@@ -221,34 +224,34 @@
 	return head, nil
 }
 
-// applyRevision takes a revision into force here.
+// applyRevision puts a revision into force on this controller.
 func (cm *configManager) applyRevision(revision uint64, d configuration.Document) {
 	s := cm.state
 	if revision <= s.revision {
 		return
 	}
-	was := s.settings
+	previous := s.settings
 	s.revision, s.document, s.settings = revision, d, configuration.Resolve(&s.bounds, d)
 	s.holder.Revision = max(s.holder.Revision, revision)
 	cm.operator = s.settings.Operator
 	cm.log.Info("configuration changed", "revision", revision)
 	if t := cm.term; t != nil && t.config.granter != nil {
 		t.config.granter.SetRevision(revision, cm.now.Steady)
-		cm.withdrawOutdatedDecisions(was)
+		cm.withdrawOutdatedDecisions(previous)
 		cm.sendGrants(t)
 	}
 	cm.updateLogLevel()
 }
 
-// startTerm makes what a new leader holds of the configuration, before the records are read.
+// startTerm creates a new leader's state of the configuration, before the records are read.
 func (cm *configManager) startTerm(t *leaderTerm) {
 	if cm.state != nil {
-		// Earlier leaders may have granted leases until this one took the leader key.
+		// Earlier leaders may have granted leases until this controller took the leader key.
 		t.config.granter = configuration.NewGranter(cm.state.revision, cm.now.Steady)
 	}
 }
 
-// readHeadRecord takes the head among the records that a new leader reads.
+// readHeadRecord applies the head, which is one of the records that a new leader reads.
 func (cm *configManager) readHeadRecord(e protocol.Entry) {
 	if e.Key == configuration.KeyHead {
 		cm.term.config.headFound = true
@@ -257,7 +260,7 @@
 	}
 }
 
-// startGranting begins what a leader does about the configuration once the records are read.
+// startGranting starts a leader's periodic grants once the records are read.
 func (cm *configManager) startGranting(t *leaderTerm) {
 	if cm.state == nil {
 		return
@@ -270,7 +273,7 @@
 	cm.grantPeriodically(t)
 }
 
-// grantPeriodically renews the others' leases on the revision, as long as the term lasts.
+// grantPeriodically renews the other controllers' leases on the revision until the term ends.
 func (cm *configManager) grantPeriodically(t *leaderTerm) {
 	if t.ended() {
 		return
@@ -279,7 +282,8 @@
 	cm.after(grantInterval, func() { cm.grantPeriodically(t) })
 }
 
-// runPeriodicWork does what is due about the configuration while this controller leads.
+// runPeriodicWork runs with every tick of a leader. It reads the head again while a write is
+// uncertain, and replies to operators who wait for a revision.
 func (cm *configManager) runPeriodicWork(t *leaderTerm) {
 	if cm.state == nil {
 		return
@@ -292,16 +296,16 @@
 	cm.answerWaiters(t)
 }
 
-// ConfigStats is how the configuration stands at a controller.
+// ConfigStats is the state of the configuration on a controller.
 type ConfigStats struct {
 	Revision            uint64
-	InEffect            bool              // this controller decides by it
+	InEffect            bool              // this controller bases its decisions on it
 	Damaged             bool              // the head can't be read
-	EffectiveEverywhere uint64            // newest revision in force everywhere, as the leader knows; 0 elsewhere
-	Revisions           map[string]uint64 // of the other controllers, as they told the leader; nil elsewhere
+	EffectiveEverywhere uint64            // newest in force on all controllers; 0 on followers
+	Revisions           map[string]uint64 // acknowledged, by controller; nil on followers
 }
 
-// configStats says how the configuration stands, nil if it does not change.
+// configStats returns the state of the configuration, nil if the configuration can't change.
 func (cm *configManager) configStats() *ConfigStats {
 	if cm.state == nil {
 		return nil
--- a/internal/controller/config_requests.go
+++ b/internal/controller/config_requests.go
@@ -10,23 +10,23 @@
 	"mapleslip/internal/protocol"
 )
 
-// configWaiter is an operator who waits until a revision is in force everywhere.
+// configWaiter is an operator's request that waits until a revision is in force on all controllers.
 type configWaiter struct {
 	reply    operatorReply
 	revision uint64
 	until    micros
 }
 
-// operatorReply answers an operator's request, the first time that it is called.
+// operatorReply replies to an operator's request. Only its first call has an effect.
 type operatorReply func(status int, body []byte)
 
-// unavailable answers that the request can't be served now.
+// unavailable replies that the request can't be served now.
 func (reply operatorReply) unavailable() { reply(http.StatusServiceUnavailable, nil) }
 
-// configRequest is a request about the configuration that has been read.
+// configRequest is a parsed request about the configuration.
 type configRequest struct {
 	change   *configuration.Request // of a change or a rollback
-	revision uint64                 // that is waited for, or before which entries are wanted
+	revision uint64                 // to wait for, or before which entries are requested
 }
 
 var (
@@ -34,7 +34,7 @@
 	errBadBeforeRevision = errors.New("before: must be a revision's number")
 )
 
-// parseConfigRequest reads a request about the configuration.
+// parseConfigRequest parses a request about the configuration.
 func parseConfigRequest(e UserRequest) (r configRequest, err error) {
 	switch e.Op {
 	case protocol.OpConfigApply, protocol.OpConfigRollback:
@@ -52,12 +52,13 @@
 		if err != nil {
 			err = errBadBeforeRevision
 		}
-	default: // it has neither
+	default: // no parameters
 	}
 	return r, err
 }
 
-// onConfigRequest handles an operator's request about the configuration, wherever it came in.
+// onConfigRequest handles an operator's request about the configuration, whether it comes from the
+// operator or was forwarded by another controller.
 func (cm *configManager) onConfigRequest(e UserRequest) {
 	if cm.state == nil {
 		cm.replyError(e.Reply, http.StatusNotFound, "changes of the configuration are off")
@@ -94,7 +95,7 @@
 	}
 }
 
-// awaitRevision answers once a revision is in force everywhere.
+// awaitRevision replies once a revision is in force on all controllers.
 func (cm *configManager) awaitRevision(to ReplyAddress, revision uint64) {
 	if revision > cm.state.revision {
 		cm.replyError(to, http.StatusConflict, fmt.Sprintf("there is no revision %d, the last one is %d", revision, cm.state.revision))
@@ -106,8 +107,9 @@
 	cm.answerWaiters(t)
 }
 
-// answerWaiters answers the operators whose revision is in force everywhere. Only a leader
-// whose lease certainly holds says so: nobody else decides what it does.
+// answerWaiters replies to the operators whose revision is in force on all controllers. The leader
+// does so only while its own lease certainly holds, because then no other controller acts as the
+// leader.
 func (cm *configManager) answerWaiters(t *leaderTerm) {
 	waiters := t.config.waiters
 	if len(waiters) == 0 {
@@ -119,21 +121,21 @@
 		switch {
 		case cm.election.mayActAsLeader() && w.revision <= cm.state.revision && t.config.granter.InForce(w.revision, now, cm.membership.peerNames()):
 			w.reply(http.StatusOK, fmt.Appendf(nil, `{"revision":%d,"in_force":true}`, w.revision))
-		case now >= w.until: // it has been answered
+		case now >= w.until: // the timeout has replied already
 		default:
 			t.config.waiters = append(t.config.waiters, w)
 		}
 	}
 }
 
-// replyOnce answers 503 by itself when the operator has waited for as long as one is kept
-// waiting; why is the reason.
-func (cm *configManager) replyOnce(to ReplyAddress, why refusal) operatorReply {
+// replyOnce returns the reply function for a request. Without a reply within operatorTimeout the
+// request is refused with status 503 and the given reason.
+func (cm *configManager) replyOnce(to ReplyAddress, reason refusal) operatorReply {
 	replied := false
 	cm.after(operatorTimeout, func() {
 		if !replied {
 			replied = true
-			cm.refuse(to, why)
+			cm.refuse(to, reason)
 		}
 	})
 	return func(status int, body []byte) {
@@ -142,14 +144,14 @@
 		}
 		replied = true
 		if status == http.StatusServiceUnavailable {
-			cm.refuse(to, why)
+			cm.refuse(to, reason)
 			return
 		}
 		cm.reply(to, status, body)
 	}
 }
 
-// replyConfig answers with the last revision.
+// replyConfig replies with the last revision and its document.
 func (cm *configManager) replyConfig(to ReplyAddress) {
 	s := cm.state
 	b := fmt.Appendf(nil, `{"revision":%d,"damaged":%t,"document":`, s.revision, s.damaged)
@@ -163,16 +165,16 @@
 	cm.reply(to, http.StatusOK, b)
 }
 
-// replyConfigStatus answers where the revisions are in force.
+// replyConfigStatus replies with the revision of each controller and the one in force on all.
 func (cm *configManager) replyConfigStatus(to ReplyAddress) {
 	s, g := cm.state, cm.term.config.granter
 	b := fmt.Appendf(nil, `{"revision":%d,"in_force":%d,"damaged":%t,"controllers":[{"name":%s,"revision":%d,"leads":true}`, s.revision,
 		g.NewestInForce(cm.now.Steady, cm.membership.peerNames()), s.damaged, protocol.AppendQuoted(nil, cm.platform.ControllerName), s.revision)
-	for _, o := range cm.platform.Peers {
-		r, when := g.Acknowledged(o.Name)
-		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), o.Name), `,"leads":false`...)
-		if when > 0 {
-			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, r, (cm.now.Steady - when).Seconds())
+	for _, peer := range cm.platform.Peers {
+		revision, receivedAt := g.Acknowledged(peer.Name)
+		b = append(protocol.AppendQuoted(append(b, `,{"name":`...), peer.Name), `,"leads":false`...)
+		if receivedAt > 0 {
+			b = fmt.Appendf(b, `,"revision":%d,"heard_s_ago":%.1f`, revision, (cm.now.Steady - receivedAt).Seconds())
 		}
 		b = append(b, '}')
 	}
