--- a/internal/controller/rollout_checks.go
+++ b/internal/controller/rollout_checks.go
@@ -8,18 +8,20 @@
 	"mapleslip/internal/rollout"
 )
 
-// checkBackoff is how long a controller makes no checks after one was disputed.
+// checkBackoff is how long a controller is the last choice for checks after one of its checks was
+// disputed.
 const checkBackoff = 20 * protocol.Second
 
-// Statuses of checks that got none. They are part of the protocol among controllers.
+// Statuses of checks without an HTTP status. They are part of the protocol among controllers.
 const (
-	// statusNotChecked is that of a check that this controller could not make.
+	// statusNotChecked is the status of a check that the controller could not make.
 	statusNotChecked = 0
-	// statusNoAnswer is that of an instance that gives none; the body says why.
+	// statusNoAnswer is the status of a check that got no valid answer from the instance. The body
+	// has the reason.
 	statusNoAnswer = 599
 )
 
-// maxCheckReason bounds the reason for a failed check, in bytes.
+// maxCheckReason limits the reason for a failed check, in bytes.
 const maxCheckReason = 80
 
 // Outcomes of checks, as labels of a metric.
@@ -29,8 +31,9 @@
 	checkNotMade = "unmade"
 )
 
-// checkInstance has an instance checked. The leader checks last: its time is for what nobody
-// else can do, and a check by another controller costs it a frame.
+// checkInstance has another controller check an instance. The leader makes the check only if no
+// other controller can: its time is needed for work that no other controller can do, and a
+// delegated check costs it one frame.
 func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
 	excluded := make(map[string]bool, len(e.Except))
 	for _, name := range e.Except {
@@ -44,14 +47,14 @@
 		rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { rd.onChecked(t, e.ID, self, status, body) })
 		return
 	}
-	// Those whose checks others disputed come after the leader.
+	// The last choice are controllers whose checks were disputed.
 	if !rd.delegateCheck(t, e, excluded, true) {
 		rd.after(0, func() { rd.finishCheck(t, rollout.Checked{ID: e.ID}) })
 	}
 }
 
-// delegateCheck has another controller make a check, those whose checks were disputed only if
-// asked to. It reports whether there is one.
+// delegateCheck has another controller make a check. A controller whose check was disputed within
+// checkBackoff is used only if disputed is true. It returns false if no controller is available.
 func (rd *rolloutDriver) delegateCheck(t *leaderTerm, e rollout.Check, excluded map[string]bool, disputed bool) bool {
 	now := rd.now.Steady
 	peers := rd.platform.Peers
@@ -74,7 +77,7 @@
 	return false
 }
 
-// onChecked takes the result of a check that a controller made.
+// onChecked handles the result of a check that a controller made.
 func (rd *rolloutDriver) onChecked(t *leaderTerm, id uint64, by string, status int, body []byte) {
 	result := rollout.Checked{ID: id, Controller: by}
 	switch {
@@ -107,7 +110,7 @@
 func (rd *rolloutDriver) sendCheck(kind protocol.CheckKind, addr, path string, timeout micros, done func(status int, body []byte)) {
 	call := Call{Target: ToInstance, Method: http.MethodGet, Addr: addr, Path: path, Timeout: timeout}
 	if kind == protocol.CheckTCP {
-		call.Method = "" // a connection, and nothing more
+		call.Method = "" // only opens a connection
 	}
 	rd.send(call, func(r CallResult) {
 		switch {
@@ -123,7 +126,7 @@
 	})
 }
 
-// onHealthCheckRequest makes a check for the leader.
+// onHealthCheckRequest makes a check on behalf of the leader.
 func (rd *rolloutDriver) onHealthCheckRequest(e HealthCheckRequest) {
 	rd.sendCheck(e.Kind, e.Addr, e.Path, e.Timeout, func(status int, body []byte) { rd.reply(e.Reply, status, body) })
 }
--- a/internal/controller/rollout_driver.go
+++ b/internal/controller/rollout_driver.go
@@ -12,7 +12,7 @@
 	"mapleslip/internal/statestore"
 )
 
-// rolloutDriver carries out what package rollout decides.
+// rolloutDriver passes events to package rollout and executes the effects that it returns.
 type rolloutDriver struct {
 	*environment
 	catalog     *machineCatalog
@@ -23,23 +23,23 @@
 	submissions *submissions
 	users       *userGateway
 
-	settings        *rollout.Settings       // nil: roll-outs are off
-	operatorCalls   map[uint64]ReplyAddress // operators who wait for an answer
+	settings        *rollout.Settings       // nil if roll-outs are off
+	operatorCalls   map[uint64]ReplyAddress // operators' requests without a reply, by call number
 	operatorCallSeq uint64
 }
 
-// rolloutTerm is what a leader holds of roll-outs during one epoch.
+// rolloutTerm is a leader's state of the roll-outs during one epoch.
 type rolloutTerm struct {
-	manager           *rollout.Manager // nil: they are off
-	revisions         map[string]uint64
-	nextChecker       int               // which controller makes the next check
-	checkBackoffUntil map[string]micros // controllers whose checks others disputed: not asked before
+	manager           *rollout.Manager  // nil if roll-outs are off
+	revisions         map[string]uint64 // of the records, by service
+	nextChecker       int               // index of the controller that makes the next check
+	checkBackoffUntil map[string]micros // by controller, after one of its checks was disputed
 	damaged           map[string]bool   // services whose record can't be read
-	tooLong           map[string]bool   // services whose record is longer than the state service takes
-	deferredEvents    []rollout.Event   // those that came while the lease could have expired
+	tooLong           map[string]bool   // services whose record is too long for the state service
+	deferredEvents    []rollout.Event   // events received while the lease could have expired
 }
 
-// startTerm makes what a new leader holds of roll-outs.
+// startTerm creates a new leader's state of the roll-outs.
 func (rd *rolloutDriver) startTerm(t *leaderTerm) {
 	if rd.settings == nil {
 		return
@@ -53,11 +53,11 @@
 	}
 }
 
-// jobSource shows a leader's jobs to roll-outs.
+// jobSource gives package rollout access to a leader's jobs.
 type jobSource struct{ t *leaderTerm }
 
-// Job is part of rollout.JobSource. Only what certainly runs counts as running.
-func (s jobSource) Job(ref string, each func(rollout.Instance)) rollout.Job {
+// Job implements rollout.JobSource. A task counts as running only if it certainly runs.
+func (s jobSource) Job(ref string, visit func(rollout.Instance)) rollout.Job {
 	j := s.t.cluster.Job(ref)
 	if j == nil {
 		return rollout.Job{}
@@ -66,15 +66,15 @@
 	if j.State != state.JobActive && j.State != state.JobBlocked {
 		job.State = rollout.JobCancelled
 	}
-	if each != nil {
+	if visit != nil {
 		for k := range j.Tasks {
-			each(instanceOf(j, k))
+			visit(instanceOf(j, k))
 		}
 	}
 	return job
 }
 
-// instanceOf is a service's task as roll-outs see it.
+// instanceOf returns a service's task as an instance of package rollout.
 func instanceOf(j *state.Job, index int) rollout.Instance {
 	i := rollout.Instance{Index: index}
 	a := j.Tasks[index].Current
@@ -89,15 +89,15 @@
 	return i
 }
 
-// step hands an event to the roll-outs and carries out what follows.
+// step passes an event to the roll-out manager and executes the resulting effects.
 func (rd *rolloutDriver) step(ev rollout.Event) {
 	t := rd.term
 	if t == nil || t.rollouts.manager == nil {
 		return
 	}
 	if !rd.election.mayActAsLeader() {
-		// Nothing is begun now, and nothing is forgotten: a check whose end got lost would be
-		// taken for one on its way for ever.
+		// The event is kept until this controller may act as the leader. Without its result, a
+		// check would count as in flight forever.
 		t.rollouts.deferredEvents = append(t.rollouts.deferredEvents, ev)
 		return
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-// execute carries out an effect of the roll-outs.
+// execute carries out an effect that the roll-out manager returned.
 func (rd *rolloutDriver) execute(t *leaderTerm, e rollout.Effect) {
 	switch e := e.(type) {
 	case rollout.Save:
@@ -142,7 +142,7 @@
 	}
 }
 
-// submitJob submits a roll-out's job.
+// submitJob submits a job of a roll-out and passes the reply to the roll-out manager.
 func (rd *rolloutDriver) submitJob(spec *protocol.JobSpec) {
 	request := func(to ReplyAddress) {
 		if f, finished := rd.directory.finishedJobs.find(spec.Ref); finished {
--- a/internal/controller/rollout_records.go
+++ b/internal/controller/rollout_records.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// tooLongRetry is how often a record that is too long is looked at again.
+	// tooLongRetry is the interval at which the size of a record that is too long is checked again.
 	tooLongRetry = 30 * protocol.Second
 
 	rolloutSaveRetry     = 300 * protocol.Millisecond
 	rolloutConflictRetry = 500 * protocol.Millisecond
 )
 
-// readRolloutRecord takes a record of a roll-out. One that can't be read bars roll-outs of its
-// service, and nothing else.
+// readRolloutRecord loads a record of a roll-out. A record that can't be read blocks roll-outs of
+// its service, and nothing else.
 func (rd *rolloutDriver) readRolloutRecord(e protocol.Entry) {
 	t := rd.term
 	service := e.Key[len(rollout.Prefix):]
@@ -30,17 +30,17 @@
 	t.rollouts.revisions[service] = e.Revision
 }
 
-// save makes a roll-out's record durable. It tries until the record is, or this controller
-// does not lead any more.
+// save makes a roll-out's record durable. It retries until the record is written or this controller
+// no longer leads.
 func (rd *rolloutDriver) save(t *leaderTerm, e rollout.Save) {
 	if rd.isTooLong(t, e) {
 		rd.saveLater(t, e, tooLongRetry)
 		return
 	}
 	key := rollout.Prefix + e.Service
-	when := []protocol.Condition{{Key: key, Revision: t.rollouts.revisions[e.Service]}}
-	then := []protocol.Change{{Key: key, Value: e.Value}}
-	rd.election.transaction(priorityUser, when, then, func(revision uint64, err error) {
+	conditions := []protocol.Condition{{Key: key, Revision: t.rollouts.revisions[e.Service]}}
+	changes := []protocol.Change{{Key: key, Value: e.Value}}
+	rd.election.transaction(priorityUser, conditions, changes, func(revision uint64, err error) {
 		switch {
 		case err == nil:
 			rd.onSaved(t, e, revision)
@@ -60,8 +60,8 @@
 	})
 }
 
-// isTooLong reports whether a record is longer than the state service takes: the roll-out was
-// begun under larger limits. Nothing of it goes on; its jobs do.
+// isTooLong reports whether a record is longer than the state service accepts, because the roll-out
+// was started under larger limits. Such a roll-out makes no progress, but its jobs continue.
 func (rd *rolloutDriver) isTooLong(t *leaderTerm, e rollout.Save) bool {
 	limit := rd.store.Accepted().MaxValueBytes
 	if len(e.Value) <= limit {
@@ -79,8 +79,8 @@
 	rd.step(rollout.Saved{Service: e.Service})
 }
 
-// resolveSaveConflict reads a record that is another one than was expected. Nobody but leaders
-// writes it: an earlier try of this one may have been carried out late.
+// resolveSaveConflict reads a record that does not have the expected revision. Only leaders write
+// it, so an earlier write of this leader may have been executed late.
 func (rd *rolloutDriver) resolveSaveConflict(t *leaderTerm, e rollout.Save) {
 	rd.store.Get(priorityUser, rollout.Prefix+e.Service, func(stored protocol.Entry, err error) {
 		switch {
@@ -89,15 +89,15 @@
 			rd.onSaved(t, e, stored.Revision)
 		default:
 			if err == nil || errors.Is(err, statestore.ErrKeyNotFound) {
-				t.rollouts.revisions[e.Service] = stored.Revision // 0: it does not exist
+				t.rollouts.revisions[e.Service] = stored.Revision // 0 if the record does not exist
 			}
 			rd.saveLater(t, e, rolloutConflictRetry)
 		}
 	})
 }
 
-// equalJSON compares what was written with what is read: the state service may use other
-// white space.
+// equalJSON reports whether two JSON texts differ at most in white space, which the state service
+// may change.
 func equalJSON(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
--- a/internal/controller/rollout_requests.go
+++ b/internal/controller/rollout_requests.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// rolloutReplyTimeout is how long an operator waits for the state service.
+	// rolloutReplyTimeout is how long an operator's request may wait for the state service.
 	rolloutReplyTimeout = 1500 * protocol.Millisecond
-	// forwardMargin is how much longer a controller waits that has forwarded an operator's
-	// request.
+	// forwardMargin is how much longer than the leader a controller waits for the reply to an
+	// operator's request that it has forwarded.
 	forwardMargin = 500 * protocol.Millisecond
 )
 
@@ -20,7 +20,8 @@
 	protocol.OpRolloutPause: rollout.Pause, protocol.OpRolloutResume: rollout.Resume, protocol.OpRolloutRevert: rollout.Revert,
 }
 
-// onRolloutRequest handles an operator's request about roll-outs, wherever it came in.
+// onRolloutRequest handles an operator's request about roll-outs, whether it comes from the
+// operator or was forwarded by another controller.
 func (rd *rolloutDriver) onRolloutRequest(e UserRequest) {
 	if rd.settings == nil {
 		rd.replyError(e.Reply, http.StatusNotFound, "roll-outs are off")
@@ -61,8 +62,8 @@
 	rd.step(r)
 }
 
-// checkSpec answers with an error if a roll-out's job can never run, and reports whether it
-// can. All instances and the surge at once have to be within what the team may use.
+// checkSpec replies with an error and returns false if a roll-out's job can never run. The team's
+// limit has to allow all instances and the surge at the same time.
 func (rd *rolloutDriver) checkSpec(to ReplyAddress, spec *protocol.RolloutSpec) bool {
 	if len(rd.catalog.types) == 0 {
 		rd.refuse(to, refusalMachineTypes)
@@ -77,8 +78,8 @@
 	return true
 }
 
-// awaitReply keeps an operator waiting for the answer with the number that it returns, but not
-// for longer than rolloutReplyTimeout.
+// awaitReply registers an operator's request that waits for its reply, and returns its call number.
+// Without a reply within rolloutReplyTimeout the request is refused.
 func (rd *rolloutDriver) awaitReply(to ReplyAddress) uint64 {
 	rd.operatorCallSeq++
 	call := rd.operatorCallSeq
