--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// localityWaitFetches is how long an array takes machines without its image only after the jobs
-	// whose image is there, in fetch times of its image. With 4 instead of 1, hsos-foldrenges-fleet
-	// had 0.80/0.78 on six paired seeds.
+	// localityWaitFetches is for how long, in fetch times of its image, an array leaves machines
+	// without the image to the jobs whose image is there. With 4 instead of 1,
+	// hsos-foldrenges-fleet had 0.80/0.78 on six paired seeds.
 	localityWaitFetches = 1
 	// bookingRetryDelay is the pause after a deadline job could not be booked in time, and after
 	// preemption could not free enough capacity for a gang.
--- a/internal/controller/preemption_victims.go
+++ b/internal/controller/preemption_victims.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// chooseVictims chooses the attempts of lower priority on a host that have to end for a number of a
-// job's tasks to fit, those that lose the least work first, and returns them with the seconds lost.
+// chooseVictims chooses attempts of lower priority on a host to stop, so that a number of a job's
+// tasks fit there. It prefers attempts that lose little work, and also returns the seconds lost.
 // It chooses none if the tasks fit already, or if they would not fit even without all candidates.
 func (sc *scheduler) chooseVictims(h *state.Host, j *state.Job, tasks int) ([]*state.Attempt, float64) {
 	free := h.Type.Capacity.Add(h.Used(), -1)
@@ -66,8 +66,8 @@
 	return ran
 }
 
-// minimalVictims chooses the candidates that have to end for need to be free, those that lose the
-// least work first. Candidates that are not necessary are left out again: one that loses little
+// minimalVictims chooses candidates to stop so that need becomes free, and prefers those that lose
+// little work. Candidates that are not necessary are left out again: one that loses little
 // may free none of the missing resources. It chooses none if need is free already, or if all
 // candidates together are not enough.
 func minimalVictims(candidates []victim, free, need protocol.Resources) (chosen []victim) {
--- a/internal/controller/rollout_checks.go
+++ b/internal/controller/rollout_checks.go
@@ -32,8 +32,8 @@
 )
 
 // checkInstance has another controller check an instance. The leader makes the check only if no
-// other controller can: its time is needed for work that no other controller can do, and a
-// delegated check costs it one frame.
+// other controller without a disputed check can: its time is needed for work that no other
+// controller can do, and a delegated check costs it one frame.
 func (rd *rolloutDriver) checkInstance(t *leaderTerm, e rollout.Check) {
 	excluded := make(map[string]bool, len(e.Except))
 	for _, name := range e.Except {
