--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -7,7 +7,8 @@
 	"mapleslip/internal/state"
 )
 
-// agents brings the cluster state to what workers report of their hosts and tasks.
+// agents applies the workers' heartbeats to the cluster state: to their hosts, and to the
+// attempts that run there.
 type agents struct {
 	*termContext
 	catalog      *machineCatalog
@@ -23,53 +24,55 @@
 	workload     *workload
 }
 
-// onHeartbeat handles a heartbeat to the leader.
-func (ag *agents) onHeartbeat(e WorkerHeartbeat, r *protocol.Heartbeat) {
-	if r.Token > ag.epoch {
+// onHeartbeat handles a worker's heartbeat and replies with the commands for its host.
+func (ag *agents) onHeartbeat(e WorkerHeartbeat, hb *protocol.Heartbeat) {
+	if hb.Token > ag.epoch {
 		ag.election.stepDownSuperseded("a worker has seen a newer epoch")
 		ag.reply(e.Reply, http.StatusMisdirectedRequest, protocol.LeaderBody(""))
 		return
 	}
-	if _, released := ag.releasedHosts[r.Host]; released {
+	if _, released := ag.releasedHosts[hb.Host]; released {
 		ag.refuse(e.Reply, refusalHostReleased)
 		return
 	}
-	h := ag.cluster.Host(r.Host)
+	h := ag.cluster.Host(hb.Host)
 	if h == nil {
-		h = ag.addReportingHost(r)
-	}
-	if h.IsStale(r) {
-		// The heartbeat was delayed, or crossed the answer to a direct command. In the second
-		// case the worker still waits, so it is answered, but the cluster state stays as it is.
-		// A worker's lease runs from when it sent what is answered, and that was before the
-		// newer message: a copy that comes again and again proves no more.
-		if r.AgentEpoch == h.Agent.Epoch {
+		h = ag.addReportingHost(hb)
+	}
+	if h.IsStale(hb) {
+		// The heartbeat was delayed, or it crossed the response to a direct command. In the second
+		// case the worker still waits for a reply, so the leader sends one, but the cluster state
+		// does not change. A worker's lease runs from the time at which it sent the heartbeat that
+		// is replied to. It sent this one before the newer message that the leader already has, so
+		// replies to any number of copies renew the lease only from the time of that message.
+		if hb.AgentEpoch == h.Agent.Epoch {
 			h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, h.Agent.LastContact)
 		}
 		ag.replyCommands(e.Reply, ag.epoch, nil)
 		return
 	}
-	ag.noteRoute(h, e)
-	ag.applyHeartbeat(h, r, false)
+	ag.updateRoute(h, e)
+	ag.applyHeartbeat(h, hb, false)
 	commands := ag.commands.heartbeatCommands(h)
 	h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, ag.now.Steady)
 	h.Agent.RepliedAt = ag.now.Steady
 	ag.replyCommands(e.Reply, ag.epoch, commands)
 }
 
-// addReportingHost adds a host that was not known before it reported.
-func (ag *agents) addReportingHost(r *protocol.Heartbeat) *state.Host {
-	h := state.NewHost(ag.now.Steady, r.Host, r.Type, r.Zone, r.Spot)
-	h.Type = ag.catalog.byName[r.Type]
-	h.Unverified, h.Addr = r.Token != ag.epoch, r.Addr
+// addReportingHost adds a host that was not in the cluster state when its heartbeat arrived.
+func (ag *agents) addReportingHost(hb *protocol.Heartbeat) *state.Host {
+	h := state.NewHost(ag.now.Steady, hb.Host, hb.Type, hb.Zone, hb.Spot)
+	h.Type = ag.catalog.byName[hb.Type]
+	h.Unverified, h.Addr = hb.Token != ag.epoch, hb.Addr
 	ag.cluster.AddHost(h)
 	ag.prober.queueProbe(h)
-	ag.log.Debug("host reports that was not rented in this term", "host", r.Host)
+	ag.log.Debug("heartbeat from a host that was not rented in this term", "host", hb.Host)
 	return h
 }
 
-// noteRoute notes whether a host's heartbeats come directly.
-func (ag *agents) noteRoute(h *state.Host, e WorkerHeartbeat) {
+// updateRoute records whether a host's heartbeats reach the leader directly or are forwarded by
+// another controller, and whether its worker can't reach the leader.
+func (ag *agents) updateRoute(h *state.Host, e WorkerHeartbeat) {
 	if !e.Reply.Peer {
 		h.Agent.LeaderUnreachableAt, h.Agent.ForwardedAt = 0, 0
 		return
@@ -80,114 +83,119 @@
 	}
 }
 
-// applyHeartbeat brings the cluster state to what a newer heartbeat says. direct tells that it
-// answers a direct command.
-func (ag *agents) applyHeartbeat(h *state.Host, r *protocol.Heartbeat, direct bool) {
-	if h.Agent.Epoch > 0 && r.AgentEpoch > h.Agent.Epoch {
-		// The worker's lease expired: it has killed and forgotten everything.
-		ag.loseAttemptsBefore(h, r.AgentEpoch)
-	}
-	ag.countIneffectiveMessages(h, r, direct)
-	ag.boundLease(h, r)
-	ag.updateHost(h, r)
-	ag.updateInterruption(h, r)
-	ag.applyTasks(h, r)
-	ag.loseMissingAttempts(h, r, direct)
+// applyHeartbeat updates the cluster state from a heartbeat that is newer than the host's last
+// message. direct is true if the heartbeat is the response to a direct command.
+func (ag *agents) applyHeartbeat(h *state.Host, hb *protocol.Heartbeat, direct bool) {
+	if h.Agent.Epoch > 0 && hb.AgentEpoch > h.Agent.Epoch {
+		// The worker's lease expired: it has killed all its tasks and kept no record of them.
+		ag.loseAttemptsBefore(h, hb.AgentEpoch)
+	}
+	ag.countIneffectiveMessages(h, hb, direct)
+	ag.boundLease(h, hb)
+	ag.updateHost(h, hb)
+	ag.updateInterruption(h, hb)
+	ag.applyTasks(h, hb)
+	ag.loseMissingAttempts(h, hb, direct)
 	ag.updateIdleSince(h)
 }
 
-// countIneffectiveMessages notes whether what was said to a worker shows an effect, see
-// ignoresCommands.
-func (ag *agents) countIneffectiveMessages(h *state.Host, r *protocol.Heartbeat, direct bool) {
+// countIneffectiveMessages counts the consecutive replies and commands to a worker that had no
+// effect, see ignoresCommands.
+func (ag *agents) countIneffectiveMessages(h *state.Host, hb *protocol.Heartbeat, direct bool) {
 	now := ag.now.Steady
-	if r.AgentEpoch > h.Agent.Epoch && h.Agent.RepliedAt > 0 && now <= h.Agent.RepliedAt+ag.platform.WorkerLease {
-		h.Commands.Ineffective = ineffectiveMessagesLimit // the answer would have kept its lease
+	if hb.AgentEpoch > h.Agent.Epoch && h.Agent.RepliedAt > 0 && now <= h.Agent.RepliedAt+ag.platform.WorkerLease {
+		h.Commands.Ineffective = ineffectiveMessagesLimit // a reply that arrived would have renewed the lease
 	}
 	if direct {
 		h.Commands.Ineffective = 0
 		return
 	}
 	h.Agent.HeartbeatAt = now
-	if r.Token < ag.epoch && h.Agent.RepliedAt > 0 {
-		h.Commands.Ineffective++ // it was answered under this epoch, and has not seen it
+	if hb.Token < ag.epoch && h.Agent.RepliedAt > 0 {
+		h.Commands.Ineffective++ // the leader replied under this epoch, and the worker has not seen it
 	}
 }
 
-// boundLease keeps the latest time at which anyone may have renewed a worker's lease.
-func (ag *agents) boundLease(h *state.Host, r *protocol.Heartbeat) {
+// boundLease bounds the latest time at which any controller may have renewed a worker's lease.
+func (ag *agents) boundLease(h *state.Host, hb *protocol.Heartbeat) {
 	now := ag.now.Steady
-	if r.AgentEpoch > h.Agent.Epoch {
-		// The lease of an agent epoch runs from its beginning, which may be now. Counted from
-		// an answer to the epoch before, a task that was launched by a direct command would
-		// count as gone before it had begun, and be started elsewhere too.
+	if hb.AgentEpoch > h.Agent.Epoch {
+		// The lease of an agent epoch runs from the start of the epoch, which may be now. If it
+		// were counted from a reply to the previous epoch, a task launched by a direct command
+		// would be considered lost before it had started, and would be started on another host
+		// as well.
 		h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, now)
 	}
-	if r.Token == ag.epoch {
-		// It drops what an earlier leader may go on answering. Otherwise a host that falls
-		// silent after a failover holds its resources until that leader has certainly stopped.
+	if hb.Token == ag.epoch {
+		// The worker now ignores the replies of earlier leaders. Without this bound, a host that
+		// falls silent after a failover would hold its resources until the earlier leader has
+		// certainly stopped replying.
 		h.Agent.LeaseRenewedAt = min(h.Agent.LeaseRenewedAt, now)
 	}
 }
 
-// updateHost notes that a host is up, and what is known of it.
-func (ag *agents) updateHost(h *state.Host, r *protocol.Heartbeat) {
-	h.Agent.Epoch, h.Agent.Sequence, h.Agent.LastContact = r.AgentEpoch, r.Sequence, ag.now.Steady
+// updateHost records that a host is up, and updates its data from the heartbeat.
+func (ag *agents) updateHost(h *state.Host, hb *protocol.Heartbeat) {
+	h.Agent.Epoch, h.Agent.Sequence, h.Agent.LastContact = hb.AgentEpoch, hb.Sequence, ag.now.Steady
 	h.Agent.HeartbeatCount++
 	h.Probe.Failed = false
-	h.Addr = r.Addr
+	h.Addr = hb.Addr
 	if h.Type == nil {
-		h.Type, h.Stale = ag.catalog.byName[r.Type], true
+		h.Type, h.Stale = ag.catalog.byName[hb.Type], true
 	}
 	if h.State == state.HostBooting || h.State == state.HostSilent {
 		if h.State == state.HostBooting && h.Rented {
-			// A host that was there before this leader says nothing of how long boots take.
+			// The start of a boot is known only for hosts that were rented in this term.
 			ag.estimates.observeBoot(h, ag.now.Steady)
 		}
 		h.SetState(state.HostReady)
 		ag.records.recordHost(h)
 		ag.cycleNeeded = true
 	}
-	// Nothing is ever launched on a host before it is recorded, so one that was not holds
-	// nothing, whatever epoch it has seen. To wait for its next heartbeat would have its
-	// resources missing from the plans, and more machines rented in its place. One that is in
-	// no record and no list may be a late copy's, of a machine that is gone: it is probed first.
-	holdsNothing := !h.Record.FromEarlierEpoch && !h.Unverified
-	if !h.Reconciled && (r.Token == ag.epoch || holdsNothing) {
+	// Tasks are launched on a host only after the host has been recorded. So a host without a
+	// record from an earlier epoch has no tasks, whichever epoch its worker has seen. If the
+	// leader waited for its next heartbeat, plans would not include the host's resources, and
+	// more machines would be rented in its place. A host that is in neither the records nor the
+	// cloud's machine list is probed first: the heartbeat may be a delayed copy from a machine
+	// that is gone.
+	hasNoTasks := !h.Record.FromEarlierEpoch && !h.Unverified
+	if !h.Reconciled && (hb.Token == ag.epoch || hasNoTasks) {
 		h.Reconciled = true
 		ag.cycleNeeded = true
 	}
 }
 
-// updateInterruption notes that a spot machine will be interrupted.
-func (ag *agents) updateInterruption(h *state.Host, r *protocol.Heartbeat) {
-	if !r.Interrupted && !h.Interruption.Noticed {
+// updateInterruption updates the notice that a spot machine will be interrupted.
+func (ag *agents) updateInterruption(h *state.Host, hb *protocol.Heartbeat) {
+	if !hb.Interrupted && !h.Interruption.Noticed {
 		return
 	}
 	if !h.Interruption.Noticed {
 		ag.cycleNeeded = true
-		ag.log.Info("spot machine will be interrupted", "host", h.Name, "in_ms", int64(r.InterruptedIn/protocol.Millisecond))
+		ag.log.Info("spot machine will be interrupted", "host", h.Name, "in_ms", int64(hb.InterruptedIn/protocol.Millisecond))
 	}
-	h.Interruption = state.Interruption{Noticed: r.Interrupted, At: ag.now.Steady + r.InterruptedIn}
+	h.Interruption = state.Interruption{Noticed: hb.Interrupted, At: ag.now.Steady + hb.InterruptedIn}
 }
 
-// applyTasks takes what a heartbeat says of the tasks on a host.
-func (ag *agents) applyTasks(h *state.Host, r *protocol.Heartbeat) {
-	current := r.Token == ag.epoch
-	for i := range r.Tasks {
-		task := &r.Tasks[i]
+// applyTasks updates the attempts on a host from the tasks that a heartbeat lists.
+func (ag *agents) applyTasks(h *state.Host, hb *protocol.Heartbeat) {
+	seenThisEpoch := hb.Token == ag.epoch
+	for i := range hb.Tasks {
+		task := &hb.Tasks[i]
 		a := h.Find(task.AttemptName)
 		if a == nil {
-			if completed := task.State == protocol.TaskExited && task.Reason == protocol.ExitDone; !current && !ag.launchesUnrecorded && !completed {
-				// Whatever may be on a host is in a record. This isn't: the heartbeat is older
-				// than the end of the attempt, a late copy mostly. If the task is there the next
-				// heartbeat says so again. A result stays true.
+			if completed := task.State == protocol.TaskExited && task.Reason == protocol.ExitDone; !seenThisEpoch && !ag.launchesUnrecorded && !completed {
+				// Every attempt that may be on a host is in a record, and this one is not: the
+				// worker sent the heartbeat before the attempt ended, and usually this is a delayed
+				// copy. If the task is still on the host, the next heartbeat lists it again. The
+				// result of a completed task is valid in any case.
 				continue
 			}
 			a = ag.adoptAttempt(h, *task)
 		}
 		a.LastHeartbeat = h.Agent.HeartbeatCount
 		if a.LaunchAgentEpoch == 0 {
-			a.LaunchAgentEpoch = r.AgentEpoch // or an earlier one
+			a.LaunchAgentEpoch = hb.AgentEpoch // the launch may also have been sent in an earlier agent epoch
 		}
 		if a.State == state.AttemptLaunched {
 			h.Commands.Ineffective = 0 // the launch arrived
@@ -196,10 +204,10 @@
 	}
 }
 
-// loseMissingAttempts finds the attempts that a heartbeat shows to be gone: it does not list
-// them, and it was made after their launches.
-func (ag *agents) loseMissingAttempts(h *state.Host, r *protocol.Heartbeat, direct bool) {
-	current := r.Token == ag.epoch
+// loseMissingAttempts handles the attempts that a heartbeat proves to be gone: it does not list
+// them, although it is newer than their launches.
+func (ag *agents) loseMissingAttempts(h *state.Host, hb *protocol.Heartbeat, direct bool) {
+	seenThisEpoch := hb.Token == ag.epoch
 	launchMissed := false
 	for _, a := range h.Attempts() {
 		if a.LastHeartbeat == h.Agent.HeartbeatCount || a.State == state.AttemptAssigned {
@@ -212,35 +220,36 @@
 		if !a.State.MayRun() {
 			continue
 		}
-		if a.LaunchAgentEpoch == 0 && (current || direct) {
-			a.LaunchAgentEpoch = r.AgentEpoch // an earlier leader launched it, before this message was made
+		if a.LaunchAgentEpoch == 0 && (seenThisEpoch || direct) {
+			a.LaunchAgentEpoch = hb.AgentEpoch // an earlier leader sent the launch before the worker sent this message
 		}
-		if !current || mayArriveYet(a, r, direct) {
-			// A worker that has not seen this epoch may still get commands of the one before:
-			// absence proves nothing yet.
+		if !seenThisEpoch || launchMayBeInTransit(a, hb, direct) {
+			// The launch may still be in transit. A worker that has not seen this epoch also still
+			// accepts commands of the previous one. So the attempt may yet appear on the host.
 			continue
 		}
 		if a.State == state.AttemptLaunched && a.LaunchedByHeartbeat && !launchMissed {
 			launchMissed = true
 			h.Commands.Ineffective++
 		}
-		ag.log.Debug("attempt is not on its host", "task", a.Name.String(), "host", h.Name, "state", a.State.String())
+		ag.log.Debug("attempt is missing from its host's heartbeat", "task", a.Name.String(), "host", h.Name, "state", a.State.String())
 		ag.onAttemptLost(a)
 	}
 }
 
-// mayArriveYet reports whether the launch of an attempt that a heartbeat does not list may
-// still be on its way.
-func mayArriveYet(a *state.Attempt, r *protocol.Heartbeat, direct bool) bool {
-	if a.State == state.AttemptLaunched && !r.NewerThan(a.LaunchAgentEpoch, a.LaunchSequence) || a.LaunchUncertain {
+// launchMayBeInTransit reports whether the launch of an attempt that a heartbeat does not list may
+// still be on its way to the worker.
+func launchMayBeInTransit(a *state.Attempt, hb *protocol.Heartbeat, direct bool) bool {
+	if a.State == state.AttemptLaunched && !hb.NewerThan(a.LaunchAgentEpoch, a.LaunchSequence) || a.LaunchUncertain {
 		return true
 	}
-	// The answer with the launch and this message may have crossed. Only the next heartbeat
-	// certainly comes after it.
+	// The reply that contained the launch may have crossed this message. Only the next heartbeat
+	// is certainly sent after that reply.
 	return a.State == state.AttemptLaunched && a.LaunchedByHeartbeat && direct
 }
 
-// updateIdleSince notes that a host is not idle.
+// updateIdleSince sets the start of a host's idle time to now if the host has work that retains
+// it.
 func (ag *agents) updateIdleSince(h *state.Host) {
 	if ag.scheduler.hasRetainingWork(h) {
 		h.IdleSince = ag.now.Steady
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -5,23 +5,23 @@
 	"mapleslip/internal/state"
 )
 
-// Pauses after a worker has refused a start.
+// Delays before new starts after a worker has refused to start a task.
 const (
-	fullHostPause    = 2 * protocol.Second
-	unknownTaskPause = 2 * protocol.Second
-	busyTaskPause    = 3 * protocol.Second
+	fullHostPause    = 2 * protocol.Second // of any task on the host: it has too little room
+	unknownTaskPause = 2 * protocol.Second // of the job: the worker can't find it
+	busyTaskPause    = 3 * protocol.Second // of the task: another attempt of it is on the host
 )
 
-// Bounds of what one completed task says of its host's speed, and its weight against what is
-// known. Machines differ by a tenth and estimates by half: only a host that is far off for
-// several tasks in a row shows.
+// Bounds of the ratio of one completed task's run time to its estimate, and the weight of that
+// ratio in the moving average of its host. Machines differ in speed by a tenth and estimates are
+// off by half, so only a host that is far off for several tasks in a row is noticeable.
 const (
 	minRuntimeRatio    = 0.3
 	maxRuntimeRatio    = 5
 	runtimeRatioWeight = 0.25
 )
 
-// adoptAttempt adds an attempt that an earlier leader started.
+// adoptAttempt adds an attempt that an earlier leader launched and that its worker reports.
 func (ag *agents) adoptAttempt(h *state.Host, task protocol.TaskStatus) *state.Attempt {
 	j := ag.cluster.Job(task.Job)
 	if j != nil && task.Index >= len(j.Tasks) {
@@ -32,8 +32,8 @@
 	}
 	a := ag.cluster.Attach(ag.now.Steady, j, h, task.AttemptName)
 	a.Adopted = true
-	current := j != nil && a.Task().Current == a
-	if j == nil || j.State != state.JobActive || !current {
+	isCurrent := j != nil && a.Task().Current == a
+	if j == nil || j.State != state.JobActive || !isCurrent {
 		a.StopRequested = true
 		ag.commands.queueCommands(h)
 	}
@@ -43,21 +43,21 @@
 	if j.Spec.Kind == protocol.Gang {
 		j.Gang.Attempt = max(j.Gang.Attempt, task.Number)
 	}
-	if current {
-		ag.records.recordLaunch(a, ag.now.Steady) // a leader of record format 1 did not
+	if isCurrent {
+		ag.records.recordLaunch(a, ag.now.Steady) // a leader of record format 1 did not record it
 	} else {
 		ag.logTwoHosts(a)
 	}
 	return a
 }
 
-// logTwoHosts logs that a task is on a host while it is placed on another one.
+// logTwoHosts logs that a worker reports an attempt that is not the current one of its task.
 func (ag *agents) logTwoHosts(a *state.Attempt) {
-	other := ""
+	otherHost := ""
 	if current := a.Task().Current; current != nil {
-		other = current.Host.Name
+		otherHost = current.Host.Name
 	}
-	ag.log.Error("task is on two hosts", "task", a.Name.String(), "host", a.Host.Name, "other", other, "state", a.Task().State)
+	ag.log.Error("task is on two hosts", "task", a.Name.String(), "host", a.Host.Name, "other", otherHost, "state", a.Task().State)
 }
 
 var attemptStates = map[protocol.TaskState]state.AttemptState{
@@ -66,36 +66,36 @@
 	protocol.TaskExited: state.AttemptExited,
 }
 
-// observeAttempt takes what a heartbeat says of one attempt.
+// observeAttempt updates an attempt from its status in a heartbeat.
 func (ag *agents) observeAttempt(a *state.Attempt, task protocol.TaskStatus) {
-	to := attemptStates[task.State]
-	if a.State == state.AttemptExited || a.State == to {
+	newState := attemptStates[task.State]
+	if a.State == state.AttemptExited || a.State == newState {
 		return
 	}
-	if a.Job != nil && (to == state.AttemptRunning || to == state.AttemptWaiting || to == state.AttemptCheckpointing) {
-		ag.onImageReady(a, to)
+	if a.Job != nil && (newState == state.AttemptRunning || newState == state.AttemptWaiting || newState == state.AttemptCheckpointing) {
+		ag.onImageReady(a, newState)
 	}
-	if to == state.AttemptExited {
+	if newState == state.AttemptExited {
 		ag.onAttemptExited(a, task)
 		return
 	}
-	ag.cluster.SetAttemptState(ag.now.Steady, a, to)
-	ag.log.Debug("task", "task", a.Name.String(), "host", a.Host.Name, "state", to.String())
+	ag.cluster.SetAttemptState(ag.now.Steady, a, newState)
+	ag.log.Debug("attempt state changed", "task", a.Name.String(), "host", a.Host.Name, "state", newState.String())
 }
 
-// onImageReady notes that an attempt's host has its image.
-func (ag *agents) onImageReady(a *state.Attempt, to state.AttemptState) {
+// onImageReady records that an attempt's image is in the cache of its host.
+func (ag *agents) onImageReady(a *state.Attempt, newState state.AttemptState) {
 	j := a.Job
 	a.Host.AddImage(ag.now.Steady, j.Spec.Image, j.Spec.ImageSize)
 	if a.State == state.AttemptFetching {
 		ag.estimates.observeFetch(a)
 	}
-	if to == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.Gang.Attempt {
+	if newState == state.AttemptRunning && j.Spec.Kind == protocol.Gang && a.Name.Number == j.Gang.Attempt {
 		j.Gang.Started = true
 	}
 }
 
-// onAttemptExited handles the end of an attempt.
+// onAttemptExited handles an attempt that its worker reports as exited.
 func (ag *agents) onAttemptExited(a *state.Attempt, task protocol.TaskStatus) {
 	a.ExitReason = task.Reason
 	ag.cycleNeeded = true
@@ -104,7 +104,7 @@
 		ag.handleExitReason(a)
 	}
 	ag.cluster.SetAttemptState(ag.now.Steady, a, state.AttemptExited)
-	ag.afterAttempt(a)
+	ag.onAttemptEnded(a)
 }
 
 func (ag *agents) handleExitReason(a *state.Attempt) {
@@ -125,37 +125,38 @@
 	}
 }
 
-// onAttemptLost notes that an attempt is certainly on no host any more.
+// onAttemptLost marks an attempt as gone: it is certainly on no host any more.
 func (ag *agents) onAttemptLost(a *state.Attempt) {
 	ag.cluster.SetAttemptState(ag.now.Steady, a, state.AttemptGone)
-	ag.afterAttempt(a)
+	ag.onAttemptEnded(a)
 	ag.cycleNeeded = true
 }
 
-// afterAttempt goes on with a job and a host after the end of an attempt.
-func (ag *agents) afterAttempt(a *state.Attempt) {
+// onAttemptEnded updates the job and the host of an attempt that has ended.
+func (ag *agents) onAttemptEnded(a *state.Attempt) {
 	if a.Job != nil {
-		ag.resetSettledGang(a.Job)
+		ag.resetInactiveGang(a.Job)
 		ag.jobs.finishIfComplete(a.Job)
 	}
 	ag.updateIdleSince(a.Host)
 }
 
-// resetSettledGang lets a gang of which nothing is left start anew.
-func (ag *agents) resetSettledGang(j *state.Job) {
+// resetInactiveGang resets a gang that has no active attempts, so that it can be started again,
+// and completes the cancellation of a job that has none.
+func (ag *agents) resetInactiveGang(j *state.Job) {
 	if j.NoActiveAttempts() {
 		j.Gang = state.Gang{}
 		ag.jobs.completeCancellation(j)
 	}
 }
 
-// onTaskCompleted handles a task's result.
+// onTaskCompleted handles a task that its worker reports as completed.
 func (ag *agents) onTaskCompleted(a *state.Attempt) {
 	j := a.Job
 	if j.Spec.Kind == protocol.Service {
-		return // a replica has no end of its own: it is started again
+		return // a replica never completes: it is started again
 	}
-	ag.learnRuntime(a)
+	ag.updateRuntimeEstimates(a)
 	ag.faults.confirmHealthy(j)
 	if j.Spec.Kind == protocol.Gang {
 		for i := range j.Tasks { // the tasks of a gang complete together
@@ -169,37 +170,39 @@
 	}
 }
 
-// learnRuntime learns from the run time of a completed task.
-func (ag *agents) learnRuntime(a *state.Attempt) {
+// updateRuntimeEstimates updates the run time estimates of the host and of the job's class from a
+// completed task.
+func (ag *agents) updateRuntimeEstimates(a *state.Attempt) {
 	if a.StartedAt == 0 || a.Adopted {
 		return
 	}
-	took := ag.now.Steady - a.StartedAt
+	runtime := ag.now.Steady - a.StartedAt
 	stats := ag.workload.classStats(a.Job.Spec.Class)
-	ratio := float64(took) / float64(stats.estimatedRuntime(a.Job.Spec))
+	ratio := float64(runtime) / float64(stats.estimatedRuntime(a.Job.Spec))
 	ratio = max(minRuntimeRatio, min(maxRuntimeRatio, ratio))
 	a.Host.RuntimeRatio += (ratio - a.Host.RuntimeRatio) * runtimeRatioWeight
-	stats.onTaskCompleted(a.Job, took)
+	stats.onTaskCompleted(a.Job, runtime)
 }
 
-// loseAttemptsBefore notes that nothing is on a host any more that was launched before an agent
-// epoch. Where it is not known in which agent epoch an earlier leader's launch was sent, a
-// higher one proves nothing: what was heard before may be a late copy of a heartbeat of an even
-// earlier epoch, and the launch, a direct command that was delayed, may still match this one.
+// loseAttemptsBefore marks the attempts on a host as gone that were launched before an agent
+// epoch. If the agent epoch in which an earlier leader sent a launch is not known, a higher one
+// proves nothing about the attempt: the last heartbeat that this leader received may have been a
+// delayed copy from an even earlier agent epoch, and the launch, a delayed direct command, may
+// still be valid in the new one.
 func (ag *agents) loseAttemptsBefore(h *state.Host, agentEpoch uint64) {
 	ag.loseAttempts(h, "its agent epoch ended", func(a *state.Attempt) bool {
 		return !a.State.MayRun() || a.LaunchAgentEpoch > 0 && a.LaunchAgentEpoch < agentEpoch
 	})
 }
 
-// onAgentLeaseExpired notes that a worker's lease has certainly expired, and its agent epoch
-// ended with it.
+// onAgentLeaseExpired handles the certain expiry of a worker's lease, with which its agent epoch
+// ends.
 func (ag *agents) onAgentLeaseExpired(h *state.Host) {
 	h.Agent.EndedEpoch = h.Agent.Epoch
 	ag.loseAllAttempts(h, "lease expired")
 }
 
-// loseAllAttempts notes that nothing is on a host any more.
+// loseAllAttempts marks all attempts on a host as gone.
 func (ag *agents) loseAllAttempts(h *state.Host, reason string) {
 	ag.loseAttempts(h, reason, func(*state.Attempt) bool { return true })
 }
--- a/internal/controller/command_sender.go
+++ b/internal/controller/command_sender.go
@@ -5,8 +5,8 @@
 	"mapleslip/internal/state"
 )
 
-// commandSender owns the commands to workers: what a heartbeat is answered with, and the
-// direct commands that don't wait for the next one.
+// commandSender sends commands to workers, in the replies to their heartbeats or, if the commands
+// should not wait for the next heartbeat, as direct commands.
 type commandSender struct {
 	*termContext
 	agents    *agents
@@ -14,19 +14,21 @@
 	hosts     *hostMonitor
 	scheduler *scheduler
 
-	queue    []*state.Host // hosts that commands wait for
-	inFlight int           // direct commands on their way
+	queue    []*state.Host // hosts with unsent direct commands
+	inFlight int           // direct commands without a response yet
 }
 
-// ineffectiveMessagesLimit is how many answers and commands in a row show no effect when a host
-// counts as ignoring commands: its heartbeats arrive, and nothing that is said to it does.
-// Silence does not show that, and a launch that is lost leaves its room free: the same task
-// would be launched there again and again, the others of its gang waiting for it.
+// ineffectiveMessagesLimit is the number of consecutive replies and commands without effect after
+// which a host counts as ignoring commands: the leader receives its heartbeats, but the host does
+// not receive what the leader sends. The check for silent hosts does not find such a host. A lost
+// launch leaves its resources free, so without this limit the scheduler would launch the same task
+// there again and again, while the other tasks of its gang wait for it.
 const ineffectiveMessagesLimit = 2
 
 func ignoresCommands(h *state.Host) bool { return h.Commands.Ineffective >= ineffectiveMessagesLimit }
 
-// requestStop asks for the end of an attempt.
+// requestStop requests that an attempt stops within a grace period. If it is called several times
+// for an attempt, the shortest grace period applies.
 func (cs *commandSender) requestStop(a *state.Attempt, grace micros) {
 	switch {
 	case a.State == state.AttemptAssigned:
@@ -41,12 +43,12 @@
 	}
 }
 
-// requestCheckpointedStop asks for the end of an attempt, with time to save its progress.
+// requestCheckpointedStop requests that an attempt stops, with time to save its progress.
 func (cs *commandSender) requestCheckpointedStop(a *state.Attempt) {
 	cs.requestStop(a, checkpointGrace(a))
 }
 
-// checkpointGrace is how long an attempt needs to save its progress, 0 if it never saves.
+// checkpointGrace returns how long an attempt needs to save its progress, 0 if it never saves it.
 func checkpointGrace(a *state.Attempt) micros {
 	if a.Job == nil || !a.Job.Spec.CanCheckpoint() {
 		return 0
@@ -54,18 +56,19 @@
 	return a.Job.Spec.CheckpointDuration + protocol.Second
 }
 
-// heartbeatCommands is what a heartbeat is answered with.
+// heartbeatCommands returns the commands for the reply to a host's heartbeat.
 func (cs *commandSender) heartbeatCommands(h *state.Host) []protocol.Command {
 	switch {
 	case h.Reconciled && h.State == state.HostReleasing:
-		// It was silent, and the cloud has not answered its release: it may report again for as
-		// long as the cloud is down. The tasks of cancelled jobs must not go on for that.
+		// The host was silent, and the cloud has not responded to the release request. The host may
+		// send heartbeats for as long as the cloud is unavailable, and the tasks of cancelled jobs
+		// must not run for that long.
 		return cs.cancellationStops(h)
 	case !h.Reconciled || h.State != state.HostReady:
 		return nil
 	case !cs.election.mayActAsLeader():
-		// While the lease could have expired, workers only get their own lease renewed, for a
-		// time that the leader's record names.
+		// While the leader's lease may have expired, replies only renew the workers' leases, for
+		// a time that the leader's record contains, and stop the tasks of cancelled jobs.
 		return cs.cancellationStops(h)
 	}
 	var commands []protocol.Command
@@ -84,7 +87,7 @@
 	return commands
 }
 
-// appendAttemptCommands appends what there is to say of an attempt that its worker may have.
+// appendAttemptCommands appends the commands for an attempt that may be on its host.
 func (cs *commandSender) appendAttemptCommands(commands []protocol.Command, a *state.Attempt) []protocol.Command {
 	h := a.Host
 	switch {
@@ -94,24 +97,24 @@
 		}
 	case a.State.MayRun():
 		if a.State == state.AttemptLaunched && a.LaunchUncertain && !h.Commands.InFlight {
-			// Repeated to the same host, the launch has no effect twice.
+			// If the worker has already executed the launch, the second one has no effect.
 			a.LaunchAgentEpoch, a.LaunchSequence = h.Agent.Epoch, h.Agent.Sequence
 			commands = append(commands, protocol.Command{Verb: protocol.VerbLaunch, Name: a.Name})
 		}
 		if !a.StopRequested && (a.Job == nil || a.Job.State != state.JobActive) {
 			a.StopRequested, a.StopGrace = true, 0
 		}
-		saving := a.State == state.AttemptCheckpointing && a.StopGrace > 0
-		if a.StopRequested && !saving {
+		checkpointing := a.State == state.AttemptCheckpointing && a.StopGrace > 0
+		if a.StopRequested && !checkpointing {
 			commands = append(commands, cs.stopCommand(a, a.StopGrace))
 		}
 	}
 	return commands
 }
 
-// mayForget reports whether a worker may forget an attempt that has exited. Results have to be
-// durable before, and an uncertain launch that comes late has no effect only as long as the
-// worker knows the attempt.
+// mayForget reports whether a worker may delete its state of an attempt that has exited. A result
+// has to be durable first. A worker must also keep the attempt while its launch is uncertain,
+// because a delayed launch has no effect only if the worker still has the attempt.
 func mayForget(a *state.Attempt) bool {
 	if a.LaunchUncertain {
 		return false
@@ -129,8 +132,9 @@
 	return true
 }
 
-// cancellationStops is what a leader may say whose lease could have expired, and all that is
-// said to a host that is being released.
+// cancellationStops returns the commands that stop the tasks of cancelled jobs. A leader whose
+// lease may have expired sends no other commands, and neither does any leader to a host that is
+// being released.
 func (cs *commandSender) cancellationStops(h *state.Host) []protocol.Command {
 	var commands []protocol.Command
 	for _, a := range h.Attempts() {
@@ -141,7 +145,7 @@
 	return commands
 }
 
-// stopCommand makes the command that stops an attempt.
+// stopCommand makes the command that stops an attempt, and records when it was first sent.
 func (cs *commandSender) stopCommand(a *state.Attempt, grace micros) protocol.Command {
 	if a.StopSentAt == 0 {
 		a.StopSentAt = cs.now.Steady
@@ -149,14 +153,15 @@
 	return protocol.Command{Verb: protocol.VerbStop, Name: a.Name, Grace: grace}
 }
 
-// launchableAttempts lists the attempts whose launches may be sent to a host: recorded, and
-// with room beside all that is there and not told to end at once.
+// launchableAttempts returns the attempts whose launches may be sent to a host: they are recorded,
+// and they fit beside all attempts on the host that have not been sent a stop without a
+// grace period.
 func (cs *commandSender) launchableAttempts(h *state.Host, limit int) []*state.Attempt {
 	var launchable []*state.Attempt
 	var used protocol.Resources
 	for _, a := range h.Attempts() {
-		ending := a.StopSentAt > 0 && a.StopGrace == 0
-		if a.State.MayRun() && a.Job != nil && !ending {
+		stopping := a.StopSentAt > 0 && a.StopGrace == 0
+		if a.State.MayRun() && a.Job != nil && !stopping {
 			used = used.Add(a.Job.Spec.TaskResources, 1)
 		}
 	}
@@ -167,9 +172,9 @@
 		if a.State != state.AttemptAssigned || !a.Recorded || !h.Record.Written || a.Job.State != state.JobActive {
 			continue
 		}
-		with := used.Add(a.Job.Spec.TaskResources, 1)
-		if h.Type == nil || h.Type.Capacity.Covers(with) {
-			used = with
+		total := used.Add(a.Job.Spec.TaskResources, 1)
+		if h.Type == nil || h.Type.Capacity.Covers(total) {
+			used = total
 			launchable = append(launchable, a)
 		}
 	}
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// commandTimeout is how long a worker has to answer a direct command.
+	// commandTimeout is the timeout of a direct command.
 	commandTimeout = 2 * protocol.Second
-	// commandRetryDelay is how long no direct commands are sent to a host that did not answer.
+	// commandRetryDelay is how long a host gets no direct commands after it did not respond to one.
 	commandRetryDelay = 8 * protocol.Second
-	// maxCommandsInFlight bounds the direct commands on their way: each takes a socket, and
-	// what does not get its turn goes with the answer to a heartbeat.
+	// maxCommandsInFlight bounds the direct commands that are in flight: each takes a socket.
+	// Commands beyond the limit are sent in the replies to the next heartbeats.
 	maxCommandsInFlight = 64
 )
 
-// queueCommands notes that commands wait for a host.
+// queueCommands queues a host for a direct command.
 func (cs *commandSender) queueCommands(h *state.Host) {
 	if !h.Commands.Queued {
 		h.Commands.Queued = true
@@ -26,7 +26,7 @@
 	}
 }
 
-// sendQueuedCommands sends the commands that should not wait for the next heartbeat.
+// sendQueuedCommands sends direct commands to the queued hosts.
 func (cs *commandSender) sendQueuedCommands() {
 	waiting := cs.queue[:0]
 	for i, h := range cs.queue {
@@ -34,8 +34,8 @@
 			waiting = append(waiting, cs.queue[i:]...)
 			break
 		}
-		uncertain := cs.election.role == RoleLeaseUncertain && !slices.ContainsFunc(h.Attempts(), isCancelled)
-		if h.Commands.InFlight || uncertain {
+		awaitsLease := cs.election.role == RoleLeaseUncertain && !slices.ContainsFunc(h.Attempts(), isCancelled)
+		if h.Commands.InFlight || awaitsLease {
 			waiting = append(waiting, h)
 			continue
 		}
@@ -47,8 +47,8 @@
 	cs.queue = waiting
 }
 
-// acceptsDirectCommands reports whether direct commands are sent to a host. Otherwise they go
-// with the answer to its next heartbeat.
+// acceptsDirectCommands reports whether the leader sends direct commands to a host. If not, the
+// commands are sent in the reply to the host's next heartbeat.
 func (cs *commandSender) acceptsDirectCommands(h *state.Host) bool {
 	if cs.now.Steady < h.Commands.RetryAt || h.Addr == "" || h.State != state.HostReady || !h.Reconciled {
 		return false
@@ -56,7 +56,7 @@
 	return cs.scheduler.isSchedulable(h) || h.Interruption.Noticed || cs.hosts.missesHeartbeats(h)
 }
 
-// sendCommandsTo sends a host what waits for it.
+// sendCommandsTo sends a host the stops and launches that have not been sent yet.
 func (cs *commandSender) sendCommandsTo(h *state.Host) {
 	var commands []protocol.Command
 	for _, a := range h.Attempts() {
@@ -77,9 +77,9 @@
 	}
 }
 
-// sendCommands sends commands directly. Until they are answered the launches are uncertain: the
-// worker may execute them at any time in the same agent epoch, also long after this controller
-// has given up.
+// sendCommands sends direct commands to a host. Launches are uncertain until the worker responds:
+// it may execute them at any time in the same agent epoch, even long after the call of this
+// controller has timed out.
 func (cs *commandSender) sendCommands(h *state.Host, commands []protocol.Command, launched []*state.Attempt) {
 	h.Commands.InFlight = true
 	cs.inFlight++
@@ -96,7 +96,7 @@
 		h.Commands.InFlight = false
 		cs.inFlight--
 		if heartbeat := cs.parseCommandResponse(h, r); heartbeat != nil {
-			settleLaunches(launched, heartbeat)
+			confirmLaunches(launched, heartbeat)
 			cs.applyCommandResponse(h, heartbeat)
 			return
 		}
@@ -104,17 +104,17 @@
 	})
 }
 
-// settleLaunches notes that launches were answered: any later message must show what came of
-// them.
-func settleLaunches(launched []*state.Attempt, heartbeat *protocol.Heartbeat) {
+// confirmLaunches records that a worker responded to launches: the heartbeat in the response, and
+// every later message of the worker, reflects them.
+func confirmLaunches(launched []*state.Attempt, heartbeat *protocol.Heartbeat) {
 	for _, a := range launched {
 		a.LaunchUncertain = false
 		a.LaunchAgentEpoch, a.LaunchSequence = heartbeat.AgentEpoch, heartbeat.Sequence-1
 	}
 }
 
-// onUnansweredCommands notes that a host has not answered commands. Launches that were not sent
-// are taken back; those that were stay uncertain.
+// onUnansweredCommands handles commands to which a host did not respond. Launches that were never
+// sent are withdrawn; the others stay uncertain.
 func (cs *commandSender) onUnansweredCommands(h *state.Host, r CallResult, launched []*state.Attempt) {
 	h.Commands.RetryAt = cs.now.Steady + commandRetryDelay
 	if !r.NotSent {
@@ -131,8 +131,8 @@
 	}
 }
 
-// parseCommandResponse reads the heartbeat with which a worker answers a command, nil if there
-// is none.
+// parseCommandResponse parses the heartbeat in a worker's response to a direct command. It returns
+// nil if the response contains none.
 func (cs *commandSender) parseCommandResponse(h *state.Host, r CallResult) *protocol.Heartbeat {
 	if r.Status != http.StatusOK && r.Status != http.StatusConflict {
 		return nil
@@ -145,8 +145,8 @@
 	return heartbeat
 }
 
-// applyCommandResponse takes the heartbeat that answered a command, unless a newer one came
-// first. It reports whether this controller still leads.
+// applyCommandResponse applies the heartbeat in the response to a direct command, unless a newer
+// one has been applied. It reports whether this controller is still the leader.
 func (cs *commandSender) applyCommandResponse(h *state.Host, heartbeat *protocol.Heartbeat) bool {
 	if heartbeat.Token > cs.epoch {
 		cs.election.stepDownSuperseded("a worker has seen a newer epoch")
--- a/internal/controller/fault_tracker.go
+++ b/internal/controller/fault_tracker.go
@@ -8,22 +8,22 @@
 	"mapleslip/internal/state"
 )
 
-// faultTracker tells faulty hosts from jobs that were submitted with a mistake.
+// faultTracker distinguishes faulty hosts from jobs that were submitted with a mistake.
 type faultTracker struct {
 	*termContext
 	rollouts *rolloutDriver
 }
 
 const (
-	// provenRunTime is how long a task has to run to show that its job can.
+	// provenRunTime is how long a task has to run to prove that its job can run.
 	provenRunTime = 10 * protocol.Second
 
-	// A suspect job is not tried for a time that doubles with each failure.
-	minFailureBackoff        = 4 * protocol.Second
-	maxFailureBackoff        = 60 * protocol.Second
-	maxFailureBackoffDoubles = 8
+	// The backoff of a suspect job doubles with each failure.
+	minFailureBackoff          = 4 * protocol.Second
+	maxFailureBackoff          = 60 * protocol.Second
+	maxFailureBackoffDoublings = 8
 
-	// A host is quarantined for longer each time.
+	// Each quarantine of a host is longer than the previous one.
 	quarantineStep = 30 * protocol.Second
 	maxQuarantine  = 300 * protocol.Second
 	// suspicionsToQuarantine is how many jobs have to fail on a host, and on no other, for it
@@ -31,7 +31,7 @@
 	suspicionsToQuarantine = 2
 )
 
-// isProven reports whether something shows that a job can run.
+// isProven reports whether it is proven that a job can run.
 func (ft *faultTracker) isProven(j *state.Job) bool {
 	if j.CompletedTasks > 0 {
 		return true
@@ -41,7 +41,7 @@
 	})
 }
 
-// onTaskFailed handles a task's error.
+// onTaskFailed handles a task that exited with an error.
 func (ft *faultTracker) onTaskFailed(a *state.Attempt) {
 	j, h := a.Job, a.Host
 	if j.Failures.ByHost == nil {
@@ -49,14 +49,15 @@
 	}
 	j.Failures.ByHost[h.Name]++
 	ft.rollouts.step(rollout.TaskFailed{Ref: j.Spec.Ref, Index: a.Name.Index})
-	ft.assignBlame(j, h)
+	ft.attributeFailure(j, h)
 	ft.log.Info("task failed", "task", a.Name.String(), "host", h.Name, "on_host", j.Failures.ByHost[h.Name],
 		"hosts", len(j.Failures.ByHost), "suspect", j.Failures.Suspect)
 }
 
-// assignBlame decides who is to blame for a failure of a job's task on a host: the host if the
-// job is known to run, the job if it has failed on other hosts too, or nobody yet.
-func (ft *faultTracker) assignBlame(j *state.Job, h *state.Host) {
+// attributeFailure attributes the failure of a job's task on a host. If the job is proven to run,
+// the host is faulty; if the job has failed on other hosts too, the job is suspect. Otherwise the
+// cause is still unknown, and the host is suspected.
+func (ft *faultTracker) attributeFailure(j *state.Job, h *state.Host) {
 	switch {
 	case ft.isProven(j):
 		ft.quarantineHost(h)
@@ -67,20 +68,20 @@
 	}
 }
 
-// suspectJob backs off from a job that has failed on several hosts.
+// suspectJob marks a job that has failed on several hosts as suspect, and delays its next start.
 func (ft *faultTracker) suspectJob(j *state.Job) {
 	j.Failures.Suspect = true
-	ft.clearBlame(j)
+	ft.clearSuspicions(j)
 	if ft.now.Steady < j.Failures.BackoffUntil {
 		return // tasks that fail together count once
 	}
-	backoff := minFailureBackoff << min(j.Failures.Backoffs, maxFailureBackoffDoubles)
+	backoff := minFailureBackoff << min(j.Failures.Backoffs, maxFailureBackoffDoublings)
 	j.Failures.BackoffUntil = ft.now.Steady + min(backoff, maxFailureBackoff)
 	j.Failures.Backoffs++
 }
 
-// suspectHost notes that a job has failed on a host, and on no other. A host on which that
-// happens to several jobs is quarantined.
+// suspectHost records that a job has failed on a host, and on no other. A host on which several
+// jobs have failed is quarantined.
 func (ft *faultTracker) suspectHost(h *state.Host, ref string) {
 	h.Quarantine.SuspectedBy = append(h.Quarantine.SuspectedBy, ref)
 	h.Stale = true
@@ -90,7 +91,7 @@
 	}
 }
 
-// quarantineHost has a host take no tasks for a while.
+// quarantineHost excludes a host from placement for some time.
 func (ft *faultTracker) quarantineHost(h *state.Host) {
 	h.Quarantine.Count++
 	h.Quarantine.Until = ft.now.Steady + min(micros(h.Quarantine.Count)*quarantineStep, maxQuarantine)
@@ -98,8 +99,9 @@
 	ft.log.Info("machine is quarantined", "host", h.Name, "faults", h.Quarantine.Count)
 }
 
-// clearBlame takes back what a suspect job's failures said of hosts.
-func (ft *faultTracker) clearBlame(j *state.Job) {
+// clearSuspicions removes a suspect job's failures from the suspicions against its hosts, and ends
+// quarantines that the remaining suspicions do not justify.
+func (ft *faultTracker) clearSuspicions(j *state.Job) {
 	for name := range j.Failures.ByHost {
 		h := ft.cluster.Host(name)
 		if h == nil || !slices.Contains(h.Quarantine.SuspectedBy, j.Spec.Ref) {
@@ -114,7 +116,7 @@
 	}
 }
 
-// confirmHealthy notes that a job can run. Where it failed before, the host was faulty.
+// confirmHealthy records that a job can run. The hosts on which it failed before are faulty.
 func (ft *faultTracker) confirmHealthy(j *state.Job) {
 	for name := range j.Failures.ByHost {
 		if h := ft.cluster.Host(name); h != nil && ft.now.Steady >= h.Quarantine.Until {
--- a/internal/controller/host_monitor.go
+++ b/internal/controller/host_monitor.go
@@ -6,8 +6,8 @@
 	"mapleslip/internal/state"
 )
 
-// hostMonitor watches the silence of hosts: it proves their tasks gone when leases expire,
-// notices partitions, and has hosts released that are lost.
+// hostMonitor handles silent hosts: it marks their tasks as lost when their leases have expired,
+// detects network partitions, and releases lost hosts.
 type hostMonitor struct {
 	*termContext
 	agents   *agents
@@ -20,63 +20,66 @@
 	recovery *recovery
 	transfer *transferController
 
-	partitionSeenAt map[string]micros // when a zone last looked cut off
+	partitionSeenAt map[string]micros // by zone: when it last looked partitioned
 }
 
-// Shares of a zone's hosts that are silent when the zone counts as cut off.
+// Thresholds on the silent hosts of a zone from which it counts as partitioned, see
+// partitionThreshold.
 const (
-	smallZoneHosts      = 30
-	maxPartitionShare   = 0.5
-	minPartitionShare   = 0.2
-	partitionBegunShare = 0.6 // of the hosts that should have begun to be silent
-	minPartitionHosts   = 3
+	smallZoneHosts         = 30 // zones with fewer hosts are small
+	maxPartitionShare      = 0.5
+	minPartitionShare      = 0.2
+	partitionExpectedShare = 0.6 // of the hosts that are expected to be silent before the first release
+	minPartitionHosts      = 3   // silent hosts
 )
 
 const (
-	// partitionRetentionLeases is how many leases the hosts of a zone that is cut off are kept,
-	// unless the operators say for how long. A cut of two minutes takes more than four.
+	// partitionRetentionLeases is how many leases the hosts of a partitioned zone are kept, unless
+	// the operators set a time. A partition of two minutes lasts for more than four leases.
 	partitionRetentionLeases = 8
 	partitionHoldMargin      = 4 * protocol.Second
-	// silentLeases is for how many leases a host is kept that ignores commands.
-	silentLeases = 2
+	// ignoringCommandsLeases is how many leases a silent host is kept that ignores commands.
+	ignoringCommandsLeases = 2
 )
 
 // Reasons for which the monitor releases hosts.
 const (
-	releaseSilent             = "silent"
-	releaseSilentCancelled    = "silent, and a cancelled task may be on it"
-	releaseUnheedingCancelled = "ignores commands, and a cancelled task may be on it"
+	releaseSilent            = "silent"
+	releaseSilentCancelled   = "silent, and a cancelled task may be on it"
+	releaseIgnoringCancelled = "ignores commands, and a cancelled task may be on it"
 )
 
-// silenceThreshold is after how long without a message a host counts as silent: its heartbeat
-// is overdue by half of the time between two.
+// silenceThreshold is the time without a message after which a host counts as silent: its next
+// heartbeat is overdue by half an interval.
 func (hm *hostMonitor) silenceThreshold() micros { return hm.platform.HeartbeatInterval * 3 / 2 }
 
-// silentFor is how long nothing was heard of a host.
+// silentFor returns the time since a host's last message.
 func (hm *hostMonitor) silentFor(h *state.Host) micros { return hm.now.Steady - h.Agent.LastContact }
 
 func (hm *hostMonitor) isSilent(h *state.Host) bool {
 	return hm.silentFor(h) > hm.silenceThreshold()
 }
 
-// releaseDelay is after how long a silent host is released, if nothing else is known.
+// releaseDelay returns the time after which a silent host is released, unless hostReleaseDelay
+// extends it.
 func (hm *hostMonitor) releaseDelay() micros {
 	return max(hm.operator.SilentReleaseDelay, hm.silenceThreshold()+commandTimeout)
 }
 
-// partitionThreshold is the share of a zone's hosts that are silent when it counts as cut off.
-// The first of them would be released a fixed time after it fell silent, and by then the
-// others have only begun to be silent: with longer times between heartbeats, fewer. In a small
-// zone a few hosts that die at once are as many, so it takes half.
+// partitionThreshold returns the share of silent hosts from which a zone counts as partitioned. In
+// a partition, hosts become silent one by one, when their heartbeats become overdue. The first of
+// them would be released a fixed time later. By then only part of the others are silent, and the
+// longer the heartbeat interval, the fewer. In a small zone, a few hosts that fail at once make up
+// the same share, so there half of the hosts have to be silent.
 func (hm *hostMonitor) partitionThreshold(hosts int) float64 {
 	if hosts < smallZoneHosts {
 		return maxPartitionShare
 	}
-	begun := float64(hm.releaseDelay()-hm.silenceThreshold()) / float64(hm.platform.HeartbeatInterval)
-	return max(minPartitionShare, min(maxPartitionShare, partitionBegunShare*begun))
+	expectedShare := float64(hm.releaseDelay()-hm.silenceThreshold()) / float64(hm.platform.HeartbeatInterval)
+	return max(minPartitionShare, min(maxPartitionShare, partitionExpectedShare*expectedShare))
 }
 
-// partitionRetention is how long the hosts of a zone that is cut off are kept.
+// partitionRetention returns how long the hosts of a partitioned zone are kept.
 func (hm *hostMonitor) partitionRetention() micros {
 	if hm.operator.PartitionRetention > 0 {
 		return hm.operator.PartitionRetention
@@ -84,19 +87,19 @@
 	return partitionRetentionLeases * hm.platform.WorkerLease
 }
 
-// partitionHoldTime is how long a zone counts as cut off after it last looked so: when a
-// partition ends, its hosts do not all come back at the same instant.
+// partitionHoldTime returns how long a zone counts as partitioned after it last looked so: when a
+// partition ends, heartbeats do not arrive from all of its hosts at the same instant.
 func (hm *hostMonitor) partitionHoldTime() micros {
 	return 2*hm.platform.HeartbeatInterval + partitionHoldMargin
 }
 
 func (hm *hostMonitor) isCutOff(zone string) bool {
-	seen, ok := hm.partitionSeenAt[zone]
-	return ok && hm.now.Steady-seen < hm.partitionHoldTime()
+	lastSeen, ok := hm.partitionSeenAt[zone]
+	return ok && hm.now.Steady-lastSeen < hm.partitionHoldTime()
 }
 
-// checkHosts looks at all hosts: it notices silence, proves tasks gone, and sees when every
-// recorded host is accounted for.
+// checkHosts checks all hosts: it detects silent hosts and partitions, marks tasks as lost whose
+// hosts' leases have expired, and detects when all recorded hosts have been reconciled.
 func (hm *hostMonitor) checkHosts() {
 	zones, expected, lost := hm.countWorkers()
 	if hm.transfer.considerTransfer(zones) {
@@ -104,9 +107,9 @@
 	}
 	releaseAfter := hm.releaseDelay()
 	if lost > 2 && lost*3 > expected {
-		releaseAfter *= 2 // so many at once are rather cut off than dead
+		releaseAfter *= 2 // so many hosts at once are probably partitioned, not dead
 	}
-	hm.notePartitions(zones)
+	hm.detectPartitions(zones)
 	hm.handover.updateHandover(hm.releaseDelay())
 	mayRelease := hm.election.mayActAsLeader() && !hm.isLagging(hm.releaseDelay())
 	unreconciled := 0
@@ -127,8 +130,8 @@
 	}
 }
 
-// countWorkers counts the workers that this leader should hear, by zone and in all, and those
-// that have been silent for longer than the release delay.
+// countWorkers counts the workers that should send heartbeats to this leader, by zone and in
+// total, and those that have been silent for longer than the release delay.
 func (hm *hostMonitor) countWorkers() (zones map[string]leadership.ZoneWorkers, expected, lost int) {
 	zones = make(map[string]leadership.ZoneWorkers, len(hm.platform.Zones))
 	for _, h := range hm.cluster.Hosts() {
@@ -152,8 +155,8 @@
 	return zones, expected, lost
 }
 
-// notePartitions notes which zones look cut off.
-func (hm *hostMonitor) notePartitions(zones map[string]leadership.ZoneWorkers) {
+// detectPartitions records the zones that look partitioned now.
+func (hm *hostMonitor) detectPartitions(zones map[string]leadership.ZoneWorkers) {
 	for name, z := range zones {
 		if z.Silent >= minPartitionHosts && float64(z.Silent) >= hm.partitionThreshold(z.All)*float64(z.All) {
 			hm.partitionSeenAt[name] = hm.now.Steady
@@ -161,28 +164,29 @@
 	}
 }
 
-// hostReleaseDelay is after how long a silent host is released.
+// hostReleaseDelay returns the time after which a silent host is released.
 func (hm *hostMonitor) hostReleaseDelay(h *state.Host, delay micros) micros {
 	if hm.isCutOff(h.Zone) {
-		// The tasks of the zone go on within their leases, and a release would end them all.
-		// After that the hosts are worth keeping for a while, with their images.
+		// The zone's tasks keep running while their workers' leases last, and a release would end
+		// them all. Afterwards the hosts are still worth keeping for a while, for their cached
+		// images.
 		delay = max(delay, hm.partitionRetention())
 	}
 	if ignoresCommands(h) {
-		// Its worker goes from controller to controller, each time after it has waited for an
-		// answer, and comes round to this one only then. If it hears this one again before its
-		// lease expires, what is on it goes on.
-		delay = max(delay, silentLeases*hm.platform.WorkerLease)
+		// The worker tries one controller after the other, each time waiting for a reply, and
+		// returns to this one last. If it receives a reply from this controller before its lease
+		// expires, its tasks continue.
+		delay = max(delay, ignoringCommandsLeases*hm.platform.WorkerLease)
 	}
 	if h.Agent.ForwardedAt > 0 && hm.now.Steady-h.Agent.ForwardedAt < hm.platform.WorkerLease {
-		// It is redirected here now and then, and comes round to the controller that forwards
-		// its heartbeats only after that.
+		// The worker is sometimes redirected to this controller, and only after that returns to the
+		// controller that forwards its heartbeats.
 		delay = max(delay, redirectReturnWindow)
 	}
 	return delay
 }
 
-// checkReportingHost looks at a host that reports.
+// checkReportingHost checks a host that sends heartbeats.
 func (hm *hostMonitor) checkReportingHost(h *state.Host, mayRelease bool) {
 	if h.Interruption.Noticed {
 		hm.drainInterrupted(h)
@@ -191,19 +195,19 @@
 		return
 	}
 	if mayRelease && hm.mayRunCancelledTask(h) {
-		hm.cloud.releaseHost(h, releaseUnheedingCancelled)
+		hm.cloud.releaseHost(h, releaseIgnoringCancelled)
 	} else {
 		hm.probe(h)
 	}
 }
 
-// checkSilentHost looks at a host that is silent, or not up.
+// checkSilentHost checks a host that is silent, not up yet or being released.
 func (hm *hostMonitor) checkSilentHost(h *state.Host, releaseAfter micros, mayRelease bool) {
 	expired := hm.peers.leaseExpired(h)
 	switch h.State {
 	case state.HostBooting, state.HostReady:
 		if h.State == state.HostBooting && !h.Record.FromEarlierEpoch {
-			return // has never reported: holds nothing
+			return // it has never sent a heartbeat, so it has no tasks
 		}
 		if expired {
 			hm.agents.onAgentLeaseExpired(h)
@@ -225,8 +229,8 @@
 	}
 }
 
-// checkUnexpiredHost looks at a silent host whose lease may last yet. It is released once it
-// neither reports nor answers.
+// checkUnexpiredHost checks a silent host whose worker's lease may not have expired yet. It is
+// released once it neither sends heartbeats nor responds to probes.
 func (hm *hostMonitor) checkUnexpiredHost(h *state.Host, releaseAfter micros, mayRelease bool) {
 	silentFor := hm.silentFor(h)
 	sinceRecovery := hm.now.Steady - hm.recordsLoadedAt
@@ -242,7 +246,7 @@
 	}
 }
 
-// probe has a host probed, unless it was lately.
+// probe queues a probe of a host unless one was queued within the last commandTimeout.
 func (hm *hostMonitor) probe(h *state.Host) {
 	if hm.now.Steady >= h.Probe.NextAt && hm.election.mayActAsLeader() {
 		h.Probe.NextAt = hm.now.Steady + commandTimeout
@@ -250,7 +254,8 @@
 	}
 }
 
-// onReconciled notes that every recorded host has reported or is proven empty.
+// onReconciled handles the end of the reconciliation: every recorded host has sent a heartbeat or
+// is proven to have no tasks.
 func (hm *hostMonitor) onReconciled() {
 	hm.reconciled = true
 	hm.cycleNeeded = true
@@ -260,9 +265,9 @@
 		"hosts", len(hm.cluster.Hosts()))
 }
 
-// mayRunCancelledTask reports whether a task may be on a host whose job was cancelled so long
-// ago that it has to be gone soon. Half of the time allowed is left to the cloud, which may be
-// in trouble itself.
+// mayRunCancelledTask reports whether a host may have a task of a job that was cancelled so long
+// ago that the task has to end soon. Half of CancelTimeout is left for the cloud's release of the
+// host, because the cloud may be slow or unavailable as well.
 func (hm *hostMonitor) mayRunCancelledTask(h *state.Host) bool {
 	for _, a := range h.Attempts() {
 		if a.State.MayRun() && isCancelled(a) && hm.now.Wall-a.Job.Cancellation.RequestedWall > hm.platform.CancelTimeout/2 {
@@ -272,18 +277,19 @@
 	return false
 }
 
-// missesHeartbeats reports whether a worker opens no connection to any controller, while direct
-// commands reach it: none of its heartbeats has come for as long as its lease under this
-// leader. Each probe of it is answered, so it is not silent; but direct commands renew no
-// lease, so whatever is placed there is gone within one. What is on it stays until its lease
-// expires, and stops are still sent as direct commands.
+// missesHeartbeats reports whether this leader has received no heartbeat from a worker for the
+// length of its lease. This happens when direct commands reach a worker that can't connect to any
+// controller. Its responses to probes keep it from being silent, but direct commands do not renew
+// its lease, so any task placed there would be lost within one lease. The tasks that are on the
+// host continue until the lease expires, and stops are still sent as direct commands.
 func (hm *hostMonitor) missesHeartbeats(h *state.Host) bool {
 	return hm.now.Steady-max(h.Agent.HeartbeatAt, h.KnownSince, hm.recordsLoadedAt) > hm.platform.WorkerLease
 }
 
-// drainInterrupted saves what it can from a spot machine that will be interrupted.
+// drainInterrupted stops the tasks on a spot machine that will be interrupted: those that have not
+// started and replicas at once, the others in time to save their progress if they can.
 func (hm *hostMonitor) drainInterrupted(h *state.Host) {
-	left := h.Interruption.At - hm.now.Steady
+	timeLeft := h.Interruption.At - hm.now.Steady
 	for _, a := range h.Attempts() {
 		j := a.Job
 		if j == nil || a.StopRequested || !a.State.HoldsResources() {
@@ -293,7 +299,7 @@
 		switch {
 		case notStarted, j.Spec.Kind == protocol.Service:
 			hm.commands.requestStop(a, 0)
-		case j.Spec.CanCheckpoint() && left < j.Spec.CheckpointDuration+2*hm.platform.HeartbeatInterval:
+		case j.Spec.CanCheckpoint() && timeLeft < j.Spec.CheckpointDuration+2*hm.platform.HeartbeatInterval:
 			hm.commands.requestCheckpointedStop(a)
 		}
 	}
