--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -104,7 +104,8 @@
 func (ag *agents) countIneffectiveMessages(h *state.Host, hb *protocol.Heartbeat, direct bool) {
 	now := ag.now.Steady
 	if hb.AgentEpoch > h.Agent.Epoch && h.Agent.RepliedAt > 0 && now <= h.Agent.RepliedAt+ag.platform.WorkerLease {
-		h.Commands.Ineffective = ineffectiveMessagesLimit // a reply that arrived would have renewed the lease
+		// The reply, had it arrived, would have renewed the lease.
+		h.Commands.Ineffective = ineffectiveMessagesLimit
 	}
 	if direct {
 		h.Commands.Ineffective = 0
@@ -112,7 +113,8 @@
 	}
 	h.Agent.HeartbeatAt = now
 	if hb.Token < ag.epoch && h.Agent.RepliedAt > 0 {
-		h.Commands.Ineffective++ // the leader replied under this epoch, and the worker has not seen it
+		// The leader has replied under this epoch, but the worker has not seen it.
+		h.Commands.Ineffective++
 	}
 }
 
@@ -195,7 +197,7 @@
 		}
 		a.LastHeartbeat = h.Agent.HeartbeatCount
 		if a.LaunchAgentEpoch == 0 {
-			a.LaunchAgentEpoch = hb.AgentEpoch // the launch may also have been sent in an earlier agent epoch
+			a.LaunchAgentEpoch = hb.AgentEpoch // or an earlier agent epoch
 		}
 		if a.State == state.AttemptLaunched {
 			h.Commands.Ineffective = 0 // the launch arrived
@@ -221,7 +223,8 @@
 			continue
 		}
 		if a.LaunchAgentEpoch == 0 && (seenThisEpoch || direct) {
-			a.LaunchAgentEpoch = hb.AgentEpoch // an earlier leader sent the launch before the worker sent this message
+			// An earlier leader sent the launch before the worker sent this message.
+			a.LaunchAgentEpoch = hb.AgentEpoch
 		}
 		if !seenThisEpoch || launchMayBeInTransit(a, hb, direct) {
 			// The launch may still be in transit. A worker that has not seen this epoch also still
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -6,7 +6,7 @@
 	"mapleslip/internal/state"
 )
 
-// autoscaler rents machines as the queue needs them, and releases those that are idle.
+// autoscaler rents machines for the queue, and releases idle ones.
 type autoscaler struct {
 	*termContext
 	catalog     *machineCatalog
@@ -17,13 +17,13 @@
 	submitQueue *submissionQueue
 	workload    *workload
 
-	refusedUntil    map[machineKind]micros // the cloud had none: no request before
-	backoff         map[machineKind]micros
-	requested       map[machineKind]int         // machines asked for and not answered yet
-	neededMachines  map[*slottable.Machine]bool // that the last plan counted on
-	overloadedAt    micros                      // when users were last told to submit again later
-	nextPlan        micros
-	nextSpareRental map[string]micros // by class: no spare capacity is rented before
+	refusedUntil    map[machineKind]micros      // no request before, after an unfulfilled one
+	backoff         map[machineKind]micros      // last pause after the cloud had no capacity
+	requested       map[machineKind]int         // machines in requests without a response yet
+	neededMachines  map[*slottable.Machine]bool // machines that the last plan needs
+	overloadedAt    micros                      // when submissions were last refused in an overload
+	nextPlan        micros                      // no plan is made before this time
+	nextSpareRental map[string]micros           // by class: no spare capacity is rented before
 	nextFleetLog    micros
 	rentRequestSeq  uint64
 }
@@ -38,25 +38,25 @@
 const (
 	// minRentalGain is how much sooner work has to be ready for a machine to be rented.
 	minRentalGain = 3 * protocol.Second
-	// planInterval is how often it is planned what to rent and what to release.
+	// planInterval is the time between two plans of what to rent and what to release.
 	planInterval = protocol.Second
-	// rentalPlanSteps bounds what a plan for rental looks at, in scheduling steps' worth. It
-	// can't be carried on later: what is not looked at is rented a second later. With a bound of
-	// one step, arrays waited for their machines when a deployment started with none
-	// (himal-members-fleet restart 0.83/0.73).
+	// rentalPlanSteps bounds the work of a rental plan, in units of a scheduling step's work. A
+	// plan can't be continued in a later step: requests beyond the bound are planned a second
+	// later. With a bound of one step, arrays waited for their machines when a deployment started
+	// with none (himal-members-fleet restart 0.83/0.73).
 	rentalPlanSteps = 4
-	// farBooking is how far away a booking is that may be as good as none.
-	farBooking = 10 * protocol.Second
+	// farBookingThreshold is how far in the future a booking has to begin to count as far away.
+	farBookingThreshold = 10 * protocol.Second
 )
 
-// machineOffers are machines that could be rented, with their kinds.
+// machineOffers are the offers of machines that may be rented, and the kind of each.
 type machineOffers struct {
 	offers []*slottable.Offer
 	kinds  []machineKind
 }
 
-// planScaling finds what to rent so that waiting work starts sooner, with spare capacity for
-// what arrives, and releases what is idle.
+// planScaling rents machines so that queued jobs start sooner, and as spare capacity for jobs that
+// may arrive. It releases idle machines.
 func (as *autoscaler) planScaling(pending []*pendingJob) {
 	now := as.now.Steady
 	if now < as.nextPlan {
@@ -79,7 +79,7 @@
 	as.logFleet(booting, len(pending))
 }
 
-// availableOffers are the machines that may be asked for.
+// availableOffers returns the offers of the machines that may be requested.
 func (as *autoscaler) availableOffers() machineOffers {
 	var available machineOffers
 	for _, t := range as.catalog.types {
@@ -111,7 +111,7 @@
 	}
 }
 
-// planForQueue finds how many of each offer to rent for the waiting jobs.
+// planForQueue returns how many machines of each offer to rent for the queued jobs.
 func (as *autoscaler) planForQueue(pending []*pendingJob, offers []*slottable.Offer) map[int]int {
 	var requests []*slottable.Request
 	for _, w := range pending {
@@ -122,8 +122,8 @@
 			requests = append(requests, r)
 		}
 	}
-	// A machine that a booking counts on is not idle, however long it waits for the others of
-	// its gang: once it is released, the booking is gone with it.
+	// A machine with a booking is not idle, however long it waits for the other machines of the
+	// gang: if it were released, the booking would be lost.
 	for _, w := range pending {
 		for _, b := range w.result.Booked {
 			as.neededMachines[b.Machine] = true
@@ -132,10 +132,10 @@
 	return as.planRental(requests, offers, rentalPlanSteps*as.scheduler.maxStepWork())
 }
 
-// planRental finds how many of each offer to rent for some requests, and notes the machines
-// that the plan counts on. It looks at so many rows of the slot table at most.
+// planRental returns how many machines of each offer to rent for some requests, and records which
+// machines the plan needs. It looks at no more than maxWork rows of the slot table.
 func (as *autoscaler) planRental(requests []*slottable.Request, offers []*slottable.Offer, maxWork int) map[int]int {
-	// As many as the cloud's calls of one second can ask for.
+	// The number of machines that the cloud's request rate allows to rent in one second.
 	limit := int(max(1, as.platform.CloudRate)) * maxMachinesPerRequest
 	counts, needed := as.scheduler.slotTable.Rent(requests, offers, minRentalGain, limit, maxWork)
 	for _, m := range needed {
@@ -144,20 +144,21 @@
 	return counts
 }
 
-// unservedRequest is what a job still needs after a scheduling cycle.
+// unservedRequest returns a request for the tasks of a job that the last scheduling cycle did not
+// place.
 func (as *autoscaler) unservedRequest(w *pendingJob, offers []*slottable.Offer) *slottable.Request {
 	now := as.now.Steady
 	r := *w.request
 	r.Booking = nil
-	// A job that has waited shows that plans come out too early: more work arrives before its
-	// turn, tasks are lost, estimates err. Half of the time that it has waited already is taken
-	// off what a machine rented now would be ready at. Without this, in a burst that never lets
-	// the queue end, every plan found a place within a boot time, and nothing was rented for
-	// 100 s while 99 jobs waited and 300 machines could be had.
+	// If a job has waited, the planned times are too early: other work arrives before its turn,
+	// tasks are lost, and estimates are wrong. Half of the time that the job has waited is
+	// subtracted from the time at which a machine rented now would be ready. Without this, when
+	// the queue was never empty in a burst, every plan found a place within a boot time, and
+	// nothing was rented for 100 s while 99 jobs waited and 300 machines were available.
 	r.Waited = (now - w.job.EligibleAt) / 2
 	r.Tasks -= len(w.result.Start) + len(w.result.Booked)
-	// A booking far away is as good as none, if a machine that is rented now could be ready
-	// sooner.
+	// A task with a booking that is far away counts as unplaced if a machine that is rented now
+	// could be ready sooner.
 	soonest := protocol.Forever
 	for _, o := range offers {
 		if o.Suits(&r) {
@@ -165,7 +166,7 @@
 		}
 	}
 	for _, b := range w.result.Booked {
-		if b.Begin > now+farBooking && b.Ready > soonest-r.WaitedFor(b, now) {
+		if b.Begin > now+farBookingThreshold && b.Ready > soonest-r.WaitedFor(b, now) {
 			r.Tasks++
 		}
 	}
--- a/internal/controller/cloud_monitor.go
+++ b/internal/controller/cloud_monitor.go
@@ -8,8 +8,8 @@
 	"mapleslip/internal/state"
 )
 
-// cloudMonitor polls the cloud's lists, reconciles the cluster state with them, and releases
-// hosts.
+// cloudMonitor polls the cloud's machine types and its list of machines, reconciles the cluster
+// state with them, and releases hosts.
 type cloudMonitor struct {
 	*termContext
 	agents    *agents
@@ -20,9 +20,9 @@
 	records   *recordStore
 	scheduler *scheduler
 
-	listAnswering   bool // the cloud answered the last request for its list
+	listAvailable   bool // the cloud responded to the last request for its machine list
 	releaseInFlight bool
-	nextRelease     micros
+	nextRelease     micros // no release request is sent before this time
 }
 
 const (
@@ -34,8 +34,8 @@
 	machineListNextPath = "/machines?since=%s&page=500"
 )
 
-// pollMachineTypes asks for machine types and prices, and records the types so that jobs can be
-// checked while the cloud is in trouble.
+// pollMachineTypes requests machine types and prices from the cloud as long as the term lasts. It
+// has the types recorded, so that jobs can be validated while the cloud is unavailable.
 func (cl *cloudMonitor) pollMachineTypes() {
 	if cl.ended() {
 		return
@@ -59,10 +59,10 @@
 	})
 }
 
-// machineList is the cloud's machines by name.
+// machineList contains the cloud's machines by name.
 type machineList map[string]protocol.CloudMachine
 
-// pollMachineList reads the cloud's list of machines, as long as the term lasts.
+// pollMachineList reads the cloud's machine list as long as the term lasts.
 func (cl *cloudMonitor) pollMachineList() {
 	if cl.ended() {
 		return
@@ -70,14 +70,14 @@
 	cl.readMachineList(machineListPath, make(machineList, len(cl.cluster.Hosts())))
 }
 
-// readMachineList reads a page of the list, and those after it.
+// readMachineList reads a page of the machine list, and then the pages after it.
 func (cl *cloudMonitor) readMachineList(path string, listed machineList) {
 	call := Call{Target: ToCloud, Priority: priorityNormal, Method: http.MethodGet, Path: path, Timeout: cloudReadTimeout}
 	cl.send(call, func(r CallResult) {
 		if cl.ended() {
 			return
 		}
-		cl.listAnswering = r.Status == http.StatusOK
+		cl.listAvailable = r.Status == http.StatusOK
 		if next, more := cl.addListedMachines(r, listed); more {
 			cl.readMachineList(next, listed)
 			return
@@ -86,8 +86,9 @@
 	})
 }
 
-// addListedMachines takes a page of the list, and returns where the next one is. After the last
-// one the list is gone by; if a page is missing, it is not.
+// addListedMachines adds a page to the machine list, and returns the path of the next page. After
+// the last page, the cluster state is reconciled with the list. If a page can't be read, the list
+// is discarded.
 func (cl *cloudMonitor) addListedMachines(r CallResult, listed machineList) (next string, more bool) {
 	if r.Status != http.StatusOK {
 		return "", false
@@ -107,8 +108,9 @@
 	return "", false
 }
 
-// reconcileMachineList compares the cloud's list with the cluster state. The list lags and can
-// go back, so it only ever leads to a release, which is safe to repeat.
+// reconcileMachineList compares the cloud's machine list with the cluster state. The list lags
+// behind and can revert to an older state, so the only action that it triggers is a release, which
+// is safe to repeat.
 func (cl *cloudMonitor) reconcileMachineList(listed machineList) {
 	for name, m := range listed {
 		if _, released := cl.releasedHosts[name]; !released {
@@ -129,7 +131,7 @@
 	}
 }
 
-// observeListedMachine takes a machine that is in the list.
+// observeListedMachine updates the host of a listed machine, and adds it if it is not known.
 func (cl *cloudMonitor) observeListedMachine(m protocol.CloudMachine) {
 	h := cl.cluster.Host(m.Name)
 	if h == nil {
@@ -146,19 +148,20 @@
 	}
 }
 
-// Margins within which the list and the hosts may contradict each other.
+// Margins for contradictions between the machine list and the hosts, see releaseReason.
 const (
 	listedSilenceMargin = protocol.Second
 	recordedListMargin  = 2 * protocol.Second
 	absentListMargin    = protocol.Second
-	// A machine that is not up after maxBootFactor of its type's boot time, and
-	// bootMargin, does not come up.
+	// A machine that is not up after maxBootFactor times the boot time of its type, plus
+	// bootMargin, is released.
 	maxBootFactor = 3
 	bootMargin    = 10 * protocol.Second
 )
 
-// releaseReason is why a host has to be released, "" if it has not. A list is at most twice the
-// lag old, so a machine that had reported before that and is not in it is gone.
+// releaseReason returns why a host has to be released, or "" if it does not have to be. A list is
+// at most twice MachineListLag old. So a silent machine that is not in the list is gone if it was
+// recorded before that time, or has been absent from the lists for longer.
 func (cl *cloudMonitor) releaseReason(h *state.Host, isListed bool) string {
 	now, threshold := cl.now.Steady, cl.hosts.silenceThreshold()
 	maxListAge := 2 * cl.platform.MachineListLag
@@ -174,7 +177,7 @@
 	case !isListed && h.Listing.Listed && silent && now-h.Listing.AbsentSince > maxListAge+absentListMargin:
 		return "not listed any more"
 	case h.State == state.HostBooting && !h.Record.FromEarlierEpoch && h.Type != nil && now-h.KnownSince > maxBootFactor*h.Type.BootTime+bootMargin:
-		return "does not come up"
+		return "did not boot in time"
 	}
 	return ""
 }
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -9,16 +9,16 @@
 
 const (
 	fleetLogInterval = 20 * protocol.Second
-	milliGPUs        = 1000 // to a GPU
+	milliGPUs        = 1000 // per GPU
 )
 
-// fleetUsage is how the machines of a type are used.
+// fleetUsage is the usage of the machines of a type, spot or not.
 type fleetUsage struct {
 	hosts, empty, needed, gpus, usedGPUs int64
-	preemptible                          int64 // hosts on which all work may be preempted
+	preemptible                          int64 // hosts on which all attempts may be preempted
 }
 
-// logFleet logs how the machines are used, now and then.
+// logFleet logs the usage of the machines every fleetLogInterval.
 func (as *autoscaler) logFleet(booting, waitingJobs int) {
 	if as.now.Steady < as.nextFleetLog {
 		return
@@ -65,12 +65,12 @@
 	}
 }
 
-// isNotPreemptible reports whether an attempt holds resources that it need not give up.
+// isNotPreemptible reports whether an attempt holds resources and may not be preempted.
 func (as *autoscaler) isNotPreemptible(a *state.Attempt) bool {
 	return a.State.HoldsResources() && a.Job != nil && !as.scheduler.isPreemptible(a.Job)
 }
 
-// bootingMachines counts the machines that boot, or were asked for.
+// bootingMachines counts the machines that are booting or have been requested.
 func (as *autoscaler) bootingMachines() int {
 	booting := 0
 	for _, h := range as.cluster.Hosts() {
--- a/internal/controller/host_monitor.go
+++ b/internal/controller/host_monitor.go
@@ -29,7 +29,7 @@
 	smallZoneHosts         = 30 // zones with fewer hosts are small
 	maxPartitionShare      = 0.5
 	minPartitionShare      = 0.2
-	partitionExpectedShare = 0.6 // of the hosts that are expected to be silent before the first release
+	partitionExpectedShare = 0.6 // of the hosts expected to be silent before the first release
 	minPartitionHosts      = 3   // silent hosts
 )
 
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -9,7 +9,7 @@
 	"mapleslip/internal/statestore"
 )
 
-// machineCatalog owns the machine types that the cloud rents.
+// machineCatalog holds the machine types that the cloud rents out.
 type machineCatalog struct {
 	*environment
 	features *featureManager
@@ -19,7 +19,7 @@
 	byName map[string]*protocol.MachineType
 }
 
-// applyCloudMachineTypes takes machine types as the cloud lists them.
+// applyCloudMachineTypes sets the machine types from a response of the cloud.
 func (mc *machineCatalog) applyCloudMachineTypes(body []byte) {
 	types, err := protocol.ParseMachineTypes(body)
 	if err != nil {
@@ -29,9 +29,9 @@
 	mc.setMachineTypes(types)
 }
 
-// applyMachineTypesRecord takes machine types from their record. One that was written at a
-// feature level is not for controllers that know of none: without machine types they accept
-// nothing.
+// applyMachineTypesRecord sets the machine types from their record. A controller that does not
+// support feature levels rejects a record that was written at one: without machine types it
+// accepts no jobs.
 func (mc *machineCatalog) applyMachineTypesRecord(value []byte) {
 	types, versioned, err := records.DecodeMachineTypes(value)
 	if err == nil && versioned && mc.features.state == nil {
@@ -44,7 +44,7 @@
 	mc.setMachineTypes(types)
 }
 
-// setMachineTypes goes by machine types from now on.
+// setMachineTypes replaces the machine types, and updates the hosts whose type has changed.
 func (mc *machineCatalog) setMachineTypes(types []*protocol.MachineType) {
 	for i, t := range types {
 		if known := mc.byName[t.Name]; known != nil && updatePrices(known, t) {
@@ -64,8 +64,9 @@
 	}
 }
 
-// updatePrices takes the prices of a machine type that is the same otherwise. It stays the one
-// that hosts and the slot table know, so that nothing has to be made anew for that.
+// updatePrices updates the prices of a known machine type, and reports whether the listed one
+// differs in nothing else. Hosts and the slot table refer to the known object, so they need not be
+// rebuilt for a change of prices.
 func updatePrices(known, listed *protocol.MachineType) bool {
 	same := *known
 	same.Price, same.SpotPrice = listed.Price, listed.SpotPrice
@@ -76,9 +77,9 @@
 	return true
 }
 
-// encodeMachineTypes is the record of the machine types at a feature level, and whether they
-// fit into a value. Those that don't are left out, since part of them would have jobs rejected
-// that fit the others: then only the leader accepts.
+// encodeMachineTypes encodes the record of the machine types at a feature level, and reports
+// whether they fit into a value. If they don't, the record contains none, and only the leader
+// accepts jobs: with some of the types missing, other controllers would reject jobs that need them.
 func (mc *machineCatalog) encodeMachineTypes(l featuregate.Level) (value []byte, fits bool) {
 	value = records.EncodeMachineTypes(mc.types, l)
 	if len(value) <= mc.store.Target().MaxValueBytes {
--- a/internal/controller/machine_release.go
+++ b/internal/controller/machine_release.go
@@ -14,13 +14,13 @@
 
 	releaseTimeout = 5 * protocol.Second
 	releaseRetry   = protocol.Second
-	// releasedRecordDelay is how long a released host's record may stay: a successor would only
-	// release the host once more, and wait for that.
+	// releasedRecordDelay is how long a released host's record may stay: a successor that reads
+	// it would only release the host once more, and wait for the cloud's response.
 	releasedRecordDelay = protocol.Second
 )
 
-// releaseHost gives a machine back. Nothing is placed on it from now on; its tasks count until
-// the cloud has answered.
+// releaseHost begins the release of a machine. From now on nothing is placed on it, but its
+// attempts still count until the cloud has confirmed the release.
 func (cl *cloudMonitor) releaseHost(h *state.Host, reason string) {
 	if h.State == state.HostReleasing || h.State == state.HostGone {
 		return
@@ -36,7 +36,7 @@
 	cl.cycleNeeded = true
 }
 
-// sendReleases asks the cloud to release the hosts that are to be.
+// sendReleases requests the cloud to release the hosts that are in state HostReleasing.
 func (cl *cloudMonitor) sendReleases() {
 	if cl.now.Steady < cl.nextRelease || cl.releaseInFlight || !cl.election.mayActAsLeader() {
 		return
@@ -68,7 +68,7 @@
 	})
 }
 
-// releasingHosts are the names of the hosts to be released, as many as one request takes.
+// releasingHosts returns the names of the hosts to release with one request.
 func (cl *cloudMonitor) releasingHosts() []string {
 	var names []string
 	for _, h := range cl.cluster.Hosts() {
@@ -79,7 +79,7 @@
 	return names
 }
 
-// onReleased removes a host that the cloud has taken back.
+// onReleased removes a host whose release the cloud has confirmed.
 func (cl *cloudMonitor) onReleased(h *state.Host) {
 	cl.agents.loseAllAttempts(h, "released: "+h.ReleaseReason)
 	h.SetState(state.HostGone)
--- a/internal/controller/objectives.go
+++ b/internal/controller/objectives.go
@@ -6,28 +6,28 @@
 	"mapleslip/internal/state"
 )
 
-// objectiveTracker counts how far service-level objectives are met.
+// objectiveTracker counts how many jobs meet their service-level objectives.
 type objectiveTracker struct {
 	*termContext
 	workload *workload
 
-	window           slo.Window        // outcomes by class and team
-	longestStartWait map[string]micros // for which a largest job has waited to start, by class
+	window           slo.Window        // outcomes by class, by team, and of largest jobs by class
+	longestStartWait map[string]micros // by class: longest wait of a largest job for its start
 }
 
 const (
-	// objectiveTolerance is how much too late a job may be: the controller hears of what hosts
-	// do with their next heartbeats.
+	// objectiveTolerance is how late a job may be: the controller learns of events on hosts only
+	// from the next heartbeats.
 	objectiveTolerance = protocol.Second
-	// startMarginPercent is the part of an objective on finishing that a job may use, waiting
-	// included. The rest is left to errors of the estimates.
+	// startMarginPercent is the percentage of a finish objective that a job may use, including the
+	// time that it waits. The rest is a margin for errors of the estimates.
 	startMarginPercent = 70
-	// largeJobStartObjective is how soon the largest jobs of a class have to start: users count
-	// a day as failed on which less than half of them do.
+	// largeJobStartObjective is the time within which the largest jobs of a class have to start:
+	// users consider a day failed on which fewer than half of them do.
 	largeJobStartObjective = 240 * protocol.Second
 )
 
-// startObjective is the shortest time that an objective gives a class to start, or 0.
+// startObjective returns the shortest start objective of a class, or 0 if it has none.
 func (env *environment) startObjective(class string) micros {
 	var within micros
 	for _, o := range env.platform.Objectives {
@@ -38,8 +38,8 @@
 	return within
 }
 
-// startDeadline is until when a job may become ready without an objective being missed, where
-// the only objectives of its class are on finishing; 0 elsewhere.
+// startDeadline returns the time by which a job has to become ready so as not to miss an objective,
+// if all objectives of its class are finish objectives. Otherwise, and for services, it returns 0.
 func (ot *objectiveTracker) startDeadline(j *state.Job) micros {
 	var within micros
 	for _, o := range ot.platform.Objectives {
@@ -59,8 +59,8 @@
 	return j.EligibleAt + within*startMarginPercent/100 - ot.workload.classStats(j.Spec.Class).estimatedRuntime(j.Spec)
 }
 
-// finishDeadline is when a job should have ended, by its deadline and the latest objective on
-// finishing of its class; 0: there is none.
+// finishDeadline returns when a job should have finished: the later one of its own deadline and the
+// latest finish objective of its class, or 0 if it has neither.
 func (ot *objectiveTracker) finishDeadline(j *state.Job) micros {
 	s := j.Spec
 	if s.Kind == protocol.Service {
@@ -78,9 +78,9 @@
 	return due
 }
 
-// dueBy is when a job should have met the objectives of its class: it has ended by its deadline
-// or the latest objective on finishing, or, if there is none, all its tasks have started.
-// 0: there is no objective.
+// dueBy returns when a job should have met its deadline and the objectives of its class. With
+// toFinish, the job should have finished by then; without it, all its tasks should have started.
+// The time is 0 if the job has neither a deadline nor an objective.
 func (ot *objectiveTracker) dueBy(j *state.Job) (at micros, toFinish bool) {
 	if due := ot.finishDeadline(j); due > 0 {
 		return due, true
@@ -97,9 +97,9 @@
 	return j.EligibleAt + within, false
 }
 
-// countObjective counts a job once it has met its objectives, or it is too late. It is looked
-// at with the sweep over all jobs. What was due before this controller led is not counted:
-// nobody knows it.
+// countObjective counts a job's outcome once it has met its objectives or is overdue. The periodic
+// sweep over all jobs calls it. Jobs that were due before this leader had read the records are not
+// counted, because their outcome is not recorded.
 func (ot *objectiveTracker) countObjective(j *state.Job) {
 	if j.Objectives.Counted || j.State > state.JobActive && j.State != state.JobFinishing && j.State != state.JobDone {
 		return
@@ -120,17 +120,18 @@
 	ot.addOutcome(slo.Team, j.Spec.Team, inTime)
 }
 
-// addOutcome adds a job to a group, and logs where the group's state changes by it.
+// addOutcome adds a job's outcome to a group, and logs a change of the group's state.
 func (ot *objectiveTracker) addOutcome(k slo.Kind, name string, inTime bool) {
 	if !ot.window.Add(k, name, ot.now.Steady, inTime) {
 		return
 	}
-	n := ot.window.Lately(k, name, ot.now.Steady)
-	ot.log.Info("share served", k.String(), name, "state", ot.window.Is(k, name).String(), "served", n.Served, "of", n.Of())
+	count := ot.window.Lately(k, name, ot.now.Steady)
+	ot.log.Info("service-level objective state changed", k.String(), name, "state", ot.window.Is(k, name).String(), "served", count.Served, "of", count.Of())
 }
 
-// countLargeJobStart counts a job that is among the largest of its class, of at least half as
-// many tasks as the largest one that this leader has seen, once it has started or should have.
+// countLargeJobStart counts whether one of the largest jobs of a class started in time, once it has
+// started or is overdue. The largest jobs have at least half as many tasks as the largest one that
+// this leader has seen.
 func (ot *objectiveTracker) countLargeJobStart(j *state.Job) {
 	if j.Objectives.StartCounted || j.State != state.JobActive && j.State != state.JobFinishing {
 		return
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -7,14 +7,15 @@
 	"mapleslip/internal/state"
 )
 
-// scaleIn releases machines that nothing runs on and no plan counts on. While users are told to
-// submit again later, what those jobs need is in no plan: 1,700 of 4,200 machines were released
-// in a deployment's first seconds, and others rented when the jobs were in.
+// scaleIn releases machines on which nothing runs and that the last plan does not need. While
+// submissions are refused because of overload, the plans do not include the refused jobs, so idle
+// times count only from the end of the overload. Without this, 1,700 of 4,200 machines were
+// released in the first seconds of a deployment, and others rented once the jobs were accepted.
 func (as *autoscaler) scaleIn() {
 	now := as.now.Steady
-	if !as.cloud.listAnswering {
-		// A release that is asked for and not answered leaves a machine that can neither be used
-		// nor counted as gone.
+	if !as.cloud.listAvailable {
+		// A release request without a response leaves a machine that can neither be used nor
+		// be considered gone.
 		return
 	}
 	if as.submitQueue.isOverloaded(now) {
@@ -32,8 +33,8 @@
 	}
 }
 
-// isUnneeded reports whether a host neither has work for which it is kept, nor is counted on by
-// the last plan.
+// isUnneeded reports whether a host is ready, has no work that retains it, and is not needed by the
+// last plan.
 func (as *autoscaler) isUnneeded(h *state.Host) bool {
 	return h.State == state.HostReady && h.Reconciled && !as.scheduler.hasRetainingWork(h) && !as.neededMachines[as.scheduler.machines[h]]
 }
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -9,13 +9,13 @@
 	"mapleslip/internal/state"
 )
 
-// machineKind is what the cloud may refuse by itself: a type, in a zone, spot or not.
+// machineKind is what the cloud may refuse separately: a machine type in a zone, spot or not.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// rentRequest is a request for machines, repeated under its name until it is answered.
+// rentRequest is a request for machines, repeated under the same name until the cloud responds.
 type rentRequest struct {
 	name  string
 	kind  machineKind
@@ -24,15 +24,15 @@
 }
 
 const (
-	// rentTimeout is how long the cloud has to answer a request for machines.
+	// rentTimeout is the timeout of a request for machines.
 	rentTimeout = 5 * protocol.Second
-	// maxMachinesPerRequest is how many machines one request to the cloud may ask for.
+	// maxMachinesPerRequest is how many machines one request to the cloud may contain.
 	maxMachinesPerRequest = 50
 
 	maxRentTries   = 10
 	rentRetryDelay = protocol.Second
 
-	// How long a kind of machine is not asked for after a request was not served in full.
+	// How long a kind of machine is not requested after a request was not fulfilled.
 	partialRentalPause    = 10 * protocol.Second
 	minNoCapacityPause    = 8 * protocol.Second
 	maxNoCapacityPause    = 40 * protocol.Second
@@ -40,11 +40,11 @@
 	unansweredRentalPause = 20 * protocol.Second
 )
 
-// scaleOut asks the cloud for machines. The name of a request is never used again.
+// scaleOut requests machines from the cloud. The name of a request is never used again.
 func (as *autoscaler) scaleOut(k machineKind, count int) {
 	count = min(count, as.rentalAllowance(k, 0))
 	if count == 0 {
-		return // the offers of a type, spot and not, share a ceiling
+		return // the plan already used up the ceiling, which a type's spot and other offers share
 	}
 	as.rentRequestSeq++
 	r := &rentRequest{name: fmt.Sprintf("r-%d-%d", as.epoch, as.rentRequestSeq), kind: k, count: min(count, maxMachinesPerRequest)}
@@ -81,12 +81,12 @@
 	})
 }
 
-// onRented adds the machines that the cloud has rented.
+// onRented adds the machines that the cloud has rented out to the cluster state.
 func (as *autoscaler) onRented(r *rentRequest, names []string, sentAt micros) {
 	k := r.kind
 	as.requested[k] -= r.count
 	as.backoff[k] = 0
-	as.log.Info("rented", "claim", r.name, "type", k.machineType, "zone", k.zone, "spot", k.spot, "asked", r.count, "got", len(names))
+	as.log.Info("machines rented", "claim", r.name, "type", k.machineType, "zone", k.zone, "spot", k.spot, "asked", r.count, "got", len(names))
 	if len(names) < r.count {
 		as.refusedUntil[k] = as.now.Steady + partialRentalPause
 	}
@@ -102,24 +102,24 @@
 	as.cycleNeeded = true
 }
 
-// onNoCapacity notes that the cloud has no machines of a kind.
+// onNoCapacity handles a response that the cloud has no capacity for a kind of machine.
 func (as *autoscaler) onNoCapacity(r *rentRequest) {
 	k := r.kind
 	as.backoff[k] = min(max(2*as.backoff[k], minNoCapacityPause), maxNoCapacityPause)
 	as.abandonRentRequest(r, as.backoff[k])
-	as.nextPlan = as.now.Steady // another kind may have some
+	as.nextPlan = as.now.Steady // another kind may be available
 	as.cycleNeeded = true
 	as.log.Debug("rental refused", "claim", r.name, "type", k.machineType, "zone", k.zone, "spot", k.spot)
 }
 
-// abandonRentRequest gives a request up, and asks for no such machines for a while.
+// abandonRentRequest abandons a request, and suspends requests for its kind of machine.
 func (as *autoscaler) abandonRentRequest(r *rentRequest, pause micros) {
 	as.requested[r.kind] -= r.count
 	as.refusedUntil[r.kind] = as.now.Steady + pause
 }
 
-// retryRentRequest repeats a request that was not answered. Under the same name it rents
-// nothing twice.
+// retryRentRequest repeats a request without a usable response. The cloud rents out nothing twice
+// under the same name.
 func (as *autoscaler) retryRentRequest(r *rentRequest) {
 	if r.tries >= maxRentTries {
 		as.abandonRentRequest(r, unansweredRentalPause)
@@ -136,9 +136,9 @@
 	})
 }
 
-// rentalAllowance bounds how many machines of a kind may be asked for, by the ceiling of their
-// type and zone, spot or not. alreadyRequested are those that a request which is repeated has
-// asked for.
+// rentalAllowance returns how many machines of a kind may be requested under the ceiling of their
+// type and zone, which spot and other machines share. alreadyRequested is the number of machines
+// in a request that is repeated, 0 for a new request.
 func (as *autoscaler) rentalAllowance(k machineKind, alreadyRequested int) int {
 	if as.config.state == nil {
 		return maxMachinesPerRequest
@@ -151,22 +151,23 @@
 	if !ok {
 		return maxMachinesPerRequest
 	}
-	if alreadyRequested == 0 && !as.knowsEarlierRentals() {
+	if alreadyRequested == 0 && !as.earlierRentalsListed() {
 		return 0
 	}
 	count := as.countMachines(k.machineType, k.zone) - alreadyRequested
 	return max(0, min(maxMachinesPerRequest, ceiling-count))
 }
 
-// knowsEarlierRentals reports whether what an earlier leader asked for is certainly listed.
-func (as *autoscaler) knowsEarlierRentals() bool {
+// earlierRentalsListed reports whether the cloud's machine list certainly contains all machines
+// that earlier leaders requested.
+func (as *autoscaler) earlierRentalsListed() bool {
 	if as.epoch <= 1 {
 		return true
 	}
-	return as.cloud.listAnswering && as.now.Steady-as.startedAt >= rentTimeout+2*as.platform.MachineListLag
+	return as.cloud.listAvailable && as.now.Steady-as.startedAt >= rentTimeout+2*as.platform.MachineListLag
 }
 
-// countMachines counts the machines of a type in a zone, with those that were asked for.
+// countMachines counts the machines of a type in a zone, including those that were requested.
 func (as *autoscaler) countMachines(machineType, zone string) int {
 	count := as.requested[machineKind{machineType, zone, false}] + as.requested[machineKind{machineType, zone, true}]
 	for _, h := range as.cluster.Hosts() {
--- a/internal/controller/spare_capacity.go
+++ b/internal/controller/spare_capacity.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// sparePacing is how many times in a boot time spare capacity may be rented: more than once,
-	// since the queue takes some of what was rented before it is up.
-	sparePacing = 8
-	// spareWorkDivisor bounds what a class's plan for spare capacity looks at: a scheduling
-	// step's worth divided by it.
+	// spareRentalsPerBoot is how often a class's spare capacity may be rented in a boot time: more
+	// than once, since the queue uses some of the rented machines before they are up.
+	spareRentalsPerBoot = 8
+	// spareWorkDivisor bounds the work of a class's plan for spare capacity: it is a scheduling
+	// step's work divided by this number.
 	spareWorkDivisor = 4
-	maxSpareTasks    = 8
-	spareRuntime     = 30 * protocol.Second
-	// spareStartPercent is the part of the objective on starting within which a job that came
+	maxSpareTasks    = 8                    // per class
+	spareRuntime     = 30 * protocol.Second // assumed run time of a spare task
+	// spareStartPercent is the percentage of the start objective within which a job that arrived
 	// now would have to be ready.
 	spareStartPercent = 70
 )
 
-// planSpareCapacity finds how many of each offer to rent for jobs that may arrive. Classes
-// seldom burst together: each looks for its spare capacity by itself, so the same may serve
-// several.
+// planSpareCapacity returns how many machines of each offer to rent for jobs that may arrive.
+// Classes seldom have bursts at the same time, so each class is planned separately, and the same
+// machines may be spare capacity for several classes.
 func (as *autoscaler) planSpareCapacity(offers []*slottable.Offer) map[int]int {
-	spares := make(map[int]int)
+	spareCounts := make(map[int]int)
 	for _, class := range as.workload.classNames() {
 		r := as.spareRequest(class)
 		if r == nil {
 			continue
 		}
 		counts := as.planRental([]*slottable.Request{r}, offers, as.scheduler.maxStepWork()/spareWorkDivisor)
-		// What was rented is of no use before it is up. Until then each plan would find the same
-		// capacity missing, and rent it once more: it is paced.
+		// Rented machines can't be used before they are up. Until then each plan would find the
+		// same capacity missing and rent it again, so the rate of rentals is limited.
 		if as.now.Steady < as.nextSpareRental[class] {
 			continue
 		}
 		for i, n := range counts {
-			spares[i] = max(spares[i], n)
-			as.nextSpareRental[class] = max(as.nextSpareRental[class], as.now.Steady+offers[i].BootTime/sparePacing)
+			spareCounts[i] = max(spareCounts[i], n)
+			as.nextSpareRental[class] = max(as.nextSpareRental[class], as.now.Steady+offers[i].BootTime/spareRentalsPerBoot)
 		}
 	}
-	return spares
+	return spareCounts
 }
 
-// spareRequest is a request for the capacity that is kept for what arrives of a class, or nil.
+// spareRequest returns a request for the spare capacity of a class, or nil if it needs none.
 func (as *autoscaler) spareRequest(class string) *slottable.Request {
-	k := as.workload.classes[class]
+	stats := as.workload.classes[class]
 	objective := as.startObjective(class)
-	if k.lastSpec == nil || objective == 0 {
+	if stats.lastSpec == nil || objective == 0 {
 		return nil
 	}
-	s := k.lastSpec
-	arrivals := k.expectedArrivals(as.now.Steady, as.startedAt, as.shortestBoot(s))
+	s := stats.lastSpec
+	arrivals := stats.expectedArrivals(as.now.Steady, as.startedAt, as.shortestBoot(s))
 	tasks := int(math.Ceil(arrivals * as.operator.WarmSpare))
 	if tasks == 0 {
 		return nil
@@ -62,13 +62,13 @@
 	return &slottable.Request{
 		Tasks: tasks, Limit: tasks, Resources: s.TaskResources, Image: s.Image, ImageSize: s.ImageSize,
 		Types: s.MachineTypes, AllowSpot: s.AllowSpot, Runtime: spareRuntime, Spare: true,
-		// Capacity is missing only if a job that came now would start too late: a machine that
-		// is soon free does as well as an empty one.
+		// Capacity is missing only if a job that arrived now would start too late: a machine that
+		// becomes free soon is as good as an empty one.
 		ReadyBy: as.now.Steady + objective*spareStartPercent/100,
 	}
 }
 
-// shortestBoot is how long it takes at least until a job's task can run on a machine that is
+// shortestBoot returns the shortest time after which a job's task could run on a machine that is
 // rented now.
 func (as *autoscaler) shortestBoot(s *protocol.JobSpec) micros {
 	var shortest micros
--- a/internal/controller/unschedulable.go
+++ b/internal/controller/unschedulable.go
@@ -7,12 +7,12 @@
 	"mapleslip/internal/state"
 )
 
-// maxUnschedulableShapes bounds what a cycle remembers of jobs for which no room could be made.
+// maxUnschedulableShapes bounds the unschedulable shapes that a cycle stores.
 const maxUnschedulableShapes = 64
 
-// unschedulableShape is what a job asked for, for which no room could be made: too little may be
-// preempted. In the same cycle it is no better for one that asks for as much, and may preempt no
-// more.
+// unschedulableShape describes tasks of a job for which a cycle could make no room, because too
+// few resources may be preempted. In the same cycle there is no room either for jobs that need at
+// least as much and may preempt no more.
 type unschedulableShape struct {
 	taskResources protocol.Resources
 	tasks         int
@@ -23,7 +23,8 @@
 	allowSpot     bool
 }
 
-// covers reports whether some tasks of a job ask for at least as much.
+// covers reports whether some tasks of a job need at least as many resources, may be placed on no
+// other machines, and may preempt no more.
 func (u *unschedulableShape) covers(j *state.Job, tasks int) bool {
 	s := j.Spec
 	switch {
@@ -37,7 +38,7 @@
 	return (u.allowSpot || !s.AllowSpot) && slices.Equal(u.machineTypes, s.MachineTypes)
 }
 
-// markUnschedulable remembers that no room can be made for some tasks of a job.
+// markUnschedulable records that no room can be made for some tasks of a job in this cycle.
 func (c *schedulingCycle) markUnschedulable(j *state.Job, tasks int) {
 	if len(c.unschedulable) >= maxUnschedulableShapes {
 		return
--- a/internal/controller/workload.go
+++ b/internal/controller/workload.go
@@ -9,71 +9,71 @@
 	"mapleslip/internal/state"
 )
 
-// workload is what was learned of the classes of jobs.
+// workload holds statistics of the classes of jobs.
 type workload struct {
 	*termContext
 	classes map[string]*classStats
 }
 
-// classStats is what was learned of a class, which is empty at first.
+// classStats returns the statistics of a class, which are empty for a new class.
 func (wl *workload) classStats(name string) *classStats {
-	k := wl.classes[name]
-	if k == nil {
-		k = &classStats{}
-		wl.classes[name] = k
+	stats := wl.classes[name]
+	if stats == nil {
+		stats = &classStats{}
+		wl.classes[name] = stats
 	}
-	return k
+	return stats
 }
 
 func (wl *workload) classNames() []string { return slices.Sorted(maps.Keys(wl.classes)) }
 
-// classStats is what was learned of a class of jobs.
+// classStats are the statistics of a class of jobs in this term.
 type classStats struct {
-	largestJob int // tasks of the largest job that was seen
-	arrivals   []micros
-	lastSpec   *protocol.JobSpec
-	// logRuntimeRatio is the logarithm of run times over their estimates, averaged over
-	// observations of some weight.
+	largestJob int               // number of tasks of the largest job that has arrived
+	arrivals   []micros          // times of the arrivals within arrivalWindow
+	lastSpec   *protocol.JobSpec // of the job that arrived last
+	// logRuntimeRatio is the logarithm of the ratio of tasks' run times to their estimates, as a
+	// moving average. weight is the number of observations in it.
 	logRuntimeRatio float64
 	weight          float64
 }
 
 const (
-	// arrivalWindow is the span over which arrivals are counted, and minArrivalSpan the shortest
-	// one from which a rate is made.
+	// arrivalWindow is the time over which arrivals are counted, and minArrivalSpan the shortest
+	// time from which an arrival rate is derived.
 	arrivalWindow  = 180 * protocol.Second
 	minArrivalSpan = 60 * protocol.Second
-	// newArrivalAge is how old a job may be that counts as arriving: others were submitted to an
-	// earlier leader.
+	// newArrivalAge is the age up to which a job counts as an arrival: older jobs were submitted
+	// to an earlier leader.
 	newArrivalAge = 5 * protocol.Second
 
-	// maxLogRatio bounds an observed logRuntimeRatio, and maxRatioWeight the weight of those
-	// before it.
+	// maxLogRatio bounds an observed logRuntimeRatio, and maxRatioWeight the weight of the earlier
+	// observations against it.
 	maxLogRatio    = 2
 	maxRatioWeight = 20
-	// priorWeight is the weight of the estimate that users give.
+	// priorWeight is the weight of the users' estimates against the observations.
 	priorWeight = 3
 
 	minEstimatedRuntime = protocol.Second
 	minRemainingRuntime = 2 * protocol.Second
 )
 
-// onArrival learns from a job that has arrived.
-func (k *classStats) onArrival(now micros, j *state.Job) {
-	k.lastSpec, k.largestJob = j.Spec, max(k.largestJob, j.Spec.Tasks)
+// onArrival updates the statistics with a job that has arrived.
+func (cs *classStats) onArrival(now micros, j *state.Job) {
+	cs.lastSpec, cs.largestJob = j.Spec, max(cs.largestJob, j.Spec.Tasks)
 	if now-j.EligibleAt < newArrivalAge {
-		k.arrivals = append(k.arrivals, now)
+		cs.arrivals = append(cs.arrivals, now)
 	}
-	for len(k.arrivals) > 0 && now-k.arrivals[0] > arrivalWindow {
-		k.arrivals = k.arrivals[1:]
+	for len(cs.arrivals) > 0 && now-cs.arrivals[0] > arrivalWindow {
+		cs.arrivals = cs.arrivals[1:]
 	}
 }
 
-// expectedArrivals estimates how many jobs of the class arrive in a span, as the leader of a
-// term that began at an instant.
-func (k *classStats) expectedArrivals(now, termStart, span micros) float64 {
+// expectedArrivals estimates how many jobs of the class arrive in a time span, from the arrivals
+// that the leader has counted since its term started.
+func (cs *classStats) expectedArrivals(now, termStart, span micros) float64 {
 	count := 0
-	for _, at := range k.arrivals {
+	for _, at := range cs.arrivals {
 		if now-at <= arrivalWindow {
 			count++
 		}
@@ -82,32 +82,32 @@
 	return float64(count) * float64(span) / float64(observed)
 }
 
-// onTaskCompleted learns from a completed task.
-func (k *classStats) onTaskCompleted(j *state.Job, took micros) {
-	if j.Spec.EstimatedRuntime <= 0 || took <= 0 || j.FirstStart == 0 {
+// onTaskCompleted updates the statistics with the run time of a completed task.
+func (cs *classStats) onTaskCompleted(j *state.Job, runtime micros) {
+	if j.Spec.EstimatedRuntime <= 0 || runtime <= 0 || j.FirstStart == 0 {
 		return
 	}
-	ratio := math.Log(float64(took) / float64(j.Spec.EstimatedRuntime))
+	ratio := math.Log(float64(runtime) / float64(j.Spec.EstimatedRuntime))
 	ratio = max(-maxLogRatio, min(maxLogRatio, ratio))
-	k.logRuntimeRatio += (ratio - k.logRuntimeRatio) * (1 / min(k.weight+1, maxRatioWeight))
-	k.weight++
+	cs.logRuntimeRatio += (ratio - cs.logRuntimeRatio) * (1 / min(cs.weight+1, maxRatioWeight))
+	cs.weight++
 }
 
-// estimatedRuntime is the corrected estimate of a task's run time. A few observations say
-// little: they correct it by their number.
-func (k *classStats) estimatedRuntime(s *protocol.JobSpec) micros {
+// estimatedRuntime returns the user's estimate of a task's run time, corrected by the observed
+// ratio. The fewer the observations, the smaller the correction, because a few are unreliable.
+func (cs *classStats) estimatedRuntime(s *protocol.JobSpec) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
-	confidence := k.weight / (k.weight + priorWeight)
-	return max(minEstimatedRuntime, micros(float64(s.EstimatedRuntime)*math.Exp(k.logRuntimeRatio*confidence)))
+	confidence := cs.weight / (cs.weight + priorWeight)
+	return max(minEstimatedRuntime, micros(float64(s.EstimatedRuntime)*math.Exp(cs.logRuntimeRatio*confidence)))
 }
 
-// remainingRuntime estimates what is left of an attempt that has run for a while. One that has
-// overrun its estimate is pushed forward.
-func (k *classStats) remainingRuntime(s *protocol.JobSpec, ran micros) micros {
+// remainingRuntime estimates the remaining run time of an attempt. It is at least a quarter of the
+// elapsed run time, so that the expected end of an attempt that overruns its estimate is postponed.
+func (cs *classStats) remainingRuntime(s *protocol.JobSpec, elapsed micros) micros {
 	if s.Kind == protocol.Service {
 		return protocol.Forever
 	}
-	return max(k.estimatedRuntime(s)-ran, ran/4, minRemainingRuntime)
+	return max(cs.estimatedRuntime(s)-elapsed, elapsed/4, minRemainingRuntime)
 }
