--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,5 +1,5 @@
-// Package admission decides which submissions have their record written now, and tells the
-// others when their turn comes.
+// Package admission limits the rate at which job submissions are admitted: it decides which
+// submissions may have their records written now, and when the others may be submitted again.
 package admission
 
 import "mapleslip/internal/protocol"
@@ -7,98 +7,109 @@
 type micros = protocol.Micros
 
 const (
-	// maxDelay is how long a submission may wait for the state service's rate.
+	// maxDelay is how long an admitted submission may wait until the state service's write rate
+	// allows its record.
 	maxDelay = protocol.Second
-	// idleDelay is a wait so short that turns seem not to be used.
+	// idleDelay is the backlog up to which everything is admitted: a backlog that short shows
+	// that reserved slots go unused.
 	idleDelay = protocol.Second / 4
-	// reservationLifetime is how long a turn is kept for a user who does not come back for it.
+	// reservationLifetime is how long a reservation is kept after its slot if the user does not
+	// submit the job again.
 	reservationLifetime = 5 * protocol.Second
 	maxReservations     = 10_000
 	sweepInterval       = protocol.Second
-	// userRetryPeriod is how long users go on trying.
+	// userRetryPeriod is how long users retry a submission before they give up.
 	userRetryPeriod = 60 * protocol.Second
-	// measurementWindow is how long the rate is measured for.
+	// measurementWindow is how long records are counted for one measurement of the write rate.
 	measurementWindow = protocol.Second / 2
-	// rateSmoothing is the weight of a new measurement against what is known, as a divisor: a
-	// burst of other records is over in a second or two.
+	// rateSmoothing divides the difference between a new measurement and the smoothed rate
+	// before it is added to that: a burst of records of other kinds lasts a second or two only.
 	rateSmoothing = 4
 )
 
-// Limiter gives submissions turns, one after the other at the rate at which records are really
-// written, which is less than the leader's part while other records wait as well. A user who
-// was told to come back has its turn then; one that came back to find that others took it would
-// try for a minute and give up. A turn that nobody uses is not waited for.
+// Limiter assigns slots to submissions. A slot is a time at which the record of one job may be
+// written. Slots follow each other at the measured rate of written records, which is below the
+// leader's share of the write rate while records of other kinds are written too.
+//
+// A submission that is not admitted at once gets a reserved slot, so that it is admitted when
+// the user retries at that time. Without the reservation, other submissions could take the slot
+// each time, and the user would give up after a minute. Unused slots delay no other submission.
 //
 // The zero value is ready to use.
 type Limiter struct {
-	inFlight     int               // submissions whose records are on their way
-	nextTurn     micros            // the first one that nobody was promised
-	reservations map[string]micros // promised turns, by job
-	sweptAt      micros            // when those that nobody came for were last taken out
+	inFlight     int               // admitted submissions whose records are being written
+	nextSlot     micros            // the first slot that is not assigned yet
+	reservations map[string]micros // reserved slots, by job
+	sweptAt      micros            // when expired reservations were last removed
 
-	measuredRate  float64 // records a second, lately; 0: not known yet
-	measuredSince micros
-	written       int // since then
-	minInFlight   int // since then
+	measuredRate  float64 // smoothed rate of written records a second, 0 before the first measurement
+	measuredSince micros  // start of the current measurement
+	written       int     // records written since then
+	minInFlight   int     // lowest inFlight since then
 }
 
-// InFlight is how many submissions have their records on their way.
+// InFlight returns the number of admitted submissions whose records are being written.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// MeasuredRate is how many records a second were written lately, 0: not known yet.
+// MeasuredRate returns the smoothed rate of written records a second, 0 before the first
+// measurement.
 func (l *Limiter) MeasuredRate() float64 { return l.measuredRate }
 
-// Admit reports whether the record of a job can be written now. Otherwise wait is after how
-// long its turn comes. maxRate is the write rate of which a part may be had.
+// Admit reports whether the record of the job ref can be written now. If not, the job has a
+// reserved slot where possible, and wait is the time until the user should submit it again.
+// maxRate is the upper bound of the rate, in records a second.
 func (l *Limiter) Admit(now micros, ref string, maxRate float64) (wait protocol.Micros, ok bool) {
 	interval := protocol.FromSeconds(1 / l.rate(now, maxRate))
 	backlog := l.backlog(now, maxRate)
-	l.nextTurn = max(l.nextTurn, now+backlog)
+	l.nextSlot = max(l.nextSlot, now+backlog)
 	reserved, hasReservation := l.reservations[ref]
 	due := hasReservation && now >= reserved && backlog <= 3*maxDelay/2
 	switch {
 	case backlog <= idleDelay, due:
 		delete(l.reservations, ref)
 		if !hasReservation {
-			l.nextTurn += interval
+			l.nextSlot += interval
 		}
 		return 0, true
 	case hasReservation && now < reserved:
 		return reserved - now, false
-	case !hasReservation && l.nextTurn-now <= maxDelay:
-		l.nextTurn += interval
+	case !hasReservation && l.nextSlot-now <= maxDelay:
+		l.nextSlot += interval
 		return 0, true
 	}
 	return l.Reserve(now, ref, maxRate), false
 }
 
-// Reserve gives a job the next turn, and returns after how long that comes.
+// Reserve reserves the next slot for the job ref and returns the time until that slot. If the
+// slot comes after userRetryPeriod, nothing is reserved and half of that period is returned.
 func (l *Limiter) Reserve(now micros, ref string, maxRate float64) protocol.Micros {
 	interval := protocol.FromSeconds(1 / l.rate(now, maxRate))
-	l.nextTurn = max(l.nextTurn, now+l.backlog(now, maxRate))
-	if l.nextTurn-now > userRetryPeriod {
-		// The user will have given up by then, unless others do.
+	l.nextSlot = max(l.nextSlot, now+l.backlog(now, maxRate))
+	if l.nextSlot-now > userRetryPeriod {
+		// The user will have given up by then. If other users give up, there is room sooner.
 		return userRetryPeriod / 2
 	}
 	l.sweep(now)
-	turn := l.nextTurn
+	slot := l.nextSlot
 	if len(l.reservations) < maxReservations {
 		if l.reservations == nil {
 			l.reservations = make(map[string]micros)
 		}
-		l.reservations[ref] = turn
-		l.nextTurn += interval
+		l.reservations[ref] = slot
+		l.nextSlot += interval
 	}
-	return turn - now
+	return slot - now
 }
 
-// IsOverloaded reports whether there are jobs whose turn is still to come.
-func (l *Limiter) IsOverloaded(now micros) bool { return l.nextTurn-now > maxDelay }
+// IsOverloaded reports whether slots are assigned for longer than maxDelay ahead, so that new
+// submissions have to be retried later.
+func (l *Limiter) IsOverloaded(now micros) bool { return l.nextSlot-now > maxDelay }
 
-// Begin counts a record that is on its way.
+// Begin counts a record whose write begins.
 func (l *Limiter) Begin() { l.inFlight++ }
 
-// End counts a record that is not on its way any more.
+// End counts a record whose write has ended. written reports whether the state service processed
+// it, so that it counts in the measured rate.
 func (l *Limiter) End(written bool) {
 	l.inFlight--
 	if written {
@@ -107,16 +118,17 @@
 	l.minInFlight = min(l.minInFlight, l.inFlight)
 }
 
-// backlog is how long the records that are on their way take.
+// backlog returns the time that the records in flight take at the current rate.
 func (l *Limiter) backlog(now micros, maxRate float64) micros {
 	interval := 1 / l.rate(now, maxRate)
 	return protocol.FromSeconds(float64(l.inFlight) * interval)
 }
 
-// rate is how many records a second are written, maxRate at most.
+// rate returns the number of records that are written a second. Each measurement lasts for
+// measurementWindow and is bounded by maxRate.
 func (l *Limiter) rate(now micros, maxRate float64) float64 {
 	if span := now - l.measuredSince; span >= measurementWindow {
-		rate := maxRate // hardly any wait: more would have what nobody else uses
+		rate := maxRate // with hardly any backlog, other records leave the rest of it unused
 		if l.written > 0 && float64(l.minInFlight) > idleDelay.Seconds()*maxRate/2 {
 			rate = min(maxRate, float64(l.written)/span.Seconds())
 		}
@@ -132,14 +144,14 @@
 	return max(l.measuredRate, 1)
 }
 
-// sweep takes out the turns that nobody came for.
+// sweep removes the expired reservations, at most once every sweepInterval.
 func (l *Limiter) sweep(now micros) {
 	if now-l.sweptAt < sweepInterval {
 		return
 	}
 	l.sweptAt = now
-	for ref, turn := range l.reservations {
-		if now-turn > reservationLifetime {
+	for ref, slot := range l.reservations {
+		if now-slot > reservationLifetime {
 			delete(l.reservations, ref)
 		}
 	}
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -12,84 +12,84 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, 40) }
 
-// user is one who submits a job, and comes again when told to.
+// user submits a job, and submits it again when the limiter asks for a retry.
 type user struct {
-	comes, first micros
-	told         int
+	nextTry, firstTry micros
+	refusals          int
 }
 
-// More users come at once than there is room for, while other records take a part of the
-// rate that differs from second to second. They come back when they are told to, on the
-// whole second. What has been admitted never waits for long, all that the rate has room
-// for is used, nobody is told to come later than it takes to write what came before, and
-// most are told once or twice.
+// Guards against long waits and unused write rate in an overload: more users submit at once than
+// the write rate allows, while other records take a share of it that changes every 6 seconds.
+// Users retry after the delay that they get, in whole seconds. Admitted records must not wait for
+// long, the write rate must be used up, no delay may be longer than the earlier records take, and
+// most users should be refused once or twice.
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const full = 50.0
-		var a Limiter
+		const maxRate = 50.0
+		var limiter Limiter
 		count := rapid.IntRange(1, 900).Draw(t, "users")
-		parts := rapid.SliceOfN(rapid.Float64Range(0.4, 1), 10, 10).Draw(t, "parts")
+		rateShares := rapid.SliceOfN(rapid.Float64Range(0.4, 1), 10, 10).Draw(t, "parts")
 		users := make(map[string]*user)
 		for i := range count {
-			came := protocol.Second + micros(i%7)*100*protocol.Millisecond
-			users[fmt.Sprintf("req-%06d", i)] = &user{comes: came, first: came}
+			submitAt := protocol.Second + micros(i%7)*100*protocol.Millisecond
+			users[fmt.Sprintf("req-%06d", i)] = &user{nextTry: submitAt, firstTry: submitAt}
 		}
-		var line []micros // those that were admitted, and when
-		room, told, longest, over := 0.0, 0, micros(0), micros(0)
-		for at := micros(0); at < 60*protocol.Second && len(users)+len(line) > 0; at += protocol.Second / 20 {
-			room = min(room+full*parts[at/(6*protocol.Second)]/20, 5)
-			for ; room >= 1 && len(line) > 0; room-- {
-				longest = max(longest, at-line[0])
-				line = line[1:]
-				a.End(true)
+		var queue []micros // admission times of the records that are not written yet
+		tokens, maxRefusals, longestWait, finishedAt := 0.0, 0, micros(0), micros(0)
+		for at := micros(0); at < 60*protocol.Second && len(users)+len(queue) > 0; at += protocol.Second / 20 {
+			tokens = min(tokens+maxRate*rateShares[at/(6*protocol.Second)]/20, 5)
+			for ; tokens >= 1 && len(queue) > 0; tokens-- {
+				longestWait = max(longestWait, at-queue[0])
+				queue = queue[1:]
+				limiter.End(true)
 			}
 			for i := range count { // in the same order every time
 				ref := fmt.Sprintf("req-%06d", i)
 				u := users[ref]
-				if u == nil || u.comes > at {
+				if u == nil || u.nextTry > at {
 					continue
 				}
-				after, ok := a.Admit(at, ref, full)
+				wait, ok := limiter.Admit(at, ref, maxRate)
 				if ok {
-					a.Begin()
-					line = append(line, at)
+					limiter.Begin()
+					queue = append(queue, at)
 					delete(users, ref)
 					continue
 				}
-				if u.told++; u.told > told {
-					told = u.told
+				if u.refusals++; u.refusals > maxRefusals {
+					maxRefusals = u.refusals
 				}
-				if after <= 0 || after > userRetryPeriod {
-					t.Fatalf("told to come after %d ms", after/protocol.Millisecond)
+				if wait <= 0 || wait > userRetryPeriod {
+					t.Fatalf("retry requested after %d ms", wait/protocol.Millisecond)
 				}
-				u.comes = at + protocol.Micros(protocol.WholeSeconds(after))*protocol.Second
+				u.nextTry = at + protocol.Micros(protocol.WholeSeconds(wait))*protocol.Second
 			}
-			over = at
+			finishedAt = at
 		}
 		if len(users) > 0 {
 			t.Fatalf("%d of %d users were not admitted within a minute", len(users), count)
 		}
-		if longest > 4*maxDelay {
-			t.Errorf("one that was admitted waited for %d ms", longest/protocol.Millisecond)
+		if longestWait > 4*maxDelay {
+			t.Errorf("an admitted record waited for %d ms", longestWait/protocol.Millisecond)
 		}
-		if most := protocol.FromSeconds(float64(count)/(full*0.4)) + 8*protocol.Second; over > most {
-			t.Errorf("%d users took %d ms, at most %d", count, over/protocol.Millisecond, most/protocol.Millisecond)
+		if limit := protocol.FromSeconds(float64(count)/(maxRate*0.4)) + 8*protocol.Second; finishedAt > limit {
+			t.Errorf("%d users took %d ms, want at most %d ms", count, finishedAt/protocol.Millisecond, limit/protocol.Millisecond)
 		}
-		if told > 5 {
-			t.Errorf("one was told %d times to come back", told)
+		if maxRefusals > 5 {
+			t.Errorf("a user was refused %d times", maxRefusals)
 		}
 	})
 }
 
-// Turns that nobody comes for hold nobody up.
-func TestAdmissionTurnsThatNobodyTakes(t *testing.T) {
-	var a Limiter
+// Reserved slots of users who do not submit again must not delay a later submission.
+func TestUnusedReservationsDoNotDelayOthers(t *testing.T) {
+	var limiter Limiter
 	at := protocol.Second
 	for i := range 900 {
-		a.Admit(at, fmt.Sprintf("req-%06d", i), 20)
+		limiter.Admit(at, fmt.Sprintf("req-%06d", i), 20)
 	}
 	at += 5 * protocol.Second
-	if after, ok := a.Admit(at, "req-900001", 20); !ok {
-		t.Fatalf("nobody waits, and a user is told to come after %d ms", after/protocol.Millisecond)
+	if wait, ok := limiter.Admit(at, "req-900001", 20); !ok {
+		t.Fatalf("no record is in flight, but the submission is delayed by %d ms", wait/protocol.Millisecond)
 	}
 }
