--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -42,7 +42,7 @@
 	reservations map[string]micros // reserved slots, by job
 	sweptAt      micros            // when expired reservations were last removed
 
-	measuredRate  float64 // smoothed rate of written records a second, 0 before the first measurement
+	measuredRate  float64 // smoothed rate of records a second, 0 before the first measurement
 	measuredSince micros  // start of the current measurement
 	written       int     // records written since then
 	minInFlight   int     // lowest inFlight since then
--- a/internal/state/cluster.go
+++ b/internal/state/cluster.go
@@ -8,19 +8,19 @@
 	"mapleslip/internal/protocol"
 )
 
-// Cluster is all that a leader knows of jobs, hosts and attempts.
+// Cluster contains the jobs, hosts and attempts that a leader knows.
 type Cluster struct {
-	// UsedByTeam is what a team's attempts may use on hosts, by team.
+	// UsedByTeam contains the resources that the attempts of each team may hold on hosts.
 	UsedByTeam map[string]protocol.Resources
 
-	jobs            map[string]*Job
-	jobsInOrder     []*Job // by submission
+	jobs            map[string]*Job // by ref
+	jobsInOrder     []*Job          // sorted by submission time, then ref
 	hosts           map[string]*Host
-	hostsInOrder    []*Host               // by name
-	unboundAttempts map[string][]*Attempt // of jobs that are not known, by job
+	hostsInOrder    []*Host               // sorted by name
+	unboundAttempts map[string][]*Attempt // attempts of jobs that are not known, by job ref
 }
 
-// NewCluster makes an empty cluster.
+// NewCluster returns an empty cluster.
 func NewCluster() *Cluster {
 	return &Cluster{
 		UsedByTeam: make(map[string]protocol.Resources), jobs: make(map[string]*Job), hosts: make(map[string]*Host),
@@ -28,10 +28,10 @@
 	}
 }
 
-// Job finds a job, or nil.
+// Job returns the job of a ref, or nil.
 func (c *Cluster) Job(ref string) *Job { return c.jobs[ref] }
 
-// Jobs lists the jobs in the order of their submission.
+// Jobs returns the jobs in the order of their submission.
 func (c *Cluster) Jobs() []*Job { return c.jobsInOrder }
 
 // AddJob adds a job.
@@ -44,7 +44,7 @@
 	c.jobsInOrder = slices.Insert(c.jobsInOrder, i, j)
 }
 
-// RemoveJobs removes jobs. Their attempts stay on their hosts, as attempts of unknown jobs.
+// RemoveJobs removes jobs. Their attempts stay on their hosts as attempts of unknown jobs.
 func (c *Cluster) RemoveJobs(jobs []*Job) {
 	if len(jobs) == 0 {
 		return
@@ -60,10 +60,10 @@
 	c.jobsInOrder = slices.DeleteFunc(c.jobsInOrder, func(j *Job) bool { return c.jobs[j.Spec.Ref] != j })
 }
 
-// Host finds a host, or nil.
+// Host returns the host of a name, or nil.
 func (c *Cluster) Host(name string) *Host { return c.hosts[name] }
 
-// Hosts lists the hosts in the order of their names.
+// Hosts returns the hosts in the order of their names.
 func (c *Cluster) Hosts() []*Host { return c.hostsInOrder }
 
 // AddHost adds a host.
@@ -73,7 +73,7 @@
 	c.hostsInOrder = slices.Insert(c.hostsInOrder, i, h)
 }
 
-// RemoveHost removes a host that is gone.
+// RemoveHost removes a host whose machine has been released.
 func (c *Cluster) RemoveHost(h *Host) {
 	delete(c.hosts, h.Name)
 	if i := slices.Index(c.hostsInOrder, h); i >= 0 {
@@ -81,7 +81,8 @@
 	}
 }
 
-// Attach makes an attempt of a task on a host. j is nil if the job is not known.
+// Attach adds a new attempt of a task to a host and to its job. j is nil if the job is not known.
+// The attempt becomes the current one of its task if the task is queued.
 func (c *Cluster) Attach(now micros, j *Job, h *Host, name protocol.AttemptName) *Attempt {
 	a := &Attempt{Name: name, Job: j, Host: h, StateSince: now, PlacedAt: now}
 	h.attach(a)
@@ -101,32 +102,33 @@
 	return a
 }
 
-// BindAttempts gives a job that has become known the attempts that were seen of it before,
-// and returns them.
+// BindAttempts binds to a job that has become known the attempts that heartbeats reported before,
+// and returns them. Each is replaced by a new attempt in the same state. Attempts that have exited
+// or belong to no task of the job are dropped.
 func (c *Cluster) BindAttempts(now micros, j *Job) []*Attempt {
 	var bound []*Attempt
 	unbound := c.unboundAttempts[j.Spec.Ref]
 	delete(c.unboundAttempts, j.Spec.Ref)
 	for _, a := range unbound {
-		was := a.State
-		if was.HoldsResources() {
+		previous := a.State
+		if previous.HoldsResources() {
 			a.Host.holdingAttempts--
 		}
 		a.Host.detach(a)
 		a.State = AttemptGone
-		if was == AttemptExited || a.Name.Index >= len(j.Tasks) {
+		if previous == AttemptExited || a.Name.Index >= len(j.Tasks) {
 			continue // the next heartbeat reports it again
 		}
-		b := c.Attach(now, j, a.Host, a.Name)
-		b.Adopted = true
-		c.SetAttemptState(now, b, was)
-		bound = append(bound, b)
+		adopted := c.Attach(now, j, a.Host, a.Name)
+		adopted.Adopted = true
+		c.SetAttemptState(now, adopted, previous)
+		bound = append(bound, adopted)
 	}
 	return bound
 }
 
-// SetAttemptState is the one place where an attempt changes its state. It keeps the counts of
-// the task, job, host and team.
+// SetAttemptState changes the state of an attempt and updates the counts of its task, job, host
+// and team. The state of an attempt on a host must not be changed in any other way.
 func (c *Cluster) SetAttemptState(now micros, a *Attempt, to AttemptState) {
 	from := a.State
 	if from == to {
@@ -148,14 +150,14 @@
 	}
 }
 
-// countResources keeps the counts of what attempts use.
+// countResources updates the resources in use when an attempt begins or ceases to hold some.
 func (c *Cluster) countResources(a *Attempt, from, to AttemptState) {
-	was, is := from.HoldsResources(), to.HoldsResources()
-	if was == is {
+	held, holds := from.HoldsResources(), to.HoldsResources()
+	if held == holds {
 		return
 	}
 	change := int64(-1)
-	if is {
+	if holds {
 		change = 1
 	}
 	a.Host.holdingAttempts += int(change)
@@ -166,14 +168,15 @@
 	}
 }
 
-// updateTask keeps what an attempt's task knows of its attempts.
+// updateTask updates the attempt count, the current attempt and the state of an attempt's task. A
+// task whose current attempt has ended is queued again, unless it is done.
 func updateTask(a *Attempt, from, to AttemptState) {
 	t := a.Task()
 	if t == nil {
 		return
 	}
-	if was, is := from.MayRun(), to.MayRun(); was != is {
-		if is {
+	if couldRun, mayRun := from.MayRun(), to.MayRun(); couldRun != mayRun {
+		if mayRun {
 			t.ActiveAttempts++
 		} else {
 			t.ActiveAttempts--
@@ -190,7 +193,7 @@
 	}
 }
 
-// countRunning keeps the count of running tasks, and when a job and its attempts started.
+// countRunning updates the number of running tasks, and the start times of a job and an attempt.
 func countRunning(now micros, a *Attempt, from, to AttemptState) {
 	j := a.Job
 	if from == AttemptRunning {
@@ -208,7 +211,7 @@
 	}
 }
 
-// unlink removes an attempt that is gone from its job, or from the unbound ones.
+// unlink removes an attempt that is gone from its job, or from the unbound attempts.
 func (c *Cluster) unlink(a *Attempt) {
 	if a.Job != nil {
 		delete(a.Job.activeAttempts, a)
--- a/internal/state/cluster_test.go
+++ b/internal/state/cluster_test.go
@@ -13,7 +13,8 @@
 	})
 }
 
-// Whatever way an attempt takes, the counts end where they began.
+// Guards against resources or queued tasks that are counted wrongly after an attempt, whichever
+// states it passes through.
 func TestAttemptCounts(t *testing.T) {
 	for _, path := range [][]AttemptState{
 		{AttemptAssigned, AttemptGone},
@@ -23,22 +24,22 @@
 		{AttemptRunning, AttemptExited, AttemptGone},
 		{AttemptExited, AttemptGone},
 	} {
-		b, j := NewCluster(), job(1)
+		c, j := NewCluster(), job(1)
 		h := NewHost(0, "n-1", "t", "a", false)
-		a := b.Attach(0, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref}, Number: 1})
+		a := c.Attach(0, j, h, protocol.AttemptName{TaskName: protocol.TaskName{Job: j.Spec.Ref}, Number: 1})
 		for _, s := range path {
-			b.SetAttemptState(1, a, s)
-			if s.HoldsResources() && (b.UsedByTeam["red"] != j.Spec.TaskResources || h.Used() != j.Spec.TaskResources || j.QueuedTasks != 0 || j.AttemptCount != 1) {
-				t.Errorf("%v at %v: used %v, %d queued, %d attempts", path, s, b.UsedByTeam["red"], j.QueuedTasks, j.AttemptCount)
+			c.SetAttemptState(1, a, s)
+			if s.HoldsResources() && (c.UsedByTeam["red"] != j.Spec.TaskResources || h.Used() != j.Spec.TaskResources || j.QueuedTasks != 0 || j.AttemptCount != 1) {
+				t.Errorf("%v at %v: used %v, %d queued, %d attempts", path, s, c.UsedByTeam["red"], j.QueuedTasks, j.AttemptCount)
 			}
 		}
-		if b.UsedByTeam["red"] != (protocol.Resources{}) || j.QueuedTasks != 1 || j.AttemptCount != 0 || j.RunningTasks != 0 || j.Tasks[0].ActiveAttempts != 0 || len(h.Attempts()) != 0 || !h.Empty() {
-			t.Errorf("%v: used %v, job %+v", path, b.UsedByTeam["red"], j)
+		if c.UsedByTeam["red"] != (protocol.Resources{}) || j.QueuedTasks != 1 || j.AttemptCount != 0 || j.RunningTasks != 0 || j.Tasks[0].ActiveAttempts != 0 || len(h.Attempts()) != 0 || !h.Empty() {
+			t.Errorf("%v at the end: used %v, job %+v", path, c.UsedByTeam["red"], j)
 		}
 	}
 }
 
-// The cache holds the most recently used images.
+// Images that do not fit into the cache must be removed in the order of their last use.
 func TestImageCache(t *testing.T) {
 	h := NewHost(0, "n-1", "t", "a", false)
 	h.Type = &protocol.MachineType{CacheSize: 10000}
@@ -47,6 +48,6 @@
 	h.AddImage(3, "a", 5000)
 	h.AddImage(4, "c", 3000)
 	if h.Images["a"] == nil || h.Images["b"] != nil || h.Images["c"] == nil {
-		t.Errorf("%v", h.Images)
+		t.Errorf("images %v, want a and c", h.Images)
 	}
 }
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,12 +1,13 @@
-// Package state is a leader's view of the cluster: jobs with their tasks and attempts, hosts,
-// and what each team uses. It keeps these consistent with each other and decides nothing.
+// Package state contains a leader's view of the cluster: jobs with their tasks and attempts,
+// hosts, and the resources that each team uses. It keeps these consistent with each other and
+// makes no decisions.
 //
-// Jobs, hosts and attempts are state machines. Job.SetState, Host.SetState and
-// Cluster.SetAttemptState are the only places where their states change; a transition that
-// does not exist is a fault of the program and panics.
+// Jobs, hosts and attempts are state machines. Only Job.SetState, Host.SetState and
+// Cluster.SetAttemptState change their states; they panic on a transition that does not exist,
+// since that is a bug in the program.
 //
-// All of it belongs to the goroutine that calls controller.Step. Instants are microseconds of
-// the steady clock, unless a name ends with Wall: those are times of day.
+// All state belongs to the goroutine that calls controller.Step. Times are microseconds of the
+// steady clock, except those whose names end with Wall, which are times of day.
 package state
 
 import "mapleslip/internal/protocol"
--- a/internal/state/host.go
+++ b/internal/state/host.go
@@ -8,16 +8,16 @@
 	"mapleslip/internal/protocol"
 )
 
-// HostState is where a host is in its life.
+// HostState is the state of a host in its life cycle.
 type HostState uint8
 
 // States of a host.
 const (
-	HostBooting   HostState = iota // rented or listed, has not reported
-	HostReady                      // reports under this epoch
-	HostSilent                     // its tasks are proven gone, it may come back
-	HostReleasing                  // a release is on its way
-	HostGone                       // the release was answered
+	HostBooting   HostState = iota // rented, listed or recorded; no heartbeat received yet
+	HostReady                      // its heartbeats reach this leader
+	HostSilent                     // lease expired, so it has no tasks; it may report again
+	HostReleasing                  // its release has been requested from the cloud
+	HostGone                       // the cloud has confirmed the release
 )
 
 func (s HostState) String() string {
@@ -31,27 +31,27 @@
 	HostReleasing: {HostGone},
 }
 
-// Image is an image in a host's cache, as far as known.
+// Image is an image that is in a host's cache as far as the leader knows.
 type Image struct {
 	Size     int64
 	LastUsed micros
 }
 
-// Host is a machine that the cloud rents to the deployment, with its worker (the agent).
+// Host is a machine that is rented from the cloud, with its worker (the agent).
 type Host struct {
 	Name, Addr string
-	Type       *protocol.MachineType // nil: the type is not known yet
+	Type       *protocol.MachineType // nil if the machine type is not known yet
 	TypeName   string
 	Zone       string
 	Spot       bool
 
 	State      HostState
-	Rented     bool   // by this leader, which knows since when
-	Unverified bool   // known by a heartbeat of another epoch alone, which may be a late copy
-	Reconciled bool   // has reported under this epoch, or its tasks are gone
-	KnownSince micros // when it was rented, or first known
+	Rented     bool   // this leader rented it, so KnownSince is the time of the rental
+	Unverified bool   // known only by a heartbeat of another epoch, which may be a delayed copy
+	Reconciled bool   // its tasks are known: it has reported under this epoch, or holds no tasks
+	KnownSince micros // when it was rented, or became known to this leader
 	IdleSince  micros
-	FullUntil  micros // it refused a start for want of room: nothing is placed there before
+	FullUntil  micros // it refused a start for lack of room: no tasks are placed before
 
 	Agent        Agent
 	Commands     CommandState
@@ -62,79 +62,80 @@
 	Record       HostRecord
 
 	Images        map[string]*Image
-	RuntimeRatio  float64 // run time of tasks against others of their class, 1 is usual
+	RuntimeRatio  float64 // smoothed ratio of its tasks' run times to estimates, usually 1
 	ReleaseReason string
 
-	// Stale: the host has changed since the scheduler took it into its slot table.
+	// Stale is set when the host has changed since the scheduler last copied it into the slot
+	// table.
 	Stale bool
 
-	attempts        []*Attempt // in order; replaced, not changed, when one comes or goes
+	attempts        []*Attempt // sorted; a change replaces the slice, so that callers can keep it
 	used            protocol.Resources
-	holdingAttempts int // attempts that may hold resources
+	holdingAttempts int // number of attempts that may hold resources
 }
 
-// Agent is what is known of a host's worker by its heartbeats.
+// Agent is the state of a host's worker, as its messages show it.
 type Agent struct {
-	Epoch      uint64 // raised each time the agent's lease expires
-	Sequence   uint64 // of its messages within an epoch
-	EndedEpoch uint64 // an epoch that has certainly ended, by time
+	Epoch      uint64 // raised by the worker each time its lease expires
+	Sequence   uint64 // number of its newest message within the epoch
+	EndedEpoch uint64 // latest epoch whose lease has certainly expired by time, 0 if none has
 
-	LastContact    micros // the last message of any kind
-	HeartbeatAt    micros // the last heartbeat under this leader, other than the answer to a command
-	HeartbeatCount uint64 // heartbeats and answers taken so far
-	RepliedAt      micros // when this leader last answered a heartbeat
-	LeaseRenewedAt micros // the latest time at which anyone may have renewed its lease
+	LastContact    micros // when the newest message of any kind was received
+	HeartbeatAt    micros // last heartbeat under this leader, without answers to commands
+	HeartbeatCount uint64 // heartbeats and answers to commands that were applied
+	RepliedAt      micros // when this leader last answered a heartbeat, 0 if never
+	LeaseRenewedAt micros // latest time at which a controller may have renewed its lease
 
-	ForwardedAt         micros // when another controller last forwarded a heartbeat, 0: they come directly
-	LeaderUnreachableAt micros // when it last showed that it can't reach the leader, 0: it can
+	ForwardedAt         micros // last forwarding by another controller, 0 if heartbeats are direct
+	LeaderUnreachableAt micros // when it last showed that it can't reach the leader, 0 if it can
 }
 
-// CommandState is how direct commands to a host stand.
+// CommandState is the state of the direct commands to a host.
 type CommandState struct {
 	Queued      bool
 	InFlight    bool
-	RetryAt     micros // none is sent before
-	Ineffective int    // answers and commands in a row that showed no effect
+	RetryAt     micros // no direct command is sent before
+	Ineffective int    // consecutive answers and commands to the worker that had no visible effect
 }
 
-// ProbeState is how probes of a host stand.
+// ProbeState is the state of the probes of a host.
 type ProbeState struct {
-	InFlight bool   // it is being probed, or will be
-	Failed   bool   // it did not answer the last time
-	NextAt   micros // when a silent host is probed again
+	InFlight bool   // a probe is queued or unanswered
+	Failed   bool   // the last probe got no answer
+	NextAt   micros // earliest time of the next probe of a silent host
 }
 
-// Quarantine is the state of a host that is suspected to be faulty.
+// Quarantine contains the suspected faults of a host.
 type Quarantine struct {
-	Count       int      // how often it was quarantined
-	Until       micros   // no tasks are placed there before
-	SuspectedBy []string // jobs that failed here, while it is not known whose fault it is
-	OnSuspicion bool     // quarantined because of those alone
+	Count       int      // number of quarantines so far
+	Until       micros   // no tasks are placed on the host before
+	SuspectedBy []string // jobs that failed on this host only, so that either may be at fault
+	OnSuspicion bool     // quarantined only because several jobs are in SuspectedBy
 }
 
-// CloudListing is what the cloud's machine list says of a host.
+// CloudListing is the state of a host in the cloud's machine list.
 type CloudListing struct {
-	Listed      bool
+	Listed      bool // the list has contained the host
 	State       protocol.CloudState
-	AbsentSince micros // since when it is not listed, 0: it is
+	AbsentSince micros // when the list was first seen without the host, 0 if the host is listed
 }
 
-// Interruption is the notice that a spot machine is taken back.
+// Interruption is the cloud's notice that it will take a spot machine back.
 type Interruption struct {
 	Noticed bool
 	At      micros
 }
 
-// HostRecord is how a host's record in the state service stands.
+// HostRecord is the state of a host's record in the state service.
 type HostRecord struct {
-	Written          bool   // nothing is launched on the host before
-	Legacy           bool   // it is of format 1, to be moved
-	FromEarlierEpoch bool   // written under an earlier epoch: the host may hold tasks unseen
-	WrittenWall      micros // time of day
-	ImagesStale      bool   // the record does not have all images
+	Written          bool   // the record is durable; nothing is launched on the host before
+	Legacy           bool   // the record has format 1 and has to be moved to a shared one
+	FromEarlierEpoch bool   // written under an earlier epoch: the host may hold unknown tasks
+	WrittenWall      micros // time of day of the write
+	ImagesStale      bool   // the host has images that the record does not contain
 }
 
-// NewHost makes a host that is booting.
+// NewHost returns a host in state HostBooting.
 func NewHost(now micros, name, typeName, zone string, spot bool) *Host {
 	return &Host{
 		Name: name, TypeName: typeName, Zone: zone, Spot: spot, KnownSince: now, IdleSince: now, RuntimeRatio: 1,
@@ -142,7 +143,7 @@
 	}
 }
 
-// SetState is the one place where a host changes its state.
+// SetState changes the state of a host. It panics if that transition does not exist.
 func (h *Host) SetState(s HostState) {
 	if h.State == s {
 		return
@@ -153,18 +154,18 @@
 	h.State, h.Stale = s, true
 }
 
-// IsStale reports whether a heartbeat is older than what is known of the host. One of an
-// agent epoch that has ended by time was delayed on the way: its tasks are gone, and may have
-// been started elsewhere since.
+// IsStale reports whether a heartbeat is older than the newest message from the host. A heartbeat
+// of an agent epoch that has ended by time is stale too: it was delayed on the network, and the
+// tasks that it lists are gone and may have been started elsewhere since.
 func (h *Host) IsStale(r *protocol.Heartbeat) bool {
 	return r.AgentEpoch <= h.Agent.EndedEpoch || h.Agent.Epoch > 0 && !r.NewerThan(h.Agent.Epoch, h.Agent.Sequence)
 }
 
-// Attempts lists the attempts on a host in their order. The list stays as it is when attempts
-// come and go.
+// Attempts returns the sorted attempts on a host. The returned slice does not change when attempts
+// are added to the host or removed.
 func (h *Host) Attempts() []*Attempt { return h.attempts }
 
-// Find finds an attempt on a host, or nil.
+// Find returns the attempt of a name on the host, or nil.
 func (h *Host) Find(name protocol.AttemptName) *Attempt {
 	for _, a := range h.attempts {
 		if a.Name == name {
@@ -196,20 +197,21 @@
 	h.Stale = true
 }
 
-// Used is what the attempts of known jobs take.
+// Used returns the resources that the attempts of known jobs hold.
 func (h *Host) Used() protocol.Resources { return h.used }
 
-// Free is what the attempts of known jobs leave. The host's type has to be known.
+// Free returns the resources that the attempts of known jobs leave free. The host's machine type
+// must be known.
 func (h *Host) Free() protocol.Resources { return h.Type.Capacity.Add(h.used, -1) }
 
-// Empty reports whether no attempt may take resources.
+// Empty reports whether no attempt on the host may hold resources.
 func (h *Host) Empty() bool { return h.holdingAttempts == 0 }
 
-// ImageNames lists the host's images in order.
+// ImageNames returns the sorted names of the images in the host's cache.
 func (h *Host) ImageNames() []string { return slices.Sorted(maps.Keys(h.Images)) }
 
-// AddImage notes that the host has an image, and forgets the least recently used ones that its
-// cache cannot hold beside it.
+// AddImage records that an image is in the host's cache and was just used, and removes the least
+// recently used images that the cache cannot hold together with it, as the host does.
 func (h *Host) AddImage(now micros, name string, size int64) {
 	image := h.Images[name]
 	if image == nil {
@@ -222,7 +224,7 @@
 		return
 	}
 	for {
-		total, oldest := h.imagesBeside(name)
+		total, oldest := h.cacheUsage(name)
 		if total <= h.Type.CacheSize || oldest == "" {
 			return
 		}
@@ -230,18 +232,20 @@
 	}
 }
 
-// imagesBeside returns the size of all images, and the least recently used one besides name.
-func (h *Host) imagesBeside(name string) (total int64, oldest string) {
+// cacheUsage returns the total size of the cached images, and the least recently used image other
+// than keep, "" if there is none.
+func (h *Host) cacheUsage(keep string) (total int64, oldest string) {
 	for other, image := range h.Images {
 		total += image.Size
-		if other != name && (oldest == "" || h.usedBefore(other, oldest)) {
+		if other != keep && (oldest == "" || h.usedBefore(other, oldest)) {
 			oldest = other
 		}
 	}
 	return total, oldest
 }
 
-// usedBefore orders two images by their last use, those used together by their names.
+// usedBefore reports whether image a was last used before image b. Images that were used at the
+// same time are ordered by name.
 func (h *Host) usedBefore(a, b string) bool {
 	x, y := h.Images[a].LastUsed, h.Images[b].LastUsed
 	return x < y || x == y && a < b
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -7,17 +7,17 @@
 	"mapleslip/internal/protocol"
 )
 
-// JobState is where a job is in its life.
+// JobState is the state of a job in its life cycle.
 type JobState uint8
 
 // States of a job.
 const (
-	JobActive          JobState = iota // accepted, tasks wait or run
-	JobCancelling                      // its user asked to cancel; tasks are being stopped, nobody was told yet
-	JobCancelledLegacy                 // an earlier version told its user while tasks may still be on hosts
-	JobFinishing                       // all tasks are done, the final record is on its way
+	JobActive          JobState = iota // accepted, its tasks are queued or running
+	JobCancelling                      // cancel requested, not confirmed until no task is left
+	JobCancelledLegacy                 // an earlier version confirmed it, tasks may be on hosts
+	JobFinishing                       // all tasks are done, the final record is being written
 	JobDone                            // the final record is durable
-	JobClosed                          // cancelled and no task is left
+	JobClosed                          // cancelled, and no task is on any host
 	JobBlocked                         // accepted, depends on jobs that are not known to be done
 )
 
@@ -33,13 +33,13 @@
 	JobBlocked:         {JobActive, JobCancelling},
 }
 
-// TaskState is where a task is, apart from its attempts.
+// TaskState is the state of a task, apart from the states of its attempts.
 type TaskState uint8
 
 // States of a task.
 const (
-	TaskQueued TaskState = iota // waits for a place
-	TaskPlaced                  // has an attempt
+	TaskQueued TaskState = iota // waits to be placed on a host
+	TaskPlaced                  // has a current attempt
 	TaskDone                    // completed
 )
 
@@ -47,31 +47,31 @@
 type Task struct {
 	State          TaskState
 	Durable        bool     // its completion is in the state service, or needs no record
-	Current        *Attempt // that it is placed with, or nil
-	ActiveAttempts int32    // attempts that may be on some host
-	NotBefore      micros   // it is not placed before
+	Current        *Attempt // the attempt that the task is placed with, nil if it is not placed
+	ActiveAttempts int32    // number of its attempts that may be on a host
+	NotBefore      micros   // the task is not placed before
 }
 
 // Job is an accepted job.
 type Job struct {
 	Spec     *protocol.JobSpec
 	State    JobState
-	Priority protocol.Priority // its own, or the highest of the jobs that depend on it
+	Priority protocol.Priority // the highest of its own and those of the jobs that depend on it
 
-	LeaderEpoch uint64 // of the leader that recorded it, 0: another controller did
-	Revision    uint64 // of its record
+	LeaderEpoch uint64 // epoch of the leader that recorded the job, 0 if a follower recorded it
+	Revision    uint64 // revision of its record
 
 	SubmittedWall micros // time of day
 	Submitted     micros
-	EligibleAt    micros // since when it may start: its submission, or the end of its last dependency
-	FirstStart    micros
+	EligibleAt    micros // time of its submission, or of the end of its last dependency
+	FirstStart    micros // when a task was first seen running, 0 if none was
 
 	Tasks           []Task
 	CompletedTasks  int
-	QueuedTasks     int // that wait for a place
-	FirstQueuedTask int // no task before it waits for a place
+	QueuedTasks     int // number of tasks in state TaskQueued
+	FirstQueuedTask int // no task of a lower index is queued
 	RunningTasks    int
-	AttemptCount    int // attempts that may be on some host, or are assigned
+	AttemptCount    int // attempts that are assigned to a host or may be on one
 
 	Gang         Gang
 	Dependencies Dependencies
@@ -81,79 +81,80 @@
 	Failures     Failures
 	Objectives   Objectives
 
-	FinalWriteInFlight bool           // cancelled, and its final record is on its way
-	ChunkRevisions     map[int]uint64 // revisions of its records of completions
+	FinalWriteInFlight bool           // cancelled, and its final record is being written
+	ChunkRevisions     map[int]uint64 // revisions of its completion records, by chunk
 
 	activeAttempts map[*Attempt]struct{}
 }
 
-// Gang is the attempt of a gang that is forming or running. Its tasks find each other by its
-// number.
+// Gang is the current attempt of a gang, whose tasks start together. All of them have the same
+// attempt number, by which they find each other.
 type Gang struct {
-	Attempt uint64 // 0: there is none
-	Started bool   // tasks of it have run
+	Attempt uint64 // attempt number, 0 if the gang has no attempt
+	Started bool   // tasks of this attempt have run
 }
 
-// Dependencies is how the jobs stand that a job depends on.
+// Dependencies is the state of the jobs that a job depends on.
 type Dependencies struct {
-	Unmet             []string // those that are not known to be done
-	Uncertain         bool     // one of them may be durably cancelled without this leader knowing it
-	Cancelled         bool     // one of them is durably cancelled: so is this job
-	InheritedDeadline micros   // when the job has to be done for a dependent one to meet its deadline, 0: none
+	Unmet             []string // refs of the dependencies that are not known to be done
+	Uncertain         bool     // a dependency may be durably cancelled, unknown to this leader
+	Cancelled         bool     // a dependency is durably cancelled, which cancels this job too
+	InheritedDeadline micros   // latest end for dependent jobs to meet their deadlines, 0 if none
 }
 
-// Cancellation is how the cancellation of a job stands.
+// Cancellation is the state of a user's request to cancel a job.
 type Cancellation struct {
-	RequestedWall micros // time of day of the user's request, as recorded
-	Persisted     bool   // the request is in the state service
-	WriteInFlight bool   // or on its way there
-	RetryAt       micros // it is not written before
+	RequestedWall micros // time of day of the request, as recorded
+	Persisted     bool   // the request is in the state service, or can't be written
+	WriteInFlight bool   // the request is being written, or the revision of the job's record read
+	RetryAt       micros // the request is not written before
 }
 
-// Booking is where and when a job was last planned to start.
+// Booking contains the places and the time at which a job was last planned to start.
 type Booking struct {
-	Start     micros // 0: none
-	Persisted bool   // in the state service
+	Start     micros // 0 if the job has never been booked
+	Persisted bool   // the start is in the state service, or is being written
 	Places    []BookedPlace
-	Zone      string // where a gang was last booked
-	RetryAt   micros // no booking could meet the deadline: none is tried before
+	Zone      string // zone of the last booking, preferred for single-zone gangs
+	RetryAt   micros // no booking is tried before, as the last one was too late
 }
 
-// BookedPlace is a place that a scheduling cycle planned for later.
+// BookedPlace is a place on a machine that a scheduling cycle booked for a later start.
 type BookedPlace struct {
 	Machine      string
-	Begin, Ready micros
+	Begin, Ready micros // when the place is taken, and when the task's image is there
 }
 
-// Preemption is the room that was made for a job by preempting others.
+// Preemption is the room that was made for a job by preempting tasks of other jobs.
 type Preemption struct {
 	Reservations  []Reservation
-	ReservedUntil micros // some of the room is kept for the job until then
-	RetryAt       micros // no room could be made: it is not tried before
+	ReservedUntil micros // the room is reserved for the job until then
+	RetryAt       micros // preemption is not tried before, since it could not make room
 }
 
-// Reservation is a host on which room was made for one task, and until when the task waits
-// for it.
+// Reservation is a host on which tasks were preempted to make room for one task, which waits
+// for that room until a time.
 type Reservation struct {
 	Host  *Host
 	Until micros
 }
 
-// Failures is what a job's failed attempts say of it.
+// Failures summarizes the failed attempts of a job.
 type Failures struct {
-	ByHost       map[string]int
-	Suspect      bool   // it fails wherever it is tried, and nothing shows that it can run
-	Backoffs     int    // how often it was held back for that
-	BackoffUntil micros // nothing of it is placed before
+	ByHost       map[string]int // number of failures by host
+	Suspect      bool           // it has failed on several hosts, and nothing shows that it can run
+	Backoffs     int            // number of backoffs since it became suspect
+	BackoffUntil micros         // no task of the job is placed before
 }
 
-// Objectives tells which service-level objectives a job has been counted for.
+// Objectives contains the service-level objectives for which a job has been counted, or need not
+// be.
 type Objectives struct {
-	Counted      bool
-	StartCounted bool // that of the largest jobs of a class
+	Counted      bool // the objective of its class, and its team's
+	StartCounted bool // the objective on the start of the largest jobs of a class
 }
 
-// NewJob makes a job from its specification. It is blocked if it depends on others.
+// NewJob returns a job of a specification. It is blocked if it depends on other jobs.
 func NewJob(spec *protocol.JobSpec) *Job {
 	j := &Job{Spec: spec, Priority: spec.Priority, Tasks: make([]Task, spec.Tasks), QueuedTasks: spec.Tasks}
 	if len(spec.DependsOn) > 0 {
@@ -163,7 +164,7 @@
 	return j
 }
 
-// SetState is the one place where a job changes its state.
+// SetState changes the state of a job. It panics if that transition does not exist.
 func (j *Job) SetState(s JobState) {
 	if !slices.Contains(jobTransitions[j.State], s) {
 		panic(fmt.Sprintf("job %s: no transition from %v to %v", j.Spec.Ref, j.State, s))
@@ -171,7 +172,7 @@
 	j.State = s
 }
 
-// ActiveAttempts lists the attempts that are not certainly gone, in their order.
+// ActiveAttempts returns the sorted attempts that are not known to be gone.
 func (j *Job) ActiveAttempts() []*Attempt {
 	list := make([]*Attempt, 0, len(j.activeAttempts))
 	for a := range j.activeAttempts {
@@ -181,10 +182,10 @@
 	return list
 }
 
-// NoActiveAttempts reports whether no attempt of the job can be on a host.
+// NoActiveAttempts reports whether no attempt of the job is assigned to a host or may be on one.
 func (j *Job) NoActiveAttempts() bool { return j.AttemptCount == 0 }
 
-// Complete marks a task as done. durable tells that its completion is recorded already.
+// Complete marks a task as done. durable reports whether its completion is recorded already.
 func (j *Job) Complete(index int, durable bool) {
 	t := &j.Tasks[index]
 	if t.State == TaskDone {
@@ -198,7 +199,8 @@
 	j.CompletedTasks++
 }
 
-// CompletedNotDurable lists the completed tasks of a range that no record has yet.
+// CompletedNotDurable returns the indices in [from, to) of the completed tasks whose completions
+// are not durable yet.
 func (j *Job) CompletedNotDurable(from, to int) []int {
 	var list []int
 	for i := from; i < min(to, len(j.Tasks)); i++ {
@@ -209,7 +211,8 @@
 	return list
 }
 
-// SetChunkRevision notes the revision of a record of completions, 0: there is none.
+// SetChunkRevision stores the revision of the completion record of a chunk, 0 if there is no
+// record.
 func (j *Job) SetChunkRevision(chunk int, revision uint64) {
 	if j.ChunkRevisions == nil {
 		j.ChunkRevisions = make(map[int]uint64)
