--- a/internal/records/bookings.go
+++ b/internal/records/bookings.go
@@ -8,12 +8,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// EncodeBookings writes the starts of bookings, in the time of day.
+// EncodeBookings encodes the starts of the bookings of some jobs. start returns the start of a
+// job as a time of day.
 func EncodeBookings(refs []string, start func(ref string) micros) []byte {
-	return appendByRef("at", refs, func(b []byte, ref string) []byte { return strconv.AppendInt(b, int64(start(ref)), 10) })
+	return encodeByRef("at", refs, func(b []byte, ref string) []byte { return strconv.AppendInt(b, int64(start(ref)), 10) })
 }
 
-// DecodeBookings reads the starts of bookings, by job.
+// DecodeBookings decodes the starts of bookings as times of day, by job ref.
 func DecodeBookings(value []byte) (map[string]protocol.Micros, error) {
 	starts := make(map[string]micros)
 	err := forEachRef(value, "bookings", "at", func(ref string, v *fastjson.Value) error {
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -9,20 +9,21 @@
 	"mapleslip/internal/state"
 )
 
-// ChunkTasks is how many tasks of an array one record of completions holds.
+// ChunkTasks is the number of tasks of an array that one completion record covers.
 const ChunkTasks = 8192
 
-// EncodeCompletions writes which tasks of some arrays are done.
+// EncodeCompletions encodes which tasks of some arrays are done, in the record that they share.
 func EncodeCompletions(jobs []*state.Job) []byte {
 	refs := make([]string, len(jobs))
 	byRef := make(map[string]*state.Job, len(jobs))
 	for i, j := range jobs {
 		refs[i], byRef[j.Spec.Ref] = j.Spec.Ref, j
 	}
-	return appendByRef("done", refs, func(b []byte, ref string) []byte { return append(b, EncodeChunk(byRef[ref], 0)...) })
+	return encodeByRef("done", refs, func(b []byte, ref string) []byte { return append(b, EncodeChunk(byRef[ref], 0)...) })
 }
 
-// DecodeCompletions reads completions, by job; ApplyChunk takes what it returns.
+// DecodeCompletions decodes a record that arrays share. It returns the encoded chunk of each
+// array by job ref, as ApplyChunk expects it.
 func DecodeCompletions(value []byte) (map[string][]byte, error) {
 	chunks := make(map[string][]byte)
 	err := forEachRef(value, "completions", "done", func(ref string, v *fastjson.Value) error {
@@ -35,8 +36,8 @@
 	return chunks, err
 }
 
-// EncodeChunk writes which tasks of a chunk of an array are done: a bit for each, the lowest
-// first, in base64.
+// EncodeChunk encodes which tasks of a chunk of an array are done: a JSON string of a bit for each
+// task in base64, beginning with the lowest bit of the first byte.
 func EncodeChunk(j *state.Job, chunk int) []byte {
 	from, to := chunk*ChunkTasks, min((chunk+1)*ChunkTasks, len(j.Tasks))
 	bits := make([]byte, (to-from+7)/8)
@@ -48,7 +49,7 @@
 	return []byte(`"` + base64.StdEncoding.EncodeToString(bits) + `"`)
 }
 
-// ApplyChunk marks the tasks that a chunk's record says are done.
+// ApplyChunk marks the tasks as done and durable that are done according to an encoded chunk.
 func ApplyChunk(j *state.Job, chunk int, value []byte) error {
 	text, err := strconv.Unquote(string(value))
 	if err != nil {
--- a/internal/records/epoch.go
+++ b/internal/records/epoch.go
@@ -12,22 +12,22 @@
 	"mapleslip/internal/protocol"
 )
 
-// Epoch is the record that counts the leaders' epochs.
+// Epoch is the content of the epoch record. Each new leader raises its number by one.
 type Epoch struct {
 	Number uint64
-	// LaunchesUnrecorded: launches of an earlier epoch may be in no record, because a leader
-	// of format 1 came before and not all of its hosts have been heard of since.
+	// LaunchesUnrecorded is set while launches of an earlier epoch may be in no record: a leader
+	// that wrote format 1 did not record launches, and some of its hosts have not reported since.
 	LaunchesUnrecorded bool
-	// Transfers are the newest leases that were given back, the newest last. A controller
-	// that doesn't know them drops them when it comes to lead.
+	// Transfers contains the most recent leadership transfers, the newest last. A controller of
+	// a version without this field drops it when it becomes the leader.
 	Transfers []protocol.LeadershipTransfer
 	// Level is the active feature level.
 	Level featuregate.Level
 }
 
-// EncodeEpoch writes the epoch's record.
+// EncodeEpoch encodes the epoch record.
 func EncodeEpoch(e Epoch) []byte {
-	b := begin("epoch")
+	b := beginRecord("epoch")
 	if e.Level > 0 {
 		b = fmt.Appendf(nil, `{"form":%d,"level":%d,"epoch":`, FeatureFormatVersion, e.Level)
 	}
@@ -64,9 +64,8 @@
 	return append(b, "}}"...)
 }
 
-// DecodeEpoch reads the epoch's record, also that of format 1. What it can't read of the
-// transfers it leaves out: they keep leaders from changing too often, and nothing is unsafe
-// without them.
+// DecodeEpoch decodes the epoch record, in format 1 or a later one. Transfers that can't be read
+// are left out: they only limit how often the leader changes, and are not needed for safety.
 func DecodeEpoch(value []byte) (Epoch, error) {
 	if n, err := strconv.ParseUint(string(value), 10, 64); err == nil {
 		return Epoch{Number: n, LaunchesUnrecorded: true}, nil // format 1
--- a/internal/records/format.go
+++ b/internal/records/format.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// FormatVersion is the format of the records. A controller that knows only an earlier one
-	// can't read the epoch's record, so it never leads without seeing what it can't read.
+	// FormatVersion is the format of the records. A controller that supports only an earlier
+	// format can't read the epoch record either, so it can't become the leader and overlook the
+	// records that it can't read.
 	FormatVersion = 2
-	// FeatureFormatVersion is the format of the epoch's record and of the machine types' from
-	// feature level 1 on. A controller of a version without levels can read neither, so it
-	// neither leads nor accepts jobs; all other records stay as they are.
+	// FeatureFormatVersion is the format of the epoch record and the machine types record from
+	// feature level 1 on. A controller of a version without feature levels can read neither, so
+	// it can neither lead nor accept jobs. All other records keep FormatVersion.
 	FeatureFormatVersion = 3
 )
 
-// ErrFormat is that of a record in a format that this version does not know.
+// ErrFormat is returned for a record in a format that this version does not support.
 var ErrFormat = errors.New("record in an unknown format")
 
-// FieldError says which field of a record is missing or invalid.
+// FieldError is returned for a record in which a field is missing or invalid.
 type FieldError struct {
 	Record string // the kind of record
 	Field  string
@@ -39,47 +40,51 @@
 
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// parse reads JSON and hands it to read. It is good only until read returns.
-func parse(value []byte, read func(v *fastjson.Value) error) error {
+// parse parses JSON and passes the result to decode. The parsed value is valid only until decode
+// returns, because the parser is reused.
+func parse(value []byte, decode func(v *fastjson.Value) error) error {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(value)
 	if err != nil {
 		return err
 	}
-	return read(v)
+	return decode(v)
 }
 
-// parseVersioned reads a record of FormatVersion and hands it to read.
-func parseVersioned(value []byte, read func(v *fastjson.Value) error) error {
+// parseVersioned parses a record of FormatVersion and passes it to decode, as parse does.
+func parseVersioned(value []byte, decode func(v *fastjson.Value) error) error {
 	return parse(value, func(v *fastjson.Value) error {
 		if v.Type() != fastjson.TypeObject || v.GetInt("form") != FormatVersion {
 			return ErrFormat
 		}
-		return read(v)
+		return decode(v)
 	})
 }
 
-// begin begins a record of FormatVersion, up to the value of its first field.
-func begin(field string) []byte {
+// beginRecord encodes the beginning of a record of FormatVersion, up to the value of its first
+// field.
+func beginRecord(field string) []byte {
 	b := append(strconv.AppendInt([]byte(`{"form":`), FormatVersion, 10), `,"`...)
 	return append(append(b, field...), `":`...)
 }
 
-// appendByRef writes the rest of a record that jobs share: a field with a member for each.
-func appendByRef(field string, refs []string, value func(b []byte, ref string) []byte) []byte {
-	b := append(begin(field), '{')
+// encodeByRef encodes a record that jobs share: one field, an object with a member for each job
+// ref. appendValue appends the value of a member.
+func encodeByRef(field string, refs []string, appendValue func(b []byte, ref string) []byte) []byte {
+	b := append(beginRecord(field), '{')
 	for i, ref := range refs {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = value(append(protocol.AppendQuoted(b, ref), ':'), ref)
+		b = appendValue(append(protocol.AppendQuoted(b, ref), ':'), ref)
 	}
 	return append(b, "}}"...)
 }
 
-// forEachRef reads a record that jobs share.
-func forEachRef(value []byte, kind, field string, take func(ref string, v *fastjson.Value) error) error {
+// forEachRef parses a record that jobs share and calls decode for each member, up to the first
+// error. kind is the kind of record in errors.
+func forEachRef(value []byte, kind, field string, decode func(ref string, v *fastjson.Value) error) error {
 	return parseVersioned(value, func(v *fastjson.Value) error {
 		members, err := protocol.Member(v, field).Object()
 		if err != nil {
@@ -87,7 +92,7 @@
 		}
 		members.Visit(func(ref []byte, v *fastjson.Value) {
 			if err == nil {
-				err = take(string(ref), v)
+				err = decode(string(ref), v)
 			}
 		})
 		return err
--- a/internal/records/handover.go
+++ b/internal/records/handover.go
@@ -8,10 +8,11 @@
 	"mapleslip/internal/protocol"
 )
 
-// EncodeHandover writes what a leader has seen that its successors must know: zones that look
-// cut off, each with since when and when it last looked so, and since when hosts are silent.
+// EncodeHandover encodes the state that a leader leaves to its successors: the zones that seem
+// partitioned, each with the time since when and the time when this was last seen, and the silent
+// hosts, each with the time of its last message.
 func EncodeHandover(h protocol.HandoverState) []byte {
-	b := strconv.AppendUint(begin("seen"), h.Epoch, 10)
+	b := strconv.AppendUint(beginRecord("seen"), h.Epoch, 10)
 	b = strconv.AppendInt(append(b, `,"at":`...), int64(h.At), 10)
 	b = append(b, `,"cuts":{`...)
 	for i, p := range h.Partitions {
@@ -31,21 +32,21 @@
 	return append(b, "}}"...)
 }
 
-// SilentHostSize is about how many bytes a silent host takes in the handover's record.
+// SilentHostSize returns the approximate number of bytes of a silent host in the handover record.
 func SilentHostSize(s protocol.SilentHost) int {
-	const instantAndPunctuation = 21
-	return len(s.Host) + instantAndPunctuation
+	const timeAndPunctuation = 21
+	return len(s.Host) + timeAndPunctuation
 }
 
-// DecodeHandover reads the handover's record.
+// DecodeHandover decodes the handover record.
 func DecodeHandover(value []byte) (protocol.HandoverState, error) {
 	var h protocol.HandoverState
 	err := parseVersioned(value, func(v *fastjson.Value) error {
 		h = protocol.HandoverState{Epoch: v.GetUint64("seen"), At: micros(v.GetInt64("at"))}
 		if partitions := v.GetObject("cuts"); partitions != nil {
 			partitions.Visit(func(zone []byte, v *fastjson.Value) {
-				if f := v.GetArray(); len(f) == 2 {
-					p := protocol.Partition{Zone: string(zone), Since: micros(f[0].GetInt64()), LastSeen: micros(f[1].GetInt64())}
+				if times := v.GetArray(); len(times) == 2 {
+					p := protocol.Partition{Zone: string(zone), Since: micros(times[0].GetInt64()), LastSeen: micros(times[1].GetInt64())}
 					h.Partitions = append(h.Partitions, p)
 				}
 			})
--- a/internal/records/hosts.go
+++ b/internal/records/hosts.go
@@ -9,14 +9,15 @@
 	"mapleslip/internal/state"
 )
 
-// hostFields is how many fields a host has in a shared record before its images.
+// hostFields is the number of fields of a host in a shared record, before its images.
 const hostFields = 6
 
-// EncodeHosts writes the record that some hosts share: for each its name, address, type, zone,
-// whether it is a spot machine, when it was recorded, and the numbers of its images in the
-// list that the record ends with. Without images the list is empty.
+// EncodeHosts encodes the record that some hosts share. Each host is an array of its name, address,
+// machine type, zone, whether it is a spot machine (1 or 0), the time of day of the write, and the
+// numbers of its images in the list of images at the end of the record. If images is false, no
+// images are written.
 func EncodeHosts(hosts []*state.Host, images bool) []byte {
-	b := append(begin("hosts"), '[')
+	b := append(beginRecord("hosts"), '[')
 	list := imageList{numbers: make(map[string]int)}
 	for i, h := range hosts {
 		if i > 0 {
@@ -47,12 +48,13 @@
 	return strconv.AppendInt(b, int64(h.Record.WrittenWall), 10)
 }
 
-// imageList is the list of images that hosts refer to by number.
+// imageList is the list of images at the end of a record, which hosts refer to by number.
 type imageList struct {
 	numbers map[string]int
-	encoded []byte // names and sizes in turn
+	encoded []byte // alternating names and sizes
 }
 
+// number returns the number of an image in the list, and adds the image if it is not there yet.
 func (l *imageList) number(name string, size int64) int {
 	if n, ok := l.numbers[name]; ok {
 		return n
@@ -67,7 +69,7 @@
 	return n
 }
 
-// DecodeHosts reads a record that hosts share.
+// DecodeHosts decodes a record that hosts share.
 func DecodeHosts(now micros, value []byte) ([]*state.Host, error) {
 	var hosts []*state.Host
 	err := parseVersioned(value, func(v *fastjson.Value) error {
@@ -112,7 +114,7 @@
 	return h, nil
 }
 
-// DecodeLegacyHost reads a host's record of format 1.
+// DecodeLegacyHost decodes a record of format 1, which has one host.
 func DecodeLegacyHost(now micros, name string, value []byte) (*state.Host, error) {
 	var h *state.Host
 	err := parse(value, func(v *fastjson.Value) error {
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -9,11 +9,11 @@
 	"mapleslip/internal/state"
 )
 
-// EncodeJob writes a job's record, as its state has it. A job that is being cancelled has the
-// time at which its user asked for it, so that a new leader goes on with that; it counts as
-// cancelled, and its user is told, only once none of its tasks can be anywhere. A controller
-// that doesn't know this takes the job for an active one: its user was told nothing yet and
-// asks again.
+// EncodeJob encodes the record of a job in its current state. For a job that is being cancelled the
+// record contains the time of the user's request, so that a new leader continues the cancellation.
+// The job counts as cancelled, and the user gets a confirmation, only once none of its tasks can be
+// on any host. A controller of a version without this field treats the job as active: the user has
+// got no confirmation yet and requests the cancellation again.
 func EncodeJob(j *state.Job) []byte {
 	b := strconv.AppendInt([]byte(`{"at":`), int64(j.SubmittedWall), 10)
 	b = strconv.AppendUint(append(b, `,"epoch":`...), j.LeaderEpoch, 10)
@@ -28,7 +28,7 @@
 	return append(b, '}')
 }
 
-// DecodeJob reads a job's record.
+// DecodeJob decodes the record of a job.
 func DecodeJob(value []byte) (*state.Job, error) {
 	var j *state.Job
 	err := parse(value, func(v *fastjson.Value) error {
@@ -64,12 +64,12 @@
 	}
 }
 
-// EncodeFinal writes what is kept of a finished job: its last phase and how many tasks it had.
+// EncodeFinal encodes the final record of a finished job: its last phase and number of tasks.
 func EncodeFinal(phase protocol.Phase, tasks int) []byte {
 	return append(strconv.AppendInt([]byte(`{"phase":"`+string(phase)+`","n":`), int64(tasks), 10), '}')
 }
 
-// DecodeFinal reads what is kept of a finished job.
+// DecodeFinal decodes the final record of a finished job.
 func DecodeFinal(value []byte) (phase protocol.Phase, tasks int, err error) {
 	err = parse(value, func(v *fastjson.Value) error {
 		phase, tasks = protocol.Phase(v.GetStringBytes("phase")), v.GetInt("n")
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -1,26 +1,26 @@
 package records
 
-// Keys, and prefixes of keys, of the state service.
+// Keys and key prefixes in the state service.
 const (
-	KeyLeader       = "lead"  // held by the leader's lease
-	KeyEpoch        = "epoch" // counts the leaders
+	KeyLeader       = "lead"  // leader record, which expires with the leader's lease
+	KeyEpoch        = "epoch" // epoch record, which counts the terms of leaders
 	KeyMachineTypes = "types"
-	KeyHandover     = "seen" // what leaders have seen that their successors must know
+	KeyHandover     = "seen" // silent hosts and partitions that successors of the leader must know
 
 	JobPrefix = "j/"
-	// FinalPrefix is that of finished jobs. They leave JobPrefix, so that a new leader reads
-	// only what it needs.
+	// FinalPrefix is the prefix of finished jobs. Their records under JobPrefix are deleted, so
+	// that a new leader reads the unfinished jobs only.
 	FinalPrefix = "f/"
 	ChunkPrefix = "d/" // completions of large arrays
 
-	// Small records that are many share a key, since a change costs the same however much of
-	// the value it writes.
+	// Many small records share a key, since a change has the same cost for any size of the value.
 	HostShardPrefix       = "hp/"
 	BookingShardPrefix    = "bp/"
 	CompletionShardPrefix = "dp/"
 	LaunchShardPrefix     = "lp/"
 
-	// Format 1 had a key for each host and each booking. These are read, moved and deleted.
+	// Format 1 has a key for each host and each booking. A new leader reads these records, moves
+	// them to shared ones and deletes them.
 	LegacyHostPrefix    = "m/"
 	LegacyBookingPrefix = "b/"
 )
--- a/internal/records/launches.go
+++ b/internal/records/launches.go
@@ -9,18 +9,18 @@
 	"mapleslip/internal/protocol"
 )
 
-// Launch says that an attempt may be on a host.
+// Launch is the launch of an attempt, which may be on the host from then on.
 type Launch struct {
 	Name protocol.AttemptName
 	Host string
 }
 
-// launchFields is how many fields a launch has in a record: the task's index, the host and the
-// attempt's number.
+// launchFields is the number of fields of a launch in a record: task index, host and attempt
+// number.
 const launchFields = 3
 
-// EncodeLaunches writes launches, for each job its tasks with their hosts and the numbers of
-// the attempts. They come in the order of their jobs.
+// EncodeLaunches encodes launches. Those of a job are together in one array; jobs are in the order
+// in which they first occur.
 func EncodeLaunches(launches []Launch) []byte {
 	var refs []string
 	byJob := make(map[string][]Launch)
@@ -30,7 +30,7 @@
 		}
 		byJob[l.Name.Job] = append(byJob[l.Name.Job], l)
 	}
-	return appendByRef("on", refs, func(b []byte, ref string) []byte {
+	return encodeByRef("on", refs, func(b []byte, ref string) []byte {
 		b = append(b, '[')
 		for i, l := range byJob[ref] {
 			if i > 0 {
@@ -44,7 +44,7 @@
 	})
 }
 
-// DecodeLaunches reads launches.
+// DecodeLaunches decodes a record of launches.
 func DecodeLaunches(value []byte) ([]Launch, error) {
 	var launches []Launch
 	err := forEachRef(value, "launches", "on", func(ref string, v *fastjson.Value) error {
--- a/internal/records/leader.go
+++ b/internal/records/leader.go
@@ -6,26 +6,26 @@
 	"github.com/valyala/fastjson"
 )
 
-// Leader is the record of the leader.
+// Leader is the content of the leader record.
 type Leader struct {
 	Controller     string
 	Epoch          uint64
 	Lease          uint64
-	HeartbeatGrace micros // how long it may answer workers after its lease ended
+	HeartbeatGrace micros // how long the leader may answer workers after its lease has ended
 }
 
-// EncodeLeader writes the leader's record.
+// EncodeLeader encodes the leader record.
 func EncodeLeader(l Leader) []byte {
-	var a fastjson.Arena
-	o := a.NewObject()
-	o.Set("node", a.NewString(l.Controller))
-	o.Set("epoch", a.NewNumberString(strconv.FormatUint(l.Epoch, 10)))
-	o.Set("lease", a.NewNumberString(strconv.FormatUint(l.Lease, 10)))
-	o.Set("answer_on", a.NewNumberString(strconv.FormatInt(int64(l.HeartbeatGrace), 10)))
+	var arena fastjson.Arena
+	o := arena.NewObject()
+	o.Set("node", arena.NewString(l.Controller))
+	o.Set("epoch", arena.NewNumberString(strconv.FormatUint(l.Epoch, 10)))
+	o.Set("lease", arena.NewNumberString(strconv.FormatUint(l.Lease, 10)))
+	o.Set("answer_on", arena.NewNumberString(strconv.FormatInt(int64(l.HeartbeatGrace), 10)))
 	return o.MarshalTo(nil)
 }
 
-// DecodeLeader reads the leader's record.
+// DecodeLeader decodes the leader record.
 func DecodeLeader(value []byte) (Leader, error) {
 	var l Leader
 	err := parse(value, func(v *fastjson.Value) error {
--- a/internal/records/machine_types.go
+++ b/internal/records/machine_types.go
@@ -9,7 +9,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// EncodeMachineTypes writes machine types as they are kept at a feature level.
+// EncodeMachineTypes encodes machine types in the format of a feature level.
 func EncodeMachineTypes(types []*protocol.MachineType, level featuregate.Level) []byte {
 	if level == 0 {
 		return protocol.AppendMachineTypes(nil, types)
@@ -18,8 +18,8 @@
 	return append(protocol.AppendMachineTypes(b, types), '}')
 }
 
-// DecodeMachineTypes reads machine types as they are kept, in either format. versioned tells
-// that they were written at feature level 1 or above.
+// DecodeMachineTypes decodes machine types in either format. versioned reports whether they were
+// written at feature level 1 or above.
 func DecodeMachineTypes(value []byte) (types []*protocol.MachineType, versioned bool, err error) {
 	err = parse(value, func(v *fastjson.Value) error {
 		versioned = v.Exists("form")
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -29,14 +29,14 @@
 			t.Fatal(err)
 		}
 		if d := cmp.Diff(j.Spec, got.Spec); d != "" || got.LeaderEpoch != 7 || got.SubmittedWall != 1234567 || (got.State == state.JobCancelledLegacy) != cancelled || cancelled && got.Cancellation.RequestedWall != 2345678 {
-			t.Errorf("%s %+v", d, got)
+			t.Errorf("spec differs: %s; decoded as %+v", d, got)
 		}
 	}
 }
 
-// Hosts share a record. What it says of them is read back, and a record of
-// another form is refused rather than taken for an empty one.
-func TestHostPage(t *testing.T) {
+// Hosts that share a record must be decoded as they were encoded. A record in another format, or
+// a damaged one, must be an error and not an empty record.
+func TestHostRecord(t *testing.T) {
 	h := state.NewHost(0, "n-1", "g8", "a", true)
 	h.Addr, h.Record.WrittenWall = "10.0.0.1:9000", 99
 	h.AddImage(5, "img-1", 2000)
@@ -47,64 +47,66 @@
 		if err != nil || len(got) != 2 {
 			t.Fatal(got, err)
 		}
-		g := got[0]
-		if g.Name != "n-1" || g.TypeName != "g8" || g.Zone != "a" || !g.Spot || g.Addr != h.Addr || g.Record.WrittenWall != 99 || !g.Record.Written || !g.Record.FromEarlierEpoch {
-			t.Errorf("%+v", g)
+		decoded := got[0]
+		if decoded.Name != "n-1" || decoded.TypeName != "g8" || decoded.Zone != "a" || !decoded.Spot || decoded.Addr != h.Addr || decoded.Record.WrittenWall != 99 || !decoded.Record.Written || !decoded.Record.FromEarlierEpoch {
+			t.Errorf("first host decoded as %+v", decoded)
 		}
-		if im := g.Images["img-1"]; images != (im != nil) || images && im.Size != 2000 {
-			t.Errorf("images %v", g.Images)
+		if image := decoded.Images["img-1"]; images != (image != nil) || images && image.Size != 2000 {
+			t.Errorf("images %v", decoded.Images)
 		}
 		if got[1].Name != "n-2" || got[1].Spot || len(got[1].Images) != 0 {
-			t.Errorf("%+v", got[1])
+			t.Errorf("second host decoded as %+v", got[1])
 		}
 	}
 	for _, bad := range []string{`{}`, `{"form":3,"hosts":[]}`, `{"form":2}`, `{"form":2,"hosts":[["n-1"]]}`, `{"form":2,"hosts":[["n-1","","g8","a",0,0,7]]}`, `[]`} {
 		if got, err := DecodeHosts(0, []byte(bad)); err == nil {
-			t.Errorf("%s: read as %v", bad, got)
+			t.Errorf("%s: decoded as %v", bad, got)
 		}
 	}
-	old, err := DecodeLegacyHost(0, "n-1", []byte(`{"type":"g8","zone":"a","addr":"10.0.0.1:9000","at":99,"spot":true,"images":{"img-1":2000}}`))
-	if err != nil || old.TypeName != "g8" || !old.Spot || old.Images["img-1"] == nil {
-		t.Errorf("the form with a key for each host: %+v %v", old, err)
+	legacy, err := DecodeLegacyHost(0, "n-1", []byte(`{"type":"g8","zone":"a","addr":"10.0.0.1:9000","at":99,"spot":true,"images":{"img-1":2000}}`))
+	if err != nil || legacy.TypeName != "g8" || !legacy.Spot || legacy.Images["img-1"] == nil {
+		t.Errorf("host of format 1 decoded as %+v, error %v", legacy, err)
 	}
 }
 
-// Bookings and completions of many jobs share a record too.
+// Bookings and completions of many jobs share a record too. They must be decoded as they were
+// encoded. A damaged record, or one in another format or of another kind, must be an error.
 func TestSharedRecords(t *testing.T) {
-	at := map[string]micros{"req-000001": 5, "req-000002": 1 << 50}
-	got, err := DecodeBookings(EncodeBookings([]string{"req-000001", "req-000002"}, func(ref string) micros { return at[ref] }))
-	if d := cmp.Diff(at, got); d != "" || err != nil {
+	starts := map[string]micros{"req-000001": 5, "req-000002": 1 << 50}
+	got, err := DecodeBookings(EncodeBookings([]string{"req-000001", "req-000002"}, func(ref string) micros { return starts[ref] }))
+	if d := cmp.Diff(starts, got); d != "" || err != nil {
 		t.Error(d, err)
 	}
 	j := job(30)
 	j.Complete(3, false)
 	j.Complete(29, false)
-	bits, err := DecodeCompletions(EncodeCompletions([]*state.Job{j}))
-	again := job(30)
+	chunks, err := DecodeCompletions(EncodeCompletions([]*state.Job{j}))
+	decoded := job(30)
 	if err == nil {
-		err = ApplyChunk(again, 0, bits["req-000001"])
+		err = ApplyChunk(decoded, 0, chunks["req-000001"])
 	}
-	if err != nil || again.CompletedTasks != 2 || again.Tasks[3].State != state.TaskDone || !again.Tasks[29].Durable {
-		t.Errorf("%v %+v", err, again)
+	if err != nil || decoded.CompletedTasks != 2 || decoded.Tasks[3].State != state.TaskDone || !decoded.Tasks[29].Durable {
+		t.Errorf("completions: error %v, job %+v", err, decoded)
 	}
 	for _, bad := range []string{`{"form":3,"done":{}}`, `{"form":2,"done":{"req-000001":7}}`, `{"form":2,"at":{"req-000001":"x"}}`, `{"form":2}`, `7`} {
 		if _, err := DecodeCompletions([]byte(bad)); err == nil {
-			t.Errorf("%s: taken for completions", bad)
+			t.Errorf("%s: decoded as completions", bad)
 		}
 		if _, err := DecodeBookings([]byte(bad)); err == nil {
-			t.Errorf("%s: taken for bookings", bad)
+			t.Errorf("%s: decoded as bookings", bad)
 		}
 	}
 }
 
-// Launches are read back with their attempts; a damaged record is refused.
+// Launches must be decoded with their attempt numbers as they were encoded. A damaged record must
+// be an error.
 func TestLaunchRecord(t *testing.T) {
 	name := func(ref string, i int, n uint64) protocol.AttemptName {
 		return protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: i}, Number: n}
 	}
-	list := []Launch{{name("req-000001", 0, 5<<24|7), "n-1"}, {name("req-000001", 3, 5<<24|8), "n-2"}, {name("req-000002", 1, 9), "n-1"}}
-	got, err := DecodeLaunches(EncodeLaunches(list))
-	if d := cmp.Diff(list, got); d != "" || err != nil {
+	launches := []Launch{{name("req-000001", 0, 5<<24|7), "n-1"}, {name("req-000001", 3, 5<<24|8), "n-2"}, {name("req-000002", 1, 9), "n-1"}}
+	got, err := DecodeLaunches(EncodeLaunches(launches))
+	if d := cmp.Diff(launches, got); d != "" || err != nil {
 		t.Error(d, err)
 	}
 	for _, bad := range []string{
@@ -112,90 +114,91 @@
 		`{"form":2,"on":{"req-000001":[0,"",2]}}`, `{"form":1,"on":{}}`, `{"form":2}`,
 	} {
 		if got, err := DecodeLaunches([]byte(bad)); err == nil {
-			t.Errorf("%s: read as %v", bad, got)
+			t.Errorf("%s: decoded as %v", bad, got)
 		}
 	}
 }
 
-// An epoch of the form before is read; a controller of that form can't read
-// ours and so can't lead without seeing the hosts that share a record.
+// An epoch record of format 1 must be decoded. A controller of that format must not be able to read
+// the current format, since it could then lead without the hosts that share a record.
 func TestEpochRecord(t *testing.T) {
 	for text, want := range map[string]uint64{"7": 7, string(EncodeEpoch(Epoch{Number: 8})): 8, string(EncodeEpoch(Epoch{Number: 9, LaunchesUnrecorded: true})): 9} {
 		if got, err := DecodeEpoch([]byte(text)); err != nil || got.Number != want || got.LaunchesUnrecorded != (want != 8) {
-			t.Errorf("%s: %+v %v", text, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", text, got, err)
 		}
 	}
 	if _, err := strconv.ParseUint(string(EncodeEpoch(Epoch{Number: 8})), 10, 64); err == nil {
-		t.Error("the form before would read it")
+		t.Error("a controller of format 1 could read the epoch record")
 	}
-	yields := []protocol.LeadershipTransfer{{From: "n1", To: "n2", Epoch: 8, At: 77, ReachableWorkers: map[string]int{"a": 1, "b": 22}}, {From: "n2", Epoch: 9, At: 78, ReachableWorkers: map[string]int{}}}
-	text := EncodeEpoch(Epoch{Number: 9, Transfers: yields})
+	transfers := []protocol.LeadershipTransfer{{From: "n1", To: "n2", Epoch: 8, At: 77, ReachableWorkers: map[string]int{"a": 1, "b": 22}}, {From: "n2", Epoch: 9, At: 78, ReachableWorkers: map[string]int{}}}
+	text := EncodeEpoch(Epoch{Number: 9, Transfers: transfers})
 	if want := `{"form":2,"epoch":9,"yields":[{"node":"n1","to":"n2","epoch":8,"at":77,"heard":{"a":1,"b":22}},{"node":"n2","to":"","epoch":9,"at":78,"heard":{}}]}`; string(text) != want {
-		t.Errorf("%s", text)
+		t.Errorf("encoded as %s", text)
 	}
-	if got, err := DecodeEpoch(text); err != nil || !cmp.Equal(got.Transfers, yields) {
-		t.Errorf("%+v %v", got, err)
+	if got, err := DecodeEpoch(text); err != nil || !cmp.Equal(got.Transfers, transfers) {
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 	for _, bad := range []string{`{"form":3,"epoch":9}`, `{"form":2}`, `"7"`, `-1`, ``} {
-		if n, err := DecodeEpoch([]byte(bad)); err == nil {
-			t.Errorf("%s: read as %+v", bad, n)
+		if got, err := DecodeEpoch([]byte(bad)); err == nil {
+			t.Errorf("%s: decoded as %+v", bad, got)
 		}
 	}
 }
 
-// The tasks of a large array are kept in chunks.
+// The completions of a large array are encoded in chunks. A chunk must stay small, and decoding all
+// chunks must mark the same tasks as done.
 func TestChunkRecord(t *testing.T) {
 	j := job(ChunkTasks + 100)
 	done := []int{0, 9, ChunkTasks - 1, ChunkTasks, ChunkTasks + 99}
 	for _, i := range done {
 		j.Complete(i, false)
 	}
-	again := job(ChunkTasks + 100)
+	decoded := job(ChunkTasks + 100)
 	for chunk := range 2 {
 		value := EncodeChunk(j, chunk)
 		if len(value) > 8<<10 {
 			t.Errorf("chunk %d takes %d bytes", chunk, len(value))
 		}
-		if err := ApplyChunk(again, chunk, value); err != nil {
+		if err := ApplyChunk(decoded, chunk, value); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got []int
-	for i := range again.Tasks {
-		if again.Tasks[i].State == state.TaskDone && again.Tasks[i].Durable {
+	for i := range decoded.Tasks {
+		if decoded.Tasks[i].State == state.TaskDone && decoded.Tasks[i].Durable {
 			got = append(got, i)
 		}
 	}
-	if d := cmp.Diff(done, got); d != "" || again.QueuedTasks != len(again.Tasks)-len(done) {
-		t.Errorf("%s, %d queued", d, again.QueuedTasks)
+	if d := cmp.Diff(done, got); d != "" || decoded.QueuedTasks != len(decoded.Tasks)-len(done) {
+		t.Errorf("completed tasks differ: %s; %d queued", d, decoded.QueuedTasks)
 	}
 }
 
-// What leaders have seen, and that a user asked to cancel a job, come back as they were
-// written. A record of a job without the request is the one of before.
-func TestMemoryAndRequestRecords(t *testing.T) {
-	m := protocol.HandoverState{Epoch: 4, At: 99, Partitions: []protocol.Partition{{Zone: "b", Since: 5, LastSeen: 6}}, SilentHosts: []protocol.SilentHost{{Host: "n-000007", Since: 8}}}
-	text := EncodeHandover(m)
+// The handover state, and a user's request to cancel a job, must be decoded as they were encoded. A
+// job record without the request must have the same format as before the field was added.
+func TestHandoverAndCancelRequestRecords(t *testing.T) {
+	handover := protocol.HandoverState{Epoch: 4, At: 99, Partitions: []protocol.Partition{{Zone: "b", Since: 5, LastSeen: 6}}, SilentHosts: []protocol.SilentHost{{Host: "n-000007", Since: 8}}}
+	text := EncodeHandover(handover)
 	if want := `{"form":2,"seen":4,"at":99,"cuts":{"b":[5,6]},"silent":{"n-000007":8}}`; string(text) != want {
-		t.Errorf("%s", text)
+		t.Errorf("encoded as %s", text)
 	}
-	if got, err := DecodeHandover(text); err != nil || !cmp.Equal(got, m) {
-		t.Errorf("%+v %v", got, err)
+	if got, err := DecodeHandover(text); err != nil || !cmp.Equal(got, handover) {
+		t.Errorf("handover decoded as %+v, error %v", got, err)
 	}
 	if got, err := DecodeHandover([]byte(`{"form":9}`)); err == nil {
-		t.Errorf("%+v", got)
+		t.Errorf("unknown format decoded as %+v", got)
 	}
 	j := job(1)
 	j.SubmittedWall = 7
 	plain := EncodeJob(j)
 	j.SetState(state.JobCancelling)
 	j.Cancellation.RequestedWall = 55
-	asked := EncodeJob(j)
-	j.State = state.JobCancelledLegacy // as an earlier version left it
-	for text, want := range map[string]state.JobState{string(plain): state.JobActive, string(asked): state.JobCancelling, string(EncodeJob(j)): state.JobCancelledLegacy} {
+	cancelling := EncodeJob(j)
+	j.State = state.JobCancelledLegacy // as an earlier version records it
+	for text, want := range map[string]state.JobState{string(plain): state.JobActive, string(cancelling): state.JobCancelling, string(EncodeJob(j)): state.JobCancelledLegacy} {
 		got, err := DecodeJob([]byte(text))
 		if err != nil || got.State != want || want != state.JobActive && got.Cancellation.RequestedWall != 55 || got.Cancellation.Persisted != (want == state.JobCancelling) {
-			t.Errorf("%s: %+v %v", text, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", text, got, err)
 		}
 	}
 }
