--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -10,7 +10,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// fakeEnvironment keeps calls and timers until a test lets them happen.
+// fakeEnvironment records calls and timers. A test answers the calls and runs the timers.
 type fakeEnvironment struct {
 	now    micros
 	calls  []Call
@@ -30,14 +30,14 @@
 
 func (e *fakeEnvironment) Call(c Call) { e.calls = append(e.calls, c) }
 
-// takeCalls are the calls that were made since it was last asked.
+// takeCalls returns the calls since it was last called.
 func (e *fakeEnvironment) takeCalls() []Call {
 	calls := e.calls
 	e.calls = nil
 	return calls
 }
 
-// advance lets time pass, and runs the timers that are due.
+// advance moves the clock forward and runs the timers that are due.
 func (e *fakeEnvironment) advance(span micros) {
 	e.now += span
 	timers := e.timers
@@ -51,7 +51,7 @@
 	}
 }
 
-// fakeObserver counts what a client has learned.
+// fakeObserver records the notifications of a client.
 type fakeObserver struct {
 	malformed, limitsLowered int
 	rates                    []float64
@@ -67,8 +67,8 @@
 	return New(p, env, observer, slog.New(slog.NewTextHandler(io.Discard, nil))), env, observer
 }
 
-// A transaction that is refused as malformed is never sent again as it is; one beyond the rate
-// is, after a pause, and the rate is lower from then on.
+// A transaction that is refused as malformed must not be sent again, unless the reason was its
+// lease. One that is refused for the rate must be retried after a delay, at a lower write rate.
 func TestRefusedTransactions(t *testing.T) {
 	c, env, _ := newTestClient()
 	var errs []error
@@ -76,8 +76,8 @@
 		c.CompareAndSwap(0, nil, []protocol.Change{{Key: "k", Value: []byte(value)}}, func(_ uint64, err error) { errs = append(errs, err) })
 		return env.takeCalls()
 	}
-	answer := func(call Call, status int, body string) { call.Done(Result{Status: status, Body: []byte(body)}) }
-	later := func(span micros) (commits []Call) {
+	respond := func(call Call, status int, body string) { call.Done(Result{Status: status, Body: []byte(body)}) }
+	commitsAfter := func(span micros) (commits []Call) {
 		env.advance(span)
 		for _, call := range env.takeCalls() {
 			if call.Path == "/commit" {
@@ -87,30 +87,30 @@
 		return commits
 	}
 	sent := write(`"a"`)
-	answer(sent[0], 400, `{}`)
-	if again := append(write(`"a"`), later(protocol.Second/20)...); len(again) > 0 || len(errs) != 2 || !errors.Is(errs[1], ErrMalformed) {
+	respond(sent[0], 400, `{}`)
+	if again := append(write(`"a"`), commitsAfter(protocol.Second/20)...); len(again) > 0 || len(errs) != 2 || !errors.Is(errs[1], ErrMalformed) {
 		t.Fatalf("sent again: %+v, errors %v", again, errs)
 	}
 	sent = write(`"b"`)
-	answer(sent[0], 400, `{"error":"no such lease"}`)
+	respond(sent[0], 400, `{"error":"no such lease"}`)
 	if sent = write(`"b"`); len(sent) != 1 || !errors.Is(errs[2], ErrNotExecuted) {
-		t.Fatalf("sent %+v, errors %v: the lease may be another one", sent, errs)
+		t.Fatalf("sent %+v, errors %v: want one call, since the lease may be another one", sent, errs)
 	}
 	rate := c.WriteRate()
-	answer(sent[0], 429, `{}`)
-	again := later(rateLimitedRetry)
+	respond(sent[0], 429, `{}`)
+	again := commitsAfter(rateLimitedRetry)
 	if len(again) != 1 || string(again[0].Body) != string(sent[0].Body) || len(errs) != 3 || c.WriteRate() >= rate {
 		t.Fatalf("sent again: %+v, errors %v, rate %g", again, errs, c.WriteRate())
 	}
-	answer(again[0], 200, `{"generation":3}`)
+	respond(again[0], 200, `{"generation":3}`)
 	if len(errs) != 4 || errs[3] != nil {
 		t.Fatalf("errors %v", errs)
 	}
 }
 
-// A client that may use a share of the published rate tries for so much more that its share
-// comes to all of it, since the others mostly write nothing; with the whole rate as its share
-// it keeps to what is published.
+// A client that may use only a share of the write rate must raise the rate until its share equals
+// the published rate, since the other controllers write little. When its share becomes the whole
+// rate, it must return to the published rate.
 func TestProbeWriteRateFollowsShare(t *testing.T) {
 	c, env, observer := newTestClient()
 	const share = 0.75
@@ -119,16 +119,17 @@
 		c.ProbeWriteRate(share)
 	}
 	if got := c.limits.writeRate * share; math.Abs(got-c.limits.publishedRate) > 1e-6 {
-		t.Errorf("%g a second of %g", got, c.limits.publishedRate)
+		t.Errorf("share of the write rate is %g, want %g", got, c.limits.publishedRate)
 	}
 	observer.rates = nil
 	c.ProbeWriteRate(1)
 	if c.limits.writeRate != c.limits.publishedRate || len(observer.rates) != 1 {
-		t.Errorf("%g of %g, then %v", c.limits.writeRate, c.limits.publishedRate, observer.rates)
+		t.Errorf("write rate %g, want %g; observed rates %v", c.limits.writeRate, c.limits.publishedRate, observer.rates)
 	}
 }
 
-// How a transaction ended, by the answer of the service.
+// Each answer to a transaction must lead to one result, with the error for that answer. A
+// transaction that may have been executed must not count as not executed.
 func TestTransactionResults(t *testing.T) {
 	conflict := `{"failed":["lead"],"generation":9}`
 	for _, test := range []struct {
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -9,7 +9,7 @@
 
 func leasePath(id uint64) string { return "/leases/" + strconv.FormatUint(id, 10) }
 
-// CreateLease asks for a lease.
+// CreateLease requests a lease that lasts for ttl. The error is nil or ErrUnavailable.
 func (c *Client) CreateLease(priority Priority, ttl protocol.Micros, done func(id uint64, err error)) {
 	call := Call{Priority: priority, Method: http.MethodPost, Path: "/leases", Body: protocol.LeaseBody(ttl), Timeout: callTimeout}
 	call.Done = func(r Result) {
@@ -28,9 +28,9 @@
 	c.env.Call(call)
 }
 
-// RenewLease gives a lease its whole time again. The answer proves something for as long as
-// the lease lasts, and is waited for that long. The error is nil, ErrLeaseExpired,
-// ErrOutcomeUnknown where there was no answer, or ErrUnavailable.
+// RenewLease renews a lease for its whole ttl. The call times out after ttl, since until then an
+// answer still proves that the lease is held. The error is nil, ErrLeaseExpired, ErrOutcomeUnknown
+// if there was no answer or no connection, or ErrUnavailable.
 func (c *Client) RenewLease(priority Priority, id uint64, ttl protocol.Micros, done func(err error)) {
 	call := Call{Priority: priority, Method: http.MethodPost, Path: leasePath(id) + "/extend", Timeout: ttl}
 	call.Done = func(r Result) {
@@ -48,7 +48,7 @@
 	c.env.Call(call)
 }
 
-// RevokeLease ends a lease. If that does not get through it expires by itself.
+// RevokeLease ends a lease. The result is ignored: if the call fails, the lease expires by itself.
 func (c *Client) RevokeLease(priority Priority, id uint64) {
 	c.env.Call(Call{Priority: priority, Method: http.MethodDelete, Path: leasePath(id), Timeout: callTimeout, Done: func(Result) {}})
 }
--- a/internal/statestore/limits.go
+++ b/internal/statestore/limits.go
@@ -6,44 +6,46 @@
 	"mapleslip/internal/protocol"
 )
 
-// TxnLimits bound one transaction of the state service.
+// TxnLimits are the limits on one transaction of the state service.
 type TxnLimits struct {
-	MaxValueBytes int // of a value
-	MaxChanges    int // puts and deletes
+	MaxValueBytes int // size of the largest value
+	MaxChanges    int // number of puts and deletes
 }
 
-// How the write rate follows the answers: down at once, up slowly, and ever more slowly while
-// that leads to refusals.
+// The write rate is lowered at once after a refusal and raised slowly, at an interval that doubles
+// while higher rates lead to refusals.
 const (
 	rateDecrease     = 0.8
 	rateIncrease     = 1.05
 	minProbeInterval = protocol.Second
 	maxProbeInterval = 60 * protocol.Second
-	rateSettleTime   = protocol.Second // refusals within it are of what was sent before
+	rateSettleTime   = protocol.Second // calls sent at the old rate may be refused within it
 )
 
-// maxRefusedBodies bounds the refused transactions that are remembered.
+// maxRefusedBodies limits the number of refused transactions whose hashes are kept.
 const maxRefusedBodies = 4096
 
-// limits are those of the state service: as published, as announced, and as its answers show.
+// limits contains the limits of the state service: as published by the platform, as announced for
+// later, and as its answers show.
 type limits struct {
-	announced *protocol.StateLimits // nil: no lower ones are announced
+	announced *protocol.StateLimits // nil if no lower limits are announced
 
-	// accepted is what the service may still take: published, and lowered by what it refused.
-	// What can't be divided, a job's description, is refused beyond that only.
+	// accepted contains the limits that the service may still accept: the published ones, lowered
+	// according to its refusals. A job's description can't be split, so it is rejected only if it
+	// exceeds these.
 	accepted TxnLimits
-	// target is what records are written under: the smaller of what is accepted and what is
-	// announced, lowered in large steps where the service refuses.
+	// target contains the limits for writing records: the smaller of the published and the
+	// announced ones, lowered in large steps when the service refuses a transaction.
 	target TxnLimits
 
 	publishedRate float64 // changes a second
-	writeRate     float64 // as far as the service takes them
-	loweredAt     micros  // when the rate was last lowered, 0: never
-	probeAt       micros  // when a higher rate is tried
+	writeRate     float64 // changes a second that the service seems to accept
+	loweredAt     micros  // when the rate was last lowered, 0 if never
+	probeAt       micros  // when a higher rate is tried next
 	probeInterval micros
 
 	hashSeed      maphash.Seed
-	refusedBodies map[uint64]bool // hashes of transactions that were refused as malformed
+	refusedBodies map[uint64]bool // hashes of the transactions that were refused as malformed
 }
 
 func newLimits(p *protocol.Platform) limits {
@@ -59,16 +61,17 @@
 	return l
 }
 
-// learnFromMalformed learns from a transaction that was refused as malformed. It reports
-// whether the limits explain that: then the same changes fit once they are divided anew.
+// learnFromMalformed lowers the limits after the service refused a transaction as malformed. It
+// reports whether the limits explain the refusal: if so, the same changes fit when they are split
+// according to the lower limits.
 func (l *limits) learnFromMalformed(changes, valueBytes int) bool {
 	if changes > l.target.MaxChanges || valueBytes > l.target.MaxValueBytes {
 		l.applyAnnounced(changes, valueBytes)
 		l.accepted.MaxValueBytes = max(l.target.MaxValueBytes, l.acceptedBytes(changes, valueBytes))
-		return true // it was made before the limits were known to be lower
+		return true // encoded before the limits were lowered
 	}
 	switch {
-	case changes > protocol.MinTxnChanges: // first the changes: with few of them it is the value
+	case changes > protocol.MinTxnChanges: // lower the number of changes before the value size
 		l.target.MaxChanges = max(protocol.MinTxnChanges, changes/2)
 		l.accepted.MaxChanges = l.target.MaxChanges
 	case valueBytes > protocol.MinValueBytes:
@@ -80,16 +83,17 @@
 	return true
 }
 
-// acceptedBytes is the largest value that the service may still take after it refused one.
+// acceptedBytes returns the size of the largest value that the service may still accept after it
+// refused a transaction.
 func (l *limits) acceptedBytes(changes, valueBytes int) int {
 	if changes > protocol.MinTxnChanges {
-		return l.accepted.MaxValueBytes // it may have been for the changes
+		return l.accepted.MaxValueBytes // the number of changes may be the reason
 	}
 	return min(l.accepted.MaxValueBytes, valueBytes-1)
 }
 
-// applyAnnounced takes the announced limits for those in force, where one of them explains a
-// refusal.
+// applyAnnounced lowers the accepted limits to the announced ones if those explain the refusal of a
+// transaction, which shows that they are in force.
 func (l *limits) applyAnnounced(changes, valueBytes int) {
 	n := l.announced
 	if n == nil || changes <= n.MaxTxnChanges && valueBytes <= n.MaxValueBytes {
@@ -98,8 +102,9 @@
 	l.accepted = TxnLimits{min(l.accepted.MaxValueBytes, n.MaxValueBytes), min(l.accepted.MaxChanges, n.MaxTxnChanges)}
 }
 
-// learnFromRateLimit learns that the service refused a transaction for its rate. It reports
-// whether the rate is lower now.
+// learnFromRateLimit lowers the write rate after the service refused a transaction for its rate: to
+// the announced rate if it was above that, otherwise by rateDecrease. It reports whether the rate
+// has been lowered, which happens at most once within rateSettleTime.
 func (l *limits) learnFromRateLimit(at micros) bool {
 	if l.loweredAt > 0 && at-l.loweredAt < rateSettleTime {
 		return false
@@ -118,9 +123,9 @@
 	return true
 }
 
-// tryHigherRate tries a higher rate after a while, up to a highest one: the other controllers
-// may leave theirs, or the limit may have been another's burst. It reports whether the rate
-// has changed.
+// tryHigherRate raises the write rate by a step, up to highest, if the next step is due: the other
+// controllers may use less of the service's rate now, or a short burst of theirs may have led to
+// the last refusal. A rate above highest is lowered to it. It reports whether the rate has changed.
 func (l *limits) tryHigherRate(at micros, highest float64) bool {
 	if l.writeRate > highest {
 		l.writeRate = highest
@@ -134,7 +139,8 @@
 	return true
 }
 
-// rememberRefused notes a transaction that was refused as malformed.
+// rememberRefused stores the hash of a transaction that was refused as malformed, so that it is not
+// sent again.
 func (l *limits) rememberRefused(body []byte) {
 	if len(l.refusedBodies) >= maxRefusedBodies {
 		clear(l.refusedBodies)
@@ -142,7 +148,7 @@
 	l.refusedBodies[maphash.Bytes(l.hashSeed, body)] = true
 }
 
-// wasRefused reports whether exactly this transaction was refused as malformed before.
+// wasRefused reports whether a transaction of the same bytes was refused as malformed before.
 func (l *limits) wasRefused(body []byte) bool {
 	return len(l.refusedBodies) > 0 && l.refusedBodies[maphash.Bytes(l.hashSeed, body)]
 }
