--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, 40) }
 
-// user submits a job, and submits it again when the limiter asks for a retry.
+// user submits a job, and submits it again after each refusal.
 type user struct {
 	nextTry, firstTry micros
 	refusals          int
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -5,7 +5,7 @@
 	KeyLeader       = "lead"  // leader record, which expires with the leader's lease
 	KeyEpoch        = "epoch" // epoch record, which counts the terms of leaders
 	KeyMachineTypes = "types"
-	KeyHandover     = "seen" // silent hosts and partitions that successors of the leader must know
+	KeyHandover     = "seen" // silent hosts and partitions, for the next leaders
 
 	JobPrefix = "j/"
 	// FinalPrefix is the prefix of finished jobs. Their records under JobPrefix are deleted, so
--- a/internal/state/attempt.go
+++ b/internal/state/attempt.go
@@ -7,7 +7,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// AttemptState is the state of an attempt, as far as the leader knows it.
+// AttemptState is the state of an attempt as the leader tracks it.
 type AttemptState uint8
 
 // States of an attempt.
--- a/internal/state/cluster.go
+++ b/internal/state/cluster.go
@@ -8,7 +8,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// Cluster contains the jobs, hosts and attempts that a leader knows.
+// Cluster contains the jobs, hosts and attempts that a leader tracks.
 type Cluster struct {
 	// UsedByTeam contains the resources that the attempts of each team may hold on hosts.
 	UsedByTeam map[string]protocol.Resources
--- a/internal/state/host.go
+++ b/internal/state/host.go
@@ -31,7 +31,7 @@
 	HostReleasing: {HostGone},
 }
 
-// Image is an image that is in a host's cache as far as the leader knows.
+// Image is an image that the leader expects in a host's cache.
 type Image struct {
 	Size     int64
 	LastUsed micros
