--- a/internal/controller/slottable/cost.go
+++ b/internal/controller/slottable/cost.go
@@ -6,11 +6,11 @@
 	"mapleslip/internal/protocol"
 )
 
-// fetchTolerance is how much earlier a busy machine must be ready before a task
-// waits for it rather than starting its fetch on a free one at once.
+// fetchTolerance is how much sooner a task has to be ready on a busy machine for it to wait for
+// that machine, instead of fetching its image on a free one right away.
 const fetchTolerance = 2 * protocol.Second
 
-// placeNow is the place that a machine has for a task at once.
+// placeNow returns the place for a task on a machine where it can start right away.
 func (t *Table) placeNow(r *Request, m *Machine) (candidate, bool) {
 	if !m.freeFor(r).Covers(r.Resources) || m.Blocked || m.AvailableFrom > t.Now {
 		return candidate{}, false
@@ -23,7 +23,8 @@
 	return candidate{place: p, cost: t.cost(r, p)}, true
 }
 
-// placeLater is the earliest place from a time on that a machine has for a task.
+// placeLater returns the earliest place for a task on a machine that does not begin before a given
+// time.
 func (t *Table) placeLater(r *Request, m *Machine, from micros) (candidate, bool) {
 	length := protocol.End(m.fetchTime(t.Now, r), r.Runtime)
 	at, ok := m.earliestRoom(r, from, length)
@@ -34,8 +35,8 @@
 	return candidate{place: p, cost: t.cost(r, p)}, true
 }
 
-// cost is what a place costs a request: its time, and more for places that are better kept for
-// others.
+// cost returns the cost of a place for a request: the time at which the task is ready, plus
+// surcharges for places that are better kept for other requests.
 func (t *Table) cost(r *Request, p Place) micros {
 	if p.Begin == t.Now && len(r.Preferred) > 0 && slices.Contains(r.Preferred, p.Machine) {
 		return preferredCost
@@ -47,31 +48,32 @@
 	return cost
 }
 
-// What a place costs beside its time, as time.
+// Costs of a place in addition to its time, in the unit of time.
 const (
-	fragmentationPerTask = 300 * protocol.Millisecond // for each further task that it could take
+	fragmentationPerTask = 300 * protocol.Millisecond // for each task that fits, this one included
 	maxFragmentation     = 5 * protocol.Second
-	gpuWasteCost         = 6 * protocol.Second // a task without GPUs on a machine that has some free
-	onDemandCost         = 6 * protocol.Second // a task that may be on a spot machine is on another
-	evictionCost         = 3 * protocol.Second // opportunistic work is lost
-	releaseCost          = 8 * protocol.Second // an opportunistic task may be evicted with its machine
-	preferredCost        = -1                  // room was made for the task there
+	gpuWasteCost         = 6 * protocol.Second // a task without GPUs takes a place where GPUs are free
+	onDemandCost         = 6 * protocol.Second // a task that allows spot takes an on-demand machine
+	evictionCost         = 3 * protocol.Second // opportunistic tasks have to be evicted
+	releaseCost          = 8 * protocol.Second // a machine may be released under an opportunistic task
+	preferredCost        = -1                  // preemption made room here: less than any other cost
 )
 
-// fragmentationCost makes a task prefer the machine that it leaves least broken up: a
-// larger machine, or a free one, is kept for what needs it.
+// fragmentationCost returns the cost of the free resources that a task leaves on a machine. It
+// makes a task prefer the machine on which it leaves the least, so that larger and empty machines
+// stay available for the tasks that need them.
 func (t *Table) fragmentationCost(r *Request, m *Machine) micros {
 	free := m.freeFor(r)
 	cost := min(micros(free.MaxCopies(r.Resources))*fragmentationPerTask, maxFragmentation)
 	if r.Resources.GPU == 0 && free.GPU > 0 {
-		// What needs no GPU goes where it is in the way of nothing that does.
+		// A task without GPUs is placed where it does not block tasks that need GPUs.
 		return cost + gpuWasteCost
 	}
-	if !r.Opportunistic && !free.Add(m.opportunistic, -1).Covers(r.Resources) {
+	if !r.Opportunistic && !free.Add(m.opportunisticUsed, -1).Covers(r.Resources) {
 		cost += evictionCost
 	}
 	if r.AllowSpot && !m.Spot {
-		// Spot machines are of use to few; the others are kept for the rest.
+		// Only some requests allow spot machines; on-demand machines are kept for the others.
 		cost += onDemandCost
 	}
 	return cost
--- a/internal/controller/slottable/gang.go
+++ b/internal/controller/slottable/gang.go
@@ -7,37 +7,40 @@
 )
 
 const (
-	// zoneChangeGain is how much sooner another zone has to be for a gang's booking to move
-	// there. Machines that were kept free for it are lost with a move, and estimates err by as
-	// much: a gang of 32 was booked in one zone after the other for minutes and began in none.
+	// zoneChangeGain is how much sooner a gang has to be ready in another zone for its booking to
+	// move there. With a move the gang loses the machines that were kept free for it, and estimates
+	// are off by as much: without a minimum gain, a gang of 32 was booked in one zone after the
+	// other for minutes and started in none.
 	zoneChangeGain = 30 * protocol.Second
-	// anyZone has a search look at all zones together.
+	// anyZone makes a search cover all zones.
 	anyZone = ""
 )
 
-// gangSearch looks for places for all tasks of a gang at once.
+// gangSearch finds places for all tasks of a gang, which run at the same time.
 type gangSearch struct {
-	table   *Table
-	request *Request
-	strict  bool // the search may stop once the deadline can't be met
+	table      *Table
+	request    *Request
+	stopIfLate bool // stop as soon as it is clear that the deadline can't be met
 
-	places        []Place // the best that were found, nil: none
-	ready         micros  // when the last of them is ready
-	limitExceeded bool    // a search was stopped for the deadline
+	places             []Place // best places found so far, nil: none
+	ready              micros  // time at which the last of them is ready
+	readyLimitExceeded bool    // a search was stopped because the deadline can't be met
 }
 
-// tryGang starts all tasks of a gang now, or books them all if asked to.
-func (t *Table) tryGang(r *Request, book, strict bool) Result {
+// placeGang starts all tasks of a gang now or, if book is set, books all of them. With stopIfLate
+// it may stop as soon as it is clear that the deadline can't be met.
+func (t *Table) placeGang(r *Request, book, stopIfLate bool) Result {
 	if r.Limit < r.Tasks {
 		return Result{Request: r, Viable: true}
 	}
-	g := &gangSearch{table: t, request: r, strict: strict}
+	g := &gangSearch{table: t, request: r, stopIfLate: stopIfLate}
 	zones := t.gangZones(r)
 	for _, zone := range zones {
 		g.searchZone(&t.nowSearch, zone, false, false)
 	}
 	if g.places != nil && r.Tasks == 1 && g.ready > t.Now+fetchTolerance {
-		// It has to fetch: a machine that is busy but has the image may be ready sooner.
+		// The only task would have to fetch its image: it may be ready sooner on a busy machine
+		// that has the image.
 		if g.searchBusyWithImage() && !book {
 			return Result{Request: r, Viable: true}
 		}
@@ -52,21 +55,21 @@
 		}
 	}
 	if g.places == nil {
-		return Result{Request: r, Viable: !g.limitExceeded}
+		return Result{Request: r, Viable: !g.readyLimitExceeded}
 	}
-	return g.take()
+	return g.commit()
 }
 
-// gangZones are the zones in which a gang is tried one after the other, the one of its last
-// booking first, or only anyZone if it need not be in one.
+// gangZones returns the zones that are searched one after the other for places of a gang, the zone
+// of its last booking first. If the gang need not be in a single zone, it returns only anyZone.
 func (t *Table) gangZones(r *Request) []string {
-	used := newZoneCounter(r).only
-	zones := t.gangZoneList[:0]
+	usedZone := newZoneCounter(r).onlyZone
+	zones := t.gangZoneBuffer[:0]
 	switch {
 	case !r.SingleZone || r.Tasks == 1:
 		zones = append(zones, anyZone)
-	case used != "":
-		zones = append(zones, used)
+	case usedZone != "":
+		zones = append(zones, usedZone)
 	case r.Zone != "":
 		zones = append(zones, r.Zone)
 	default:
@@ -79,28 +82,29 @@
 			}
 		}
 	}
-	t.gangZoneList = zones
+	t.gangZoneBuffer = zones
 	return zones
 }
 
-// searchZone looks for places in a zone, and keeps them if they are better than the best so far.
+// searchZone searches a zone for places for the whole gang, and keeps them if they are ready sooner
+// than the best ones so far.
 func (g *gangSearch) searchZone(s *search, zone string, later, imageOnly bool) {
-	limit := g.ready
+	readyLimit := g.ready
 	if later && g.request.PreferredZone != "" && zone != g.request.PreferredZone {
-		limit -= zoneChangeGain
+		readyLimit -= zoneChangeGain
 	}
 	var places []Place
-	g.table.try(func() bool {
+	g.table.runTrial(func() bool {
 		z := newZoneCounter(g.request)
 		s.begin(g.table, g.request, z, zone, later, imageOnly)
-		if g.strict && later && !imageOnly {
-			s.limit = g.request.Deadline - g.request.Runtime
+		if g.stopIfLate && later && !imageOnly {
+			s.readyLimit = g.request.Deadline - g.request.Runtime
 		}
 		if zone != anyZone {
-			z.only = zone
+			z.onlyZone = zone
 		}
-		places = g.placeTasks(s, z, limit)
-		g.limitExceeded = g.limitExceeded || s.limitExceeded
+		places = g.placeTasks(s, z, readyLimit)
+		g.readyLimitExceeded = g.readyLimitExceeded || s.readyLimitExceeded
 		return false
 	})
 	if places != nil {
@@ -108,13 +112,14 @@
 	}
 }
 
-// placeTasks finds a place for each task, nil if there are not enough or one of them is no
-// better than those of another zone.
-func (g *gangSearch) placeTasks(s *search, z *zoneCounter, limit micros) []Place {
+// placeTasks finds a place for each task. It returns nil if there are not enough places or if one
+// of them is ready no sooner than readyLimit, which comes from the best places of the zones
+// searched before.
+func (g *gangSearch) placeTasks(s *search, z *zoneCounter, readyLimit micros) []Place {
 	var places []Place
 	for i := range g.request.Tasks {
 		c, ok := s.top()
-		if !ok || g.places != nil && c.place.Ready >= limit {
+		if !ok || g.places != nil && c.place.Ready >= readyLimit {
 			return nil
 		}
 		if places == nil {
@@ -131,8 +136,9 @@
 	return places
 }
 
-// searchBusyWithImage looks for a machine that has the image and is ready sooner than the best
-// place so far, which has to fetch. It reports whether there is one.
+// searchBusyWithImage searches for a busy machine that has the image and is ready sooner than the
+// best place so far, on which the image has to be fetched. It reports whether there is one; if not,
+// the best place stays.
 func (g *gangSearch) searchBusyWithImage() bool {
 	places, ready := g.places, g.ready
 	g.places = nil
@@ -144,14 +150,14 @@
 	return true
 }
 
-// take marks the best places.
-func (g *gangSearch) take() Result {
+// commit marks the best places in the table and returns them as the result.
+func (g *gangSearch) commit() Result {
 	t, r := g.table, g.request
 	res := Result{Request: r, Viable: true}
 	end := protocol.End(g.ready, r.Runtime)
 	if r.Deadline > 0 && end > r.Deadline {
 		res.Viable = false
-		if g.strict {
+		if g.stopIfLate {
 			return res
 		}
 	}
@@ -159,7 +165,8 @@
 	startsNow := !slices.ContainsFunc(g.places, func(p Place) bool { return !isNow(p) })
 	for _, p := range g.places {
 		if !startsNow && isNow(p) {
-			// It waits for the others: until then nothing of it is there.
+			// This task could start now, but waits for the others of its gang. Until they can start
+			// too, it takes no resources.
 			p.Begin = t.Now + 1
 		}
 		t.mark(r, p, end)
@@ -172,7 +179,7 @@
 	return res
 }
 
-// lastReady is when the last of some places is ready.
+// lastReady returns the time at which the last of some places is ready.
 func lastReady(places []Place) micros {
 	var ready micros
 	for _, p := range places {
@@ -181,14 +188,15 @@
 	return ready
 }
 
-// bookingHolds reports whether a gang's booking of the last cycle can be kept.
+// bookingHolds reports whether a gang's booking of the last cycle can be kept: it has a place for
+// each task, not all of its places begin now, and all are still free.
 func (t *Table) bookingHolds(r *Request) bool {
 	if len(r.Booking) != r.Tasks || !slices.ContainsFunc(r.Booking, func(p Place) bool { return p.Begin > t.Now }) {
 		return false
 	}
 	end := protocol.End(lastReady(r.Booking), r.Runtime)
 	holds := true
-	t.try(func() bool {
+	t.runTrial(func() bool {
 		for _, p := range r.Booking {
 			m := p.Machine
 			holds = holds && !m.Blocked && r.allows(m) && m.fits(r, max(p.Begin, t.Now), end)
--- a/internal/controller/slottable/heap.go
+++ b/internal/controller/slottable/heap.go
@@ -1,18 +1,18 @@
 package slottable
 
-// A heap of values that know their order. That of the standard library makes
-// every value an interface, which costs an allocation for each: a cycle moves
-// tens of thousands.
+// Functions for heaps of elements that define their own order. container/heap of the standard
+// library converts each element to an interface, which costs one allocation per element; a
+// scheduling cycle moves tens of thousands of them.
 
 type ordered[T any] interface{ less(T) bool }
 
 func initHeap[T ordered[T]](h []T) {
 	for i := len(h)/2 - 1; i >= 0; i-- {
-		down(h, i)
+		siftDown(h, i)
 	}
 }
 
-func down[T ordered[T]](h []T, i int) {
+func siftDown[T ordered[T]](h []T, i int) {
 	for {
 		j := 2*i + 1
 		if j >= len(h) {
@@ -29,7 +29,7 @@
 	}
 }
 
-func up[T ordered[T]](h []T, i int) {
+func siftUp[T ordered[T]](h []T, i int) {
 	for i > 0 {
 		p := (i - 1) / 2
 		if !h[i].less(h[p]) {
@@ -42,7 +42,7 @@
 
 func pushHeap[T ordered[T]](h []T, v T) []T {
 	h = append(h, v)
-	up(h, len(h)-1)
+	siftUp(h, len(h)-1)
 	return h
 }
 
@@ -51,16 +51,16 @@
 func removeHeap[T ordered[T]](h []T, i int) []T {
 	last := len(h) - 1
 	h[i] = h[last]
-	var none T
-	h[last] = none
+	var zero T
+	h[last] = zero
 	h = h[:last]
 	if i < last {
-		fix(h, i)
+		fixHeap(h, i)
 	}
 	return h
 }
 
-func fix[T ordered[T]](h []T, i int) {
-	down(h, i)
-	up(h, i)
+func fixHeap[T ordered[T]](h []T, i int) {
+	siftDown(h, i)
+	siftUp(h, i)
 }
--- a/internal/controller/slottable/image_holders.go
+++ b/internal/controller/slottable/image_holders.go
@@ -2,75 +2,76 @@
 
 import "slices"
 
-// heldImage is an image and where its list of holders has the row.
-type heldImage struct {
-	image int32
-	at    micros
+// holderEntry records a row's position in the list of the holders of an image. The holders are the
+// rows that have the image or are going to have it.
+type holderEntry struct {
+	imageID  int32
+	freeFrom micros
 }
 
-// indexImages keeps the lists of the rows that have an image, or will have it, by the
-// time from which they have a whole GPU free, or a bound on it: a row that gets
-// busier stays where it is until a search comes by it, since most lists that it
-// is in are not searched before that changes again.
+// indexImages updates the holder lists of a row's images. Each list is ordered by the time from
+// which its rows have a whole GPU free, or by a lower bound on that time: a row that gets busier is
+// moved only once a search visits it, because most lists that contain the row are not searched
+// before the time changes again.
 func (t *Table) indexImages(m *Machine) {
-	t.imageIDs = t.imageIDs[:0]
+	t.imageIDBuffer = t.imageIDBuffer[:0]
 	if m.entry.group != nil {
 		for i := range m.images {
-			t.imageIDs = append(t.imageIDs, m.images[i].image)
+			t.imageIDBuffer = append(t.imageIDBuffer, m.images[i].imageID)
 		}
 		for i := range m.marks {
-			if id := m.marks[i].image; id >= 0 {
-				t.imageIDs = append(t.imageIDs, id)
+			if id := m.marks[i].imageID; id >= 0 {
+				t.imageIDBuffer = append(t.imageIDBuffer, id)
 			}
 		}
-		slices.Sort(t.imageIDs)
-		t.imageIDs = slices.Compact(t.imageIDs)
+		slices.Sort(t.imageIDBuffer)
+		t.imageIDBuffer = slices.Compact(t.imageIDBuffer)
 	}
-	at := m.entry.at[1]
-	same := len(t.imageIDs) == len(m.entry.images)
+	freeFrom := m.entry.freeFrom[1]
+	unchanged := len(t.imageIDBuffer) == len(m.entry.images)
 	for i := range m.entry.images {
 		h := &m.entry.images[i]
-		if same && h.image != t.imageIDs[i] {
-			same = false
+		if unchanged && h.imageID != t.imageIDBuffer[i] {
+			unchanged = false
 		}
-		if h.at > at {
-			t.moveHolder(m, h, at)
+		if h.freeFrom > freeFrom {
+			t.moveHolder(m, h, freeFrom)
 		}
 	}
-	if same {
+	if unchanged {
 		return
 	}
-	held := make([]heldImage, 0, len(t.imageIDs))
-	was := m.entry.images
-	for _, id := range t.imageIDs {
-		for len(was) > 0 && was[0].image < id {
-			t.imageHolders[was[0].image] = removeRow(t.imageHolders[was[0].image], indexedRow{was[0].at, m})
-			was = was[1:]
+	entries := make([]holderEntry, 0, len(t.imageIDBuffer))
+	oldEntries := m.entry.images
+	for _, id := range t.imageIDBuffer {
+		for len(oldEntries) > 0 && oldEntries[0].imageID < id {
+			t.imageHolders[oldEntries[0].imageID] = removeRow(t.imageHolders[oldEntries[0].imageID], indexedRow{oldEntries[0].freeFrom, m})
+			oldEntries = oldEntries[1:]
 		}
-		if len(was) > 0 && was[0].image == id {
-			held = append(held, was[0])
-			was = was[1:]
+		if len(oldEntries) > 0 && oldEntries[0].imageID == id {
+			entries = append(entries, oldEntries[0])
+			oldEntries = oldEntries[1:]
 			continue
 		}
 		for int(id) >= len(t.imageHolders) {
 			t.imageHolders = append(t.imageHolders, nil)
 		}
-		t.imageHolders[id] = insertRow(t.imageHolders[id], indexedRow{at, m})
-		held = append(held, heldImage{id, at})
+		t.imageHolders[id] = insertRow(t.imageHolders[id], indexedRow{freeFrom, m})
+		entries = append(entries, holderEntry{id, freeFrom})
 	}
-	for _, h := range was {
-		t.imageHolders[h.image] = removeRow(t.imageHolders[h.image], indexedRow{h.at, m})
+	for _, h := range oldEntries {
+		t.imageHolders[h.imageID] = removeRow(t.imageHolders[h.imageID], indexedRow{h.freeFrom, m})
 	}
-	m.entry.images = held
+	m.entry.images = entries
 }
 
-func (t *Table) moveHolder(m *Machine, h *heldImage, at micros) {
-	moveRow(t.imageHolders[h.image], indexedRow{h.at, m}, indexedRow{at, m})
-	h.at = at
+func (t *Table) moveHolder(m *Machine, h *holderEntry, freeFrom micros) {
+	moveRow(t.imageHolders[h.imageID], indexedRow{h.freeFrom, m}, indexedRow{freeFrom, m})
+	h.freeFrom = freeFrom
 }
 
-// lateHolder is a holder that a search found busier than its list has it.
-type lateHolder struct {
+// outdatedHolder is a row that a search found to be free later than the image's holder list has it.
+type outdatedHolder struct {
 	machine *Machine
-	image   int32
+	imageID int32
 }
--- a/internal/controller/slottable/index.go
+++ b/internal/controller/slottable/index.go
@@ -4,190 +4,190 @@
 	"mapleslip/internal/protocol"
 )
 
-// maxLevel is the highest level that the index tells apart. A level is a number
-// of whole GPUs; level 0 asks for none.
+// maxLevel is the highest level that the index distinguishes. A level is a number of whole free
+// GPUs; level 0 requires none.
 const maxLevel = 8
 
-// milliGPUs are those of a whole GPU.
-const milliGPUs = 1000
+const milliGPUsPerGPU = 1000
 
-// levelOf is the level that a row has to have for a request.
-func levelOf(need resources) int { return int(min(need.GPU/milliGPUs, maxLevel)) }
+// levelOf returns the level that a row must have free for an amount of resources.
+func levelOf(need resources) int { return int(min(need.GPU/milliGPUsPerGPU, maxLevel)) }
 
-// entry is where the index has a row.
-type entry struct {
+// indexEntry is a row's position in the index.
+type indexEntry struct {
 	group               *group
-	free                resources            // on the shelf
-	freeAfterPreemption resources            // on the shelf by that
-	shelf               int                  // -1: none
-	preemptibleShelf    int                  // -1: none
-	at                  [maxLevel + 1]micros // Forever: not in that list
-	images              []heldImage          // for which it is among the holders, by number
+	free                resources            // as recorded in its bucket
+	freeAfterPreemption resources            // as recorded in its preemptible bucket
+	bucket              int                  // level of its bucket, -1: none
+	preemptibleBucket   int                  // level of its preemptible bucket, -1: none
+	freeFrom            [maxLevel + 1]micros // by level, Forever: not in the level's list
+	images              []holderEntry        // in the order of image IDs
 }
 
-// clear says that a row is in no group.
-func (e *entry) clear() {
-	e.group, e.shelf, e.preemptibleShelf = nil, -1, -1
-	for l := range e.at {
-		e.at[l] = protocol.Forever
+// clear sets the entry to that of a row that is in no group. It leaves images, which are updated by
+// indexImages.
+func (e *indexEntry) clear() {
+	e.group, e.bucket, e.preemptibleBucket = nil, -1, -1
+	for l := range e.freeFrom {
+		e.freeFrom[l] = protocol.Forever
 	}
 }
 
-// index brings the index up to date with one row.
-func (t *Table) index(m *Machine) {
+// reindex brings the index up to date with one row.
+func (t *Table) reindex(m *Machine) {
 	m.stale, m.indexedMarks = false, len(m.marks)
-	var e entry
-	t.describe(m, &e)
-	was := &m.entry
-	if was.group != e.group {
+	var e indexEntry
+	t.computeEntry(m, &e)
+	old := &m.entry
+	if old.group != e.group {
 		t.unindex(m)
-		was.group = e.group
+		old.group = e.group
 	}
 	if g := e.group; g != nil {
-		if was.shelf != e.shelf || was.free != e.free {
-			reshelve(&g.shelves, m, was.shelf, e.shelf, e.free)
-			was.shelf, was.free = e.shelf, e.free
+		if old.bucket != e.bucket || old.free != e.free {
+			moveToBucket(&g.buckets, m, old.bucket, e.bucket, e.free)
+			old.bucket, old.free = e.bucket, e.free
 		}
-		if was.preemptibleShelf != e.preemptibleShelf || was.freeAfterPreemption != e.freeAfterPreemption {
-			reshelve(&g.preemptibleShelves, m, was.preemptibleShelf, e.preemptibleShelf, e.freeAfterPreemption)
-			was.preemptibleShelf, was.freeAfterPreemption = e.preemptibleShelf, e.freeAfterPreemption
+		if old.preemptibleBucket != e.preemptibleBucket || old.freeAfterPreemption != e.freeAfterPreemption {
+			moveToBucket(&g.preemptibleBuckets, m, old.preemptibleBucket, e.preemptibleBucket, e.freeAfterPreemption)
+			old.preemptibleBucket, old.freeAfterPreemption = e.preemptibleBucket, e.freeAfterPreemption
 		}
-		for l := range e.at {
-			if was.at[l] == e.at[l] {
+		for l := range e.freeFrom {
+			if old.freeFrom[l] == e.freeFrom[l] {
 				continue
 			}
-			from, to := indexedRow{was.at[l], m}, indexedRow{e.at[l], m}
+			from, to := indexedRow{old.freeFrom[l], m}, indexedRow{e.freeFrom[l], m}
 			switch {
-			case from.at >= protocol.Forever:
-				g.laterByLevel[l] = insertRow(g.laterByLevel[l], to)
-			case to.at >= protocol.Forever:
-				g.laterByLevel[l] = removeRow(g.laterByLevel[l], from)
+			case from.freeFrom >= protocol.Forever:
+				g.rowsByFreeTime[l] = insertRow(g.rowsByFreeTime[l], to)
+			case to.freeFrom >= protocol.Forever:
+				g.rowsByFreeTime[l] = removeRow(g.rowsByFreeTime[l], from)
 			default:
-				moveRow(g.laterByLevel[l], from, to)
+				moveRow(g.rowsByFreeTime[l], from, to)
 			}
-			was.at[l] = e.at[l]
+			old.freeFrom[l] = e.freeFrom[l]
 		}
 	}
 	t.indexImages(m)
 }
 
-// unindex takes a row out of its group.
+// unindex removes a row from its group.
 func (t *Table) unindex(m *Machine) {
 	e := &m.entry
 	if g := e.group; g != nil {
-		reshelve(&g.shelves, m, e.shelf, -1, resources{})
-		reshelve(&g.preemptibleShelves, m, e.preemptibleShelf, -1, resources{})
-		for l, at := range e.at {
+		moveToBucket(&g.buckets, m, e.bucket, -1, resources{})
+		moveToBucket(&g.preemptibleBuckets, m, e.preemptibleBucket, -1, resources{})
+		for l, at := range e.freeFrom {
 			if at < protocol.Forever {
-				g.laterByLevel[l] = removeRow(g.laterByLevel[l], indexedRow{at, m})
+				g.rowsByFreeTime[l] = removeRow(g.rowsByFreeTime[l], indexedRow{at, m})
 			}
 		}
 	}
 	e.clear()
 }
 
-// describe says where a row belongs. A row that may take nothing is in no group.
-func (t *Table) describe(m *Machine, e *entry) {
+// computeEntry computes which position a row should have in the index. A blocked row is in no
+// group.
+func (t *Table) computeEntry(m *Machine, e *indexEntry) {
 	e.clear()
 	if m.Blocked {
 		return
 	}
 	e.group = t.groupOf(m)
 	if m.AvailableFrom <= t.Now && (m.free.CPU > 0 || m.Capacity.CPU == 0) {
-		e.shelf = int(max(0, min(m.free.GPU/milliGPUs, maxLevel)))
+		e.bucket = int(max(0, min(m.free.GPU/milliGPUsPerGPU, maxLevel)))
 		e.free = m.free
 	}
 	if m.FreeAfterPreemption.CPU > 0 || m.FreeAfterPreemption.GPU > 0 {
-		e.preemptibleShelf = int(max(0, min(m.FreeAfterPreemption.GPU/milliGPUs, maxLevel)))
+		e.preemptibleBucket = int(max(0, min(m.FreeAfterPreemption.GPU/milliGPUsPerGPU, maxLevel)))
 		e.freeAfterPreemption = m.FreeAfterPreemption
 	}
-	top := int(min(m.Capacity.GPU/milliGPUs, maxLevel))
-	least := micros(0)
+	highest := int(min(m.Capacity.GPU/milliGPUsPerGPU, maxLevel))
+	earliest := micros(0)
 	if m.AvailableFrom > t.Now {
-		least = m.AvailableFrom
+		earliest = m.AvailableFrom
 	}
 	level := 0
 	if m.free.CPU <= 0 && m.Capacity.CPU > 0 && len(m.profile) > 1 {
-		e.at[0] = protocol.Forever
+		e.freeFrom[0] = protocol.Forever
 	} else {
-		e.at[0], level = least, 1
+		e.freeFrom[0], level = earliest, 1
 	}
-	for i := m.profile.at(max(m.AvailableFrom, t.Now)); i < len(m.profile) && level <= top; i++ {
+	for i := m.profile.stepAt(max(m.AvailableFrom, t.Now)); i < len(m.profile) && level <= highest; i++ {
 		s := &m.profile[i]
-		at := max(s.at, least)
-		if s.at <= t.Now {
-			at = least
+		at := max(s.from, earliest)
+		if s.from <= t.Now {
+			at = earliest
 		}
 		if level == 0 {
 			if s.free.CPU <= 0 {
 				continue
 			}
-			e.at[0], level = at, 1
+			e.freeFrom[0], level = at, 1
 		}
-		for ; level <= top && s.free.GPU >= int64(level)*milliGPUs; level++ {
-			e.at[level] = at
+		for ; level <= highest && s.free.GPU >= int64(level)*milliGPUsPerGPU; level++ {
+			e.freeFrom[level] = at
 		}
 	}
 }
 
-// markStale notes that the index has to be brought up to date with a row before
-// the next search begins.
+// markStale makes the next refreshIndex bring the index up to date with a row.
 func (t *Table) markStale(m *Machine) {
 	if !m.stale {
 		m.stale = true
-		t.stale = append(t.stale, m)
+		t.staleRows = append(t.staleRows, m)
 	}
 }
 
-// refresh brings the index up to date. It must not be called while a search
-// goes through it.
-func (t *Table) refresh() {
-	for _, m := range t.stale {
+// refreshIndex brings the index up to date with all rows that have changed. It must not be called
+// while a search iterates over the index.
+func (t *Table) refreshIndex() {
+	for _, m := range t.staleRows {
 		if m.stale && m.inTable {
-			t.index(m)
+			t.reindex(m)
 		}
 		m.stale = false
 	}
-	t.stale = t.stale[:0]
-	for _, l := range t.lateHolders {
-		for i := range l.machine.entry.images {
-			if h := &l.machine.entry.images[i]; h.image == l.image && h.at < l.machine.entry.at[1] {
-				t.moveHolder(l.machine, h, l.machine.entry.at[1])
+	t.staleRows = t.staleRows[:0]
+	for _, holder := range t.outdatedHolders {
+		for i := range holder.machine.entry.images {
+			if h := &holder.machine.entry.images[i]; h.imageID == holder.imageID && h.freeFrom < holder.machine.entry.freeFrom[1] {
+				t.moveHolder(holder.machine, h, holder.machine.entry.freeFrom[1])
 			}
 		}
 	}
-	t.lateHolders = t.lateHolders[:0]
+	t.outdatedHolders = t.outdatedHolders[:0]
 }
 
-// Add takes a row into the table. Between places of equal cost the row that was
-// added first is taken.
+// Add adds a row to the table. Of places with the same cost, the one on the row that was added
+// first is chosen.
 func (t *Table) Add(m *Machine) {
 	t.addZone(m.Zone)
 	t.addToIndex(m)
-	m.index = len(t.machines)
+	m.position = len(t.machines)
 	t.machines = append(t.machines, m)
 }
 
-// addToIndex has the index know a row from the next search on.
+// addToIndex adds a row to the index. The next refreshIndex puts it into its group.
 func (t *Table) addToIndex(m *Machine) {
-	t.added++
-	m.order, m.inTable = t.added, true
+	t.addedRows++
+	m.order, m.inTable = t.addedRows, true
 	m.entry.clear()
 	t.markStale(m)
 }
 
-// Remove takes a row out of the table.
+// Remove removes a row from the table, and does nothing if the table does not have it.
 func (t *Table) Remove(m *Machine) {
 	if !m.inTable {
 		return
 	}
 	last := t.machines[len(t.machines)-1]
-	t.machines[m.index], last.index = last, m.index
+	t.machines[m.position], last.position = last, m.position
 	t.machines = t.machines[:len(t.machines)-1]
 	t.removeFromIndex(m)
 }
 
-// removeFromIndex has the index forget a row.
+// removeFromIndex removes a row from its group and from the holder lists of its images.
 func (t *Table) removeFromIndex(m *Machine) {
 	t.unindex(m)
 	t.indexImages(m)
--- a/internal/controller/slottable/preemptible.go
+++ b/internal/controller/slottable/preemptible.go
@@ -1,30 +1,32 @@
 package slottable
 
-// VisitPreemptible visits rows on which some of a request's tasks would have room if all gave
-// way that may: in each zone those that have the image first if there are fewer of them, then
-// the others in their order. Of a zone no more are visited once visit has said of maxPerZone
-// rows that they count. The rows are as they were when they were filled.
+// VisitPreemptible calls visit for rows that would have room for the given number of a request's
+// tasks if all preemptible tasks were evicted. Rows that have the image are visited first if they
+// are fewer than the rows that may have room; then all others are visited in the order in which
+// they were added. visit reports whether a row counts: once maxPerZone rows of a zone have counted,
+// no more rows of that zone are visited. Only what was on the machines when their rows were filled
+// is considered, not what the current cycle has planned since.
 func (t *Table) VisitPreemptible(r *Request, tasks, maxPerZone int, visit func(m *Machine) (counts bool)) {
-	t.refresh()
+	t.refreshIndex()
 	t.searchSeq++
 	v := &preemptibleVisit{
 		table: t, request: r, need: resources{}.Add(r.Resources, int64(tasks)), maxPerZone: maxPerZone,
-		visit: visit, id: t.searchSeq, counted: make(map[string]int, len(t.zones)),
+		visit: visit, searchID: t.searchSeq, counted: make(map[string]int, len(t.zones)),
 	}
 	for _, zone := range t.zones {
 		if r.Zone == "" || r.Zone == zone {
 			v.openZones++
 		}
 	}
-	cursors, rows := v.makeCursors(t.cursors[:0])
-	if id := int(t.Image(r.Image)); id < len(t.imageHolders) && len(t.imageHolders[id]) < rows {
+	cursors, rows := v.makeCursors(t.cursorBuffer[:0])
+	if id := int(t.ImageID(r.Image)); id < len(t.imageHolders) && len(t.imageHolders[id]) < rows {
 		v.visitHolders(t.imageHolders[id])
 	}
 	v.visitAll(cursors)
-	t.cursors = cursors[:0]
+	t.cursorBuffer = cursors[:0]
 }
 
-// preemptibleVisit is a call of VisitPreemptible.
+// preemptibleVisit is the state of one call of VisitPreemptible.
 type preemptibleVisit struct {
 	table      *Table
 	request    *Request
@@ -32,24 +34,25 @@
 	maxPerZone int
 	visit      func(m *Machine) (counts bool)
 
-	id        uint32
-	counted   map[string]int // rows, by zone
-	openZones int            // those in which rows are still visited
+	searchID  uint32
+	counted   map[string]int // number of rows that counted, by zone
+	openZones int            // number of zones in which rows are still visited
 }
 
-// isFull reports whether enough rows of a zone count.
+// isFull reports whether enough rows of a zone have counted.
 func (v *preemptibleVisit) isFull(zone string) bool { return v.counted[zone] >= v.maxPerZone }
 
-// makeCursors makes a cursor for each shelf that may have rows to visit, and counts their rows.
+// makeCursors returns a cursor for each bucket that may have rows to visit, and how many rows the
+// cursors have. It appends to cursors.
 func (v *preemptibleVisit) makeCursors(cursors []cursor) (made []cursor, rows int) {
 	for _, g := range v.table.groupList {
 		if !g.suits(v.request) || !g.capacity.Covers(v.need) {
 			continue
 		}
-		v.table.Work += lookWork
+		v.table.Work += visitWork
 		for level := levelOf(v.need); level <= maxLevel; level++ {
-			s := &g.preemptibleShelves[level]
-			if len(s.rows) > 0 && s.most.Covers(v.need) {
+			s := &g.preemptibleBuckets[level]
+			if len(s.rows) > 0 && s.maxFree.Covers(v.need) {
 				cursors = append(cursors, cursor{rows: s.rows})
 				rows += len(s.rows)
 			}
@@ -58,22 +61,22 @@
 	return cursors, rows
 }
 
-// visitHolders visits rows that have the image.
+// visitHolders visits the rows that have the image.
 func (v *preemptibleVisit) visitHolders(holders []indexedRow) {
 	level := levelOf(v.need)
 	for _, row := range holders {
-		v.table.Work += lookWork
+		v.table.Work += visitWork
 		if v.openZones == 0 {
 			return
 		}
 		e := &row.machine.entry
-		if e.group != nil && e.preemptibleShelf >= level && e.group.suits(v.request) && !v.isFull(e.group.zone) {
+		if e.group != nil && e.preemptibleBucket >= level && e.group.suits(v.request) && !v.isFull(e.group.zone) {
 			v.visitRow(row.machine)
 		}
 	}
 }
 
-// visitAll visits the rows of cursors in their order.
+// visitAll visits the rows of all cursors in the order in which they were added to the table.
 func (v *preemptibleVisit) visitAll(cursors []cursor) {
 	initHeap(cursors)
 	for len(cursors) > 0 && v.openZones > 0 {
@@ -83,21 +86,21 @@
 		if len(c.rows) == 0 || v.isFull(m.Zone) {
 			cursors = popHeap(cursors)
 		} else {
-			down(cursors, 0)
+			siftDown(cursors, 0)
 		}
-		v.table.Work += lookWork
+		v.table.Work += visitWork
 		if !v.isFull(m.Zone) {
 			v.visitRow(m)
 		}
 	}
 }
 
-// visitRow visits a row that has room, unless it was visited before.
+// visitRow visits a row if it has room and was not visited before.
 func (v *preemptibleVisit) visitRow(m *Machine) {
-	if m.lastSearch[0] == v.id || !m.FreeAfterPreemption.Covers(v.need) {
+	if m.lastSearch[0] == v.searchID || !m.FreeAfterPreemption.Covers(v.need) {
 		return
 	}
-	m.lastSearch[0] = v.id
+	m.lastSearch[0] = v.searchID
 	if !v.visit(m) {
 		return
 	}
--- a/internal/controller/slottable/profile.go
+++ b/internal/controller/slottable/profile.go
@@ -6,25 +6,24 @@
 	"mapleslip/internal/protocol"
 )
 
-// profileStep is what a row has free from a time on, until the next step.
+// profileStep records what a row has free from a time on, until the next step.
 type profileStep struct {
-	at   micros
+	from micros
 	free resources
 }
 
-// profile is a row's free room against time: what is on the machine and what is
-// planned for it, opportunistic tasks not counted. It has a step at every time at which that
-// changes, the first one at the beginning of time. With it the earliest room is
-// found in one sweep.
+// profile records a row's free resources over time, after the tasks on the machine and those
+// planned for it; opportunistic tasks are not counted. It has a step for each time at which the
+// amount changes, the first one at time 0, so that the earliest room is found in one pass.
 type profile []profileStep
 
-// reset is a row on which nothing is.
-func (p profile) reset(offer resources) profile { return append(p[:0], profileStep{0, offer}) }
+// reset returns the profile of an empty row, in the memory of p.
+func (p profile) reset(capacity resources) profile { return append(p[:0], profileStep{0, capacity}) }
 
-// cut makes a step begin at a time, and returns its index.
-func (p profile) cut(at micros) (profile, int) {
-	i := sort.Search(len(p), func(i int) bool { return p[i].at >= at })
-	if i < len(p) && p[i].at == at {
+// splitAt makes a step begin at a time, and returns the profile and the step's index.
+func (p profile) splitAt(at micros) (profile, int) {
+	i := sort.Search(len(p), func(i int) bool { return p[i].from >= at })
+	if i < len(p) && p[i].from == at {
 		return p, i
 	}
 	p = append(p, profileStep{})
@@ -33,15 +32,15 @@
 	return p, i
 }
 
-// add takes need n times during [from, to).
-func (p profile) add(from, to micros, need resources, n int64) profile {
+// addUsage subtracts need n times from what is free during [from, to).
+func (p profile) addUsage(from, to micros, need resources, n int64) profile {
 	if from = max(from, 0); to <= from {
 		return p
 	}
-	p, i := p.cut(from)
+	p, i := p.splitAt(from)
 	j := len(p)
 	if to < protocol.Forever {
-		p, j = p.cut(to)
+		p, j = p.splitAt(to)
 	}
 	for k := i; k < j; k++ {
 		p[k].free = p[k].free.Add(need, -n)
@@ -49,11 +48,11 @@
 	return p
 }
 
-// at is the index of the step that holds at a time.
-func (p profile) at(t micros) int {
-	// Rows are mostly asked about now, which is near the first step.
+// stepAt returns the index of the step that covers a time.
+func (p profile) stepAt(t micros) int {
+	// Linear search: most calls are for the current time, which is near the first step.
 	i := 0
-	for i+1 < len(p) && p[i+1].at <= t {
+	for i+1 < len(p) && p[i+1].from <= t {
 		i++
 	}
 	return i
@@ -61,27 +60,27 @@
 
 // fits reports whether need is free during [from, to).
 func (p profile) fits(need resources, from, to micros) bool {
-	for i := p.at(from); ; i++ {
+	for i := p.stepAt(from); ; i++ {
 		if !p[i].free.Covers(need) {
 			return false
 		}
-		if i+1 == len(p) || p[i+1].at >= to {
+		if i+1 == len(p) || p[i+1].from >= to {
 			return true
 		}
 	}
 }
 
-// room is the earliest time from after on at which need is free for length.
-func (p profile) room(need resources, after, length micros) (micros, bool) {
+// earliestRoom returns the earliest time, not before after, from which need is free for length.
+func (p profile) earliestRoom(need resources, after, length micros) (micros, bool) {
 	from := after
-	for i := p.at(after); i < len(p); i++ {
+	for i := p.stepAt(after); i < len(p); i++ {
 		if !p[i].free.Covers(need) {
 			if i+1 < len(p) {
-				from = p[i+1].at
+				from = p[i+1].from
 			}
 			continue
 		}
-		if i+1 == len(p) || p[i+1].at-from >= length {
+		if i+1 == len(p) || p[i+1].from-from >= length {
 			return from, true
 		}
 	}
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -13,25 +13,25 @@
 
 func TestMain(m *testing.M) { rapidtest.MainWithSeed(m, 20261201, 4000) }
 
-// drawnRow is a row of a random table, of which each side makes its own.
+// drawnRow is a row of a random table. The table and the reference each make their own copy.
 type drawnRow struct {
-	typ, zone    string
-	spot, unheld bool
-	blocked      bool
-	offer        resources
-	from         micros
-	penalty      micros
-	fetchDone    micros
-	images       map[string]micros
-	spans        []Span
-	rate         int64
+	machineType, zone       string
+	spot, onlyOpportunistic bool
+	blocked                 bool
+	capacity                resources
+	availableFrom           micros
+	penalty                 micros
+	fetchDone               micros
+	images                  map[string]micros
+	spans                   []Span
+	fetchMillisPerUnit      int64
 }
 
 func (d drawnRow) make(i int) *Machine {
 	m := &Machine{
-		Name: fmt.Sprintf("n-%03d", i), Type: d.typ, Zone: d.zone, Spot: d.spot, Capacity: d.offer, AvailableFrom: d.from,
-		Penalty: d.penalty, Blocked: d.blocked, OnlyOpportunistic: d.unheld, FetchDone: d.fetchDone,
-		FetchTime: func(size int64) micros { return micros(size*d.rate) * sec / 1000 },
+		Name: fmt.Sprintf("n-%03d", i), Type: d.machineType, Zone: d.zone, Spot: d.spot, Capacity: d.capacity, AvailableFrom: d.availableFrom,
+		Penalty: d.penalty, Blocked: d.blocked, OnlyOpportunistic: d.onlyOpportunistic, FetchDone: d.fetchDone,
+		FetchTime: func(size int64) micros { return micros(size*d.fetchMillisPerUnit) * sec / 1000 },
 	}
 	for _, s := range d.spans {
 		m.Occupy(s)
@@ -40,9 +40,9 @@
 }
 
 var drawnTypes = []struct {
-	name  string
-	offer resources
-	rate  int64
+	name               string
+	capacity           resources
+	fetchMillisPerUnit int64
 }{
 	{"small", resources{CPU: 12_000, GPU: 2000, Memory: 48_000}, 1},
 	{"large", resources{CPU: 32_000, GPU: 4000, Memory: 128_000}, 2},
@@ -54,12 +54,12 @@
 func drawRow(rt *rapid.T) drawnRow {
 	typ := rapid.SampledFrom(drawnTypes).Draw(rt, "type")
 	d := drawnRow{
-		typ: typ.name, offer: typ.offer, rate: typ.rate, zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "zone"),
+		machineType: typ.name, capacity: typ.capacity, fetchMillisPerUnit: typ.fetchMillisPerUnit, zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "zone"),
 		spot: rapid.IntRange(0, 3).Draw(rt, "spot") == 0, blocked: rapid.IntRange(0, 9).Draw(rt, "blocked") == 0,
 		images: make(map[string]micros),
 	}
 	if rapid.IntRange(0, 4).Draw(rt, "booting") == 0 {
-		d.from = drawnNow + micros(rapid.IntRange(1, 60).Draw(rt, "from"))*sec
+		d.availableFrom = drawnNow + micros(rapid.IntRange(1, 60).Draw(rt, "from"))*sec
 	}
 	if rapid.IntRange(0, 5).Draw(rt, "slow") == 0 {
 		d.penalty = micros(rapid.IntRange(1, 20).Draw(rt, "penalty")) * sec
@@ -69,18 +69,18 @@
 			d.images[name] = micros(rapid.SampledFrom([]int{0, 0, 104, 130}).Draw(rt, "ready")) * sec
 		}
 	}
-	free := d.offer
+	free := d.capacity
 	for range rapid.IntRange(0, 5).Draw(rt, "spans") {
 		need := resources{
 			CPU: int64(rapid.IntRange(1, 9).Draw(rt, "cpu")) * 1000, GPU: int64(rapid.IntRange(0, 2).Draw(rt, "gpu")) * 1000,
 			Memory: int64(rapid.IntRange(1, 30).Draw(rt, "mem")) * 1000,
 		}
-		if d.offer.GPU == 0 {
+		if d.capacity.GPU == 0 {
 			need.GPU = 0
 		}
 		s := Span{
 			From: drawnNow, To: drawnNow + micros(rapid.IntRange(1, 200).Draw(rt, "to"))*sec, Resources: need,
-			Opportunistic: rapid.IntRange(0, 5).Draw(rt, "guest") == 0,
+			Opportunistic: rapid.IntRange(0, 5).Draw(rt, "opportunistic") == 0,
 		}
 		if rapid.IntRange(0, 9).Draw(rt, "service") == 0 {
 			s.To = protocol.Forever
@@ -90,7 +90,7 @@
 			d.spans = append(d.spans, s)
 		}
 	}
-	d.unheld = !d.spot && len(d.spans) == 0
+	d.onlyOpportunistic = !d.spot && len(d.spans) == 0
 	return d
 }
 
@@ -102,13 +102,13 @@
 			Memory: int64(rapid.IntRange(1, 100).Draw(rt, "mem")) * 1000,
 		},
 		Image: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "image"), ImageSize: int64(rapid.SampledFrom([]int{0, 1000, 8000, 20_000}).Draw(rt, "size")),
-		Gang: rapid.Bool().Draw(rt, "gang"), SingleZone: rapid.Bool().Draw(rt, "one"), AllowSpot: rapid.Bool().Draw(rt, "spot"),
+		Gang: rapid.Bool().Draw(rt, "gang"), SingleZone: rapid.Bool().Draw(rt, "single zone"), AllowSpot: rapid.Bool().Draw(rt, "spot"),
 		Runtime: micros(rapid.SampledFrom([]int{5, 35, 90, 400}).Draw(rt, "length")) * sec,
 	}
 	r.Limit = r.Tasks
 	switch rapid.IntRange(0, 9).Draw(rt, "kind") {
 	case 0:
-		r.Opportunistic, r.SpareCapacityOnly = true, rapid.Bool().Draw(rt, "frugal")
+		r.Opportunistic, r.SpareCapacityOnly = true, rapid.Bool().Draw(rt, "spare capacity only")
 	case 1:
 		r.Zone = "b"
 	case 2:
@@ -120,7 +120,7 @@
 	case 5:
 		r.Avoid = func(name string) bool { return name[len(name)-1] == '3' }
 	}
-	if rapid.Bool().Draw(rt, "due") {
+	if rapid.Bool().Draw(rt, "has deadline") {
 		r.Deadline = drawnNow + micros(rapid.IntRange(10, 400).Draw(rt, "deadline"))*sec
 	}
 	return r
@@ -137,15 +137,15 @@
 	return text
 }
 
-// A cycle over any queue finds the very places that a look at every row finds:
-// the same machines, times and bookings, and the same rentals after it.
+// A cycle over any queue finds the same places as a search of every row: the same machines, times
+// and bookings, and then the same rentals.
 func TestCycleMatchesReference(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		table, plain := &Table{Now: drawnNow}, &scan{Table: Table{Now: drawnNow}}
+		table, reference := &Table{Now: drawnNow}, &referenceTable{Table: Table{Now: drawnNow}}
 		n := rapid.IntRange(0, 30).Draw(rt, "rows")
 		for i := range n {
 			d := drawRow(rt)
-			for _, side := range []*Table{table, &plain.Table} {
+			for _, side := range []*Table{table, &reference.Table} {
 				m := d.make(i)
 				side.Add(m)
 				for _, name := range []string{"x", "y"} {
@@ -157,41 +157,41 @@
 			}
 		}
 		offers := []*Offer{
-			{Type: "small", Zone: "a", Resources: drawnTypes[0].offer, Price: 4, BootTime: 25 * sec, FetchTime: func(size int64) micros { return micros(size) * sec / 1000 }, Limit: 3},
-			{Type: "large", Zone: "b", Spot: true, Resources: drawnTypes[1].offer, Price: 5, BootTime: 35 * sec, FetchTime: func(size int64) micros { return micros(2*size) * sec / 1000 }, Limit: 3},
+			{Type: "small", Zone: "a", Resources: drawnTypes[0].capacity, Price: 4, BootTime: 25 * sec, FetchTime: func(size int64) micros { return micros(size) * sec / 1000 }, Limit: 3},
+			{Type: "large", Zone: "b", Spot: true, Resources: drawnTypes[1].capacity, Price: 5, BootTime: 35 * sec, FetchTime: func(size int64) micros { return micros(2*size) * sec / 1000 }, Limit: 3},
 		}
-		for pass := range rapid.IntRange(1, 2).Draw(rt, "passes") {
+		for cycle := range rapid.IntRange(1, 2).Draw(rt, "passes") {
 			table.Begin()
-			plain.start()
-			var mine, theirs []*Request
+			reference.beginCycle()
+			var requests, referenceRequests []*Request
 			for i := range rapid.IntRange(1, 12).Draw(rt, "requests") {
-				a := drawRequest(rt)
-				b := a
-				x, y := table.Next(&a), plain.Next(&b)
-				if x.Late && !y.Late && len(y.Start)+len(y.Booked) < b.Tasks {
-					// The one difference: the scan finds that a job can't be
-					// served whole at any time, and keeps what it has found;
-					// the search stops where the deadline can't be met.
+				request := drawRequest(rt)
+				referenceRequest := request
+				res, referenceRes := table.Next(&request), reference.Next(&referenceRequest)
+				if res.Late && !referenceRes.Late && len(referenceRes.Start)+len(referenceRes.Booked) < referenceRequest.Tasks {
+					// The only permitted difference: the reference finds that not all tasks can be
+					// placed at any time, and keeps the places it has found; the table's search
+					// stops when the deadline can't be met.
 					return
 				}
-				if got, want := describeResult(x), describeResult(y); got != want {
-					rt.Fatalf("pass %d, request %d of %+v:\n got %s\nwant %s", pass, i, a, got, want)
+				if got, want := describeResult(res), describeResult(referenceRes); got != want {
+					rt.Fatalf("cycle %d, request %d, %+v:\n got %s\nwant %s", cycle, i, request, got, want)
 				}
-				a.Tasks -= len(x.Start) + len(x.Booked)
-				b.Tasks = a.Tasks
-				a.Limit, b.Limit = a.Tasks, a.Tasks
-				if a.Tasks > 0 {
-					mine, theirs = append(mine, &a), append(theirs, &b)
+				request.Tasks -= len(res.Start) + len(res.Booked)
+				referenceRequest.Tasks = request.Tasks
+				request.Limit, referenceRequest.Limit = request.Tasks, request.Tasks
+				if request.Tasks > 0 {
+					requests, referenceRequests = append(requests, &request), append(referenceRequests, &referenceRequest)
 				}
 			}
-			got, needed := table.Rent(mine, offers, 3*sec, 5, 1_000_000)
-			want, wanted := plain.Rent(theirs, offers, 3*sec, 5, 1_000_000)
+			got, needed := table.Rent(requests, offers, 3*sec, 5, 1_000_000)
+			want, wanted := reference.Rent(referenceRequests, offers, 3*sec, 5, 1_000_000)
 			if fmt.Sprint(got) != fmt.Sprint(want) || len(needed) != len(wanted) {
-				rt.Fatalf("rents %v for %d, want %v for %d", got, len(needed), want, len(wanted))
+				rt.Fatalf("got rentals %v and %d needed rows, want %v and %d", got, len(needed), want, len(wanted))
 			}
 			for i := range needed {
 				if needed[i].Name != wanted[i].Name {
-					rt.Fatalf("needs %s, want %s", needed[i].Name, wanted[i].Name)
+					rt.Fatalf("got needed row %s, want %s", needed[i].Name, wanted[i].Name)
 				}
 			}
 			checkIndex(rt, table)
@@ -199,46 +199,46 @@
 	})
 }
 
-// checkIndex finds rows that the index has as busier than they are, and those
-// that it should know exactly and does not.
+// checkIndex checks that the index has no row as busier than it is, and has rows without unindexed
+// marks exactly as they are.
 func checkIndex(rt *rapid.T, t *Table) {
-	t.refresh()
+	t.refreshIndex()
 	for _, m := range t.machines {
-		var e entry
-		t.describe(m, &e)
-		have := m.entry
-		for _, h := range have.images {
-			if h.at > have.at[1] || !slices.Contains(t.imageHolders[h.image], indexedRow{h.at, m}) {
-				rt.Fatalf("the holders of %d have %s at %d, it is free at %d", h.image, m.Name, h.at, have.at[1])
+		var e indexEntry
+		t.computeEntry(m, &e)
+		indexed := m.entry
+		for _, h := range indexed.images {
+			if h.freeFrom > indexed.freeFrom[1] || !slices.Contains(t.imageHolders[h.imageID], indexedRow{h.freeFrom, m}) {
+				rt.Fatalf("holder list of image %d: row %s is recorded as free from %d on, its index entry has %d", h.imageID, m.Name, h.freeFrom, indexed.freeFrom[1])
 			}
 		}
-		for l := range e.at {
-			if have.at[l] > e.at[l] || !m.behind() && have.at[l] != e.at[l] {
-				rt.Fatalf("the index has level %d of %s free from %d on, it is from %d on", l, m.Name, have.at[l], e.at[l])
+		for l := range e.freeFrom {
+			if indexed.freeFrom[l] > e.freeFrom[l] || !m.hasUnindexedMarks() && indexed.freeFrom[l] != e.freeFrom[l] {
+				rt.Fatalf("index has level %d of row %s free from %d on, want %d", l, m.Name, indexed.freeFrom[l], e.freeFrom[l])
 			}
 		}
-		if have.shelf < e.shelf || !m.behind() && (have.shelf != e.shelf || have.free != e.free) || have.preemptibleShelf != e.preemptibleShelf || have.group != e.group {
-			rt.Fatalf("the index has %s as %+v, it is %+v", m.Name, have, e)
+		if indexed.bucket < e.bucket || !m.hasUnindexedMarks() && (indexed.bucket != e.bucket || indexed.free != e.free) || indexed.preemptibleBucket != e.preemptibleBucket || indexed.group != e.group {
+			rt.Fatalf("index entry of row %s: got %+v, want %+v", m.Name, indexed, e)
 		}
 	}
 	for _, g := range t.groupList {
-		checkRowsAreKnown(rt, t, g)
+		checkRowsInTable(rt, t, g)
 	}
 	if len(t.trialMarks) > 0 {
-		rt.Fatalf("%d marks left", len(t.trialMarks))
+		rt.Fatalf("%d marks of trials are left", len(t.trialMarks))
 	}
 }
 
-// checkRowsAreKnown checks that a group has only rows of the table: those of machines that a
-// plan would rent must not stay.
-func checkRowsAreKnown(rt *rapid.T, t *Table, g *group) {
+// checkRowsInTable checks that a group has only rows of the table: rows that were added while
+// rentals were planned must not stay.
+func checkRowsInTable(rt *rapid.T, t *Table, g *group) {
 	var lists [][]indexedRow
-	for level := range g.shelves {
-		lists = append(lists, g.shelves[level].rows, g.preemptibleShelves[level].rows, g.laterByLevel[level])
+	for level := range g.buckets {
+		lists = append(lists, g.buckets[level].rows, g.preemptibleBuckets[level].rows, g.rowsByFreeTime[level])
 	}
 	for _, row := range slices.Concat(lists...) {
 		if !slices.Contains(t.machines, row.machine) {
-			rt.Fatalf("the index has %s, which is not in the table", row.machine.Name)
+			rt.Fatalf("index has row %s, which is not in the table", row.machine.Name)
 		}
 	}
 }
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -7,26 +7,26 @@
 	"mapleslip/internal/protocol"
 )
 
-// scan is the plain way to plan: it looks at every row for every request. It is
-// the reference for the table's searches, with the same rows, marks and costs.
-type scan struct {
+// referenceTable plans without the index, by examining every row for every request. It is the
+// reference for the table's searches, with the same rows, marks and costs.
+type referenceTable struct {
 	Table
-	open     []*Machine
-	rented   []*Machine
-	now, any candidates
+	availableRows []*Machine
+	rented        []*Machine
+	now, any      candidates // places now, and at any time
 }
 
-func (t *scan) laterOnScan(r *Request, m *Machine) (candidate, bool) {
+func (t *referenceTable) placeLaterFromNow(r *Request, m *Machine) (candidate, bool) {
 	return t.placeLater(r, m, t.Now)
 }
 
-// start begins a cycle over rows that nothing has marked.
-func (t *scan) start() {
+// beginCycle begins a cycle over rows without marks.
+func (t *referenceTable) beginCycle() {
 	t.Begin()
-	t.open = t.open[:0]
+	t.availableRows = t.availableRows[:0]
 	for _, m := range t.machines {
 		if !m.Blocked && m.AvailableFrom <= t.Now && (m.free.GPU > 0 || m.Capacity.GPU == 0) && m.free.CPU > 0 {
-			t.open = append(t.open, m)
+			t.availableRows = append(t.availableRows, m)
 		}
 	}
 }
@@ -49,15 +49,14 @@
 	return x
 }
 
-// gather collects the places that tasks of a request could have at once, in
-// one zone or in all.
-func (t *scan) gather(r *Request, z *zoneCounter, zone string) {
+// collectNow collects the places where tasks of a request can start now, in one zone or in all.
+func (t *referenceTable) collectNow(r *Request, z *zoneCounter, zone string) {
 	t.now = t.now[:0]
-	rows := t.open
+	rows := t.availableRows
 	if r.Resources.GPU == 0 {
-		rows = t.machines // those whose GPUs are all in use have room for it
+		rows = t.machines // rows whose GPUs are all in use may have room for it
 	}
-	t.Work += lookWork * len(rows)
+	t.Work += visitWork * len(rows)
 	for _, m := range rows {
 		if !m.freeFor(r).Covers(r.Resources) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
@@ -69,9 +68,9 @@
 	heap.Init(&t.now)
 }
 
-// gatherLater collects the earliest places, at whatever time. With image it
-// looks only at machines that have the image or fetch it.
-func (t *scan) gatherLater(r *Request, z *zoneCounter, zone string, image bool) {
+// collectLater collects the earliest places at any time. With imageOnly it examines only machines
+// that have the image or fetch it.
+func (t *referenceTable) collectLater(r *Request, z *zoneCounter, zone string, imageOnly bool) {
 	t.any = t.any[:0]
 	for i := range len(t.machines) + len(t.rented) {
 		var m *Machine
@@ -83,21 +82,21 @@
 		if m.Blocked || !m.Capacity.Covers(r.Resources) || zone != "" && m.Zone != zone || !r.allows(m) || !z.allows(m.Zone) {
 			continue
 		}
-		if image {
-			t.Work += lookWork
-			if _, ok := m.readyAt(r.image); !ok {
+		if imageOnly {
+			t.Work += visitWork
+			if _, ok := m.readyAt(r.imageID); !ok {
 				continue
 			}
 		}
-		t.Work += roomWork
-		if c, ok := t.laterOnScan(r, m); ok {
+		t.Work += searchRoomWork
+		if c, ok := t.placeLaterFromNow(r, m); ok {
 			t.any = append(t.any, c)
 		}
 	}
 	heap.Init(&t.any)
 }
 
-// top is the best candidate whose zone still allows a task.
+// top returns the best candidate whose zone still allows a task.
 func (c *candidates) top(z *zoneCounter) (candidate, bool) {
 	for len(*c) > 0 {
 		if z.allows((*c)[0].place.Machine.Zone) {
@@ -108,14 +107,13 @@
 	return candidate{}, false
 }
 
-// again brings the candidates up to date after a mark on a machine, which is
-// at the top of one of them.
-func (t *scan) again(list *candidates, r *Request, m *Machine, on func(*Request, *Machine) (candidate, bool)) {
+// updateCandidates updates the candidate of a machine on which a task has just been marked.
+func (t *referenceTable) updateCandidates(list *candidates, r *Request, m *Machine, findPlace func(*Request, *Machine) (candidate, bool)) {
 	for i := range *list {
 		if (*list)[i].place.Machine != m {
 			continue
 		}
-		if c, ok := on(r, m); ok {
+		if c, ok := findPlace(r, m); ok {
 			(*list)[i] = c
 			heap.Fix(list, i)
 		} else {
@@ -125,31 +123,31 @@
 	}
 }
 
-// Try starts what it can of a request now, and books the rest if asked to.
-// For a gang it is all or none.
-func (t *scan) Try(r *Request, book bool) Result {
-	r.image = t.Image(r.Image)
+// Try starts the tasks of a request that can start now and, if book is set, books the rest. A gang
+// is placed as a whole or not at all.
+func (t *referenceTable) Try(r *Request, book bool) Result {
+	r.imageID = t.ImageID(r.Image)
 	if r.Gang {
-		return t.tryGang(r, book)
+		return t.placeGang(r, book)
 	}
 	res := Result{Request: r, Viable: true}
 	z := newZoneCounter(r)
-	n := min(r.Tasks, r.Limit, maxStarted)
-	t.gather(r, z, "")
+	n := min(r.Tasks, r.Limit, maxStartedTasks)
+	t.collectNow(r, z, "")
 	t.any = t.any[:0]
 	searched, searchedImage := false, false
-	kept := r.Booking
+	booking := r.Booking
 	for i := 0; i < n; i++ {
 		now, okNow := t.now.top(z)
 		switch {
-		case !book || i >= maxBooked || searched || len(kept) > 0:
+		case !book || i >= maxBookedTasks || searched || len(booking) > 0:
 		case !okNow:
-			t.gatherLater(r, z, "", false)
+			t.collectLater(r, z, "", false)
 			searched = true
 		case now.place.Ready > t.Now+fetchTolerance && !searchedImage:
-			// Where a machine is free, a busy one is worth waiting for only if
-			// it has the image.
-			t.gatherLater(r, z, "", true)
+			// If a machine is free, waiting for a busy one is worth it only if that one has the
+			// image.
+			t.collectLater(r, z, "", true)
 			searchedImage = true
 		}
 		var p Place
@@ -157,15 +155,15 @@
 		switch {
 		case okNow && (!okLater || now.place.Ready <= later.place.Ready+fetchTolerance):
 			p = now.place
-		case okLater && book && i < maxBooked:
+		case okLater && book && i < maxBookedTasks:
 			p = later.place
-		case !okNow && len(kept) > 0:
-			// The booking of the cycle before holds if its room is still free.
-			p = kept[0]
-			kept = kept[1:]
+		case !okNow && len(booking) > 0:
+			// A place that the last cycle booked is kept if its room is still free.
+			p = booking[0]
+			booking = booking[1:]
 			if p.Begin <= t.Now || p.Machine.Blocked || !z.allows(p.Machine.Zone) || !r.allows(p.Machine) ||
 				!p.Machine.fits(r, p.Begin, protocol.End(p.Ready, r.Runtime)) {
-				kept = nil
+				booking = nil
 				i--
 				continue
 			}
@@ -178,31 +176,31 @@
 			res.Start = append(res.Start, p)
 		}
 		z.add(p.Machine.Zone)
-		till := protocol.End(p.Ready, r.Runtime)
-		t.mark(r, p, till)
-		t.again(&t.now, r, p.Machine, t.placeNow)
-		t.again(&t.any, r, p.Machine, t.laterOnScan)
-		if r.Deadline > 0 && till > r.Deadline {
+		end := protocol.End(p.Ready, r.Runtime)
+		t.mark(r, p, end)
+		t.updateCandidates(&t.now, r, p.Machine, t.placeNow)
+		t.updateCandidates(&t.any, r, p.Machine, t.placeLaterFromNow)
+		if r.Deadline > 0 && end > r.Deadline {
 			res.Viable = false
 		}
 	}
 	return res
 }
 
-func (t *scan) tryGang(r *Request, book bool) Result {
+func (t *referenceTable) placeGang(r *Request, book bool) Result {
 	res := Result{Request: r, Viable: true}
 	if r.Limit < r.Tasks {
 		return res
 	}
 	var best []Place
-	var bestStart micros
-	choose := func(zone string, list *candidates, on func(*Request, *Machine) (candidate, bool)) {
+	var bestReady micros
+	choose := func(zone string, list *candidates, findPlace func(*Request, *Machine) (candidate, bool)) {
 		var places []Place
-		var start micros
-		t.try(func() bool {
+		var ready micros
+		t.runTrial(func() bool {
 			z := newZoneCounter(r)
 			if zone != "" {
-				z.only = zone
+				z.onlyZone = zone
 			}
 			for i := 0; i < r.Tasks; i++ {
 				c, ok := list.top(z)
@@ -212,46 +210,46 @@
 				p := c.place
 				t.mark(r, p, r.occupiedUntil(p))
 				z.add(p.Machine.Zone)
-				start = max(start, p.Ready)
+				ready = max(ready, p.Ready)
 				places = append(places, p)
 				if i+1 < r.Tasks {
-					t.again(list, r, p.Machine, on)
+					t.updateCandidates(list, r, p.Machine, findPlace)
 				}
 			}
 			return false
 		})
-		if len(places) == r.Tasks && (best == nil || start < bestStart) {
-			best, bestStart = places, start
+		if len(places) == r.Tasks && (best == nil || ready < bestReady) {
+			best, bestReady = places, ready
 		}
 	}
-	each := func(do func(zone string)) {
-		if one := newZoneCounter(r).only; !r.SingleZone || r.Tasks == 1 {
-			do("")
-		} else if one != "" {
-			do(one)
+	forEachZone := func(search func(zone string)) {
+		if usedZone := newZoneCounter(r).onlyZone; !r.SingleZone || r.Tasks == 1 {
+			search("")
+		} else if usedZone != "" {
+			search(usedZone)
 		} else if r.Zone != "" {
-			do(r.Zone)
+			search(r.Zone)
 		} else {
 			for _, zone := range t.zoneNames() {
-				do(zone)
+				search(zone)
 			}
 		}
 	}
-	each(func(zone string) {
-		t.gather(r, newZoneCounter(r), zone)
+	forEachZone(func(zone string) {
+		t.collectNow(r, newZoneCounter(r), zone)
 		if len(t.now) > 0 {
 			choose(zone, &t.now, t.placeNow)
 		}
 	})
-	if best != nil && r.Tasks == 1 && bestStart > t.Now+fetchTolerance {
-		// It has to fetch: a machine that is busy but has the image may be
-		// ready sooner.
-		now, nowStart := best, bestStart
+	if best != nil && r.Tasks == 1 && bestReady > t.Now+fetchTolerance {
+		// The only task would have to fetch its image: it may be ready sooner on a busy machine
+		// that has the image.
+		nowPlaces, nowReady := best, bestReady
 		best = nil
-		t.gatherLater(r, newZoneCounter(r), "", true)
-		choose("", &t.any, t.laterOnScan)
-		if best == nil || nowStart <= bestStart+fetchTolerance {
-			best, bestStart = now, nowStart
+		t.collectLater(r, newZoneCounter(r), "", true)
+		choose("", &t.any, t.placeLaterFromNow)
+		if best == nil || nowReady <= bestReady+fetchTolerance {
+			best, bestReady = nowPlaces, nowReady
 		} else if !book {
 			return res
 		}
@@ -260,34 +258,35 @@
 		if t.bookingHolds(r) {
 			best = r.Booking
 			for _, p := range best {
-				bestStart = max(bestStart, p.Ready)
+				bestReady = max(bestReady, p.Ready)
 			}
 		} else if book {
-			each(func(zone string) {
-				t.gatherLater(r, newZoneCounter(r), zone, false)
-				choose(zone, &t.any, t.laterOnScan)
+			forEachZone(func(zone string) {
+				t.collectLater(r, newZoneCounter(r), zone, false)
+				choose(zone, &t.any, t.placeLaterFromNow)
 			})
 		}
 	}
 	if best == nil {
 		return res
 	}
-	now := true
+	startsNow := true
 	for _, p := range best {
-		now = now && p.Begin <= t.Now
+		startsNow = startsNow && p.Begin <= t.Now
 	}
-	till := protocol.End(bestStart, r.Runtime)
-	if r.Deadline > 0 && till > r.Deadline {
+	end := protocol.End(bestReady, r.Runtime)
+	if r.Deadline > 0 && end > r.Deadline {
 		res.Viable = false
 	}
 	for _, p := range best {
-		if !now && p.Begin <= t.Now {
-			// It waits for the others: until then nothing of it is there.
+		if !startsNow && p.Begin <= t.Now {
+			// This task could start now, but waits for the others of its gang. Until they can start
+			// too, it takes no resources.
 			p.Begin = t.Now + 1
 		}
-		t.mark(r, p, till)
+		t.mark(r, p, end)
 	}
-	if now {
+	if startsNow {
 		res.Start = best
 	} else {
 		res.Booked = best
@@ -295,7 +294,7 @@
 	return res
 }
 
-func (t *scan) zoneNames() []string {
+func (t *referenceTable) zoneNames() []string {
 	var names []string
 	last := ""
 	for _, m := range t.machines {
@@ -314,21 +313,21 @@
 	return names
 }
 
-// Next tries one request in its turn. A deadline job whose end fits is booked,
-// as is the first job that cannot start now; the others start only where they
-// fit without moving a booking (aggressive backfilling).
-func (t *scan) Next(r *Request) Result {
+// Next plans the next request of the queue. It books the first job that can't start now, and each
+// deadline job whose booking meets the deadline. The others start only where they fit without
+// moving a booking (aggressive backfilling).
+func (t *referenceTable) Next(r *Request) Result {
 	if r.Limit <= 0 {
-		// A team at its limit gets no booking this round.
+		// A team at its limit gets no booking in this cycle.
 		return Result{Request: r}
 	}
 	var res Result
 	late := false
-	if r.Deadline > 0 && t.blocked {
+	if r.Deadline > 0 && t.hasBlockedJob {
 		if r.NoBooking {
 			late = true
 		} else {
-			late = !t.try(func() bool {
+			late = !t.runTrial(func() bool {
 				res = t.Try(r, true)
 				return res.Viable
 			})
@@ -338,72 +337,74 @@
 			res.Late = !r.NoBooking
 		}
 	} else {
-		// A guest needs no booking: no other plan sees it, so none could move it.
-		res = t.Try(r, !t.blocked && !r.Opportunistic)
+		// An opportunistic job needs no booking: the plans of all other jobs ignore it, so a
+		// booking would keep nothing free for it.
+		res = t.Try(r, !t.hasBlockedJob && !r.Opportunistic)
 	}
 	if len(res.Booked) > 0 && (r.Deadline == 0 || !res.Viable) && !r.KeepBooking {
-		t.blocked = true
+		t.hasBlockedJob = true
 	}
 	return res
 }
 
-// Rent finds what should be rented so that the requests start sooner, and the
-// machines of the table that they would take. It looks at work at most and
-// leaves the table as it was.
-func (t *scan) Rent(requests []*Request, offers []*Offer, slack micros, most, work int) (rent map[int]int, needed []*Machine) {
-	rent = make(map[int]int)
-	t.try(func() bool {
+// Rent plans which machines to rent so that requests start sooner. It returns how many to rent of
+// each offer, by the offer's index, and the rows that the requests would use, one for each task. It
+// begins with no further request once it has done maxWork, and leaves the table unchanged.
+func (t *referenceTable) Rent(requests []*Request, offers []*Offer, minGain micros, limit, maxWork int) (counts map[int]int, needed []*Machine) {
+	counts = make(map[int]int)
+	t.runTrial(func() bool {
 		for _, r := range requests {
-			if work <= 0 {
+			if maxWork <= 0 {
 				break
 			}
 			before := t.Work
 			if r.Limit > 0 {
-				most -= t.rentFor(r, offers, slack, most, rent)
+				limit -= t.planRequest(r, offers, minGain, limit, counts)
 			}
-			work -= t.Work - before
+			maxWork -= t.Work - before
 		}
 		needed = append(needed, t.trialMarks...)
 		return false
 	})
 	t.rented = t.rented[:0]
-	return rent, needed
+	return counts, needed
 }
 
-// rentFor plans one request, and returns how many machines it would rent.
-func (t *scan) rentFor(r *Request, offers []*Offer, slack micros, most int, rent map[int]int) int {
+// planRequest plans one request, and returns how many machines to rent for it.
+func (t *referenceTable) planRequest(r *Request, offers []*Offer, minGain micros, limit int, counts map[int]int) int {
 	if r.Opportunistic && !slices.ContainsFunc(offers, func(o *Offer) bool { return o.Suits(r) }) {
-		return 0 // nothing to find out: it keeps no machine either
+		return 0 // nothing to plan: it keeps no machine from being released either
 	}
-	r.image = t.Image(r.Image)
+	r.imageID = t.ImageID(r.Image)
 	z := newZoneCounter(r)
-	t.gatherLater(r, z, "", false)
-	total := 0
-	n := min(r.Tasks, r.Limit, maxBooked)
+	t.collectLater(r, z, "", false)
+	rentedCount := 0
+	n := min(r.Tasks, r.Limit, maxBookedTasks)
 	for i := 0; i < n; i++ {
 		c, ok := t.any.top(z)
 		p := c.place
 		best := -1
 		var bestCost float64
 		var bestReady micros
-		if total < most {
-			for oi, o := range offers {
-				if rent[oi] >= o.Limit || !o.Suits(r) || !z.allows(o.Zone) {
+		if rentedCount < limit {
+			for offer, o := range offers {
+				if counts[offer] >= o.Limit || !o.Suits(r) || !z.allows(o.Zone) {
 					continue
 				}
 				ready := t.Now + o.BootTime + o.FetchTime(r.ImageSize)
-				if ok && !r.Spare && p.Ready <= max(ready+slack, r.ReadyBy) {
+				if ok && !r.Spare && p.Ready <= max(ready+minGain, r.ReadyBy) {
 					continue
 				}
-				if ok && r.Spare && (p.Begin <= t.Now+slack || p.Ready <= r.ReadyBy) {
+				if ok && r.Spare && (p.Begin <= t.Now+minGain || p.Ready <= r.ReadyBy) {
 					continue
 				}
 				fit := max(1, min(o.Resources.MaxCopies(r.Resources), int64(n-i)))
 				cost := o.Price / float64(fit)
-				// Between equal prices the zone with fewer of the job's tasks.
-				cost *= 1 + 0.001*float64(z.count[o.Zone]) + 0.0005*float64(rent[oi])
+				// Of offers at the same price, the one in the zone with fewer of the job's tasks,
+				// and of which fewer machines are rented, is preferred.
+				cost *= 1 + 0.001*float64(z.count[o.Zone]) + 0.0005*float64(counts[offer])
 				if best < 0 || cost < bestCost {
-					best, bestCost, bestReady = oi, cost, ready
+					best, bestCost, bestReady = offer, cost, ready
 				}
 			}
 		}
@@ -415,8 +416,8 @@
 			}
 			m.recompute(t.Now)
 			t.rented = append(t.rented, m)
-			rent[best]++
-			total++
+			counts[best]++
+			rentedCount++
 			p = Place{m, m.AvailableFrom, bestReady}
 		} else if !ok {
 			break
@@ -424,12 +425,12 @@
 		z.add(p.Machine.Zone)
 		t.mark(r, p, r.occupiedUntil(p))
 		if best >= 0 {
-			if c, ok := t.laterOnScan(r, p.Machine); ok {
+			if c, ok := t.placeLaterFromNow(r, p.Machine); ok {
 				heap.Push(&t.any, c)
 			}
 		} else {
-			t.again(&t.any, r, p.Machine, t.laterOnScan)
+			t.updateCandidates(&t.any, r, p.Machine, t.placeLaterFromNow)
 		}
 	}
-	return total
+	return rentedCount
 }
--- a/internal/controller/slottable/rental.go
+++ b/internal/controller/slottable/rental.go
@@ -7,7 +7,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// Offer is a kind of machine that could be rented.
+// Offer is a kind of machine that can be rented.
 type Offer struct {
 	Type      string
 	Zone      string
@@ -15,49 +15,52 @@
 	Resources resources
 	Price     float64
 	BootTime  micros
-	FetchTime func(size int64) micros // of an image
-	Limit     int                     // how many may be rented
+	FetchTime func(size int64) micros // time to fetch an image
+	Limit     int                     // how many machines may be rented
 }
 
-// Suits reports whether a machine of that kind could take a request's tasks.
+// Suits reports whether a machine of the offered kind could run a request's tasks.
 func (o *Offer) Suits(r *Request) bool {
 	return (!o.Spot || r.AllowSpot) && (o.Spot || !r.SpareCapacityOnly) && (r.Zone == "" || r.Zone == o.Zone) &&
 		o.Resources.Covers(r.Resources) && allowsType(r.Types, o.Type)
 }
 
-// readyAt is when a request's task would be ready on a machine that is rented now.
+// readyAt returns the time at which a request's task would be ready on a machine that is rented
+// now.
 func (o *Offer) readyAt(now micros, r *Request) micros {
 	return now + o.BootTime + o.FetchTime(r.ImageSize)
 }
 
-// Between equal prices the zone with fewer of the job's tasks is taken, and the offer of which
-// fewer machines are rented: prices count as higher by these parts for each of them.
+// Of offers at the same price, the one in the zone with fewer of the job's tasks is preferred, and
+// the one of which fewer machines are to be rented. For each such task or machine, the price counts
+// as higher by this fraction.
 const (
 	zoneSpreadCost  = 0.001
 	offerSpreadCost = 0.0005
 )
 
-// rentalPlan is what is to be rented.
+// rentalPlan collects the machines to be rented.
 type rentalPlan struct {
 	table   *Table
 	offers  []*Offer
-	minGain micros      // how much sooner work has to be ready
-	limit   int         // how many more machines may be rented
-	counts  map[int]int // machines to be rented, by offer
-	booting []*Machine  // in the order in which they are expected, with those to be rented
+	minGain micros      // how much sooner a task has to be ready on a rented machine
+	limit   int         // number of further machines that may be rented
+	counts  map[int]int // number of machines to be rented, by index of the offer
+	booting []*Machine  // booting machines by expected time, then those to be rented
 	rented  []*Machine
 }
 
-// Rent finds what should be rented so that the requests start sooner, and the machines of the
-// table that they would take. It rents as many as limit, looks at as many rows as maxWork, and
-// leaves the table as it was.
+// Rent plans which machines to rent so that requests start sooner. It returns how many to rent of
+// each offer, by the offer's index, and the rows that the requests would use, one for each task. It
+// plans at most limit machines, begins with no further request once it has done maxWork, in units
+// of Table.Work, and leaves the table unchanged.
 func (t *Table) Rent(requests []*Request, offers []*Offer, minGain micros, limit, maxWork int) (counts map[int]int, needed []*Machine) {
 	p := &rentalPlan{table: t, offers: offers, minGain: minGain, limit: limit, counts: make(map[int]int), booting: t.bootingMachines()}
-	t.Work += lookWork * len(p.booting)
-	t.try(func() bool {
-		end := t.Work + maxWork
+	t.Work += visitWork * len(p.booting)
+	t.runTrial(func() bool {
+		workLimit := t.Work + maxWork
 		for _, r := range requests {
-			if t.Work >= end {
+			if t.Work >= workLimit {
 				break
 			}
 			if r.Limit > 0 {
@@ -73,7 +76,8 @@
 	return p.counts, needed
 }
 
-// bootingMachines are the rows of machines that boot, in the order in which they are expected.
+// bootingMachines returns the rows of booting machines in the order in which they are expected to
+// become available.
 func (t *Table) bootingMachines() []*Machine {
 	var booting []*Machine
 	for _, m := range t.machines {
@@ -85,34 +89,35 @@
 	return booting
 }
 
-// planRequest plans a request's tasks, each where it is ready soonest or on a machine that is to
-// be rented for it.
+// planRequest places each task of a request where it is ready soonest, or on a machine to be rented
+// for it.
 func (p *rentalPlan) planRequest(r *Request) {
 	if r.Opportunistic && !slices.ContainsFunc(p.offers, func(o *Offer) bool { return o.Suits(r) }) {
-		return // nothing to find out: it keeps no machine either
+		return // nothing to plan: it keeps no machine from being released either
 	}
 	t := p.table
-	r.image = t.Image(r.Image)
-	t.refresh()
+	r.imageID = t.ImageID(r.Image)
+	t.refreshIndex()
 	z := newZoneCounter(r)
 	s := &t.laterSearch
 	s.begin(t, r, z, anyZone, true, false)
-	full := 0 // of the booting machines, those before it have no room
-	tasks := min(r.Tasks, r.Limit, maxBooked)
+	fullCount := 0 // the first fullCount booting machines have no room for the request
+	tasks := min(r.Tasks, r.Limit, maxBookedTasks)
 	for i := range tasks {
 		c, found := s.top()
 		place := c.place
 		best := p.cheapestOffer(r, z, place, found, tasks-i)
 		if best >= 0 && found && r.WaitedFor(place, t.Now) > 0 {
-			// What is mistrusted is on a machine that runs. Before another one is rented for the
-			// task, those that boot are looked at, which are not mistrusted: the best place is
-			// none of theirs for as long as tasks end everywhere. Each task of an array that had
-			// waited had a machine of its own rented, every second.
-			var onBooting Place
+			// The offer may be sooner only because the place is on a running machine and counts as
+			// later than estimated. Booting machines are not adjusted like that, so they are tried
+			// before another one is rented for the task: while tasks end on all machines, the best
+			// place is never on a booting one. Without this, a machine was rented every second for
+			// each task of an array that had waited.
+			var bootingPlace Place
 			var ok bool
-			onBooting, full, ok = t.placeOnFirst(p.booting, full, r, z, p.offers[best].readyAt(t.Now, r)+p.minGain)
+			bootingPlace, fullCount, ok = t.placeOnFirst(p.booting, fullCount, r, z, p.offers[best].readyAt(t.Now, r)+p.minGain)
 			if ok {
-				best, place = -1, onBooting
+				best, place = -1, bootingPlace
 			}
 		}
 		switch {
@@ -127,8 +132,9 @@
 	}
 }
 
-// cheapestOffer is the offer that costs least for each of the tasks that are left, of those that
-// have a task ready sooner than the place that was found; -1 if there is none.
+// cheapestOffer returns the index of the offer with the lowest price for each of the remaining
+// tasks, among the offers that would have a task ready sooner than the place that was found; -1 if
+// there is none.
 func (p *rentalPlan) cheapestOffer(r *Request, z *zoneCounter, place Place, found bool, tasksLeft int) int {
 	best := -1
 	var bestCost float64
@@ -139,7 +145,7 @@
 		if p.counts[i] >= o.Limit || !o.Suits(r) || !z.allows(o.Zone) {
 			continue
 		}
-		if found && !p.gains(r, place, o) {
+		if found && !p.offerIsSooner(r, place, o) {
 			continue
 		}
 		tasks := max(1, min(o.Resources.MaxCopies(r.Resources), int64(tasksLeft)))
@@ -152,8 +158,10 @@
 	return best
 }
 
-// gains reports whether a machine of an offer would have a task ready enough sooner than a place.
-func (p *rentalPlan) gains(r *Request, place Place, o *Offer) bool {
+// offerIsSooner reports whether a task would be ready on a machine of an offer sooner than at a
+// place, by more than the minimum gain. For spare capacity, it reports whether the place begins too
+// late.
+func (p *rentalPlan) offerIsSooner(r *Request, place Place, o *Offer) bool {
 	now := p.table.Now
 	if r.Spare {
 		return place.Begin > now+p.minGain && place.Ready > r.ReadyBy
@@ -161,7 +169,7 @@
 	return place.Ready > max(o.readyAt(now, r)+p.minGain-r.WaitedFor(place, now), r.ReadyBy)
 }
 
-// rent adds a machine of an offer to the plan, and returns the place of a task on it.
+// rent adds a machine of an offer to the plan, and returns a task's place on it.
 func (p *rentalPlan) rent(offer int, r *Request) Place {
 	t, o := p.table, p.offers[offer]
 	m := &Machine{
@@ -177,30 +185,31 @@
 	return Place{m, m.AvailableFrom, o.readyAt(t.Now, r)}
 }
 
-// placeOnFirst is a place for one more task on the first of some machines on which it is ready
-// in time. Those before full have no room; it returns the new value of full as well.
-func (t *Table) placeOnFirst(machines []*Machine, full int, r *Request, z *zoneCounter, until micros) (place Place, newFull int, ok bool) {
-	for i := full; i < len(machines); i++ {
+// placeOnFirst returns a place for one more task on the first of some machines on which it is ready
+// by latestReady. The first fullCount machines have no room and are skipped; newFullCount is the
+// updated count.
+func (t *Table) placeOnFirst(machines []*Machine, fullCount int, r *Request, z *zoneCounter, latestReady micros) (place Place, newFullCount int, ok bool) {
+	for i := fullCount; i < len(machines); i++ {
 		m := machines[i]
-		if m.AvailableFrom > until {
+		if m.AvailableFrom > latestReady {
 			break
 		}
 		if r.allows(m) && z.allows(m.Zone) && m.Capacity.Covers(r.Resources) {
-			t.Work += roomWork
-			if c, ok := t.placeLater(r, m, t.Now); ok && c.place.Ready <= until {
-				return c.place, full, true
+			t.Work += searchRoomWork
+			if c, ok := t.placeLater(r, m, t.Now); ok && c.place.Ready <= latestReady {
+				return c.place, fullCount, true
 			}
 		}
-		if i == full && z.allows(m.Zone) {
-			full++
+		if i == fullCount && z.allows(m.Zone) {
+			fullCount++
 		}
 	}
-	return Place{}, full, false
+	return Place{}, fullCount, false
 }
 
-// WaitedFor is how much a place's time is mistrusted, because the request has waited. That of a
-// machine that boots is not: more machines would be rented in its place each second that it is
-// late.
+// WaitedFor returns how much later than estimated a place is assumed to be ready when rental is
+// planned, because the request has already waited. It is 0 for a place on a booting machine:
+// otherwise more machines would be rented in its place in each second that the machine is late.
 func (r *Request) WaitedFor(p Place, now micros) protocol.Micros {
 	if p.Machine.AvailableFrom > now {
 		return 0
--- a/internal/controller/slottable/request.go
+++ b/internal/controller/slottable/request.go
@@ -6,10 +6,10 @@
 	"mapleslip/internal/protocol"
 )
 
-// Request is a job, as far as it still needs places.
+// Request describes a job's tasks that still need places.
 type Request struct {
-	Tasks             int // that need a place
-	Limit             int // how many may start within its team's limit
+	Tasks             int // number of tasks that need a place
+	Limit             int // how many of them the team's limit allows to start
 	Resources         resources
 	Gang              bool
 	Image             string
@@ -17,28 +17,28 @@
 	Types             []string
 	Zone              string
 	SingleZone        bool
-	MaxPerZone        int            // most tasks in one zone, 0: any
-	TasksByZone       map[string]int // tasks that are in a zone already
+	MaxPerZone        int            // maximum number of tasks in one zone, 0: no limit
+	TasksByZone       map[string]int // number of the job's tasks that are already in each zone
 	AllowSpot         bool
-	Runtime           micros // run time without the fetch
+	Runtime           micros // estimated run time without fetching the image
 	Deadline          micros // latest end, 0: none
 	Avoid             func(machine string) bool
-	Preferred         []*Machine // room was made for it there
+	Preferred         []*Machine // machines on which preemption made room for it
 	ImageLocalOnly    bool       // takes only machines that have the image
-	Spare             bool       // capacity to keep, not work
-	Opportunistic     bool       // it takes what all others leave
-	SpareCapacityOnly bool       // neither keeps a machine at the full price nor has one rented
-	ReadyBy           micros     // no machine is rented for what is ready by then
-	Waited            micros     // how much later than planned it has become already, for rental
-	Booking           []Place    // that of the last cycle
-	PreferredZone     string     // zone of a gang's last booking, left only for one that is sooner by zoneChangeGain
-	KeepBooking       bool       // room was made for it: Booking holds though it is not the first that can't start
-	NoBooking         bool       // it was found a moment ago that a booking can't meet the deadline
+	Spare             bool       // a request to keep spare capacity, without a job to run
+	Opportunistic     bool       // uses only what all other requests leave
+	SpareCapacityOnly bool       // no machine is kept or rented for it at the full price
+	ReadyBy           micros     // no machine is rented for a task that is ready by then
+	Waited            micros     // added to ready times on running machines when rental is planned
+	Booking           []Place    // places that the last cycle booked
+	PreferredZone     string     // zone of a gang's last booking, see zoneChangeGain
+	KeepBooking       bool       // preemption made room for Booking: kept whatever was booked before
+	NoBooking         bool       // a recent attempt showed that no booking meets the deadline
 
-	image int32
+	imageID int32
 }
 
-// allows reports whether tasks of a request may be on a machine.
+// allows reports whether a request's tasks may be placed on a machine.
 func (r *Request) allows(m *Machine) bool {
 	if m.Spot && !r.AllowSpot || r.SpareCapacityOnly && m.OnlyOpportunistic {
 		return false
@@ -53,26 +53,27 @@
 	return types == nil || slices.Contains(types, name)
 }
 
-// Place is where and when one task goes.
+// Place is the machine and the time for one task.
 type Place struct {
 	Machine *Machine
-	Begin   micros // when the task is put there and its fetch starts
-	Ready   micros // when it can run
+	Begin   micros // time at which the task is put on the machine and starts to fetch its image
+	Ready   micros // time at which it can run
 }
 
-// Result is what became of one request.
+// Result is the plan for one request.
 type Result struct {
 	Request *Request
-	Start   []Place // begin now
-	Booked  []Place // begin later
-	Viable  bool    // a deadline can be met by the booking
-	Late    bool    // it was found that a booking can't meet the deadline
+	Start   []Place // places of tasks that start now
+	Booked  []Place // places of tasks that start later
+	Viable  bool    // these places meet the deadline, if there is one
+	Late    bool    // this cycle found that no booking meets the deadline
 }
 
-// occupiedUntil is until when a place that was found for a task is closed to the others of
-// its request. The tasks of a gang run at the same time, so one can't have the place
-// that another leaves: a gang that its zone had too few machines for was booked on them
-// in turns, which never came, and nothing was rented for it, since it had its booking.
+// occupiedUntil returns the time until which the place found for a task is closed to the other
+// tasks of its request. The tasks of a gang run at the same time, so none can use the place that
+// another one leaves. Without this rule, a gang whose zone had too few machines was booked on them
+// for one group of tasks after the other. It could never start like that, and since it had a
+// booking, no machine was rented for it.
 func (r *Request) occupiedUntil(p Place) micros {
 	if r.Gang {
 		return protocol.Forever
@@ -80,11 +81,11 @@
 	return protocol.End(p.Ready, r.Runtime)
 }
 
-// zoneCounter counts a request's tasks by zone while places are chosen.
+// zoneCounter counts the tasks of a request's job by zone while places are chosen.
 type zoneCounter struct {
-	request *Request
-	count   map[string]int
-	only    string // the zone that was last added
+	request  *Request
+	count    map[string]int
+	onlyZone string // zone of the last task; with SingleZone, the only one allowed
 }
 
 func newZoneCounter(r *Request) *zoneCounter {
@@ -98,19 +99,19 @@
 	return z
 }
 
-// allows reports whether one task more may be in a zone.
+// allows reports whether one more task may be placed in a zone.
 func (z *zoneCounter) allows(name string) bool {
-	if z.request.SingleZone && z.only != "" && z.only != name {
+	if z.request.SingleZone && z.onlyZone != "" && z.onlyZone != name {
 		return false
 	}
 	return z.request.MaxPerZone == 0 || z.count[name] < z.request.MaxPerZone
 }
 
-// add counts one task more in a zone.
+// add counts one more task in a zone.
 func (z *zoneCounter) add(name string) {
 	if z.count == nil {
 		z.count = make(map[string]int)
 	}
 	z.count[name]++
-	z.only = name
+	z.onlyZone = name
 }
--- a/internal/controller/slottable/search.go
+++ b/internal/controller/slottable/search.go
@@ -7,85 +7,86 @@
 	"mapleslip/internal/protocol"
 )
 
-// candidate is a place that one more task of the request could have.
+// candidate is a possible place for one more task of the request.
 type candidate struct {
-	place Place
-	cost  micros
-	bound bool // only a bound: the row has not been searched
+	place   Place
+	cost    micros
+	isBound bool // cost is a lower bound: the row has not been searched, and only the machine is set
 }
 
 func (c candidate) less(o candidate) bool {
 	return c.cost < o.cost || c.cost == o.cost && c.place.Machine.order < o.place.Machine.order
 }
 
-// cursor goes through rows of a group in the order of a bound on their cost.
+// cursor iterates over rows in the order of a lower bound on their cost.
 type cursor struct {
 	rows         []indexedRow
-	now          micros       // no bound is earlier
-	extraCost    micros       // of every row, beside its time
-	shelf        *shelf       // gone through from its start, nil: no shelf
-	allRows      []indexedRow // of the shelf
-	severalZones bool         // rows of several zones
-	imageHolders bool         // rows that have the image
+	now          micros       // current time: no bound is earlier
+	extraCost    micros       // part of the bound that is the same for all rows
+	bucket       *bucket      // bucket that has the rows, nil: none
+	bucketRows   []indexedRow // all rows of the bucket
+	severalZones bool         // rows are of several zones
+	imageHolders bool         // rows are the holders of the image
 }
 
-func (c cursor) bound() micros { return max(c.rows[0].at, c.now) + c.extraCost }
+func (c cursor) bound() micros { return max(c.rows[0].freeFrom, c.now) + c.extraCost }
 
 func (c cursor) less(o cursor) bool {
 	x, y := c.bound(), o.bound()
 	return x < y || x == y && c.rows[0].machine.order < o.rows[0].machine.order
 }
 
-// Kinds of searches, of which one each may be under way: indices of Machine.lastSearch.
+// Kinds of searches, used as indices of Machine.lastSearch. At most one search of each kind may be
+// in progress.
 const (
-	slotNow = iota
-	slotLater
-	slotCount
+	kindNow = iota
+	kindLater
+	kindCount
 )
 
-// search finds a request's places, best first. It looks at a row only when no candidate that it
-// has is better than the row's bound.
+// search finds places for a request, the one with the lowest cost first. It examines a row only if
+// no candidate found so far is better than the row's bound.
 type search struct {
 	table   *Table
 	request *Request
 	zones   *zoneCounter
 
-	slot      int    // slotNow or slotLater
-	id        uint32 // rows have that of the last search that looked at them
-	later     bool   // at whatever time, not only now
-	imageOnly bool   // only rows that have the image, or fetch it
-	onlyZone  string // or anyZone
-	level     int
-	limit     micros // what is ready after it is of no use
+	kind       int    // kindNow or kindLater
+	id         uint32 // compared with Machine.lastSearch
+	later      bool   // find places at any time, not only now
+	imageOnly  bool   // only on rows that have the image or fetch it
+	onlyZone   string // zone that is searched, or anyZone
+	level      int
+	readyLimit micros // latest ready time at which a place is of use
 
-	active        bool
-	anyCandidate  bool        // there was a candidate
-	roomTooShort  bool        // a row had room, but not for long enough
-	limitExceeded bool        // something was left out for the limit
-	found         []candidate // heap
-	cursors       []cursor    // heap
+	active             bool
+	hadCandidate       bool        // a place was found, even if it is used up by now
+	roomTooShort       bool        // a row had room, but not for the whole run time
+	readyLimitExceeded bool        // the search was stopped because of readyLimit
+	candidates         []candidate // heap
+	cursors            []cursor    // heap
 }
 
-// begin starts a search, in one zone or in all. Rows that marks were put on have to be in the
-// index: refresh comes before.
+// begin starts a search in one zone, or in all with anyZone. Marks that other requests have put on
+// rows have to be in the index, so refreshIndex has to be called before.
 func (s *search) begin(t *Table, r *Request, z *zoneCounter, zone string, later, imageOnly bool) {
 	s.table, s.request, s.zones, s.later, s.imageOnly, s.onlyZone = t, r, z, later, imageOnly, zone
-	s.active, s.anyCandidate, s.roomTooShort = true, false, false
-	s.limit, s.limitExceeded = protocol.Forever, false
-	s.slot = slotNow
+	s.active, s.hadCandidate, s.roomTooShort = true, false, false
+	s.readyLimit, s.readyLimitExceeded = protocol.Forever, false
+	s.kind = kindNow
 	if later {
-		s.slot = slotLater
+		s.kind = kindLater
 	}
 	t.searchSeq++
 	s.id = t.searchSeq
-	s.found, s.cursors = s.found[:0], s.cursors[:0]
+	s.candidates, s.cursors = s.candidates[:0], s.cursors[:0]
 	if !later && t.isRefused(r, zone) {
 		s.active = false
 		return
 	}
 	for _, m := range r.Preferred {
 		if m.inTable && (zone == anyZone || zone == m.Zone) {
-			s.look(m, 0)
+			s.examine(m, 0)
 		}
 	}
 	s.level = levelOf(r.Resources)
@@ -95,30 +96,32 @@
 	}
 	groups := t.groupList
 	if zone != anyZone {
-		groups = t.byZone[zone]
+		groups = t.groupsByZone[zone]
 	}
 	for _, g := range groups {
 		if g.suits(r) && g.capacity.Covers(r.Resources) && z.allows(g.zone) {
-			t.Work += lookWork
+			t.Work += visitWork
 			s.addGroup(g, separateHolders)
 		}
 	}
 	initHeap(s.cursors)
 }
 
-// addHolders has the rows with the image gone through by themselves, unless that is more than to
-// come by as many of them among all. It reports whether they are.
+// addHolders adds a cursor for the rows that have the image, so that the bounds of all other rows
+// can include the time to fetch it. It reports whether the holders are searched separately. They
+// are not if there are so many of them that visiting all rows in order is expected to find a holder
+// for each task in fewer visits: that takes about tasks*rows/holders visits.
 func (s *search) addHolders() bool {
 	if s.level == 0 {
 		return false
 	}
 	t := s.table
 	var holders []indexedRow
-	if int(s.request.image) < len(t.imageHolders) {
-		holders = t.imageHolders[s.request.image]
+	if int(s.request.imageID) < len(t.imageHolders) {
+		holders = t.imageHolders[s.request.imageID]
 	}
 	if !s.later {
-		holders = holders[:sort.Search(len(holders), func(i int) bool { return holders[i].at > t.Now })]
+		holders = holders[:sort.Search(len(holders), func(i int) bool { return holders[i].freeFrom > t.Now })]
 		if len(holders)*len(holders) > max(1, s.request.Tasks)*len(t.machines) {
 			return false
 		}
@@ -129,8 +132,8 @@
 	return true
 }
 
-// addGroup adds the rows of a group. If those with the image are gone through by themselves, the
-// others have to fetch it.
+// addGroup adds cursors for the rows of a group. If the holders of the image are searched
+// separately, the bounds of the rows include the time to fetch the image.
 func (s *search) addGroup(g *group, separateHolders bool) {
 	r, now := s.request, s.table.Now
 	extra := g.extraCost(r)
@@ -138,125 +141,128 @@
 		extra += g.fetchTime(r.ImageSize)
 	}
 	if s.later {
-		if rows := g.laterByLevel[s.level]; len(rows) > 0 {
+		if rows := g.rowsByFreeTime[s.level]; len(rows) > 0 {
 			s.cursors = append(s.cursors, cursor{rows: rows, now: now, extraCost: extra})
 		}
 		return
 	}
 	for level := s.level; level <= maxLevel; level++ {
-		sh := &g.shelves[level]
-		if len(sh.rows) > 0 && sh.most.Covers(r.Resources) {
-			cost := extra + sh.leastFragmentation(r, level)
-			s.cursors = append(s.cursors, cursor{rows: sh.rows, now: now, extraCost: cost, shelf: sh, allRows: sh.rows})
+		b := &g.buckets[level]
+		if len(b.rows) > 0 && b.maxFree.Covers(r.Resources) {
+			cost := extra + b.minFragmentationCost(r, level)
+			s.cursors = append(s.cursors, cursor{rows: b.rows, now: now, extraCost: cost, bucket: b, bucketRows: b.rows})
 		}
 	}
 }
 
-// look finds what place a row has, unless it was looked at.
-func (s *search) look(m *Machine, work int) {
-	if m.lastSearch[s.slot] == s.id {
+// examine searches a row for a place, unless this search has examined the row before. It adds work
+// to Table.Work.
+func (s *search) examine(m *Machine, work int) {
+	if m.lastSearch[s.kind] == s.id {
 		return
 	}
 	s.table.Work += work
 	if s.imageOnly {
-		if _, ok := m.readyAt(s.request.image); !ok {
+		if _, ok := m.readyAt(s.request.imageID); !ok {
 			return
 		}
 	}
-	m.lastSearch[s.slot] = s.id
+	m.lastSearch[s.kind] = s.id
 	if !s.request.allows(m) || !s.zones.allows(m.Zone) {
 		return
 	}
 	if c, ok := s.placeOn(m); ok {
-		s.anyCandidate = true
-		s.found = pushHeap(s.found, c)
+		s.hadCandidate = true
+		s.candidates = pushHeap(s.candidates, c)
 	}
 }
 
-// pull looks at the next row of the first cursor. Its bound there may be a loose one: a row that
-// can't be as good is searched only when its turn comes.
-func (s *search) pull() {
+// examineNext examines the next row of the first cursor. The cursor's bound may be loose: a row
+// that turns out to have a higher bound is added to the candidates with that bound, and is searched
+// only once it is the best candidate.
+func (s *search) examineNext() {
 	next := s.cursors[0]
 	bound, row := next.bound(), next.rows[0]
 	m := row.machine
 	s.advance()
-	if m.behind() {
+	if m.hasUnindexedMarks() {
 		s.table.markStale(m)
 	}
 	if !s.later {
-		s.look(m, lookWork)
+		s.examine(m, visitWork)
 		return
 	}
-	if m.lastSearch[s.slot] == s.id {
+	if m.lastSearch[s.kind] == s.id {
 		return
 	}
-	s.table.Work += lookWork
+	s.table.Work += visitWork
 	if m.entry.group == nil || !m.entry.group.suits(s.request) {
 		return
 	}
-	free := s.freeFrom(m)
-	if free >= protocol.Forever {
+	freeFrom := s.levelFreeFrom(m)
+	if freeFrom >= protocol.Forever {
 		return
 	}
-	if next.imageHolders && (row.at < m.entry.at[1] || m.behind()) {
-		s.table.lateHolders = append(s.table.lateHolders, lateHolder{m, s.request.image})
+	if next.imageHolders && (row.freeFrom < m.entry.freeFrom[1] || m.hasUnindexedMarks()) {
+		s.table.outdatedHolders = append(s.table.outdatedHolders, outdatedHolder{m, s.request.imageID})
 	}
-	better, ok := s.laterBound(m, free)
+	tighterBound, ok := s.laterBound(m, freeFrom)
 	switch {
 	case !ok:
-	case better > bound:
-		m.lastSearch[s.slot] = s.id
+	case tighterBound > bound:
+		m.lastSearch[s.kind] = s.id
 		if s.request.allows(m) {
-			s.found = pushHeap(s.found, candidate{Place{Machine: m}, better, true})
+			s.candidates = pushHeap(s.candidates, candidate{Place{Machine: m}, tighterBound, true})
 		}
 	default:
-		s.look(m, 0)
+		s.examine(m, 0)
 	}
 }
 
-// advance goes on to the next row of the first cursor.
+// advance moves the first cursor to its next row, or removes the cursor if it needs no more rows.
 func (s *search) advance() {
 	c := &s.cursors[0]
 	zone := c.rows[0].machine.Zone
 	c.rows = c.rows[1:]
 	if len(c.rows) > 0 && (c.severalZones || s.zones.allows(zone)) {
-		down(s.cursors, 0)
+		siftDown(s.cursors, 0)
 		return
 	}
-	if c.shelf != nil && len(c.rows) == 0 && len(s.found) == 0 {
-		c.shelf.tighten(c.allRows)
+	if c.bucket != nil && len(c.rows) == 0 && len(s.candidates) == 0 {
+		c.bucket.tightenBounds(c.bucketRows)
 	}
 	s.cursors = popHeap(s.cursors)
 }
 
-// freeFrom is from when on a row has the search's level free, as far as its marks say.
-func (s *search) freeFrom(m *Machine) micros {
-	if !m.behind() {
-		return m.entry.at[s.level]
-	}
-	var e entry
-	s.table.describe(m, &e)
-	return e.at[s.level]
+// levelFreeFrom returns the time from which a row has the search's level free, marks that are not
+// in the index included.
+func (s *search) levelFreeFrom(m *Machine) micros {
+	if !m.hasUnindexedMarks() {
+		return m.entry.freeFrom[s.level]
+	}
+	var e indexEntry
+	s.table.computeEntry(m, &e)
+	return e.freeFrom[s.level]
 }
 
-// laterBound bounds the cost of a row's place from when on the level is free. ok is false if the
-// row does not have the image and the search is for that.
-func (s *search) laterBound(m *Machine, free micros) (bound micros, ok bool) {
+// laterBound returns a lower bound on the cost of a place on a row that has the level free from
+// freeFrom on. ok is false if the search needs the image and the row does not have it.
+func (s *search) laterBound(m *Machine, freeFrom micros) (bound micros, ok bool) {
 	g := m.entry.group
-	bound = max(free, s.table.Now) + g.extraCost(s.request)
-	if _, hasImage := m.readyAt(s.request.image); hasImage {
+	bound = max(freeFrom, s.table.Now) + g.extraCost(s.request)
+	if _, hasImage := m.readyAt(s.request.imageID); hasImage {
 		return bound, true
 	}
 	return bound + g.fetchTime(s.request.ImageSize), !s.imageOnly
 }
 
-// placeOn is the place that a row has for one more task.
+// placeOn returns the best place on a row for one more task.
 func (s *search) placeOn(m *Machine) (candidate, bool) {
 	if s.later {
 		if m.Blocked || !m.Capacity.Covers(s.request.Resources) {
 			return candidate{}, false
 		}
-		s.table.Work += roomWork
+		s.table.Work += searchRoomWork
 		return s.table.placeLater(s.request, m, s.table.Now)
 	}
 	c, ok := s.table.placeNow(s.request, m)
@@ -269,131 +275,134 @@
 	return c, ok
 }
 
-// nextPlace is the place that a row has for one task more than one that it had a place for. It
-// comes no sooner: what was marked takes room only. A fetch that the mark brings is an
-// exception, where it was not under way before.
+// nextPlace returns the place for one more task on a row on which place p has just been marked. It
+// begins no sooner than p, since a mark only takes room, so the row is searched from there on. An
+// exception is a p that waits for a fetch: if the mark is what starts the fetch, the next place may
+// be sooner.
 func (s *search) nextPlace(p Place) (candidate, bool) {
 	if !s.later || p.Ready > p.Begin {
 		return s.placeOn(p.Machine)
 	}
-	s.table.Work += nextWork
+	s.table.Work += nextTaskWork
 	return s.table.placeLater(s.request, p.Machine, p.Begin)
 }
 
-// top is the best place for one more task, in a zone that still allows it.
+// top returns the best place for one more task, in a zone that still allows one.
 func (s *search) top() (candidate, bool) {
 	for s.active {
-		for len(s.found) > 0 && !s.zones.allows(s.found[0].place.Machine.Zone) {
-			s.found = popHeap(s.found)
+		for len(s.candidates) > 0 && !s.zones.allows(s.candidates[0].place.Machine.Zone) {
+			s.candidates = popHeap(s.candidates)
 		}
-		pull := s.nextRowMayBeBetter()
-		if !pull && (len(s.found) == 0 || !s.found[0].bound) {
+		examineNextRow := s.nextRowMayBeBetter()
+		if !examineNextRow && (len(s.candidates) == 0 || !s.candidates[0].isBound) {
 			break
 		}
-		if s.isBeyondLimit(pull) {
+		if s.isBeyondReadyLimit(examineNextRow) {
 			s.stop()
-			s.limitExceeded = true
+			s.readyLimitExceeded = true
 			return candidate{}, false
 		}
-		if pull {
-			s.pull()
+		if examineNextRow {
+			s.examineNext()
 		} else {
-			s.searchBound()
+			s.resolveBound()
 		}
 	}
-	if len(s.found) > 0 && !s.found[0].bound {
-		return s.found[0], true
+	if len(s.candidates) > 0 && !s.candidates[0].isBound {
+		return s.candidates[0], true
 	}
-	if s.active && !s.later && !s.anyCandidate {
+	if s.active && !s.later && !s.hadCandidate {
 		s.active = false
-		s.table.rememberRefusal(s.request, s)
+		s.table.recordRefusal(s.request, s)
 	}
 	return candidate{}, false
 }
 
-// nextRowMayBeBetter reports whether the next row of the cursors may be better than all that was
-// found.
+// nextRowMayBeBetter reports whether the next row of the cursors may have a better place than all
+// candidates.
 func (s *search) nextRowMayBeBetter() bool {
 	if len(s.cursors) == 0 {
 		return false
 	}
-	if len(s.found) == 0 {
+	if len(s.candidates) == 0 {
 		return true
 	}
-	next, best := &s.cursors[0], &s.found[0]
+	next, best := &s.cursors[0], &s.candidates[0]
 	bound := next.bound()
 	return bound < best.cost || bound == best.cost && next.rows[0].machine.order < best.place.Machine.order
 }
 
-// isBeyondLimit reports whether the best place is certainly ready after the limit: the next one
-// of the cursors, or else the best that was found, which is a bound.
-func (s *search) isBeyondLimit(pull bool) bool {
-	if pull {
-		return s.cursors[0].bound()-onDemandCost > s.limit && !s.searched()
-	}
-	return s.found[0].cost-onDemandCost > s.limit && !s.searched()
+// isBeyondReadyLimit reports whether the best place is certain to be ready after readyLimit. It
+// uses the bound of the cursors' next row if nextRow is set, else the best candidate, which is a
+// bound. onDemandCost is subtracted because a bound may include it.
+func (s *search) isBeyondReadyLimit(nextRow bool) bool {
+	if nextRow {
+		return s.cursors[0].bound()-onDemandCost > s.readyLimit && !s.hasExactCandidate()
+	}
+	return s.candidates[0].cost-onDemandCost > s.readyLimit && !s.hasExactCandidate()
 }
 
-// searchBound searches the row of the best candidate, of which only a bound is known.
-func (s *search) searchBound() {
-	c, ok := s.placeOn(s.found[0].place.Machine)
+// resolveBound searches the row of the best candidate, for which only a bound is known so far.
+func (s *search) resolveBound() {
+	c, ok := s.placeOn(s.candidates[0].place.Machine)
 	if !ok {
-		s.found = popHeap(s.found)
+		s.candidates = popHeap(s.candidates)
 		return
 	}
-	s.anyCandidate = true
-	s.found[0] = c
-	down(s.found, 0)
+	s.hadCandidate = true
+	s.candidates[0] = c
+	siftDown(s.candidates, 0)
 }
 
-// searched reports whether it is known of some row what place it has.
-func (s *search) searched() bool {
-	return slices.ContainsFunc(s.found, func(c candidate) bool { return !c.bound })
+// hasExactCandidate reports whether some candidate is a place, not only a bound.
+func (s *search) hasExactCandidate() bool {
+	return slices.ContainsFunc(s.candidates, func(c candidate) bool { return !c.isBound })
 }
 
-// stop ends a search.
+// stop ends a search and drops its candidates.
 func (s *search) stop() {
-	s.active, s.limitExceeded = false, false
-	s.found, s.cursors = s.found[:0], s.cursors[:0]
+	s.active, s.readyLimitExceeded = false, false
+	s.candidates, s.cursors = s.candidates[:0], s.cursors[:0]
 }
 
-// again brings a search up to date after a mark on a row, or its like.
+// update brings the candidates up to date after a mark was put on a row.
 func (s *search) update(m *Machine) {
 	if !s.active {
 		return
 	}
-	for i := range s.found {
-		if s.found[i].place.Machine != m {
+	for i := range s.candidates {
+		if s.candidates[i].place.Machine != m {
 			continue
 		}
-		if s.found[i].bound {
-			// With this mark it may have the image: the bound may be too late.
-			s.found[i].cost = 0
-			fix(s.found, i)
+		if s.candidates[i].isBound {
+			// With this mark the row may have the image, so the bound may be too high: search the
+			// row next.
+			s.candidates[i].cost = 0
+			fixHeap(s.candidates, i)
 			return
 		}
-		if c, ok := s.nextPlace(s.found[i].place); ok {
-			s.found[i] = c
-			fix(s.found, i)
+		if c, ok := s.nextPlace(s.candidates[i].place); ok {
+			s.candidates[i] = c
+			fixHeap(s.candidates, i)
 		} else {
-			s.found = removeHeap(s.found, i)
+			s.candidates = removeHeap(s.candidates, i)
 		}
 		return
 	}
-	// It was marked through another search: what it costs here may have become
-	// less than its bound. One that had no image when a search for those began
-	// is none of its rows.
+	// The row was marked through another search: its cost here may now be less than its bound. If
+	// the search is only for rows with the image, a row that did not have it at the beginning is
+	// not one of them.
 	if !s.imageOnly {
-		s.look(m, 0)
+		s.examine(m, 0)
 	}
 }
 
-// meet looks at the rows that the request has places on already: the index does
-// not have those marks yet, nor the images that come with them.
-func (s *search) lookAtPlaced(res Result) {
+// examinePlaced examines the rows on which the request has places already: their marks are not in
+// the index yet, nor are the images that the marks bring.
+func (s *search) examinePlaced(res Result) {
 	for _, list := range [...][]Place{res.Start, res.Booked} {
 		for _, p := range list {
-			s.look(p.Machine, 0)
+			s.examine(p.Machine, 0)
 		}
 	}
 }
--- a/internal/controller/slottable/shelf.go
+++ b/internal/controller/slottable/shelf.go
@@ -5,61 +5,63 @@
 	"sort"
 )
 
-// indexedRow is a row in a list, with a bound on when it is of use.
+// indexedRow is a row in a list of the index, with a lower bound on the time from which it is of
+// use, 0 in buckets.
 type indexedRow struct {
-	at      micros
-	machine *Machine
+	freeFrom micros
+	machine  *Machine
 }
 
 func (s indexedRow) before(o indexedRow) bool {
-	return s.at < o.at || s.at == o.at && s.machine.order < o.machine.order
+	return s.freeFrom < o.freeFrom || s.freeFrom == o.freeFrom && s.machine.order < o.machine.order
 }
 
-// shelf is rows of one level in their order, with bounds on what they have free
-// beside it: no row has more than most, none less than least. The bounds are
-// drawn in when a search has gone through the whole shelf in vain.
-type shelf struct {
-	rows        []indexedRow
-	most, least resources
+// bucket holds the rows that have one level free, in the order in which they were added to the
+// table. No row has more free than maxFree or less than minFree, in any component. These bounds are
+// tightened when a search has gone through the whole bucket and found no place.
+type bucket struct {
+	rows             []indexedRow
+	maxFree, minFree resources
 }
 
-func (sh *shelf) insert(m *Machine, free resources) {
-	if len(sh.rows) == 0 {
-		sh.most, sh.least = free, free
+func (b *bucket) insert(m *Machine, free resources) {
+	if len(b.rows) == 0 {
+		b.maxFree, b.minFree = free, free
 	}
-	sh.widen(free)
-	sh.rows = insertRow(sh.rows, indexedRow{0, m})
+	b.widenBounds(free)
+	b.rows = insertRow(b.rows, indexedRow{0, m})
 }
 
-// widen has the bounds hold for a row.
-func (sh *shelf) widen(free resources) {
-	sh.most = maxResources(sh.most, free)
-	sh.least = resources{CPU: min(sh.least.CPU, free.CPU), GPU: min(sh.least.GPU, free.GPU), Memory: min(sh.least.Memory, free.Memory)}
+// widenBounds widens the bounds to include a row's free resources.
+func (b *bucket) widenBounds(free resources) {
+	b.maxFree = maxResources(b.maxFree, free)
+	b.minFree = resources{CPU: min(b.minFree.CPU, free.CPU), GPU: min(b.minFree.GPU, free.GPU), Memory: min(b.minFree.Memory, free.Memory)}
 }
 
-// tighten draws in a shelf's bounds after all of its rows were looked at.
-func (sh *shelf) tighten(rows []indexedRow) {
-	if len(rows) == 0 || len(rows) != len(sh.rows) {
+// tightenBounds computes the bounds from rows, those that the bucket had when a search began. It
+// changes nothing if the number of rows in the bucket is another one by now.
+func (b *bucket) tightenBounds(rows []indexedRow) {
+	if len(rows) == 0 || len(rows) != len(b.rows) {
 		return
 	}
-	sh.most, sh.least = rows[0].machine.entry.free, rows[0].machine.entry.free
+	b.maxFree, b.minFree = rows[0].machine.entry.free, rows[0].machine.entry.free
 	for _, s := range rows[1:] {
-		sh.widen(s.machine.entry.free)
+		b.widenBounds(s.machine.entry.free)
 	}
 }
 
-// maxResources is the least amount that holds both.
+// maxResources returns the component-wise maximum of two amounts.
 func maxResources(a, b resources) resources {
 	return resources{CPU: max(a.CPU, b.CPU), GPU: max(a.GPU, b.GPU), Memory: max(a.Memory, b.Memory)}
 }
 
-// reshelve takes a row from one shelf to another; -1 is none.
-func reshelve(shelves *[maxLevel + 1]shelf, m *Machine, from, to int, free resources) {
+// moveToBucket moves a row from one bucket to another; -1 means none.
+func moveToBucket(buckets *[maxLevel + 1]bucket, m *Machine, from, to int, free resources) {
 	if from >= 0 {
-		shelves[from].rows = removeRow(shelves[from].rows, indexedRow{0, m})
+		buckets[from].rows = removeRow(buckets[from].rows, indexedRow{0, m})
 	}
 	if to >= 0 {
-		shelves[to].insert(m, free)
+		buckets[to].insert(m, free)
 	}
 }
 
@@ -73,15 +75,15 @@
 	if i < len(list) && list[i].machine == s.machine {
 		return slices.Delete(list, i, i+1)
 	}
-	panic("slottable: a row is not where the index has it")
+	panic("slottable: row is not at its recorded position in the index")
 }
 
-// moveRow brings a row of a list to where it belongs, and moves only what lies
-// between: mostly little does.
+// moveRow moves a row of a list to its new position. It shifts only the rows in between, which are
+// mostly few.
 func moveRow(list []indexedRow, from, to indexedRow) {
 	i := sort.Search(len(list), func(i int) bool { return !list[i].before(from) })
 	if i == len(list) || list[i].machine != from.machine {
-		panic("slottable: a row is not where the index has it")
+		panic("slottable: row is not at its recorded position in the index")
 	}
 	if from.before(to) {
 		j := i + sort.Search(len(list)-i-1, func(k int) bool { return to.before(list[i+1+k]) })
@@ -94,13 +96,13 @@
 	list[j] = to
 }
 
-// leastFragmentation is the least that a place on a row of the shelf costs for what it leaves
-// broken up, see Table.fragmentationCost.
-func (sh *shelf) leastFragmentation(r *Request, level int) micros {
-	if r.Opportunistic { // others may have the rest
+// minFragmentationCost returns a lower bound on the fragmentation cost of a place on a row of the
+// bucket, see Table.fragmentationCost.
+func (b *bucket) minFragmentationCost(r *Request, level int) micros {
+	if r.Opportunistic { // other opportunistic tasks may use all but the room for this one
 		return fragmentationPerTask
 	}
-	copies := max(1, sh.least.MaxCopies(r.Resources))
+	copies := max(1, b.minFree.MaxCopies(r.Resources))
 	cost := min(micros(copies)*fragmentationPerTask, maxFragmentation)
 	if r.Resources.GPU == 0 && level > 0 {
 		cost += gpuWasteCost
--- a/internal/controller/slottable/tasks.go
+++ b/internal/controller/slottable/tasks.go
@@ -2,39 +2,41 @@
 
 import "mapleslip/internal/protocol"
 
-// Most tasks of one job that a cycle starts, and that it books.
+// Maximum numbers of tasks of one job that a cycle starts, and that it books.
 const (
-	maxStarted = 256
-	maxBooked  = 64
+	maxStartedTasks = 256
+	maxBookedTasks  = 64
 )
 
-// Next tries one request in its turn. A deadline job whose end fits is booked, as is the first
-// job that can't start now; the others start only where they fit without moving a booking
-// (aggressive backfilling).
+// Next plans the next request of the queue. It books the first job that can't start now, and each
+// deadline job whose booking meets the deadline. The others start only where they fit without
+// moving a booking (aggressive backfilling).
 func (t *Table) Next(r *Request) Result {
 	if r.Limit <= 0 {
 		// A team at its limit gets no booking in this cycle.
 		return Result{Request: r}
 	}
 	var res Result
-	if r.Deadline > 0 && t.blocked {
+	if r.Deadline > 0 && t.hasBlockedJob {
 		res = t.bookByDeadline(r)
 	} else {
-		// An opportunistic job needs no booking: no other plan sees it, so none could move it.
-		res = t.Try(r, !t.blocked && !r.Opportunistic)
+		// An opportunistic job needs no booking: the plans of all other jobs ignore it, so a
+		// booking would keep nothing free for it.
+		res = t.Try(r, !t.hasBlockedJob && !r.Opportunistic)
 	}
 	if len(res.Booked) > 0 && (r.Deadline == 0 || !res.Viable) && !r.KeepBooking {
-		t.blocked = true
+		t.hasBlockedJob = true
 	}
 	return res
 }
 
-// bookByDeadline books a request if that meets its deadline, and starts what it can otherwise.
+// bookByDeadline books a request if that meets its deadline. Otherwise it only starts the tasks
+// that can start now.
 func (t *Table) bookByDeadline(r *Request) Result {
 	if !r.NoBooking {
 		var res Result
-		viable := t.try(func() bool {
-			res = t.attempt(r, true, true)
+		viable := t.runTrial(func() bool {
+			res = t.placeRequest(r, true, true)
 			return res.Viable
 		})
 		if viable {
@@ -46,69 +48,69 @@
 	return res
 }
 
-// Try starts what it can of a request now, and books the rest if asked to. For a gang it is all
-// or none.
-func (t *Table) Try(r *Request, book bool) Result { return t.attempt(r, book, false) }
+// Try starts the tasks of a request that can start now and, if book is set, books the rest. A gang
+// is placed as a whole or not at all.
+func (t *Table) Try(r *Request, book bool) Result { return t.placeRequest(r, book, false) }
 
-// attempt is Try. With strict it may stop as soon as it is found that the deadline can't be met:
-// the caller takes back what was marked.
-func (t *Table) attempt(r *Request, book, strict bool) Result {
-	r.image = t.Image(r.Image)
-	t.refresh()
+// placeRequest implements Try. With stopIfLate it may stop as soon as it is clear that the deadline
+// can't be met; the caller then removes its marks.
+func (t *Table) placeRequest(r *Request, book, stopIfLate bool) Result {
+	r.imageID = t.ImageID(r.Image)
+	t.refreshIndex()
 	if r.Gang {
-		return t.tryGang(r, book, strict)
+		return t.placeGang(r, book, stopIfLate)
 	}
-	s := t.newTaskSearch(r, book, strict)
-	for i := range min(r.Tasks, r.Limit, maxStarted) {
-		p, ok := s.choose(i)
+	s := t.newTaskSearch(r, book, stopIfLate)
+	for i := range min(r.Tasks, r.Limit, maxStartedTasks) {
+		p, ok := s.choosePlace(i)
 		if !ok {
-			s.result.Viable = s.result.Viable && !s.later.limitExceeded
+			s.result.Viable = s.result.Viable && !s.later.readyLimitExceeded
 			break
 		}
-		if inTime := s.take(p); !inTime && strict {
+		if meetsDeadline := s.commit(p); !meetsDeadline && stopIfLate {
 			break
 		}
 	}
 	return s.result
 }
 
-// taskSearch looks for places for the tasks of a request, one after the other.
+// taskSearch finds places for the tasks of a request, one after the other.
 type taskSearch struct {
-	table   *Table
-	request *Request
-	zones   *zoneCounter
-	book    bool
-	limit   micros // what is ready after it is of no use
+	table      *Table
+	request    *Request
+	zones      *zoneCounter
+	book       bool
+	readyLimit micros // latest ready time at which a place is of use
 
 	now           *search
-	later         *search // is begun when it is needed
-	searchedAll   bool    // later looks at all rows
-	searchedImage bool    // later looks at rows that have the image
-	booking       []Place // of the last cycle, those that were not tried yet
+	later         *search // begun when it is needed
+	searchedAll   bool    // later covers all rows
+	searchedImage bool    // later covers the rows that have the image
+	booking       []Place // places that the last cycle booked and that were not tried yet
 	result        Result
 }
 
-func (t *Table) newTaskSearch(r *Request, book, strict bool) *taskSearch {
+func (t *Table) newTaskSearch(r *Request, book, stopIfLate bool) *taskSearch {
 	s := &t.taskSearch
 	*s = taskSearch{
-		table: t, request: r, zones: newZoneCounter(r), book: book, limit: protocol.Forever,
+		table: t, request: r, zones: newZoneCounter(r), book: book, readyLimit: protocol.Forever,
 		now: &t.nowSearch, later: &t.laterSearch, booking: r.Booking, result: Result{Request: r, Viable: true},
 	}
-	if strict {
-		s.limit = r.Deadline - r.Runtime
+	if stopIfLate {
+		s.readyLimit = r.Deadline - r.Runtime
 	}
 	s.now.begin(t, r, s.zones, anyZone, false, false)
 	s.later.stop()
 	return s
 }
 
-// choose finds the place for the next task, which is the i-th.
-func (s *taskSearch) choose(i int) (Place, bool) {
+// choosePlace returns the place for the next task, which has index i.
+func (s *taskSearch) choosePlace(i int) (Place, bool) {
 	for {
-		mayBook := s.book && i < maxBooked
+		mayBook := s.book && i < maxBookedTasks
 		now, okNow := s.now.top()
 		if mayBook {
-			s.searchLater(now, okNow)
+			s.beginLaterSearch(now, okNow)
 		}
 		later, okLater := s.later.top()
 		if okNow && s.bookingIsSooner(now.place) {
@@ -122,21 +124,21 @@
 		case okNow || len(s.booking) == 0:
 			return Place{}, false
 		}
-		// The booking of the last cycle holds if its room is still free. Otherwise the task is
-		// found another place when none of the booking is left.
+		// A place that the last cycle booked is kept if its room is still free. Otherwise, once no
+		// booked place is left, another place is searched for.
 		p := s.booking[0]
 		s.booking = s.booking[1:]
-		s.table.Work += lookWork
+		s.table.Work += visitWork
 		if s.table.placeHolds(s.request, s.zones, p) {
 			return p, true
 		}
 	}
 }
 
-// searchLater begins to search for places at whatever time, if there is none now, or the best
-// one has to fetch: where a machine is free, a busy one is worth waiting for only if it has the
-// image.
-func (s *taskSearch) searchLater(now candidate, okNow bool) {
+// beginLaterSearch begins the search for places at any time, if there is no place now or the image
+// has to be fetched for the best one. If there is a place now, only rows with the image are
+// searched: waiting for another busy machine is not worth it.
+func (s *taskSearch) beginLaterSearch(now candidate, okNow bool) {
 	if s.searchedAll || len(s.booking) > 0 {
 		return
 	}
@@ -145,8 +147,8 @@
 		return
 	}
 	s.later.begin(s.table, s.request, s.zones, anyZone, true, imageOnly)
-	s.later.limit = s.limit
-	s.later.lookAtPlaced(s.result)
+	s.later.readyLimit = s.readyLimit
+	s.later.examinePlaced(s.result)
 	if imageOnly {
 		s.searchedImage = true
 	} else {
@@ -154,15 +156,16 @@
 	}
 }
 
-// bookingIsSooner reports whether the booking of the last cycle is ready sooner than a place whose
-// fetch begins now.
+// bookingIsSooner reports whether the next place that the last cycle booked is ready sooner than a
+// place that begins to fetch now, and is still free.
 func (s *taskSearch) bookingIsSooner(now Place) bool {
 	return len(s.booking) > 0 && now.Ready > s.booking[0].Ready+fetchTolerance &&
 		s.table.placeHolds(s.request, s.zones, s.booking[0])
 }
 
-// take gives a task a place. It reports whether the task ends by the deadline.
-func (s *taskSearch) take(p Place) (inTime bool) {
+// commit marks a place for a task and adds it to the result. It reports whether the task ends by
+// the deadline.
+func (s *taskSearch) commit(p Place) (meetsDeadline bool) {
 	if p.Begin > s.table.Now {
 		s.result.Booked = append(s.result.Booked, p)
 	} else {
@@ -180,7 +183,7 @@
 	return true
 }
 
-// placeHolds reports whether the room of a booking of the last cycle is still free.
+// placeHolds reports whether a place that the last cycle booked is still free.
 func (t *Table) placeHolds(r *Request, z *zoneCounter, p Place) bool {
 	m := p.Machine
 	return p.Begin > t.Now && !m.Blocked && z.allows(m.Zone) && r.allows(m) && m.fits(r, p.Begin, protocol.End(p.Ready, r.Runtime))
--- a/internal/controller/slottable/trial.go
+++ b/internal/controller/slottable/trial.go
@@ -2,62 +2,63 @@
 
 import "slices"
 
-// mark plans a task on a row.
+// mark marks a place of a request on its row, until a given time.
 func (t *Table) mark(r *Request, p Place, until micros) {
 	m := p.Machine
-	k := mark{Span: Span{p.Begin, until, r.Resources, r.Opportunistic}, start: p.Begin <= t.Now, image: -1}
-	if _, ok := m.readyAt(r.image); !ok {
-		k.image, k.ready = r.image, p.Ready
-		t.markStale(m) // it belongs to the rows that have the image from now on
-		// What was refused because of the time to fetch it may fit now.
-		t.refusals = slices.DeleteFunc(t.refusals, func(f refusal) bool { return f.image == r.image })
+	k := mark{Span: Span{p.Begin, until, r.Resources, r.Opportunistic}, started: p.Begin <= t.Now, imageID: -1}
+	if _, ok := m.readyAt(r.imageID); !ok {
+		k.imageID, k.ready = r.imageID, p.Ready
+		t.markStale(m) // it is a holder of the image from now on
+		// Requests that were refused because of the time to fetch the image may fit now.
+		t.refusals = slices.DeleteFunc(t.refusals, func(f refusal) bool { return f.imageID == r.imageID })
 	}
 	m.marks = append(m.marks, k)
-	if k.start {
+	if k.started {
 		m.addUsage(&k.Span, 1)
-		t.markStale(m) // it moves to another shelf, with other bounds
+		t.markStale(m) // less is free: it may move to another bucket
 	}
 	if !k.Opportunistic {
-		m.profile = m.profile.add(k.From, k.To, k.Resources, 1)
+		m.profile = m.profile.addUsage(k.From, k.To, k.Resources, 1)
 	}
-	if !m.touched {
-		m.touched = true
-		t.touched = append(t.touched, m)
+	if !m.inMarkedRows {
+		m.inMarkedRows = true
+		t.markedRows = append(t.markedRows, m)
 	}
-	if t.trying {
+	if t.inTrial {
 		t.trialMarks = append(t.trialMarks, m)
 	}
 }
 
-// try marks what plan does, and takes it back unless plan says to keep it. Trials may be nested.
-func (t *Table) try(plan func() bool) bool {
-	outer, from := t.trying, len(t.trialMarks)
-	t.trying = true
+// runTrial calls plan, and removes the marks that plan has put on rows unless plan returns true.
+// Trials may be nested.
+func (t *Table) runTrial(plan func() bool) bool {
+	inOuterTrial, firstMark := t.inTrial, len(t.trialMarks)
+	t.inTrial = true
 	keep := plan()
 	if !keep {
-		for _, m := range slices.Backward(t.trialMarks[from:]) {
+		for _, m := range slices.Backward(t.trialMarks[firstMark:]) {
 			t.unmark(m)
 		}
-		t.trialMarks = t.trialMarks[:from]
+		t.trialMarks = t.trialMarks[:firstMark]
 	}
-	t.trying = outer
-	if !outer {
+	t.inTrial = inOuterTrial
+	if !inOuterTrial {
 		t.trialMarks = t.trialMarks[:0]
 	}
 	return keep
 }
 
-// unmark takes the last mark on a row back.
+// unmark removes the last mark from a row.
 func (t *Table) unmark(m *Machine) {
 	k := m.marks[len(m.marks)-1]
 	m.marks = m.marks[:len(m.marks)-1]
-	if k.start {
+	if k.started {
 		m.addUsage(&k.Span, -1)
 	}
 	if !k.Opportunistic {
-		m.profile = m.profile.add(k.From, k.To, k.Resources, -1)
+		m.profile = m.profile.addUsage(k.From, k.To, k.Resources, -1)
 	}
 	if m.indexedMarks > len(m.marks) {
-		t.markStale(m) // the index has it as busier than it is
+		t.markStale(m) // the index records less free than there is
 	}
 }
