--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -8,18 +8,19 @@
 	"github.com/valyala/fastjson"
 )
 
-// MachineType is what the cloud rents.
+// MachineType is a type of machine that the cloud provider rents out.
 type MachineType struct {
 	Name             string
 	Capacity         Resources
-	CacheSize        int64   // thousandths of a GB
-	FetchRate        float64 // thousandths of a GB per microsecond
+	CacheSize        int64   // size of the image cache, thousandths of a GB
+	FetchRate        float64 // nominal, thousandths of a GB per microsecond
 	Price, SpotPrice float64 // per hour
 	BootTime         Micros
 	Zones            []string
 }
 
-// FetchTime is how long an image takes at the nominal rate.
+// FetchTime returns how long fetching an image of the given size, in thousandths of a GB, takes at
+// the nominal rate.
 func (t *MachineType) FetchTime(size int64) Micros {
 	if t.FetchRate <= 0 {
 		return 0
@@ -27,7 +28,7 @@
 	return Micros(float64(size) / t.FetchRate)
 }
 
-// ParseMachineTypes reads the cloud's machine types.
+// ParseMachineTypes parses the list of machine types that the cloud provider offers.
 func ParseMachineTypes(body []byte) ([]*MachineType, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -40,8 +41,8 @@
 		return nil, errors.New("flavors: invalid")
 	}
 	var types []*MachineType
-	for _, it := range list {
-		f := &fields{obj: it}
+	for _, item := range list {
+		f := &fields{obj: item}
 		t := &MachineType{
 			Name: f.text("label"),
 			Capacity: Resources{
@@ -51,7 +52,7 @@
 			CacheSize: offerThousandths(f.number("cacheGb")), FetchRate: f.number("fetchGbPerS") * 1000 / float64(Second),
 			Price: f.number("hourly"), SpotPrice: f.number("spotPrice"), BootTime: FromSeconds(f.number("readyS")),
 		}
-		for _, z := range it.GetArray("regions") {
+		for _, z := range item.GetArray("regions") {
 			t.Zones = append(t.Zones, string(z.GetStringBytes()))
 		}
 		if f.err != nil {
@@ -65,25 +66,26 @@
 	return types, nil
 }
 
-// CloudMachine is one machine of the cloud's list.
+// CloudMachine is one machine in the cloud provider's list of rented machines.
 type CloudMachine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	State                  CloudState
-	Age                    Micros
+	Age                    Micros // time since the machine was rented
 }
 
-// CloudState is what the cloud says of a machine.
+// CloudState is the state of a machine as reported by the cloud provider.
 type CloudState uint8
 
-// States of a machine in the cloud's list.
+// States of a machine in the cloud provider's list.
 const (
 	CloudBooting CloudState = iota
 	CloudRunning
 	CloudFailed
 )
 
-// ParseMachines reads a page of the machine list.
+// ParseMachines parses a page of the cloud provider's machine list. more reports whether further
+// pages follow.
 func ParseMachines(body []byte) (hosts []CloudMachine, more bool, err error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -96,14 +98,14 @@
 		return nil, false, errors.New("hosts: invalid")
 	}
 	hosts = make([]CloudMachine, 0, len(list))
-	for _, it := range list {
-		f := &fields{obj: it}
+	for _, item := range list {
+		f := &fields{obj: item}
 		h := CloudMachine{
 			Name: f.text("ref"), Type: f.text("flavor"), Zone: f.text("region"), Spot: f.flag("reclaimable"),
 			Age: FromSeconds(f.number("heldS")),
 		}
 		if f.optional("addr") != nil {
-			h.Addr = string(it.GetStringBytes("addr"))
+			h.Addr = string(item.GetStringBytes("addr"))
 		}
 		switch f.text("phase") {
 		case "booting":
@@ -123,17 +125,18 @@
 	return hosts, v.GetBool("truncated"), nil
 }
 
-// AppendRentRequest writes a rental request.
-func AppendRentRequest(b []byte, claim, typ, zone string, spot bool, count int) []byte {
+// AppendRentRequest appends the body of a request to rent machines.
+func AppendRentRequest(b []byte, claim, machineType, zone string, spot bool, count int) []byte {
 	b = AppendQuoted(append(b, `{"claim":`...), claim)
-	b = AppendQuoted(append(b, `,"flavor":`...), typ)
+	b = AppendQuoted(append(b, `,"flavor":`...), machineType)
 	b = AppendQuoted(append(b, `,"region":`...), zone)
 	b = strconv.AppendBool(append(b, `,"reclaimable":`...), spot)
 	b = strconv.AppendInt(append(b, `,"count":`...), int64(count), 10)
 	return append(b, '}')
 }
 
-// AppendMachineNames writes a release request.
+// AppendMachineNames appends a list of machine names: the body of a release request, or of the
+// response to a rent request.
 func AppendMachineNames(b []byte, hosts []string) []byte {
 	b = append(b, `{"hosts":[`...)
 	for i, h := range hosts {
@@ -145,7 +148,7 @@
 	return append(b, "]}"...)
 }
 
-// ParseMachineNames reads the machines that were rented.
+// ParseMachineNames parses a list of machine names, such as the response to a rent request.
 func ParseMachineNames(body []byte) ([]string, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -158,16 +161,17 @@
 		return nil, errors.New("hosts: invalid")
 	}
 	var names []string
-	for _, it := range list {
-		if it.Type() != fastjson.TypeString {
+	for _, item := range list {
+		if item.Type() != fastjson.TypeString {
 			return nil, errors.New("hosts: invalid")
 		}
-		names = append(names, string(it.GetStringBytes()))
+		names = append(names, string(item.GetStringBytes()))
 	}
 	return names, nil
 }
 
-// AppendMachineTypes writes machine types in the cloud's form, to be kept.
+// AppendMachineTypes appends machine types in the format of the cloud provider's API, in which they
+// are also stored.
 func AppendMachineTypes(b []byte, types []*MachineType) []byte {
 	b = append(b, `{"flavors":[`...)
 	for i, t := range types {
--- a/internal/protocol/files.go
+++ b/internal/protocol/files.go
@@ -10,10 +10,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Files that people write: a job and a roll-out in TOML. The names in them say units;
-// what is sent is the interface's JSON.
+// The types below are the TOML files in which users describe a job or a roll-out. Their keys name
+// the units. A file is converted to the JSON of the user API before it is sent.
 
-// runsFile is what jobs and roll-outs both say of a task.
+// runsFile holds the keys that describe a task, which files of jobs and of roll-outs share.
 type runsFile struct {
 	Class    *string   `toml:"class" json:"jobclass"`
 	Team     *string   `toml:"team" json:"owner"`
@@ -66,7 +66,7 @@
 	} `toml:"check" json:"check"`
 }
 
-// fileKeys are the names in files of the interface's fields that have others.
+// fileKeys maps the JSON fields of the user API to the keys in files, where the two differ.
 var fileKeys = map[string]string{
 	"jobclass": "class", "owner": "team", "shape": "kind", "shards": "tasks", "cores": "cpus", "memoryGb": "memory_gb",
 	"bundle": "image", "sizeGb": "image_gb", "flavors": "types", "region": "zone", "samePlace": "one_zone", "reclaimable": "spot", "expectS": "estimate_s",
@@ -74,63 +74,64 @@
 	"healthyS": "healthy_s", "how": "kind", "everyS": "every_s", "timeoutS": "timeout_s",
 }
 
-var kindsInFiles = map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}
+// wireShapes maps the kinds of jobs in files to the shapes of the user API.
+var wireShapes = map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}
 
-// def sets what a file leaves out.
-func def[T any](to **T, v T) {
-	if *to == nil {
-		*to = &v
+// setDefault sets a field that the file leaves out.
+func setDefault[T any](field **T, value T) {
+	if *field == nil {
+		*field = &value
 	}
 }
 
 func (r *runsFile) defaults() {
-	def(&r.Rank, "standard")
-	def(&r.GPUs, 0)
-	def(&r.ImageGB, 0)
+	setDefault(&r.Rank, "standard")
+	setDefault(&r.GPUs, 0)
+	setDefault(&r.ImageGB, 0)
 }
 
-// ParseJobFile reads a job's file into the body of a submission. A job without a ref
-// gets the one given. It awaits those that the file says, and those given.
+// ParseJobFile converts a job's file to the body of a submission. The job gets the given ref if the
+// file has none. It depends on the jobs in the file's awaits and on those passed as awaits.
 func ParseJobFile(text []byte, ref string, awaits ...string) (body []byte, spec *JobSpec, err error) {
 	var f jobFile
-	if err := decodeLines(text, &f); err != nil {
+	if err := decodeTOML(text, &f); err != nil {
 		return nil, nil, err
 	}
 	f.defaults()
-	def(&f.Ref, ref)
+	setDefault(&f.Ref, ref)
 	f.Awaits = append(f.Awaits, awaits...)
-	def(&f.Kind, "array")
-	def(&f.Tasks, 1)
-	def(&f.CheckpointEveryS, 0)
-	def(&f.CheckpointS, 0)
-	kind, ok := kindsInFiles[*f.Kind]
+	setDefault(&f.Kind, "array")
+	setDefault(&f.Tasks, 1)
+	setDefault(&f.CheckpointEveryS, 0)
+	setDefault(&f.CheckpointS, 0)
+	kind, ok := wireShapes[*f.Kind]
 	if !ok {
-		return nil, nil, atLine(text, errors.New("kind: must be array, gang or service"))
+		return nil, nil, locateError(text, errors.New("kind: must be array, gang or service"))
 	}
 	if kind == "daemon" {
-		def(&f.EstimateS, 0)
+		setDefault(&f.EstimateS, 0)
 	}
 	f.Kind = &kind
 	if body, err = marshal(text, &f); err != nil {
 		return nil, nil, err
 	}
 	spec, err = ParseJob(body)
-	return body, spec, atLine(text, err)
+	return body, spec, locateError(text, err)
 }
 
-// ParseRolloutFile reads a roll-out's file into the body of its request. One without
-// an id gets the one given.
+// ParseRolloutFile converts a roll-out's file to the body of a roll-out request. The roll-out gets
+// the given id if the file has none.
 func ParseRolloutFile(text []byte, id string) (body []byte, spec *RolloutSpec, err error) {
 	var f rolloutFile
-	if err := decodeLines(text, &f); err != nil {
+	if err := decodeTOML(text, &f); err != nil {
 		return nil, nil, err
 	}
-	def(&f.ID, id)
-	def(&f.Surge, 1)
-	def(&f.Faulty, 0)
-	def(&f.SoakS, 30)
-	def(&f.StartS, 300)
-	def(&f.Healthy, 60)
+	setDefault(&f.ID, id)
+	setDefault(&f.Surge, 1)
+	setDefault(&f.Faulty, 0)
+	setDefault(&f.SoakS, 30)
+	setDefault(&f.StartS, 300)
+	setDefault(&f.Healthy, 60)
 	if f.Stages == nil {
 		f.Stages = []any{"100%"}
 	}
@@ -138,21 +139,22 @@
 		f.Job.defaults()
 	}
 	if c := f.Check; c != nil {
-		def(&c.Kind, "http")
-		def(&c.Path, "/healthz")
-		def(&c.EveryS, 5)
-		def(&c.TimeoutS, 1)
-		def(&c.Passes, 2)
-		def(&c.Fails, 2)
+		setDefault(&c.Kind, "http")
+		setDefault(&c.Path, "/healthz")
+		setDefault(&c.EveryS, 5)
+		setDefault(&c.TimeoutS, 1)
+		setDefault(&c.Passes, 2)
+		setDefault(&c.Fails, 2)
 	}
 	if body, err = marshal(text, &f); err != nil {
 		return nil, nil, err
 	}
 	spec, err = ParseRollout(body)
-	return body, spec, atLine(text, err)
+	return body, spec, locateError(text, err)
 }
 
-// marshal writes the interface's JSON, which has no numbers that are not finite.
+// marshal encodes a file as the JSON of the user API. JSON can't represent the TOML numbers nan and
+// inf: if the file has one, the error names its line and key.
 func marshal(text []byte, f any) ([]byte, error) {
 	body, err := json.Marshal(f)
 	if err != nil {
@@ -167,27 +169,27 @@
 	return body, err
 }
 
-// decodeLines reads TOML; an unknown key and a value of the wrong kind are errors that
-// name key and line.
-func decodeLines(text []byte, to any) error {
-	err := DecodeStrict(text, to)
+// decodeTOML decodes a file strictly. The error for an unknown key names the key and its line; that
+// for a value of the wrong type is a toml.DecodeError with the position.
+func decodeTOML(text []byte, target any) error {
+	err := DecodeStrict(text, target)
 	var key *KeyError
 	if errors.As(err, &key) {
-		return atLine(text, fmt.Errorf("%s: %s", key.Key, key.Problem))
+		return locateError(text, fmt.Errorf("%s: %s", key.Key, key.Problem))
 	}
 	return err
 }
 
-// atLine turns an error that begins with a field of the interface, as in "job:
-// shards: invalid", into one with the file's key and the line where it is.
-func atLine(text []byte, err error) error {
+// locateError rewrites an error that begins with the path of a JSON field, such as "job: shards:
+// invalid", to name the line of the file and the file's own key instead.
+func locateError(text []byte, err error) error {
 	if err == nil {
 		return nil
 	}
 	var path []string
 	rest := err.Error()
 	for {
-		name, more, ok := strings.Cut(rest, ": ")
+		name, remainder, ok := strings.Cut(rest, ": ")
 		if !ok || strings.ContainsAny(name, ` "`) {
 			break
 		}
@@ -197,20 +199,21 @@
 			}
 			path = append(path, part)
 		}
-		rest = more
+		rest = remainder
 	}
 	if len(path) == 0 {
 		return err
 	}
 	key := strings.Join(path, ".")
-	if n := lineOf(text, path); n > 0 {
+	if n := findLine(text, path); n > 0 {
 		return fmt.Errorf("line %d: %s: %s", n, key, rest)
 	}
 	return fmt.Errorf("%s: %s", key, rest)
 }
 
-// lineOf finds the line in which a key is set, or else its table begins; 0: nowhere.
-func lineOf(text []byte, path []string) int {
+// findLine returns the line that sets a key, or else the line at which the key's table begins. It
+// returns 0 if the file has neither.
+func findLine(text []byte, path []string) int {
 	table, found := "", 0
 	for n, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
@@ -233,7 +236,8 @@
 	return found
 }
 
-// SettingsFile writes a platform's file, for deployments that mapleslip sets up itself.
+// SettingsFile encodes platform settings as a file that ParsePlatform reads. It is used for
+// deployments that mapleslip sets up itself.
 func SettingsFile(p *Platform) ([]byte, error) {
 	var f platformFile
 	f.NodeName, f.Area, f.ClientListen, f.ClusterListen = p.ControllerName, p.Zone, p.ClientListen, p.ClusterListen
--- a/internal/protocol/handover.go
+++ b/internal/protocol/handover.go
@@ -7,15 +7,17 @@
 	"slices"
 )
 
-// What controllers tell each other of the workers they hear goes in the bodies of
-// a leader's status request and of its answer. Controllers that don't know them read
-// the rest of the frame and leave the body alone. A body begins with its version.
+// Versions of the bodies of two messages between controllers. A leader's status request contains
+// its handover state. The response to it contains, by zone, the number of workers that reach the
+// responding controller and not the leader. Each body begins with its version. Controllers of
+// builds without these bodies read the other fields of the frame and ignore the body.
 const (
 	reachabilityVersion = 1
 	handoverVersion     = 1
 )
 
-// Most of each that a body may hold.
+// Maximum numbers of entries in a body. MaxReachabilityZones also limits the partitions of a
+// handover state.
 const (
 	MaxReachabilityZones = 256
 	MaxSilentHosts       = 2000
@@ -23,106 +25,110 @@
 
 var errPeerBody = errors.New("malformed body of a frame")
 
-// LeadershipTransfer is a lease that was given back so that another controller leads.
+// LeadershipTransfer records that a leader released its lease so that another controller becomes
+// leader.
 type LeadershipTransfer struct {
-	From             string // who gave it back
-	To               string // who is to go first
-	Epoch            uint64
-	At               Micros         // time of day
-	ReachableWorkers map[string]int // workers that From heard by itself, by zone
+	From             string         // controller that released the lease
+	To               string         // controller that may acquire the lease first
+	Epoch            uint64         // of the term that ended
+	At               Micros         // time of the transfer, time of day
+	ReachableWorkers map[string]int // workers that From received heartbeats from directly, by zone
 }
 
-// HandoverState is what a leader has seen that its successors must know.
+// HandoverState holds observations of a leader that its successors need: which zones look
+// partitioned and which hosts are silent, and since when.
 type HandoverState struct {
-	Epoch       uint64 // under which it was made
-	At          Micros // time of day
+	Epoch       uint64 // epoch of the leader that made it
+	At          Micros // time at which it was made, time of day
 	Partitions  []Partition
-	SilentHosts []SilentHost // machines, without those of zones that are cut off
+	SilentHosts []SilentHost // without the hosts in partitioned zones
 }
 
-// Partition is a zone that looks cut off.
+// Partition is a zone that looks partitioned from the leader, because many of its hosts are silent.
 type Partition struct {
 	Zone     string
-	Since    Micros // when its first silent machine was last heard, time of day
-	LastSeen Micros // when it last looked so
+	Since    Micros // earliest last contact of the zone's silent hosts, time of day
+	LastSeen Micros // when the zone last looked partitioned, time of day
 }
 
-// SilentHost is a host that sends no heartbeats.
+// SilentHost is a host from which the leader receives no heartbeats.
 type SilentHost struct {
 	Host  string
-	Since Micros // when it was last heard, time of day
+	Since Micros // last contact with the host, time of day
 }
 
-// AppendReachability writes how many workers a controller hears, by zone.
-func AppendReachability(b []byte, heard map[string]int) []byte {
-	zones := slices.Sorted(maps.Keys(heard))
+// AppendReachability appends the body of a status response: the number of workers, by zone, that
+// the responding controller receives heartbeats from and that can't reach the leader. Zones beyond
+// MaxReachabilityZones are left out.
+func AppendReachability(b []byte, workers map[string]int) []byte {
+	zones := slices.Sorted(maps.Keys(workers))
 	zones = zones[:min(len(zones), MaxReachabilityZones)]
 	b = binary.BigEndian.AppendUint16(append(b, reachabilityVersion), uint16(len(zones)))
 	for _, z := range zones {
-		b = binary.BigEndian.AppendUint32(appendPeerText(b, z), uint32(heard[z]))
+		b = binary.BigEndian.AppendUint32(appendPeerText(b, z), uint32(workers[z]))
 	}
 	return b
 }
 
-// ParseReachability reads it.
+// ParseReachability parses a body written by AppendReachability.
 func ParseReachability(body []byte) (map[string]int, error) {
 	r := peerReader{b: body}
 	version, n := r.byte(), int(r.uint(2))
 	if version != reachabilityVersion || n > MaxReachabilityZones {
 		return nil, errPeerBody
 	}
-	heard := make(map[string]int, n)
+	workers := make(map[string]int, n)
 	for range n {
 		zone := string(r.take(int(r.uint(2))))
-		heard[zone] = int(r.uint(4))
+		workers[zone] = int(r.uint(4))
 	}
-	if r.bad || len(r.b) != 0 || len(heard) != n {
+	if r.malformed || len(r.b) != 0 || len(workers) != n {
 		return nil, errPeerBody
 	}
-	return heard, nil
+	return workers, nil
 }
 
-// AppendHandoverState writes a memory.
-func AppendHandoverState(b []byte, m HandoverState) []byte {
-	b = binary.BigEndian.AppendUint64(append(b, handoverVersion), m.Epoch)
-	b = binary.BigEndian.AppendUint64(b, uint64(m.At))
-	b = binary.BigEndian.AppendUint16(b, uint16(len(m.Partitions)))
-	for _, c := range m.Partitions {
-		b = binary.BigEndian.AppendUint64(appendPeerText(b, c.Zone), uint64(c.Since))
-		b = binary.BigEndian.AppendUint64(b, uint64(c.LastSeen))
+// AppendHandoverState appends a handover state, as the body of a status request.
+func AppendHandoverState(b []byte, h HandoverState) []byte {
+	b = binary.BigEndian.AppendUint64(append(b, handoverVersion), h.Epoch)
+	b = binary.BigEndian.AppendUint64(b, uint64(h.At))
+	b = binary.BigEndian.AppendUint16(b, uint16(len(h.Partitions)))
+	for _, p := range h.Partitions {
+		b = binary.BigEndian.AppendUint64(appendPeerText(b, p.Zone), uint64(p.Since))
+		b = binary.BigEndian.AppendUint64(b, uint64(p.LastSeen))
 	}
-	b = binary.BigEndian.AppendUint16(b, uint16(len(m.SilentHosts)))
-	for _, s := range m.SilentHosts {
+	b = binary.BigEndian.AppendUint16(b, uint16(len(h.SilentHosts)))
+	for _, s := range h.SilentHosts {
 		b = binary.BigEndian.AppendUint64(appendPeerText(b, s.Host), uint64(s.Since))
 	}
 	return b
 }
 
-// ParseHandoverState reads it.
+// ParseHandoverState parses a body written by AppendHandoverState.
 func ParseHandoverState(body []byte) (HandoverState, error) {
 	r := peerReader{b: body}
 	if r.byte() != handoverVersion {
 		return HandoverState{}, errPeerBody
 	}
-	m := HandoverState{Epoch: r.uint(8), At: Micros(r.uint(8))}
+	h := HandoverState{Epoch: r.uint(8), At: Micros(r.uint(8))}
 	n := int(r.uint(2))
 	if n > MaxReachabilityZones {
 		return HandoverState{}, errPeerBody
 	}
 	for range n {
-		m.Partitions = append(m.Partitions, Partition{Zone: string(r.take(int(r.uint(2)))), Since: Micros(r.uint(8)), LastSeen: Micros(r.uint(8))})
+		h.Partitions = append(h.Partitions, Partition{Zone: string(r.take(int(r.uint(2)))), Since: Micros(r.uint(8)), LastSeen: Micros(r.uint(8))})
 	}
 	if n = int(r.uint(2)); n > MaxSilentHosts {
 		return HandoverState{}, errPeerBody
 	}
 	for range n {
-		if r.bad {
+		if r.malformed {
 			break
 		}
-		m.SilentHosts = append(m.SilentHosts, SilentHost{Host: string(r.take(int(r.uint(2)))), Since: Micros(r.uint(8))})
+		h.SilentHosts = append(h.SilentHosts, SilentHost{Host: string(r.take(int(r.uint(2)))), Since: Micros(r.uint(8))})
 	}
-	if r.bad || len(r.b) != 0 {
+	if r.malformed || len(r.b) != 0 {
 		return HandoverState{}, errPeerBody
 	}
-	return m, nil
+	return h, nil
 }
--- a/internal/protocol/json.go
+++ b/internal/protocol/json.go
@@ -8,31 +8,32 @@
 	"github.com/valyala/fastjson"
 )
 
-// Parsers keeps a few parsers of JSON for use again. What a parser returns is
-// good until the parser is put back: strings have to be copied before. A new
-// leader reads some megabytes of records and a report of every machine in a
-// second; with a parser for each of them most of what it allocated was parsed
-// values. A pool that the collector empties (sync.Pool) saves little then, since
-// the collector runs often: these stay. The longest text that one of them has
-// seen is a page of the machine list.
-var Parsers = make(parsers, 4)
+// Parsers is a pool of a few JSON parsers. The values that a parser returns are valid until the
+// parser is put back; strings must be copied before that.
+//
+// A new leader reads several megabytes of records and a heartbeat from every host within a second.
+// With a new parser for each of them, parsed values made up most of its allocations. sync.Pool
+// helps little, because the garbage collector empties it and runs often at that time. The parsers
+// of this pool are never freed; the memory that each retains is bounded by its longest input, a
+// page of the machine list.
+var Parsers = make(parserPool, 4)
 
-type parsers chan *fastjson.Parser
+type parserPool chan *fastjson.Parser
 
-// Get takes a parser, or makes one.
-func (l parsers) Get() *fastjson.Parser {
+// Get takes a parser from the pool, or makes a new one if the pool is empty.
+func (pool parserPool) Get() *fastjson.Parser {
 	select {
-	case p := <-l:
+	case p := <-pool:
 		return p
 	default:
 		return new(fastjson.Parser)
 	}
 }
 
-// Put gives a parser back.
-func (l parsers) Put(p *fastjson.Parser) {
+// Put returns a parser to the pool, or drops it if the pool is full.
+func (pool parserPool) Put(p *fastjson.Parser) {
 	select {
-	case l <- p:
+	case pool <- p:
 	default:
 	}
 }
@@ -51,19 +52,19 @@
 	return v, nil
 }
 
-// raw walks over valid JSON without parsing it: values are slices of it.
+// raw is valid JSON that is scanned without being parsed: the values found are slices of it.
 type raw []byte
 
-// space skips white space.
-func (b raw) space(i int) int {
+// skipSpace returns the index of the first byte at or after i that is not white space.
+func (b raw) skipSpace(i int) int {
 	for i < len(b) && (b[i] == ' ' || b[i] == '\t' || b[i] == '\n' || b[i] == '\r') {
 		i++
 	}
 	return i
 }
 
-// str is the end of the string that begins at i.
-func (b raw) str(i int) int {
+// stringEnd returns the index after the string that begins at i.
+func (b raw) stringEnd(i int) int {
 	for i++; i < len(b) && b[i] != '"'; i++ {
 		if b[i] == '\\' {
 			i++
@@ -72,13 +73,13 @@
 	return min(i+1, len(b))
 }
 
-// value is the end of the value that begins at i.
-func (b raw) value(i int) int {
+// valueEnd returns the index after the value that begins at i.
+func (b raw) valueEnd(i int) int {
 	depth := 0
 	for i < len(b) {
 		switch b[i] {
 		case '"':
-			i = b.str(i)
+			i = b.stringEnd(i)
 			if depth == 0 {
 				return i
 			}
@@ -103,50 +104,50 @@
 	return i
 }
 
-// members calls take for each member of an object, until it reports an error.
-func (b raw) members(take func(name string, value raw) error) error {
-	i := b.space(0)
+// forEachMember calls visit for each member of an object and stops at the first error.
+func (b raw) forEachMember(visit func(name string, value raw) error) error {
+	i := b.skipSpace(0)
 	if i >= len(b) || b[i] != '{' {
 		return errors.New("not an object")
 	}
 	for i++; ; i++ {
-		if i = b.space(i); i >= len(b) || b[i] == '}' {
+		if i = b.skipSpace(i); i >= len(b) || b[i] == '}' {
 			return nil
 		}
-		end := b.str(i)
+		end := b.stringEnd(i)
 		name := unquoteRaw(b[i:end])
-		i = b.space(b.space(end) + 1) // the colon
-		end = b.value(i)
-		if err := take(name, b[i:end]); err != nil {
+		i = b.skipSpace(b.skipSpace(end) + 1) // the colon
+		end = b.valueEnd(i)
+		if err := visit(name, b[i:end]); err != nil {
 			return err
 		}
-		if i = b.space(end); i >= len(b) || b[i] != ',' {
+		if i = b.skipSpace(end); i >= len(b) || b[i] != ',' {
 			return nil
 		}
 	}
 }
 
-// items calls take for each item of an array, until it reports an error.
-func (b raw) items(take func(value raw) error) error {
-	i := b.space(0)
+// forEachItem calls visit for each item of an array and stops at the first error.
+func (b raw) forEachItem(visit func(value raw) error) error {
+	i := b.skipSpace(0)
 	if i >= len(b) || b[i] != '[' {
 		return errors.New("not an array")
 	}
 	for i++; ; i++ {
-		if i = b.space(i); i >= len(b) || b[i] == ']' {
+		if i = b.skipSpace(i); i >= len(b) || b[i] == ']' {
 			return nil
 		}
-		end := b.value(i)
-		if err := take(b[i:end]); err != nil {
+		end := b.valueEnd(i)
+		if err := visit(b[i:end]); err != nil {
 			return err
 		}
-		if i = b.space(end); i >= len(b) || b[i] != ',' {
+		if i = b.skipSpace(end); i >= len(b) || b[i] != ',' {
 			return nil
 		}
 	}
 }
 
-// unquoteRaw is the text of a string.
+// unquoteRaw returns the decoded text of a JSON string.
 func unquoteRaw(s raw) string {
 	if len(s) < 2 {
 		return ""
@@ -163,8 +164,9 @@
 	return string(v.GetStringBytes())
 }
 
-// count is a whole number, which may be written as 16.0 as well.
-func (b raw) count() (uint64, bool) {
+// integer returns the value of a non-negative whole number, which may also be written like 16.0 or
+// 1.6e1. ok is false for any other value.
+func (b raw) integer() (uint64, bool) {
 	if n, err := strconv.ParseUint(string(b), 10, 64); err == nil {
 		return n, true
 	}
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -5,47 +5,48 @@
 	"errors"
 )
 
-// Between controllers, messages are frames: a length of four bytes (of all that
-// follows), a version, a kind, then the fields in a fixed order. Texts and
-// bodies carry a length of their own. All numbers are big-endian.
+// Messages between controllers are frames: a length of four bytes (of everything after it), a
+// version, a kind, the fields of that kind in a fixed order, and the body. Each text and the body
+// are preceded by their own length. All numbers are big-endian.
 const (
 	peerVersion  = 1
 	maxPeerFrame = 128 << 10
 )
 
-// PeerKind is the kind of a frame.
+// PeerKind is the kind of a frame. It determines the fields that the frame has.
 type PeerKind uint8
 
-// Kinds of frames.
+// Kinds of frames. The response to a forwarded user request or heartbeat, a worker probe or a
+// health check is a PeerResponse.
 const (
-	PeerUserRequest PeerKind = 1 + iota
+	PeerUserRequest PeerKind = 1 + iota // a user's request, forwarded to the leader
 	PeerResponse
-	PeerStatusRequest  // a leader asks whether another controller answers workers
-	PeerStatus         // the answer
-	PeerHeartbeat      // a worker's heartbeat, forwarded to the leader; a PeerResponse comes back
-	PeerWorkerProbe    // a leader's call to a worker, to be made by another controller; so too
-	PeerHealthCheck    // a leader's check of an instance, to be made by another controller; so too
-	PeerConfigGrant    // a leader says which revision of the configuration it goes by
-	PeerConfigAck      // the answer: which one the other controller does
-	PeerFeatureRequest // a leader asks which feature levels another controller serves
-	PeerFeatureRange   // the answer; a version without levels answers a PeerResponse of status 0
+	PeerStatusRequest  // a leader requests the status of another controller
+	PeerStatus         // response to a PeerStatusRequest
+	PeerHeartbeat      // a worker's heartbeat, forwarded to the leader
+	PeerWorkerProbe    // a leader's call to a worker, delegated to another controller
+	PeerHealthCheck    // a leader's check of an instance, delegated to another controller
+	PeerConfigGrant    // a leader grants a lease on its configuration revision
+	PeerConfigAck      // response to a PeerConfigGrant: the revision in force there
+	PeerFeatureRequest // a leader requests the feature levels that another controller supports
+	PeerFeatureRange   // response; builds without levels send a PeerResponse with status 0 instead
 )
 
-// UserOp is what a user asks.
+// UserOp is the operation that a user requests.
 type UserOp uint8
 
-// What users ask.
+// Operations that users request.
 const (
 	OpSubmit UserOp = 1 + iota
 	OpQuery
 	OpCancel
-	OpRollout // the others are of roll-outs; Ref is the service
+	OpRollout // this and the next five concern roll-outs: PeerMessage.Ref is the service
 	OpRollouts
 	OpRolloutShow
 	OpRolloutPause
 	OpRolloutResume
 	OpRolloutRevert
-	OpConfig // the others are of the configuration; Ref is a revision
+	OpConfig // this and the rest concern the configuration: PeerMessage.Ref is a revision
 	OpConfigApply
 	OpConfigHistory
 	OpConfigRollback
@@ -53,58 +54,65 @@
 	OpConfigStatus
 )
 
-// PeerMessage is a message between controllers: a request, or the answer to one. Which fields it
-// has depends on its kind.
+// PeerMessage is a message between controllers: a request, or the response to one. Kind determines
+// which of the other fields it has.
 type PeerMessage struct {
 	Kind PeerKind
 
-	// PeerUserRequest.
-	Op   UserOp
-	Ref  string
-	From string // the controller that sends it; of PeerStatusRequest and others as well
+	// PeerUserRequest: the operation and the job, service or revision that it concerns.
+	Op  UserOp
+	Ref string
+	// From is the controller that sends the message: PeerUserRequest, PeerStatusRequest,
+	// PeerConfigGrant and PeerFeatureRequest.
+	From string
 
-	// PeerResponse. Status 0: the controller that was asked does not lead.
+	// PeerResponse: an HTTP status, and the time after which the request may be repeated. Status 0
+	// means that the responding controller is not the leader, that the probed worker did not
+	// respond, or that the health check could not be made.
 	Status     uint16
 	RetryAfter Micros
 
-	// PeerStatusRequest: the epoch under which it is asked.
+	// PeerStatusRequest, PeerConfigGrant: the leader's epoch. It is 0 in a status request of a
+	// controller that is not the leader and checks whether its peers respond.
 	Epoch uint64
 
-	// PeerStatus: whether the controller answers workers, and how long ago it last did, Forever:
-	// never since it was started.
+	// PeerStatus: AnswersWorkers is whether the controller holds the leader's lease. AnsweredAgo is
+	// the time since it last renewed a worker's lease without being the leader, or since its
+	// process started if that is shorter; Forever means never.
 	AnswersWorkers    bool
 	AnsweredAgo       Micros
-	RedirectedWorkers uint32 // workers that it redirected to the leader lately
+	RedirectedWorkers uint32 // workers that recently sent it heartbeats meant for the leader
 
-	// PeerHeartbeat: the worker was redirected to the leader and came back.
+	// PeerHeartbeat: whether the worker had been redirected to the leader before and came back,
+	// probably because it can't reach the leader.
 	ReturnedFromLeader bool
 
-	// PeerWorkerProbe: the worker's address. PeerHealthCheck: the instance's, and how it is
-	// checked.
+	// PeerWorkerProbe: the worker's address. PeerHealthCheck: the instance's address, the kind and
+	// the path of the check, and its timeout.
 	Addr    string
 	Check   CheckKind
 	Path    string
 	Timeout Micros
 
-	// PeerConfigGrant: the leader's revision of the configuration, and of the last answer that it
-	// has from the other controller the incarnation of that process and its steady clock.
-	// PeerConfigAck: those of the controller itself. The body is the document, where the other
-	// side does not have it.
+	// PeerConfigGrant: the leader's configuration revision, and the incarnation and the steady
+	// clock that the other controller's process sent with the last PeerConfigAck that the leader
+	// received. PeerConfigAck: the revision, incarnation and steady clock of the responding
+	// controller. The body is the configuration document if the receiver doesn't have it.
 	Revision, Incarnation uint64
 	At                    Micros
 
-	// PeerFeatureRange: the feature levels that the controller serves.
+	// PeerFeatureRange: the lowest and the highest feature level that the controller supports.
 	MinLevel, MaxLevel uint64
 
 	Body []byte
 }
 
 var (
-	errFrame        = errors.New("malformed frame")
-	errFrameVersion = errors.New("unknown version of a frame")
+	errMalformedFrame = errors.New("malformed frame")
+	errFrameVersion   = errors.New("unknown version of a frame")
 )
 
-// AppendPeer writes a frame.
+// AppendPeer appends a message as a frame, including its length.
 func AppendPeer(b []byte, m *PeerMessage) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, peerVersion, byte(m.Kind))
@@ -166,14 +174,15 @@
 	return append(b, 0)
 }
 
-// SplitPeer finds a whole frame at the start of buf, without its length.
+// SplitPeer returns a copy of the frame at the start of buf, without its length, and the number of
+// bytes that it takes up in buf. used is 0 if the frame is not complete yet.
 func SplitPeer(buf []byte) (frame []byte, used int, err error) {
 	if len(buf) < 4 {
 		return nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(buf)
 	if n < 2 || n > maxPeerFrame {
-		return nil, 0, errFrame
+		return nil, 0, errMalformedFrame
 	}
 	if len(buf) < int(n)+4 {
 		return nil, 0, nil
@@ -181,7 +190,7 @@
 	return append([]byte(nil), buf[4:4+n]...), int(n) + 4, nil
 }
 
-// ParsePeer reads a frame that SplitPeer found.
+// ParsePeer parses a frame returned by SplitPeer.
 func ParsePeer(frame []byte) (*PeerMessage, error) {
 	r := peerReader{b: frame}
 	if r.byte() != peerVersion {
@@ -189,19 +198,20 @@
 	}
 	m := &PeerMessage{Kind: PeerKind(r.byte())}
 	if !r.readFields(m) {
-		return nil, errFrame
+		return nil, errMalformedFrame
 	}
 	m.Body = append([]byte(nil), r.take(int(r.uint(4)))...)
-	if r.bad || len(r.b) != 0 || len(m.Body) > MaxPeerBody {
-		return nil, errFrame
+	if r.malformed || len(r.b) != 0 || len(m.Body) > MaxPeerBody {
+		return nil, errMalformedFrame
 	}
 	return m, nil
 }
 
-// maxCheckTimeout is the longest time that a check of an instance may take.
+// maxCheckTimeout is the longest timeout of a check of an instance.
 const maxCheckTimeout = 60 * Second
 
-// readFields reads the fields of a message's kind. It reports whether they can be.
+// readFields reads the fields that the kind of m has. It reports whether the kind is known and the
+// values are valid; a frame that is too short sets r.malformed instead.
 func (r *peerReader) readFields(m *PeerMessage) bool {
 	switch m.Kind {
 	case PeerUserRequest:
@@ -243,20 +253,20 @@
 	return m.At >= 0
 }
 
-// text reads a text with its length.
+// text reads a text that is preceded by its length.
 func (r *peerReader) text() string { return string(r.take(int(r.uint(2)))) }
 
-// MaxPeerBody is the largest body in a frame.
+// MaxPeerBody is the size limit of the body of a frame, in bytes.
 const MaxPeerBody = 64 << 10
 
 type peerReader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	malformed bool
 }
 
 func (r *peerReader) take(n int) []byte {
 	if n < 0 || n > len(r.b) {
-		r.bad = true
+		r.malformed = true
 		return nil
 	}
 	t := r.b[:n]
@@ -273,7 +283,7 @@
 
 func (r *peerReader) flag() bool {
 	v := r.byte()
-	r.bad = r.bad || v > 1
+	r.malformed = r.malformed || v > 1
 	return v == 1
 }
 
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -9,52 +9,54 @@
 	"github.com/valyala/fastjson"
 )
 
-// CheckKind is how an instance is checked.
+// CheckKind is the kind of a health check.
 type CheckKind uint8
 
-// Kinds of checks.
+// Kinds of health checks.
 const (
-	CheckHTTP CheckKind = iota // GET, any status from 200 to 299 passes
-	CheckTCP                   // a connection that is accepted passes
+	CheckHTTP CheckKind = iota // sends a GET request; passes if the status is from 200 to 299
+	CheckTCP                   // opens a connection; passes if it is accepted
 )
 
-var checkNames = []string{"http", "tcp"}
+var checkKindNames = []string{"http", "tcp"}
 
-func (k CheckKind) String() string { return checkNames[k] }
+func (k CheckKind) String() string { return checkKindNames[k] }
 
-// HealthCheck says how an instance of a service is checked.
+// HealthCheck specifies how the instances of a service are checked.
 type HealthCheck struct {
 	Kind                               CheckKind
 	AddressTemplate                    string // template of the address, IP:port
-	Path                               string // template of the path, of an HTTP check
-	Interval                           Micros // between two checks of an instance
-	Timeout                            Micros // of one, from the connection on; then it has failed
-	SuccessThreshold, FailureThreshold int    // in a row
+	Path                               string // template of the path of an HTTP check
+	Interval                           Micros // time between two checks of an instance
+	Timeout                            Micros // of one check, including the connection
+	SuccessThreshold, FailureThreshold int    // consecutive passes or failures
 }
 
-// RolloutSpec is what a roll-out is asked to do. Job has neither ref nor tasks.
+// RolloutSpec is a user's request for a roll-out. Job has no ref and no number of tasks, since a
+// roll-out sets them for each job that it submits. AdoptJobs names jobs submitted by users that
+// make up the old version, if that was not created by a roll-out.
 type RolloutSpec struct {
 	ID, Service                 string
 	Job                         *JobSpec
 	Count, MinHealthy, MaxSurge int
-	Stages                      []int // instances of the new version at the end of each, rising up to Count
+	Stages                      []int // new instances at the end of each stage, rising to Count
 	Check                       HealthCheck
-	SoakTime                    Micros   // all new instances of a stage have to stay healthy for that long
-	StartTimeout                Micros   // an instance that got no place by then pauses the roll-out
-	HealthTimeout               Micros   // an instance that runs and has not passed by then is faulty
-	MaxFaulty                   int      // new instances that may be faulty before all are taken back
-	AdoptJobs                   []string // jobs that are the version before, where no roll-out made them
+	SoakTime                    Micros // how long a stage's new instances must stay healthy
+	StartTimeout                Micros // an instance not running by then pauses the roll-out
+	HealthTimeout               Micros // a running instance not healthy by then is faulty
+	MaxFaulty                   int    // more faulty new instances revert the roll-out
+	AdoptJobs                   []string
 }
 
-// Limits of a roll-out.
+// Limits of a roll-out. maxAdopted limits RolloutSpec.AdoptJobs.
 const (
 	MaxInstances = 10_000
 	MaxStages    = 32
 	maxAdopted   = 32
 )
 
-// ValidService reports whether a text may name a service or a roll-out: letters
-// in lower case, digits and inner hyphens, at most 40.
+// ValidService reports whether s is a valid name of a service or a roll-out: 1 to 40 lower-case
+// letters, digits and hyphens, with no hyphen at either end.
 func ValidService(s string) bool {
 	if s == "" || len(s) > 40 || s[0] == '-' || s[len(s)-1] == '-' {
 		return false
@@ -67,7 +69,7 @@
 	return true
 }
 
-// ParseRollout checks a request for a roll-out. Any error means 400.
+// ParseRollout parses and validates a roll-out request. The response to any error is status 400.
 func ParseRollout(body []byte) (*RolloutSpec, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -78,7 +80,7 @@
 	return RolloutFromJSON(v)
 }
 
-// RolloutFromJSON checks a request for a roll-out that is parsed already.
+// RolloutFromJSON is ParseRollout for JSON that is already parsed.
 func RolloutFromJSON(v *fastjson.Value) (*RolloutSpec, error) {
 	f := &fields{obj: v}
 	s := &RolloutSpec{ID: f.text("id"), Service: f.text("service")}
@@ -104,24 +106,25 @@
 		s.AdoptJobs = f.adoptedJobs(list)
 	}
 	if check := f.get("check", fastjson.TypeObject); check != nil {
-		g := &fields{obj: check}
-		s.Check = g.healthCheck()
-		if g.err != nil {
-			f.fail("check", g.err.Error())
+		checkFields := &fields{obj: check}
+		s.Check = checkFields.healthCheck()
+		if checkFields.err != nil {
+			f.fail("check", checkFields.err.Error())
 		}
 	}
 	return s, f.err
 }
 
-// rolloutJob reads the job of a roll-out, which has neither ref nor tasks, nor what a service
-// has none of.
+// rolloutJob reads the job of a roll-out. It overwrites the fields that the job of a roll-out does
+// not have (ref and number of tasks, and the estimate, checkpoints and deadline, which services
+// lack) with values that JobFromJSON accepts.
 func (f *fields) rolloutJob(job *fastjson.Value) *JobSpec {
 	var a fastjson.Arena
 	job.Set("ref", a.NewString("req-000000"))
 	job.Set("shape", a.NewString(kindNames[Service]))
 	job.Set("shards", a.NewNumberInt(1))
-	for _, none := range []string{"expectS", "snapshotEveryS", "snapshotS"} {
-		job.Set(none, a.NewNumberInt(0))
+	for _, name := range []string{"expectS", "snapshotEveryS", "snapshotS"} {
+		job.Set(name, a.NewNumberInt(0))
 	}
 	job.Del("dueS")
 	spec, err := JobFromJSON(job)
@@ -133,16 +136,16 @@
 	return spec
 }
 
-// instances reads a number of instances.
+// instances reads a number of instances, from low to MaxInstances.
 func (f *fields) instances(name string, low int) int {
-	n := f.count(name)
+	n := f.integer(name)
 	if f.err == nil && (n < uint64(low) || n > MaxInstances) {
 		f.fail(name, fmt.Sprintf("must be from %d to %d", low, MaxInstances))
 	}
 	return int(min(n, uint64(math.MaxInt32)))
 }
 
-// secondsWithin reads a time.
+// secondsWithin reads a duration, from low to high seconds.
 func (f *fields) secondsWithin(name string, low, high float64) Micros {
 	n := f.number(name)
 	if f.err == nil && (n < low || n > high) {
@@ -151,7 +154,7 @@
 	return FromSeconds(n)
 }
 
-// adoptedJobs reads the jobs of a service that a roll-out takes over.
+// adoptedJobs reads the refs of the jobs that a roll-out adopts as the old version.
 func (f *fields) adoptedJobs(list *fastjson.Value) (adopted []string) {
 	refs, err := list.Array()
 	if err != nil || len(refs) > maxAdopted {
@@ -168,16 +171,16 @@
 	return adopted
 }
 
-// healthCheck reads how instances are checked.
+// healthCheck reads the specification of a health check.
 func (f *fields) healthCheck() HealthCheck {
 	check := HealthCheck{
-		Kind: CheckKind(f.choice("how", checkNames)), AddressTemplate: f.text("at"),
+		Kind: CheckKind(f.choice("how", checkKindNames)), AddressTemplate: f.text("at"),
 		Interval: f.secondsWithin("everyS", 0.2, 3600), Timeout: f.secondsWithin("timeoutS", 0.05, 60),
 	}
 	if check.Kind == CheckHTTP {
 		check.Path = f.text("path")
 	}
-	check.SuccessThreshold, check.FailureThreshold = int(f.count("passes")), int(f.count("fails"))
+	check.SuccessThreshold, check.FailureThreshold = int(f.integer("passes")), int(f.integer("fails"))
 	for _, n := range []struct {
 		key   string
 		value int
@@ -189,11 +192,11 @@
 	return check
 }
 
-// maxThreshold is how many checks in a row a threshold may ask for.
+// maxThreshold is the largest number of consecutive checks that a threshold may require.
 const maxThreshold = 100
 
-// stages reads how many instances the new version has at the end of each stage:
-// a number, or a text with a percentage of all.
+// stages reads the number of instances that the new version has at the end of each stage. Each is
+// a number, or a text with a percentage of count, rounded up.
 func (f *fields) stages(list []*fastjson.Value, count int) (stages []int) {
 	if len(list) < 1 || len(list) > MaxStages {
 		f.fail("stages", fmt.Sprintf("must be from 1 to %d", MaxStages))
@@ -202,15 +205,15 @@
 	last := 0
 	for _, v := range list {
 		n, err := v.Int()
-		known := err == nil
+		valid := err == nil
 		if v.Type() == fastjson.TypeString {
 			text, percent := strings.CutSuffix(string(v.GetStringBytes()), "%")
 			p, err := strconv.ParseFloat(text, 64)
-			known = percent && err == nil && p > 0 && p <= 100
+			valid = percent && err == nil && p > 0 && p <= 100
 			n = int(math.Ceil(p*float64(count)/100 - 1e-9))
 		}
 		switch {
-		case !known:
+		case !valid:
 			f.fail("stages", "must be numbers of instances, or texts like \"25%\"")
 		case n < 1 || n > count || n < last:
 			f.fail("stages", "must rise, from 1 up to count")
@@ -218,7 +221,7 @@
 		if f.err != nil {
 			return nil
 		}
-		if n > last { // of few instances two percentages may be the same
+		if n > last { // two percentages of a small count may be the same number
 			stages = append(stages, n)
 			last = n
 		}
@@ -229,8 +232,8 @@
 	return stages
 }
 
-// AppendRollout writes a request for a roll-out in the form of the interface,
-// which is also the form in which it is kept.
+// AppendRollout appends a roll-out request in the format of the user API, in which it is also
+// stored.
 func AppendRollout(b []byte, s *RolloutSpec) []byte {
 	job := *s.Job
 	job.Ref, job.Tasks, job.Kind = "req-000000", 1, Service
@@ -264,25 +267,26 @@
 	return append(b, "}}"...)
 }
 
-// VersionStatus is how the instances of one version stand.
+// VersionStatus is the status of the instances of one version.
 type VersionStatus struct {
 	Version                           string
-	Instances                         int // asked for
+	Instances                         int // number requested
 	Running, Healthy, Failing, Faulty int
 	Jobs                              []string
 }
 
-// RolloutStatus is how a roll-out stands.
+// RolloutStatus is the status of a roll-out, as reported to users.
 type RolloutStatus struct {
 	Service, ID, State, Reason string
 	Stage                      int
 	Stages                     []int
 	Count, Floor, Surge        int
-	Changes                    int // of the durable record so far
+	Changes                    int // number of changes to the roll-out's record so far
 	New, Old                   VersionStatus
 }
 
-// AppendRolloutStatus writes how a roll-out stands; jobs: with the names of its jobs.
+// AppendRolloutStatus appends a roll-out's status. jobs selects whether the refs of its jobs are
+// included.
 func AppendRolloutStatus(b []byte, s *RolloutStatus, jobs bool) []byte {
 	text := func(name, v string) { b = AppendQuoted(appendName(b, name), v) }
 	number := func(name string, n int) { b = appendInt(appendName(append(b, ','), name), n) }
@@ -319,15 +323,16 @@
 	return append(b, '}')
 }
 
-// Stopped reports whether nothing more happens without an operator.
+// Stopped reports whether the roll-out makes no progress by itself: it has ended, or it is paused
+// until an operator resumes or reverts it.
 func (s *RolloutStatus) Stopped() bool { return s.Ended() || s.State == "paused" }
 
-// Ended reports whether the roll-out is over.
+// Ended reports whether the roll-out is in a final state.
 func (s *RolloutStatus) Ended() bool {
 	return s.State == "done" || s.State == "reverted" || s.State == "failed"
 }
 
-// ParseRolloutStatus reads how a roll-out stands.
+// ParseRolloutStatus parses the status of a roll-out.
 func ParseRolloutStatus(body []byte) (*RolloutStatus, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -12,38 +12,41 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Name, Zone, Address string
 }
 
-// Team is a team's guarantee and limit. A zero limit means none.
+// Team holds the resources that a team is guaranteed and the limit on what it may use. A limit of 0
+// means that the resource is not limited.
 type Team struct {
 	Name             string
 	Guarantee, Limit Resources
 }
 
-// Kinds of objectives, as the platform's file names them.
+// Kinds of service-level objectives, by their names in the platform's file.
 const (
-	ObjectiveWait     = "wait"     // on the time until all tasks of a job have started
-	ObjectiveFinished = "finished" // on the time until a job is done
+	ObjectiveWait     = "wait"     // limits the time until all tasks of a job have started
+	ObjectiveFinished = "finished" // limits the time until a job is done
 )
 
-// Objective repeats one aim on starting or finishing.
+// Objective is a service-level objective: a share of the jobs of a class that must start or finish
+// within a time.
 type Objective struct {
 	Kind, Class string
 	Within      Micros
 	Share       float64
 }
 
-// Platform is the file that the platform hands over, checked and converted.
+// Platform holds the settings from the platform's file, which describes the environment of a
+// controller: its addresses and peers, the teams, and the limits of the services it uses.
 type Platform struct {
 	ControllerName, Zone        string
 	ClientListen, ClusterListen string
 	Peers                       []Peer
 	CloudAddr, StateAddr        string
 	Zones                       []string
-	MaxClockOffset              Micros
+	MaxClockOffset              Micros // largest error of a controller's time of day
 	Teams                       map[string]Team
 	Objectives                  []Objective
 
@@ -51,12 +54,12 @@
 	GangWaitTimeout, GangPeerTimeout, CancelTimeout Micros
 	StateRequestRate, StateWriteRate                float64
 	MaxValueBytes, MaxTxnChanges                    int
-	AnnouncedStateLimits                            *StateLimits // announced; nil: nothing is
+	AnnouncedStateLimits                            *StateLimits // nil if none are announced
 	CloudRate                                       float64
-	MachineListLag                                  Micros
-	CPUShare                                        float64
-	MemoryBytes                                     int64
-	MaxConnections                                  int
+	MachineListLag                                  Micros  // largest lag of the cloud's list
+	CPUShare                                        float64 // limit of this controller, in CPUs
+	MemoryBytes                                     int64   // limit of this controller
+	MaxConnections                                  int     // limit of this controller
 }
 
 type peerFile struct {
@@ -128,20 +131,21 @@
 	} `toml:"facts"`
 }
 
-// KeyError names the settings key that is missing or impossible.
+// KeyError is an error about a settings key, such as one that is missing or has an invalid value.
 type KeyError struct{ Key, Problem string }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// LoadPlatform reads and checks the platform's file. Unknown keys are ignored.
+// LoadPlatform reads and validates the platform's file. Unknown keys are ignored.
 func LoadPlatform(path string) (*Platform, error) { return LoadFile(path, ParsePlatform) }
 
-// LoadFile reads a file of settings; errors name the file and what is wrong in it.
+// LoadFile reads a settings file and parses it. The error for an invalid file names the file and
+// describes the problem in one line.
 func LoadFile[T any](path string, parse func(text []byte) (T, error)) (T, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	v, err := parse(text)
 	if err != nil {
@@ -150,7 +154,7 @@
 	return v, nil
 }
 
-// ParsePlatform checks and converts the text of the platform's file.
+// ParsePlatform parses and validates the text of the platform's file.
 func ParsePlatform(text []byte) (*Platform, error) {
 	var f platformFile
 	if err := toml.Unmarshal(text, &f); err != nil {
@@ -189,9 +193,9 @@
 	return p, p.check(&f)
 }
 
-// check returns an error that names the first key which can't work.
+// check returns a KeyError for the first invalid setting.
 func (p *Platform) check(f *platformFile) error {
-	for _, check := range []func(*platformFile) error{p.checkAddresses, p.checkNumbers, p.checkNeeds, p.checkTeams} {
+	for _, check := range []func(*platformFile) error{p.checkAddresses, p.checkNumbers, p.checkMinimums, p.checkTeams} {
 		if err := check(f); err != nil {
 			return err
 		}
@@ -233,12 +237,12 @@
 	return nil
 }
 
-// checkNumbers checks each figure by itself.
+// checkNumbers checks that each number is in its valid range.
 func (p *Platform) checkNumbers(f *platformFile) error {
 	for _, n := range []struct {
-		key       string
-		value     float64
-		maxAmount float64
+		key     string
+		value   float64
+		maximum float64
 	}{
 		{"facts.workers.report_s", p.HeartbeatInterval.Seconds(), 3600},
 		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 86400},
@@ -254,8 +258,8 @@
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 1e9},
 		{"facts.quota.max_connections", float64(p.MaxConnections), 1e8},
 	} {
-		if math.IsNaN(n.value) || n.value <= 0 || n.value > n.maxAmount {
-			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be above 0 and at most %g", n.maxAmount)}
+		if math.IsNaN(n.value) || n.value <= 0 || n.value > n.maximum {
+			return &KeyError{n.key, fmt.Sprintf("missing or impossible: must be above 0 and at most %g", n.maximum)}
 		}
 	}
 	if p.MaxTxnChanges < MinTxnChanges {
@@ -264,13 +268,14 @@
 	return p.AnnouncedStateLimits.check()
 }
 
-// checkNeeds checks that the figures can work together.
-func (p *Platform) checkNeeds(f *platformFile) error {
+// checkMinimums checks that numbers are large enough for the controllers to work, given the number
+// of controllers and the other settings.
+func (p *Platform) checkMinimums(f *platformFile) error {
 	controllers, heartbeat := float64(len(p.Peers)+1), p.HeartbeatInterval.Seconds()
 	for _, n := range []struct {
-		key         string
-		value, need float64
-		why         string
+		key            string
+		value, minimum float64
+		reason         string
 	}{
 		{"facts.workers.lease_s", p.WorkerLease.Seconds(), 2*heartbeat + 4, "a report that is not answered within 4 s, and the one after it, take two times report_s more"},
 		{"facts.workers.cancel_s", p.CancelTimeout.Seconds(), 2 * (1.5*heartbeat + 2), "within half of it a silent machine has to be noticed and asked"},
@@ -280,8 +285,8 @@
 		{"facts.quota.memory_mb", f.Facts.Quota.MemoryMB, 16, "that is what a controller takes that does nothing"},
 		{"facts.quota.max_connections", float64(p.MaxConnections), 32 + 4*controllers, "the state service, the cloud and each controller need some"},
 	} {
-		if n.value < n.need {
-			return &KeyError{n.key, fmt.Sprintf("%g is too little for %g controllers: at least %g, since %s", n.value, controllers, n.need, n.why)}
+		if n.value < n.minimum {
+			return &KeyError{n.key, fmt.Sprintf("%g is too little for %g controllers: at least %g, since %s", n.value, controllers, n.minimum, n.reason)}
 		}
 	}
 	if p.MachineListLag < 0 || p.MaxClockOffset < 0 {
@@ -290,10 +295,10 @@
 	return nil
 }
 
-// maxTeamAmount is the largest amount of a team's guarantee or limit.
+// maxTeamAmount is the largest number of CPUs or GPUs in a team's guarantee or limit.
 const maxTeamAmount = 1e9
 
-// checkTeams checks the teams' names and amounts.
+// checkTeams checks the names, guarantees and limits of the teams.
 func (p *Platform) checkTeams(f *platformFile) error {
 	for i, t := range f.Facts.Teams {
 		if t.Name == "" {
@@ -308,22 +313,24 @@
 	return nil
 }
 
-// OperatorSettings holds the operators' own settings, all optional.
+// OperatorSettings holds the settings of the operators' file, all of which are optional. WarmSpare
+// is the capacity kept free for each class, as a multiple of the jobs that are expected to arrive
+// while a machine boots.
 type OperatorSettings struct {
-	LeaderLease        Micros  // time the leader's lease lasts without renewal
-	MaxCycleInterval   Micros  // longest time between planning rounds
-	MinCycleInterval   Micros  // shortest time between planning rounds
-	DeadlineMargin     Micros  // kept between a booked end and its deadline
-	HeartbeatGrace     Micros  // how long workers are answered after the lease may have ended
-	SilentReleaseDelay Micros  // silence after which a machine is released as a fence
-	IdleScaleInDelay   Micros  // idle time after which a machine goes back
-	PartitionRetention Micros  // how long the machines of a zone that is cut off are kept; 0: eight leases
-	WarmSpare          float64 // arrivals per class for which room is kept, in units of what comes during a boot
-
-	SourceAddress netip.Addr // local address of outbound connections; the zero value: the system's choice
+	LeaderLease        Micros // lifetime of the leader's lease without renewal
+	MaxCycleInterval   Micros // longest time between scheduling cycles
+	MinCycleInterval   Micros // shortest time between scheduling cycles
+	DeadlineMargin     Micros // time kept between a job's booked end and its deadline
+	HeartbeatGrace     Micros // how long a leader answers workers after its lease may have expired
+	SilentReleaseDelay Micros // silence after which a host is released, to fence it
+	IdleScaleInDelay   Micros // idle time after which a host is released
+	PartitionRetention Micros // how long a partitioned zone's hosts are kept, 0: eight leases
+	WarmSpare          float64
+
+	SourceAddress netip.Addr // local address of outbound connections, zero to let the system choose
 }
 
-// DefaultOperatorSettings holds the values used where the operators set none.
+// DefaultOperatorSettings returns the settings that apply where the operators' file sets none.
 func DefaultOperatorSettings() OperatorSettings {
 	return OperatorSettings{
 		LeaderLease: 2 * Second, MaxCycleInterval: 2 * Second, MinCycleInterval: 200 * Millisecond,
@@ -345,22 +352,22 @@
 	SourceAddress   *string  `toml:"source_address"`
 }
 
-// LoadOperatorSettings reads the operators' file; an unknown key is an error.
+// LoadOperatorSettings reads and validates the operators' file. An unknown key is an error.
 func LoadOperatorSettings(path string) (OperatorSettings, error) {
 	return LoadFile(path, ParseOperatorSettings)
 }
 
-// ParseOperatorSettings checks the text of the operators' file.
+// ParseOperatorSettings parses and validates the text of the operators' file.
 func ParseOperatorSettings(text []byte) (OperatorSettings, error) {
 	o := DefaultOperatorSettings()
 	var f operatorFile
 	if err := DecodeStrict(text, &f); err != nil {
 		return o, err
 	}
-	spans := []struct {
+	durations := []struct {
 		key      string
-		from     *float64
-		to       *Micros
+		value    *float64
+		target   *Micros
 		min, max float64
 	}{
 		{"leader_lease_s", f.LeaderLeaseS, &o.LeaderLease, 1, 60},
@@ -372,12 +379,12 @@
 		{"idle_return_s", f.IdleReturnS, &o.IdleScaleInDelay, 1, 86400},
 		{"cut_keep_s", f.CutKeepS, &o.PartitionRetention, 0, 86400},
 	}
-	for _, s := range spans {
-		seconds := s.to.Seconds()
-		if err := SetBounded(s.key, s.from, &seconds, s.min, s.max); err != nil {
+	for _, s := range durations {
+		seconds := s.target.Seconds()
+		if err := SetBounded(s.key, s.value, &seconds, s.min, s.max); err != nil {
 			return o, err
 		}
-		*s.to = FromSeconds(seconds)
+		*s.target = FromSeconds(seconds)
 	}
 	if f.SourceAddress != nil && *f.SourceAddress != "" {
 		a, err := netip.ParseAddr(*f.SourceAddress)
@@ -389,25 +396,24 @@
 	return o, SetBounded("warm_spare", f.WarmSpare, &o.WarmSpare, 0, 100)
 }
 
-// SetBounded takes a setting over where the operators' file has it; one that is not a
-// number from low to high is an error that names the key.
-func SetBounded[T int | float64](key string, from *T, to *T, low, high T) error {
-	if from == nil {
+// SetBounded sets target to value, or leaves it as it is if value is nil because the settings file
+// does not have the key. It returns a KeyError if value is not a number from low to high.
+func SetBounded[T int | float64](key string, value *T, target *T, low, high T) error {
+	if value == nil {
 		return nil
 	}
-	if inRange := *from >= low && *from <= high; !inRange { // also what is no number
+	if inRange := *value >= low && *value <= high; !inRange { // NaN is not in range either
 		return &KeyError{key, fmt.Sprintf("must be from %v to %v", low, high)}
 	}
-	*to = *from
+	*target = *value
 	return nil
 }
 
-// DecodeStrict reads a file of the operators' own: an unknown key is an error
-// that names it.
-func DecodeStrict(text []byte, to any) error {
+// DecodeStrict decodes a TOML file in which an unknown key is an error. The KeyError names the key.
+func DecodeStrict(text []byte, target any) error {
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
-	err := dec.Decode(to)
+	err := dec.Decode(target)
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		return &KeyError{strings.Join(strict.Errors[0].Key(), "."), "unknown key"}
@@ -415,7 +421,8 @@
 	return err
 }
 
-// OneLine says in one line where a file of settings is wrong.
+// OneLine converts a TOML decoding error to one that names position and key in a single line. Other
+// errors are returned unchanged.
 func OneLine(err error) error {
 	var de *toml.DecodeError
 	if errors.As(err, &de) {
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -7,30 +7,31 @@
 	"github.com/valyala/fastjson"
 )
 
-// Entry is one key of the state service.
+// Entry is a key of the state service with its value.
 type Entry struct {
 	Key      string
 	Value    []byte // JSON
-	Revision uint64
+	Revision uint64 // at which the key was last changed
 }
 
-// Condition asks that a key has a stamp (0: that it does not exist).
+// Condition requires in a transaction that a key has the given revision, or with revision 0 that it
+// does not exist.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Change is one put, or a delete where Value is nil.
+// Change is a put in a transaction, or a delete if Value is nil.
 type Change struct {
 	Key   string
 	Value []byte
-	Lease uint64
+	Lease uint64 // lease with which the key expires, 0 if none
 }
 
-// AppendTxn writes a transaction.
-func AppendTxn(b []byte, when []Condition, then []Change) []byte {
+// AppendTxn appends the body of a transaction, which makes all changes if all conditions hold.
+func AppendTxn(b []byte, conditions []Condition, changes []Change) []byte {
 	b = append(b, `{"when":[`...)
-	for i, c := range when {
+	for i, c := range conditions {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -39,7 +40,7 @@
 		b = append(b, '}')
 	}
 	b = append(b, `],"then":[`...)
-	for i, c := range then {
+	for i, c := range changes {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -57,13 +58,13 @@
 	return append(b, "]}"...)
 }
 
-// TxnResult is the answer to a transaction.
+// TxnResult is the state service's response to a transaction.
 type TxnResult struct {
 	Revision  uint64
-	Conflicts []string
+	Conflicts []string // keys whose conditions failed
 }
 
-// ParseTxn reads the answer to a transaction.
+// ParseTxn parses the response to a transaction.
 func ParseTxn(body []byte) (TxnResult, error) {
 	var r TxnResult
 	p := Parsers.Get()
@@ -73,46 +74,46 @@
 		return r, err
 	}
 	f := &fields{obj: v}
-	r.Revision = f.count("generation")
+	r.Revision = f.integer("generation")
 	for _, k := range v.GetArray("failed") {
 		r.Conflicts = append(r.Conflicts, string(k.GetStringBytes()))
 	}
 	return r, f.err
 }
 
-// ParseEntry reads one key. The value is a slice of body.
+// ParseEntry parses the response to a read of one key. The entry's value is a slice of body.
 func ParseEntry(body []byte) (Entry, error) {
 	if err := fastjson.ValidateBytes(body); err != nil {
 		return Entry{}, errors.New("not JSON")
 	}
-	return entryOf(body)
+	return parseEntry(body)
 }
 
-// Page is a page of keys.
+// Page is a page of a list of keys.
 type Page struct {
 	Entries  []Entry
-	More     bool
+	More     bool // further pages follow
 	Revision uint64
 }
 
-// ParsePage reads a page of keys. The values are slices of body: they are not
-// parsed here, since who takes them does.
+// ParsePage parses a page of a list of keys. The values are slices of body and are only validated
+// here, because the caller parses them.
 func ParsePage(body []byte) (Page, error) {
 	var p Page
 	if err := fastjson.ValidateBytes(body); err != nil {
 		return p, errors.New("not JSON")
 	}
-	numbered, listed := false, false
-	err := raw(body).members(func(name string, value raw) error {
+	hasRevision, hasEntries := false, false
+	err := raw(body).forEachMember(func(name string, value raw) error {
 		switch name {
 		case "generation":
-			p.Revision, numbered = value.count()
+			p.Revision, hasRevision = value.integer()
 		case "truncated":
 			p.More = string(value) == "true"
 		case "entries":
-			listed = true
-			return value.items(func(item raw) error {
-				e, err := entryOf(item)
+			hasEntries = true
+			return value.forEachItem(func(item raw) error {
+				e, err := parseEntry(item)
 				p.Entries = append(p.Entries, e)
 				return err
 			})
@@ -122,18 +123,18 @@
 	switch {
 	case err != nil:
 		return Page{}, err
-	case !listed:
+	case !hasEntries:
 		return Page{}, errors.New("entries: invalid")
-	case !numbered:
+	case !hasRevision:
 		return Page{}, errors.New("generation: missing or invalid")
 	}
 	return p, nil
 }
 
-// entryOf reads one key, by itself or of a page.
-func entryOf(item raw) (Entry, error) {
+// parseEntry reads an entry, either a whole response or an item of a page.
+func parseEntry(item raw) (Entry, error) {
 	var e Entry
-	err := item.members(func(name string, value raw) error {
+	err := item.forEachMember(func(name string, value raw) error {
 		var err error
 		switch name {
 		case "path":
@@ -142,7 +143,7 @@
 			}
 		case "stamp":
 			var ok bool
-			if e.Revision, ok = value.count(); !ok {
+			if e.Revision, ok = value.integer(); !ok {
 				err = errors.New("stamp: invalid")
 			}
 		case "data":
@@ -162,7 +163,7 @@
 	return e, err
 }
 
-// ParseWatch reads the changes of a watch; a dropped key has a nil Value.
+// ParseWatch parses the changes that a watch returns. The entry of a deleted key has a nil Value.
 func ParseWatch(body []byte) (entries []Entry, revision uint64, err error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -171,38 +172,38 @@
 		return nil, 0, err
 	}
 	f := &fields{obj: v}
-	revision = f.count("generation")
+	revision = f.integer("generation")
 	list, err := Member(v, "news").Array()
 	if err != nil {
 		return nil, 0, errors.New("news: invalid")
 	}
-	for _, it := range list {
-		nf := &fields{obj: it}
-		e := Entry{Revision: nf.count("stamp")}
-		if it.Exists("drop") {
-			e.Key = nf.text("drop")
+	for _, item := range list {
+		itemFields := &fields{obj: item}
+		e := Entry{Revision: itemFields.integer("stamp")}
+		if item.Exists("drop") {
+			e.Key = itemFields.text("drop")
 		} else {
-			e.Key = nf.text("set")
-			if data := it.Get("data"); data != nil {
+			e.Key = itemFields.text("set")
+			if data := item.Get("data"); data != nil {
 				e.Value = data.MarshalTo(nil)
 			} else {
-				nf.fail("data", "missing")
+				itemFields.fail("data", "missing")
 			}
 		}
-		if nf.err != nil {
-			return nil, 0, nf.err
+		if itemFields.err != nil {
+			return nil, 0, itemFields.err
 		}
 		entries = append(entries, e)
 	}
 	return entries, revision, f.err
 }
 
-// LeaseBody asks for a lease.
+// LeaseBody returns the body of a request for a lease of the state service.
 func LeaseBody(ttl Micros) []byte {
 	return append(strconv.AppendInt([]byte(`{"ttlMs":`), int64(ttl/Millisecond), 10), '}')
 }
 
-// ParseLease reads the id of a new lease.
+// ParseLease parses the id of a new lease.
 func ParseLease(body []byte) (uint64, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -211,7 +212,7 @@
 		return 0, err
 	}
 	f := &fields{obj: v}
-	id := f.count("hold")
+	id := f.integer("hold")
 	if f.err == nil && id == 0 {
 		f.fail("hold", "invalid")
 	}
--- a/internal/protocol/user.go
+++ b/internal/protocol/user.go
@@ -9,20 +9,20 @@
 	"github.com/valyala/fastjson"
 )
 
-// JobKind is a job's shape.
+// JobKind is the kind of a job, which determines how its tasks run.
 type JobKind uint8
 
 // Kinds of jobs.
 const (
-	Array   JobKind = iota // independent tasks
+	Array   JobKind = iota // the tasks are independent of each other
 	Gang                   // all tasks run at the same time
-	Service                // replicas run until cancelled
+	Service                // the tasks are replicas that run until the job is cancelled
 )
 
-// Priority is a job's priority; a lower value goes first.
+// Priority is the priority of a job. A lower value is scheduled first.
 type Priority uint8
 
-// Ranks, highest first.
+// Priorities, highest first.
 const (
 	PriorityCritical Priority = iota
 	PriorityHigh
@@ -38,11 +38,11 @@
 // MaxTasks is the largest number of tasks in a job.
 const MaxTasks = 100000
 
-// MaxDependencies is how many jobs one job may await. A job's record has to fit into a value of
-// the state service, also of one with low limits.
+// MaxDependencies is the largest number of jobs that a job may depend on. It keeps a job's record
+// small enough for a value of the state service, even if the service has low limits.
 const MaxDependencies = 64
 
-// JobSpec is what a user submits.
+// JobSpec is the specification of a job that a user submits.
 type JobSpec struct {
 	Ref, Class, Team                       string
 	Kind                                   JobKind
@@ -51,19 +51,19 @@
 	TaskResources                          Resources
 	Image                                  string
 	ImageSize                              int64    // thousandths of a GB
-	MachineTypes                           []string // nil: any
-	Zone                                   string   // "": any
+	MachineTypes                           []string // allowed types, nil for any
+	Zone                                   string   // required zone, "" for any
 	SingleZone, SpreadZones, AllowSpot     bool
 	EstimatedRuntime                       Micros
-	CheckpointInterval, CheckpointDuration Micros   // 0: never saves
-	Deadline                               Micros   // from submission; 0: none
-	DependsOn                              []string // jobs that have to be done before any task starts, each once
+	CheckpointInterval, CheckpointDuration Micros   // 0 if tasks make no checkpoints
+	Deadline                               Micros   // time from submission, 0 if none
+	DependsOn                              []string // jobs that must be done before any task starts
 }
 
-// CanCheckpoint reports whether tasks can save progress.
+// CanCheckpoint reports whether the job's tasks make checkpoints.
 func (s *JobSpec) CanCheckpoint() bool { return s.CheckpointInterval > 0 }
 
-// AllowsType reports whether the job may run on a machine type.
+// AllowsType reports whether the job may run on machines of a type.
 func (s *JobSpec) AllowsType(name string) bool {
 	if s.MachineTypes == nil {
 		return true
@@ -76,7 +76,7 @@
 	return false
 }
 
-// ValidRef reports whether a job id has the published form.
+// ValidRef reports whether s has the documented form of a job's ref: "req-" and 6 to 20 digits.
 func ValidRef(s string) bool {
 	if len(s) < 10 || len(s) > 24 || s[:4] != "req-" {
 		return false
@@ -89,7 +89,7 @@
 	return true
 }
 
-// fields reads the members of a JSON object and keeps the first problem.
+// fields reads the members of a JSON object and keeps the first error.
 type fields struct {
 	obj *fastjson.Value
 	err error
@@ -148,9 +148,9 @@
 	return v.Type() == fastjson.TypeTrue
 }
 
-func (f *fields) choice(name string, from []string) int {
+func (f *fields) choice(name string, allowed []string) int {
 	s := f.text(name)
-	for i, c := range from {
+	for i, c := range allowed {
 		if c == s {
 			return i
 		}
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// optional returns a member, or nil where it is null or left out.
+// optional returns a member, or nil if it is null or missing.
 func (f *fields) optional(name string) *fastjson.Value {
 	v := f.obj.Get(name)
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -168,17 +168,17 @@
 	return v
 }
 
-func (f *fields) count(name string) uint64 {
+func (f *fields) integer(name string) uint64 {
 	v := f.get(name, fastjson.TypeNumber)
 	if v == nil {
 		return 0
 	}
 	n, err := v.Uint64()
 	if err != nil {
-		// 16.0 is a whole number too.
-		x, ferr := v.Float64()
+		// Uint64 rejects whole numbers that are written like 16.0.
+		x, floatErr := v.Float64()
 		var whole bool
-		if n, whole = integerValue(x); ferr != nil || !whole {
+		if n, whole = integerValue(x); floatErr != nil || !whole {
 			f.fail(name, "invalid")
 			return 0
 		}
@@ -193,21 +193,21 @@
 	return 0, false
 }
 
-// validText reports whether a text may be a name: neither empty nor too long.
+// validText reports whether s is neither empty nor longer than 200 bytes.
 func validText(s string) bool { return s != "" && len(s) <= 200 }
 
-var null = fastjson.MustParse("null")
+var nullValue = fastjson.MustParse("null")
 
-// Member returns a member of an object, or a null where it is missing: reading
-// what is not there is an error then, and no fault of the program.
+// Member returns a member of an object, or a JSON null if it is missing. Unlike nil, a null makes
+// methods such as Array return an error instead of panicking.
 func Member(v *fastjson.Value, name string) *fastjson.Value {
 	if m := v.Get(name); m != nil {
 		return m
 	}
-	return null
+	return nullValue
 }
 
-// ParseJob checks a submission. Any error means 400.
+// ParseJob parses and validates the submission of a job. The response to any error is status 400.
 func ParseJob(body []byte) (*JobSpec, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -218,7 +218,7 @@
 	return JobFromJSON(v)
 }
 
-// JobFromJSON checks a submission that is parsed already.
+// JobFromJSON is ParseJob for JSON that is already parsed.
 func JobFromJSON(v *fastjson.Value) (*JobSpec, error) {
 	f := &fields{obj: v}
 	s := &JobSpec{
@@ -237,7 +237,7 @@
 	if f.err == nil && !ValidRef(s.Ref) {
 		f.fail("ref", "invalid")
 	}
-	n := f.count("shards")
+	n := f.integer("shards")
 	if n < 1 || n > MaxTasks {
 		f.fail("shards", "invalid")
 	}
@@ -268,7 +268,8 @@
 	return s, f.err
 }
 
-// dependencies reads the jobs that a job awaits. One that is named twice counts once.
+// dependencies reads the refs of the jobs that the job with the given ref depends on, without
+// duplicates.
 func (f *fields) dependencies(ref string) []string {
 	const name = "awaits"
 	v := f.optional(name)
@@ -286,23 +287,22 @@
 	}
 	var refs []string
 	for _, item := range list {
-		awaited := string(item.GetStringBytes())
+		dependency := string(item.GetStringBytes())
 		switch {
-		case !ValidRef(awaited):
+		case !ValidRef(dependency):
 			f.fail(name, "invalid")
 			return nil
-		case awaited == ref:
+		case dependency == ref:
 			f.fail(name, "the job itself")
 			return nil
-		case !slices.Contains(refs, awaited):
-			refs = append(refs, awaited)
+		case !slices.Contains(refs, dependency):
+			refs = append(refs, dependency)
 		}
 	}
 	return refs
 }
 
-// AppendJob writes a job in the form of the interface, which is also the form
-// in which it is kept.
+// AppendJob appends a job in the format of the user API, in which it is also stored.
 func AppendJob(b []byte, s *JobSpec) []byte {
 	text := func(name, v string) { b = append(AppendQuoted(appendName(b, name), v), ',') }
 	amount := func(name string, v int64) { b = append(appendThousandths(appendName(b, name), v), ',') }
@@ -344,12 +344,12 @@
 	return append(b, '}')
 }
 
-// appendName writes the name of a member of a JSON object.
+// appendName appends the name of a member of a JSON object.
 func appendName(b []byte, name string) []byte {
 	return append(append(append(b, '"'), name...), `":`...)
 }
 
-// appendList writes a JSON array.
+// appendList appends a JSON array, whose items it appends with item.
 func appendList[T any](b []byte, list []T, item func([]byte, T) []byte) []byte {
 	b = append(b, '[')
 	for i, v := range list {
@@ -363,13 +363,13 @@
 
 func appendInt(b []byte, n int) []byte { return strconv.AppendInt(b, int64(n), 10) }
 
-// AppendQuoted writes a JSON string.
+// AppendQuoted appends a JSON string.
 func AppendQuoted(b []byte, s string) []byte {
 	var a fastjson.Arena
 	return a.NewString(s).MarshalTo(b)
 }
 
-// Phase is what users are told of a job.
+// Phase is the phase of a job as reported to users.
 type Phase string
 
 // Phases of a job.
@@ -380,11 +380,12 @@
 	PhaseCancelled Phase = "cancelled"
 )
 
-// JobStatusBody is the body that says how a job stands.
-func JobStatusBody(ref string, p Phase, done, running int) []byte {
+// JobStatusBody returns the body of a response with a job's status: its phase, and how many of its
+// tasks are done and running.
+func JobStatusBody(ref string, phase Phase, done, running int) []byte {
 	b := append([]byte(`{"ref":`), AppendQuoted(nil, ref)...)
 	b = append(b, `,"phase":"`...)
-	b = append(b, p...)
+	b = append(b, phase...)
 	b = append(b, `","done":`...)
 	b = strconv.AppendInt(b, int64(done), 10)
 	b = append(b, `,"running":`...)
@@ -392,19 +393,21 @@
 	return append(b, '}')
 }
 
-// WaitingJobStatusBody is a JobStatusBody of a queued job that awaits others still, with their names.
-func WaitingJobStatusBody(ref string, awaiting []string) []byte {
+// WaitingJobStatusBody returns the status of a queued job that is waiting for the given
+// dependencies to be done.
+func WaitingJobStatusBody(ref string, dependencies []string) []byte {
 	b := JobStatusBody(ref, PhaseQueued, 0, 0)
 	b = appendName(append(b[:len(b)-1], ','), "awaiting")
-	return append(appendList(b, awaiting, AppendQuoted), '}')
+	return append(appendList(b, dependencies, AppendQuoted), '}')
 }
 
-// ErrorBody is the body of an answer that reports a problem.
+// ErrorBody returns the body of a response that reports an error.
 func ErrorBody(text string) []byte {
 	return append(AppendQuoted([]byte(`{"error":`), text), '}')
 }
 
-// LeaderBody is the body of a 421.
+// LeaderBody returns the body of a response with status 421, which redirects a worker to the
+// leader. leader is "" if the leader is unknown.
 func LeaderBody(leader string) []byte {
 	if leader == "" {
 		return []byte(`{}`)
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// TaskState is a task's state on a machine, as its worker reports it.
+// TaskState is the state of a task on a host, as reported by the host's worker.
 type TaskState uint8
 
-// States of a task on a machine.
+// States of a task on a host.
 const (
 	TaskFetching TaskState = iota
 	TaskWaiting
@@ -20,10 +20,10 @@
 
 var taskStates = map[string]TaskState{"fetching": TaskFetching, "waiting": TaskWaiting, "running": TaskRunning, "saving": TaskCheckpointing, "exited": TaskExited}
 
-// ExitReason says why a task ended.
+// ExitReason is the reason that a worker reports for the exit of a task.
 type ExitReason string
 
-// Reasons for an exit.
+// Reasons for the exit of a task.
 const (
 	ExitDone       ExitReason = "done"
 	ExitStopped    ExitReason = "stopped"
@@ -35,7 +35,7 @@
 	ExitUnknown    ExitReason = "no_such"
 )
 
-// TaskName is a task of a job.
+// TaskName identifies a task by its job and its index in the job.
 type TaskName struct {
 	Job   string
 	Index int
@@ -43,13 +43,13 @@
 
 func (t TaskName) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// AttemptName is one start of a task.
+// AttemptName identifies one attempt to run a task.
 type AttemptName struct {
 	TaskName
 	Number uint64
 }
 
-// TaskStatus is one task of a report.
+// TaskStatus is the status of one attempt in a heartbeat.
 type TaskStatus struct {
 	AttemptName
 	State        TaskState
@@ -57,7 +57,10 @@
 	Checkpointed bool
 }
 
-// Heartbeat is what a worker says of its machine.
+// Heartbeat is a worker's report on its host and the tasks there. AgentEpoch increases each time
+// the worker's lease expires, and Sequence numbers the messages within an agent epoch. Token is the
+// newest fencing token that the worker has received. Interrupted is set once the cloud has
+// announced that it will reclaim the spot machine, after the time InterruptedIn.
 type Heartbeat struct {
 	Host, Addr, Type, Zone      string
 	Spot                        bool
@@ -67,12 +70,13 @@
 	Tasks                       []TaskStatus
 }
 
-// NewerThan reports whether r is newer than the message (session, tick).
-func (r *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
-	return r.AgentEpoch > agentEpoch || (r.AgentEpoch == agentEpoch && r.Sequence > sequence)
+// NewerThan reports whether h is newer than the worker's message with the given agent epoch and
+// sequence number.
+func (h *Heartbeat) NewerThan(agentEpoch, sequence uint64) bool {
+	return h.AgentEpoch > agentEpoch || (h.AgentEpoch == agentEpoch && h.Sequence > sequence)
 }
 
-// ParseHeartbeat checks a worker's report.
+// ParseHeartbeat parses and validates a worker's heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	p := Parsers.Get()
 	defer Parsers.Put(p)
@@ -81,12 +85,12 @@
 		return nil, err
 	}
 	f := &fields{obj: v}
-	r := &Heartbeat{
+	h := &Heartbeat{
 		Host: f.text("host"), Addr: f.text("addr"), Type: f.text("flavor"), Zone: f.text("region"),
-		Spot: f.flag("reclaimable"), AgentEpoch: f.count("tenure"), Sequence: f.count("tick"), Token: f.count("epoch"),
+		Spot: f.flag("reclaimable"), AgentEpoch: f.integer("tenure"), Sequence: f.integer("tick"), Token: f.integer("epoch"),
 	}
 	if f.optional("reclaimInS") != nil {
-		r.Interrupted, r.InterruptedIn = true, FromSeconds(f.number("reclaimInS"))
+		h.Interrupted, h.InterruptedIn = true, FromSeconds(f.number("reclaimInS"))
 	}
 	list := v.Get("shards")
 	if list == nil {
@@ -96,24 +100,24 @@
 	if err != nil {
 		return nil, errors.New("shards: invalid")
 	}
-	r.Tasks = make([]TaskStatus, 0, len(items))
-	for _, it := range items {
-		tf := &fields{obj: it}
-		name, ok := parseTaskName(tf.text("shard"))
-		state, known := taskStates[tf.text("phase")]
-		t := TaskStatus{AttemptName: AttemptName{name, tf.count("try")}, State: state}
-		if v := it.Get("saved"); v != nil {
+	h.Tasks = make([]TaskStatus, 0, len(items))
+	for _, item := range items {
+		taskFields := &fields{obj: item}
+		name, ok := parseTaskName(taskFields.text("shard"))
+		state, known := taskStates[taskFields.text("phase")]
+		t := TaskStatus{AttemptName: AttemptName{name, taskFields.integer("try")}, State: state}
+		if v := item.Get("saved"); v != nil {
 			t.Checkpointed = v.GetBool()
 		}
-		if state == TaskExited && tf.optional("exitReason") != nil {
-			t.Reason = ExitReason(tf.text("exitReason"))
+		if state == TaskExited && taskFields.optional("exitReason") != nil {
+			t.Reason = ExitReason(taskFields.text("exitReason"))
 		}
-		if tf.err != nil || !ok || !known {
+		if taskFields.err != nil || !ok || !known {
 			return nil, errors.New("shards: invalid")
 		}
-		r.Tasks = append(r.Tasks, t)
+		h.Tasks = append(h.Tasks, t)
 	}
-	return r, f.err
+	return h, f.err
 }
 
 func parseTaskName(s string) (TaskName, bool) {
@@ -122,26 +126,29 @@
 	return TaskName{job, n}, ok && err == nil && n >= 0 && n < MaxTasks && job != ""
 }
 
-// Verb is what a command asks of a worker.
+// Verb is the action that a command requests from a worker.
 type Verb uint8
 
-// Commands to workers.
+// Actions of commands.
 const (
 	VerbLaunch Verb = iota
 	VerbStop
 	VerbForget
 )
 
-// Command is one command to a worker.
+// Command is a command to a worker about one attempt.
 type Command struct {
 	Verb  Verb
 	Name  AttemptName
-	Grace Micros
+	Grace Micros // of VerbStop: time that the task gets to save a checkpoint
 }
 
-// AppendCommands writes the answer to a report. The line limit is 64 KiB, so
-// commands beyond it wait for the next report: Fits says how many go.
-func AppendCommands(b []byte, token uint64, agentEpoch uint64, cmds []Command) []byte {
+// AppendCommands appends the commands for a worker under a fencing token, as the response to a
+// heartbeat or as the body of a request to the worker. agentEpoch is the agent epoch to which the
+// worker must belong to accept a request; a response, with agentEpoch 0, leaves it out. A message
+// is limited to 64 KiB: callers pass at most MaxCommands and send the rest with the response to
+// the next heartbeat.
+func AppendCommands(b []byte, token uint64, agentEpoch uint64, commands []Command) []byte {
 	b = append(b, `{"epoch":`...)
 	b = strconv.AppendUint(b, token, 10)
 	if agentEpoch > 0 {
@@ -149,7 +156,7 @@
 		b = strconv.AppendUint(b, agentEpoch, 10)
 	}
 	b = append(b, `,"orders":[`...)
-	for i, c := range cmds {
+	for i, c := range commands {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -166,5 +173,5 @@
 	return append(b, "]}"...)
 }
 
-// MaxCommands is how many commands fit into one line of 64 KiB.
+// MaxCommands is the number of commands that fit into one message of 64 KiB.
 const MaxCommands = 500
