--- a/internal/protocol/files_test.go
+++ b/internal/protocol/files_test.go
@@ -35,10 +35,10 @@
 at = "{{.IP}}:8080"
 `
 
-// What is wrong in a file is told with its line and the file's own key.
+// Errors in files name the line and the file's own key instead of the JSON field.
 func TestFilesErrors(t *testing.T) {
 	job := func(text string) error { _, _, err := ParseJobFile([]byte(text), "req-000001"); return err }
-	roll := func(text string) error { _, _, err := ParseRolloutFile([]byte(text), "r-1"); return err }
+	rollout := func(text string) error { _, _, err := ParseRolloutFile([]byte(text), "r-1"); return err }
 	for _, c := range []struct {
 		parse          func(string) error
 		text, old, new string
@@ -55,17 +55,17 @@
 		{job, goodJobFile, `image = "img-07"`, `image = ""`, "line 8: image: invalid"},
 		{job, goodJobFile, "estimate_s = 20.0", "", "estimate_s: missing"},
 		{job, goodJobFile, "tasks = 4", "tasks = [", "line 6"},
-		{roll, goodRolloutFile, "", "", ""},
-		{roll, goodRolloutFile, "floor = 9", "flor = 9", "line 3: flor: unknown key"},
-		{roll, goodRolloutFile, `at = "{{.IP}}:8080"`, "every_s = 0.01", "check"},
-		{roll, goodRolloutFile, `at = `, "every_s = 0.01\nat = ", "line 14: check.every_s: must be from 0.2 to 3600"},
-		{roll, goodRolloutFile, "cpus = 2.0", "cpus = -1.0", "line 9: job.cpus: invalid"},
-		{roll, goodRolloutFile, `"25%"`, `"250%"`, "line 4: stages: must be numbers"},
-		{roll, goodRolloutFile, `[1, "25%", "100%"]`, "[5, 2]", "line 4: stages: must rise"},
-		{roll, goodRolloutFile, `, "100%"`, "", "line 4: stages: the last must be all"},
-		{roll, goodRolloutFile, `"picker"`, `"Picker"`, "line 1: service: must be up to 40"},
-		{roll, goodRolloutFile, "[check]", "[chek]", "chek"},
-		{roll, goodRolloutFile, "count = 10\n", "", "count: missing"},
+		{rollout, goodRolloutFile, "", "", ""},
+		{rollout, goodRolloutFile, "floor = 9", "flor = 9", "line 3: flor: unknown key"},
+		{rollout, goodRolloutFile, `at = "{{.IP}}:8080"`, "every_s = 0.01", "check"},
+		{rollout, goodRolloutFile, `at = `, "every_s = 0.01\nat = ", "line 14: check.every_s: must be from 0.2 to 3600"},
+		{rollout, goodRolloutFile, "cpus = 2.0", "cpus = -1.0", "line 9: job.cpus: invalid"},
+		{rollout, goodRolloutFile, `"25%"`, `"250%"`, "line 4: stages: must be numbers"},
+		{rollout, goodRolloutFile, `[1, "25%", "100%"]`, "[5, 2]", "line 4: stages: must rise"},
+		{rollout, goodRolloutFile, `, "100%"`, "", "line 4: stages: the last must be all"},
+		{rollout, goodRolloutFile, `"picker"`, `"Picker"`, "line 1: service: must be up to 40"},
+		{rollout, goodRolloutFile, "[check]", "[chek]", "chek"},
+		{rollout, goodRolloutFile, "count = 10\n", "", "count: missing"},
 	} {
 		err := c.parse(strings.Replace(c.text, c.old, c.new, 1))
 		got := ""
@@ -78,8 +78,8 @@
 	}
 }
 
-// The files that the pages show are taken.
-func TestFilesOfThePages(t *testing.T) {
+// The example files in the README and the documentation are valid.
+func TestDocumentedFiles(t *testing.T) {
 	found := 0
 	for _, page := range []string{"../../README.md", "../../docs/rollouts.md"} {
 		text, err := os.ReadFile(page)
@@ -100,7 +100,7 @@
 		}
 	}
 	if found != 2 {
-		t.Errorf("%d files", found)
+		t.Errorf("found %d example files, want 2", found)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// The settings that mapleslip writes for its own deployments are read as they were.
+// Settings written by SettingsFile are the same after ParsePlatform.
 func TestSettingsFile(t *testing.T) {
 	p := &Platform{
 		ControllerName: "n-0", Zone: "a", ClientListen: "127.0.0.1:1", ClusterListen: "127.0.0.1:2", CloudAddr: "127.0.0.1:3", StateAddr: "127.0.0.1:4",
@@ -130,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := ParsePlatform(text)
+	reparsed, err := ParsePlatform(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(p, again); d != "" {
+	if d := cmp.Diff(p, reparsed); d != "" {
 		t.Error(d)
 	}
 }
@@ -150,11 +150,11 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseRollout(AppendRollout(nil, s))
+		reparsed, err := ParseRollout(AppendRollout(nil, s))
 		if err != nil {
 			t.Fatalf("%v: %s", err, AppendRollout(nil, s))
 		}
-		if d := cmp.Diff(s, again); d != "" {
+		if d := cmp.Diff(s, reparsed); d != "" {
 			t.Error(d)
 		}
 	})
--- a/internal/protocol/limits_test.go
+++ b/internal/protocol/limits_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// settingsWith is a settings file with other limits of the state service.
+// settingsWith returns a settings file with changes, such as other limits of the state service.
 func settingsWith(t *testing.T, change func(*Platform)) string {
 	t.Helper()
 	p := &Platform{
@@ -22,35 +22,35 @@
 	return string(text)
 }
 
-// Limits that are announced are optional, each is checked by its name, and what a version
-// doesn't know beside them is ignored.
+// Announced limits are optional and unknown keys beside them are ignored. The error for a limit
+// that is too low names its key.
 func TestAnnouncedLimits(t *testing.T) {
-	next := func(rate float64, bytes, ops int) func(*Platform) {
+	announce := func(rate float64, bytes, ops int) func(*Platform) {
 		return func(p *Platform) { p.AnnouncedStateLimits = &StateLimits{rate, bytes, ops} }
 	}
 	p, err := ParsePlatform([]byte(settingsWith(t, func(*Platform) {})))
 	if err != nil || p.AnnouncedStateLimits != nil {
-		t.Fatalf("%+v, %v", p.AnnouncedStateLimits, err)
+		t.Fatalf("announced limits %+v, error %v", p.AnnouncedStateLimits, err)
 	}
-	text := settingsWith(t, next(24, 2048, 4))
+	text := settingsWith(t, announce(24, 2048, 4))
 	p, err = ParsePlatform([]byte(strings.Replace(text, "[facts.state.next]", "[facts.state.next]\nfrom_s = 9", 1)))
 	if err != nil || *p.AnnouncedStateLimits != (StateLimits{24, 2048, 4}) {
-		t.Fatalf("%+v, %v", p.AnnouncedStateLimits, err)
+		t.Fatalf("announced limits %+v, error %v", p.AnnouncedStateLimits, err)
 	}
 	for key, change := range map[string]func(*Platform){
-		"facts.state.next.write_rps": next(1, 2048, 4),
-		"facts.state.next.value_kb":  next(24, 1024, 4),
-		"facts.state.next.txn_ops":   next(24, 2048, 3),
+		"facts.state.next.write_rps": announce(1, 2048, 4),
+		"facts.state.next.value_kb":  announce(24, 1024, 4),
+		"facts.state.next.txn_ops":   announce(24, 2048, 3),
 		"facts.state.txn_ops":        func(p *Platform) { p.MaxTxnChanges = 3 },
 		"facts.state.value_kb":       func(p *Platform) { p.MaxValueBytes = 2000 },
 	} {
 		_, err := ParsePlatform([]byte(settingsWith(t, change)))
-		var at *KeyError
-		if !errors.As(err, &at) || at.Key != key {
+		var keyError *KeyError
+		if !errors.As(err, &keyError) || keyError.Key != key {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
 	if _, err := ParsePlatform([]byte(settingsWith(t, func(p *Platform) { p.MaxTxnChanges, p.MaxValueBytes = MinTxnChanges, MinValueBytes }))); err != nil {
-		t.Errorf("the smallest limits: %v", err)
+		t.Errorf("the smallest limits were rejected: %v", err)
 	}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -28,12 +28,12 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	again, err := ParseJob(AppendJob(nil, got))
+	reparsed, err := ParseJob(AppendJob(nil, got))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(got, again); d != "" {
-		t.Errorf("kept and read again: %s", d)
+	if d := cmp.Diff(got, reparsed); d != "" {
+		t.Errorf("job differs after AppendJob and ParseJob: %s", d)
 	}
 }
 
@@ -62,20 +62,20 @@
 	for _, c := range cases {
 		in := strings.Replace(goodJob, c[0], c[1], 1)
 		if in == goodJob {
-			t.Fatalf("%s is not in the example", c[0])
+			t.Fatalf("%s is not in goodJob", c[0])
 		}
 		if _, err := ParseJob([]byte(in)); err == nil {
-			t.Errorf("%s was taken", c[1])
+			t.Errorf("%s was accepted", c[1])
 		}
 	}
 	for _, in := range []string{"", "{", "[]", "null", `"x"`, goodJob + "x"} {
 		if _, err := ParseJob([]byte(in)); err == nil {
-			t.Errorf("%q was taken", in)
+			t.Errorf("%q was accepted", in)
 		}
 	}
 }
 
-func TestParseReport(t *testing.T) {
+func TestParseHeartbeat(t *testing.T) {
 	in := `{"host":"n-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","reclaimable":true,"tenure":1,"tick":88,"epoch":41,
 "reclaimInS":12.5,"new":1,"shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"exited","exitReason":"stopped","saved":true}]}`
 	want := &Heartbeat{
@@ -97,7 +97,7 @@
 func TestOperatorSettings(t *testing.T) {
 	o, err := ParseOperatorSettings([]byte("round_s = 5\nwarm_spare = 0.5\nsource_address = \"10.0.0.7\"\n"))
 	if err != nil || o.MaxCycleInterval != 5*Second || o.WarmSpare != 0.5 || o.SourceAddress.String() != "10.0.0.7" || o.LeaderLease != DefaultOperatorSettings().LeaderLease {
-		t.Errorf("%+v, %v", o, err)
+		t.Errorf("got settings %+v, error %v", o, err)
 	}
 	for in, key := range map[string]string{
 		"round_z = 1": "round_z", "round_s = 0": "round_s", "warm_spare = -1": "warm_spare",
@@ -105,7 +105,7 @@
 	} {
 		var ke *KeyError
 		if _, err := ParseOperatorSettings([]byte(in)); !errors.As(err, &ke) || ke.Key != key {
-			t.Errorf("%s: %v, want a word on %s", in, err, key)
+			t.Errorf("%s: got %v, want a KeyError for %s", in, err, key)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	if p.WorkerLease != 24*Second || p.Teams["red"].Limit.GPU != 4000 {
-		t.Errorf("%+v", p)
+		t.Errorf("got settings %+v", p)
 	}
 	for _, c := range [][3]string{
 		{`node_name = "n0"`, "", "node_name"},
@@ -158,7 +158,7 @@
 		{`zones = ["a"]`, "", "facts.zones"},
 		{"gpus_max = 4.0", "gpus_max = -4.0", "facts.teams[0]"},
 		{"txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
-		// What can't work, though each figure is possible by itself.
+		// Numbers that are valid by themselves but too low to work.
 		{"lease_s = 24.0", "lease_s = 9.0", "facts.workers.lease_s"},
 		{"cancel_s = 54.0", "cancel_s = 12.0", "facts.workers.cancel_s"},
 		{"rps = 150.0", "rps = 7.0", "facts.state.rps"},
@@ -169,24 +169,25 @@
 	} {
 		var ke *KeyError
 		if _, err := ParsePlatform([]byte(strings.Replace(platform, c[0], c[1], 1))); !errors.As(err, &ke) || ke.Key != c[2] {
-			t.Errorf("%s: %v, want a word on %s", c[0], err, c[2])
+			t.Errorf("%s: got %v, want a KeyError for %s", c[0], err, c[2])
 		}
 	}
 }
 
-// The line says the figure, the least that works, and for how many controllers.
+// A request rate that is enough for one controller is too low for 13. The error has one line and
+// names the number, the smallest one that works, and the number of controllers.
 func TestPlatformTooManySiblings(t *testing.T) {
-	more := ""
+	peers := ""
 	for i := range 12 {
-		more += fmt.Sprintf("[[siblings]]\nnode_name = \"m%d\"\narea = \"a\"\naddress = \"10.0.1.%d:8081\"\n", i, i+1)
+		peers += fmt.Sprintf("[[siblings]]\nnode_name = \"m%d\"\narea = \"a\"\naddress = \"10.0.1.%d:8081\"\n", i, i+1)
 	}
 	text := strings.Replace(platform, "rps = 150.0", "rps = 10.0", 1)
 	if _, err := ParsePlatform([]byte(text)); err != nil {
-		t.Fatalf("enough for few: %v", err)
+		t.Fatalf("10 requests a second were rejected for one controller: %v", err)
 	}
-	_, err := ParsePlatform([]byte(text + more))
+	_, err := ParsePlatform([]byte(text + peers))
 	if err == nil || !strings.Contains(err.Error(), "facts.state.rps: 10 is too little for 1") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one on facts.state.rps in one line", err)
 	}
 }
 
@@ -215,15 +216,15 @@
 		}
 		frame[0]++ // another version
 		if _, err := ParsePeer(frame); err == nil {
-			t.Error("a frame of another version was taken")
+			t.Error("a frame of another version was accepted")
 		}
 	}
 	if _, _, err := SplitPeer([]byte{0xff, 0, 0, 0}); err == nil {
-		t.Error("a frame over the limit was taken")
+		t.Error("a frame over the size limit was accepted")
 	}
 }
 
-// Whatever is taken from another controller reads the same when written again.
+// A frame that is accepted from another controller is the same when it is written again.
 func FuzzPeer(f *testing.F) {
 	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerUserRequest, Op: OpCancel, Ref: "req-000001", From: "n0"}))
 	f.Add(AppendPeer(nil, &PeerMessage{Kind: PeerResponse, Status: 200, Body: []byte("{}")}))
@@ -257,18 +258,19 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseJob(AppendJob(nil, s))
+		reparsed, err := ParseJob(AppendJob(nil, s))
 		if err != nil {
 			t.Fatalf("%v: %s", err, AppendJob(nil, s))
 		}
-		if d := cmp.Diff(s, again); d != "" {
+		if d := cmp.Diff(s, reparsed); d != "" {
 			t.Error(d)
 		}
 	})
 }
 
-// An answer that lacks its list is malformed; it must not end the process.
-func TestAnswersWithoutTheirList(t *testing.T) {
+// A response without its list, or with a value of another type in its place, is an error. fastjson
+// returns nil for a missing member, so reading the list without a check would panic.
+func TestResponsesWithoutList(t *testing.T) {
 	for name, parse := range map[string]func([]byte) error{
 		"page":   func(b []byte) error { _, err := ParsePage(b); return err },
 		"follow": func(b []byte) error { _, _, err := ParseWatch(b); return err },
@@ -278,14 +280,14 @@
 	} {
 		for _, body := range []string{`{}`, `{"generation":1}`, `{"generation":1,"entries":1,"news":1,"flavors":1,"hosts":1}`} {
 			if parse([]byte(body)) == nil {
-				t.Errorf("%s: %s was taken", name, body)
+				t.Errorf("%s: %s was accepted", name, body)
 			}
 		}
 	}
 }
 
-// pageByJSON reads a page with the standard library.
-func pageByJSON(body []byte) (Page, bool) {
+// parsePageWithEncodingJSON parses a page with the standard library, for comparison with ParsePage.
+func parsePageWithEncodingJSON(body []byte) (Page, bool) {
 	var in struct {
 		Generation *uint64
 		Truncated  bool
@@ -308,7 +310,7 @@
 	return p, true
 }
 
-var pages = []string{
+var samplePages = []string{
 	`{"entries":[{"path":"j/req-000001","data":{"a":"}],{\"","b":[1,{"c":"\\"}]},"stamp":4},{"path":"j/\u0041","data":"x","stamp":5}],"truncated":true,"generation":9}`,
 	" {\n\t\"generation\" : 7 , \"entries\" : [ ] }\r\n",
 	`{"entries":[{"stamp":1,"data":12,"path":"a"} , {"path":"b","data":true,"stamp":2}],"generation":3}`,
@@ -317,28 +319,28 @@
 	`{"entries":{},"generation":3}`, `{"entries":[]}`, `[]`, `{`, `{"entries":[1],"generation":3}`, `{"entries":[{"path":5,"data":1,"stamp":1}],"generation":3}`,
 }
 
-// A page is read without being parsed whole: what it gives is what the standard
-// library reads, and what that refuses it refuses.
-func TestPagesAreReadRaw(t *testing.T) {
-	for _, text := range pages {
+// ParsePage scans a page without parsing it as a whole. It must accept the same pages as the
+// standard library and return the same entries.
+func TestParsePageMatchesEncodingJSON(t *testing.T) {
+	for _, text := range samplePages {
 		got, err := ParsePage([]byte(text))
-		want, ok := pageByJSON([]byte(text))
+		want, ok := parsePageWithEncodingJSON([]byte(text))
 		if (err == nil) != ok {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want the outcome of encoding/json", text, err)
 		} else if diff := cmp.Diff(want, got, cmpopts.EquateEmpty()); err == nil && diff != "" {
 			t.Errorf("%s: %s", text, diff)
 		}
 	}
 }
 
-// Whole numbers may be written with a point, here as in every other message, and
-// keys are bounded alike.
+// ParsePage and ParseEntry accept whole numbers with a decimal point or an exponent and limit the
+// length of keys, as all other messages do.
 func TestEntryNumbersAndKeys(t *testing.T) {
 	if p, err := ParsePage([]byte(`{"entries":[{"path":"a","data":1,"stamp":16.0}],"generation":4.1e1}`)); err != nil || p.Revision != 41 || p.Entries[0].Revision != 16 {
-		t.Errorf("%+v %v", p, err)
+		t.Errorf("got page %+v, error %v", p, err)
 	}
 	if e, err := ParseEntry([]byte(`{"path":"a/b","data":{"x":1},"stamp":412.0,"hold":7}`)); err != nil || e.Revision != 412 || string(e.Value) != `{"x":1}` {
-		t.Errorf("%+v %v", e, err)
+		t.Errorf("got entry %+v, error %v", e, err)
 	}
 	long := strings.Repeat("k", 201)
 	for _, text := range []string{
@@ -346,15 +348,14 @@
 		`{"path":"` + long + `","data":1,"stamp":1}`,
 	} {
 		if e, err := ParseEntry([]byte(text)); err == nil {
-			t.Errorf("%.60s: %+v", text, e)
+			t.Errorf("%.60s was accepted as %+v", text, e)
 		}
 	}
 }
 
-// FuzzParsePage looks for pages that end the program, or that are read otherwise
-// than by the standard library where both take them.
+// FuzzParsePage looks for pages that make ParsePage panic or return invalid entries.
 func FuzzParsePage(f *testing.F) {
-	for _, text := range pages {
+	for _, text := range samplePages {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -364,7 +365,7 @@
 		}
 		for _, e := range got.Entries {
 			if e.Key == "" || e.Revision == 0 || !json.Valid(e.Value) {
-				t.Fatalf("%q: %q %d %q", body, e.Key, e.Revision, e.Value)
+				t.Fatalf("%q: invalid entry %q, %d, %q", body, e.Key, e.Revision, e.Value)
 			}
 		}
 	})
