--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client is what users' commands speak to the controllers with. It repeats a
-// request as the protocol asks of users.
+// Package client is the HTTP client with which users' commands call the controllers. It retries
+// requests as the protocol requires of users.
 package client
 
 import (
@@ -18,18 +18,19 @@
 	"github.com/valyala/fastjson"
 )
 
-// Client asks the controllers of one deployment.
+// Client sends requests to the controllers of one deployment.
 type Client struct {
-	Servers  []string      // IP:port, asked in turn
-	Patience time.Duration // for all tries of a request, 60 s if 0
-	Retried  func(why string, wait time.Duration)
+	Servers []string      // IP:port of each controller; the next one is tried after a failure
+	Timeout time.Duration // for all attempts of a request; 60 s if 0
+	// Retried is called before each retry with the reason and the delay; it may be nil.
+	Retried func(why string, wait time.Duration)
 
-	http  http.Client
-	turn  int
-	sleep func(context.Context, time.Duration)
+	http       http.Client
+	nextServer int
+	sleep      func(context.Context, time.Duration)
 }
 
-// New makes a client of servers that are separated by commas.
+// New creates a client for a list of servers that are separated by commas.
 func New(servers string) (*Client, error) {
 	c := &Client{sleep: func(ctx context.Context, d time.Duration) {
 		select {
@@ -47,7 +48,7 @@
 	return c, nil
 }
 
-// RefusedError is an answer that is not worth repeating.
+// RefusedError reports a response that a retry would not change: status 400, 404, 405, 409 or 422.
 type RefusedError struct {
 	Status int
 	Text   string
@@ -60,64 +61,68 @@
 	return fmt.Sprintf("%s (status %d)", e.Text, e.Status)
 }
 
-// Limits of the protocol on users' requests.
+// Limits that the protocol sets for users' requests.
 const (
-	tryFor     = 5 * time.Second
-	leastWait  = time.Second
-	mostWait   = 30 * time.Second
-	patience   = 60 * time.Second
-	mostAnswer = 1 << 20
+	attemptTimeout   = 5 * time.Second
+	minRetryDelay    = time.Second
+	maxRetryDelay    = 30 * time.Second
+	defaultTimeout   = 60 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
-// Do makes a request until it is answered for good: with 200 or 201, or with 400,
-// 404, 409 or 422, which is a Refused. Anything else is repeated after a second or
-// more, or after Retry-After.
-func (c *Client) Do(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
-	limit := c.Patience
-	if limit == 0 {
-		limit = patience
+// Do sends a request until it gets a final response: one with status 200 or 201, or one with 400,
+// 404, 405, 409 or 422, for which the error is a RefusedError. After any other result it retries,
+// until the timeout. The delay is Retry-After, but at least 1 s and at most 30 s, plus a random
+// part of up to a quarter of that.
+func (c *Client) Do(ctx context.Context, method, path string, body []byte) (status int, response []byte, err error) {
+	timeout := c.Timeout
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		status, answer, after, err := c.try(ctx, method, path, body)
-		why := ""
+		status, response, retryAfter, err := c.doOnce(ctx, method, path, body)
+		reason := ""
 		switch {
 		case err != nil:
-			why = err.Error()
+			reason = err.Error()
 		case status == 200 || status == 201:
-			return status, answer, nil
+			return status, response, nil
 		case status == 400 || status == 404 || status == 405 || status == 409 || status == 422:
-			return status, answer, &RefusedError{status, fastjson.GetString(answer, "error")}
+			return status, response, &RefusedError{status, fastjson.GetString(response, "error")}
 		default:
-			why = fmt.Sprintf("status %d %s", status, fastjson.GetString(answer, "error"))
+			reason = fmt.Sprintf("status %d %s", status, fastjson.GetString(response, "error"))
 		}
-		wait := min(max(after, leastWait), mostWait)
-		wait += time.Duration(rand.Int64N(int64(wait) / 4)) // many that were refused together come one by one
+		delay := min(max(retryAfter, minRetryDelay), maxRetryDelay)
+		// Jitter: many clients that were refused at the same time do not retry at the same time.
+		delay += time.Duration(rand.Int64N(int64(delay) / 4))
 		if c.Retried != nil && ctx.Err() == nil {
-			c.Retried(why, wait)
+			c.Retried(reason, delay)
 		}
-		if c.sleep(ctx, wait); ctx.Err() != nil {
-			return 0, nil, fmt.Errorf("no answer of %s: %s", strings.Join(c.Servers, ", "), why)
+		if c.sleep(ctx, delay); ctx.Err() != nil {
+			return 0, nil, fmt.Errorf("no answer of %s: %s", strings.Join(c.Servers, ", "), reason)
 		}
 	}
 }
 
-func (c *Client) try(ctx context.Context, method, path string, body []byte) (status int, answer []byte, after time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, tryFor)
+// doOnce makes one attempt of a request. If the server does not respond, or responds with a status
+// of 500 or above, the next attempt uses the next server.
+func (c *Client) doOnce(ctx context.Context, method, path string, body []byte) (status int, response []byte, retryAfter time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	server := c.Servers[c.turn%len(c.Servers)]
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
+	server := c.Servers[c.nextServer%len(c.Servers)]
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, 0, err
 	}
-	resp, err := c.http.Do(r)
+	resp, err := c.http.Do(request)
 	if err == nil {
 		defer resp.Body.Close()
-		answer, err = io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+		response, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	}
 	if err != nil {
-		c.turn++ // another controller may be well
+		c.nextServer++ // another controller may be available
 		var op *net.OpError
 		if errors.As(err, &op) {
 			err = op
@@ -125,10 +130,10 @@
 		return 0, nil, 0, err
 	}
 	if resp.StatusCode >= 500 {
-		c.turn++
+		c.nextServer++
 	}
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		after = time.Duration(s) * time.Second
+		retryAfter = time.Duration(s) * time.Second
 	}
-	return resp.StatusCode, answer, after, nil
+	return resp.StatusCode, response, retryAfter, nil
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// answers serves one answer after the other, and the last one from then on.
-func answers(t *testing.T, list ...func(http.ResponseWriter)) (addr string, asked *int) {
-	asked = new(int)
+// serveResponses starts a server that sends the responses in order, and the last one again for each
+// further request. It counts the requests.
+func serveResponses(t *testing.T, responses ...func(http.ResponseWriter)) (addr string, requests *int) {
+	requests = new(int)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f := list[min(*asked, len(list)-1)]
-		*asked++
-		f(w)
+		respond := responses[min(*requests, len(responses)-1)]
+		*requests++
+		respond(w)
 	}))
 	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://"), asked
+	return strings.TrimPrefix(s.URL, "http://"), requests
 }
 
-func status(code int, after, body string) func(http.ResponseWriter) {
+func statusResponse(code int, retryAfter, body string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
-		if after != "" {
-			w.Header().Set("Retry-After", after)
+		if retryAfter != "" {
+			w.Header().Set("Retry-After", retryAfter)
 		}
 		w.WriteHeader(code)
 		_, _ = w.Write([]byte(body))
@@ -37,51 +38,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waits := new([]time.Duration)
-	c.sleep = func(_ context.Context, d time.Duration) { *waits = append(*waits, d) }
-	return c, waits
+	delays := new([]time.Duration)
+	c.sleep = func(_ context.Context, d time.Duration) { *delays = append(*delays, d) }
+	return c, delays
 }
 
-// A request that can't be taken now is repeated after Retry-After, or a second, and
-// never more than a quarter later; one that is refused for good is not.
+// A request that fails for now is retried after Retry-After, or after a second if there is none,
+// plus at most a quarter of that time. A request that is refused is not retried.
 func TestRetries(t *testing.T) {
-	addr, asked := answers(t, status(503, "4", `{"error":"busy"}`), status(429, "", ""), status(504, "90", ""), status(201, "", `{"ref":"req-000001"}`))
-	c, waits := newClient(t, addr)
+	addr, requests := serveResponses(t, statusResponse(503, "4", `{"error":"busy"}`), statusResponse(429, "", ""), statusResponse(504, "90", ""), statusResponse(201, "", `{"ref":"req-000001"}`))
+	c, delays := newClient(t, addr)
 	code, body, err := c.Do(context.Background(), "POST", "/api/jobs", nil)
-	if err != nil || code != 201 || string(body) != `{"ref":"req-000001"}` || *asked != 4 {
-		t.Fatalf("%d %s %v, asked %d times", code, body, err, *asked)
+	if err != nil || code != 201 || string(body) != `{"ref":"req-000001"}` || *requests != 4 {
+		t.Fatalf("status %d, body %s, error %v after %d requests", code, body, err, *requests)
 	}
 	for i, want := range []time.Duration{4 * time.Second, time.Second, 30 * time.Second} {
-		if got := (*waits)[i]; got < want || got > want*5/4 {
+		if got := (*delays)[i]; got < want || got > want*5/4 {
 			t.Errorf("waited %v, want %v", got, want)
 		}
 	}
 	for _, code := range []int{400, 404, 409, 422} {
-		addr, asked := answers(t, status(code, "", `{"error":"no"}`))
+		addr, requests := serveResponses(t, statusResponse(code, "", `{"error":"no"}`))
 		c, _ := newClient(t, addr)
 		_, _, err := c.Do(context.Background(), "GET", "/", nil)
 		var r *RefusedError
-		if !errors.As(err, &r) || r.Status != code || *asked != 1 || !strings.HasPrefix(err.Error(), "no (status") {
-			t.Errorf("%d: %v, asked %d times", code, err, *asked)
+		if !errors.As(err, &r) || r.Status != code || *requests != 1 || !strings.HasPrefix(err.Error(), "no (status") {
+			t.Errorf("status %d: error %v after %d requests", code, err, *requests)
 		}
 	}
 }
 
-// Where a controller does not answer, or refuses, the next one is asked.
-func TestOtherServers(t *testing.T) {
+// If a controller does not respond, or responds with status 503, the client tries the next one.
+func TestTriesNextServer(t *testing.T) {
 	dead := httptest.NewServer(nil)
 	dead.Close()
-	bad, _ := answers(t, status(503, "", ""))
-	good, asked := answers(t, status(200, "", "{}"))
-	c, waits := newClient(t, strings.TrimPrefix(dead.URL, "http://")+", "+bad+","+good)
-	if _, _, err := c.Do(context.Background(), "GET", "/", nil); err != nil || *asked != 1 || len(*waits) != 2 {
-		t.Fatalf("%v, asked %d, waited %v", err, *asked, *waits)
+	unavailable, _ := serveResponses(t, statusResponse(503, "", ""))
+	available, requests := serveResponses(t, statusResponse(200, "", "{}"))
+	c, delays := newClient(t, strings.TrimPrefix(dead.URL, "http://")+", "+unavailable+","+available)
+	if _, _, err := c.Do(context.Background(), "GET", "/", nil); err != nil || *requests != 1 || len(*delays) != 2 {
+		t.Fatalf("error %v after %d requests and delays of %v", err, *requests, *delays)
 	}
 }
 
-// What is given up on says what the last answer was.
-func TestGivenUp(t *testing.T) {
-	addr, _ := answers(t, status(503, "", `{"error":"no leader can be reached"}`))
+// The error of a request that was given up contains the error of the last response.
+func TestGiveUpReportsLastResponse(t *testing.T) {
+	addr, _ := serveResponses(t, statusResponse(503, "", `{"error":"no leader can be reached"}`))
 	c, _ := newClient(t, addr)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.sleep = func(context.Context, time.Duration) { cancel() }
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -12,19 +12,21 @@
 	"mapleslip/internal/protocol"
 )
 
-func bounds() *Baseline {
+func testBaseline() *Baseline {
 	return &Baseline{Zones: []string{"a", "b"}, Operator: protocol.DefaultOperatorSettings(), ValueBytes: 2048, Teams: map[string]protocol.Team{
 		"red":  {Name: "red", Guarantee: protocol.Resources{GPU: 4000}, Limit: protocol.Resources{GPU: 8000}},
 		"blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}},
 	}}
 }
 
-// Each problem names its key and says why; what is allowed comes to what it says.
+// An invalid value is refused with an error that names its key and the reason. Valid values take
+// effect in the settings.
 func TestKeys(t *testing.T) {
-	b := bounds()
-	for set, why := range map[string]string{
-		"team/red/gpus_max=9":             "team/red/gpus_max: must be above 0 and at most 8, which is the platform's limit",
-		"team/red/gpus_max=0":             "at most 8, which is the platform's limit", // no limit is above it
+	b := testBaseline()
+	for assignment, want := range map[string]string{
+		"team/red/gpus_max=9": "team/red/gpus_max: must be above 0 and at most 8, which is the platform's limit",
+		// 0 means no limit.
+		"team/red/gpus_max=0":             "at most 8, which is the platform's limit",
 		"team/red/gpus_max=-1":            "must be a number from 0",
 		"team/red/gpus_max=many":          "must be a number",
 		"team/red/gpus=9":                 "a guarantee of 9 is above the team's limit of 8",
@@ -49,26 +51,26 @@
 		"team/red/gpus_max=-":             "is not set",
 		"drain/machine/" + longText + "=": "",
 	} {
-		key, value, err := ParseSet(set)
+		key, value, err := ParseSet(assignment)
 		if err == nil {
 			err = Validate(b, nil, []Change{{Key: key, New: value}})
 		}
 		var p *protocol.KeyError
-		if err == nil || !strings.Contains(err.Error(), why) || errors.As(err, &p) && p.Key == "" {
-			t.Errorf("%s: %v", set, err)
+		if err == nil || !strings.Contains(err.Error(), want) || errors.As(err, &p) && p.Key == "" {
+			t.Errorf("%s: %v", assignment, err)
 		}
 	}
 	d := Document{}
-	for _, set := range []string{
+	for _, assignment := range []string{
 		"team/red/gpus_max=5.5", "team/red/cpus_max=3", "team/blue/cpus=2", "team/blue/retired=true", "team/red/excess=stop", "drain/zone/a=finish",
 		"drain/machine/n-000001=stop", "drain/net/10.1.4.0/24=stop", "rent/big/b=0", "operator/warm_spare=0", "operator/idle_return_s=90", "log/level=debug",
 	} {
-		key, value, err := ParseSet(set)
+		key, value, err := ParseSet(assignment)
 		if err == nil {
 			err = Validate(b, d, []Change{{Key: key, New: value}})
 		}
 		if err != nil {
-			t.Errorf("%s: %v", set, err)
+			t.Errorf("%s: %v", assignment, err)
 		}
 		d[key] = value
 	}
@@ -77,7 +79,7 @@
 	if red.Limit != (protocol.Resources{CPU: 3000, GPU: 5500}) || !red.StopExcess || red.Retired || !blue.Retired || blue.Guarantee.CPU != 2000 || blue.Limit.CPU != 16000 {
 		t.Errorf("%+v", s.Teams)
 	}
-	if most, ok := s.Ceilings[MachineKind{"big", "b"}]; !ok || most != 0 || s.LogLevel != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleScaleInDelay != 90*protocol.Second || s.Operator.MinCycleInterval != b.Operator.MinCycleInterval {
+	if ceiling, ok := s.Ceilings[MachineKind{"big", "b"}]; !ok || ceiling != 0 || s.LogLevel != "debug" || s.Operator.WarmSpare != 0 || s.Operator.IdleScaleInDelay != 90*protocol.Second || s.Operator.MinCycleInterval != b.Operator.MinCycleInterval {
 		t.Errorf("%+v", s)
 	}
 	for _, c := range []struct {
@@ -92,12 +94,12 @@
 
 var longText = strings.Repeat("n", 200)
 
-// Whatever is set, on whatever file the controller is started with later, no limit comes
-// out above the file's.
+// Changes and a restart with another platform's file must not lead to a limit above the one in the
+// file.
 func TestNoLimitAboveTheFile(t *testing.T) {
 	amount := rapid.SampledFrom([]int64{0, 1, 500, 4000, 8000, 9000, 1e9})
 	rapid.Check(t, func(t *rapid.T) {
-		b := bounds()
+		b := testBaseline()
 		d := Document{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
 			key := rapid.SampledFrom([]string{"team/red/gpus_max", "team/red/cpus_max", "team/blue/cpus_max", "team/blue/gpus_max"}).Draw(t, "key")
@@ -108,29 +110,29 @@
 			if Validate(b, d, c) == nil {
 				d = d.apply(c)
 			}
-			if i%2 == 1 { // it is started anew with another file
+			if i%2 == 1 { // the controller restarts with another file
 				for name, team := range b.Teams {
 					team.Limit = protocol.Resources{CPU: amount.Draw(t, "cpus"), GPU: amount.Draw(t, "gpus")}
 					b.Teams[name] = team
 				}
 			}
 			for name, team := range Resolve(b, d).Teams {
-				p := b.Teams[name].Limit
-				if p.CPU > 0 && (team.Limit.CPU == 0 || team.Limit.CPU > p.CPU) || p.GPU > 0 && (team.Limit.GPU == 0 || team.Limit.GPU > p.GPU) {
-					t.Fatalf("%s: %v of %v by %v", name, team.Limit, p, d)
+				fileLimit := b.Teams[name].Limit
+				if fileLimit.CPU > 0 && (team.Limit.CPU == 0 || team.Limit.CPU > fileLimit.CPU) || fileLimit.GPU > 0 && (team.Limit.GPU == 0 || team.Limit.GPU > fileLimit.GPU) {
+					t.Fatalf("%s: limit %v is above %v of the file with document %v", name, team.Limit, fileLimit, d)
 				}
 			}
 		}
 	})
 }
 
-// Revisions follow each other without a gap over head and pages, none takes more than a
-// value, each earlier one that is kept can be worked out, and most take one write.
+// Revisions have no gap across the head and the pages, no record is larger than a value may be,
+// every earlier revision that is kept can be restored, and most revisions take one write.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := bounds()
+		b := testBaseline()
 		pages := rapid.IntRange(1, 4).Draw(t, "pages")
-		kept := make(map[string][]byte)
+		storedPages := make(map[string][]byte)
 		h := &Head{}
 		documents := []Document{{}}
 		writes := 0
@@ -149,25 +151,25 @@
 			}
 			value := w.Head.Encode()
 			if len(value) > b.ValueBytes || len(w.PageValue) > b.ValueBytes {
-				t.Fatalf("%d and %d bytes", len(value), len(w.PageValue))
+				t.Fatalf("head of %d and page of %d bytes", len(value), len(w.PageValue))
 			}
 			writes++
 			if w.Page != "" {
-				kept[w.Page] = w.PageValue
+				storedPages[w.Page] = w.PageValue
 				writes++
 			}
-			delete(kept, w.DroppedPage)
+			delete(storedPages, w.DroppedPage)
 			if h, err = DecodeHead(value); err != nil || !reflect.DeepEqual(h, w.Head) {
-				t.Fatalf("%v\n%+v\n%+v", err, h, w.Head)
+				t.Fatalf("decoding: %v\ngot  %+v\nwant %+v", err, h, w.Head)
 			}
 			documents = append(documents, h.Document)
 		}
-		if len(kept) > pages {
-			t.Fatalf("%d pages", len(kept))
+		if len(storedPages) > pages {
+			t.Fatalf("%d pages are kept", len(storedPages))
 		}
 		var history []Entry
 		for n := h.FirstPage; n > 0 && n <= h.LastPage; n++ {
-			list, err := DecodePage(kept[PageKey(n)])
+			list, err := DecodePage(storedPages[PageKey(n)])
 			if err != nil {
 				t.Fatal(n, err)
 			}
@@ -179,27 +181,28 @@
 		}
 		for i := range documents {
 			d, err := h.DocumentAt(uint64(i), history)
-			oldest := int(history[0].Revision) - 1 // what was before the oldest entry can be worked out too
+			// The document before the oldest entry can be restored too.
+			oldest := int(history[0].Revision) - 1
 			if i == 0 || i >= oldest {
 				if err != nil || len(Diff(d, documents[i])) > 0 {
 					t.Fatalf("%d: %v\n%v\n%v", i, err, d, documents[i])
 				}
 			} else if err == nil {
-				t.Fatalf("%d is not kept from %d on", i, oldest)
+				t.Fatalf("revision %d was restored, but the history starts after %d", i, oldest)
 			}
 		}
 		if _, err := h.DocumentAt(uint64(len(documents)), history); err == nil {
-			t.Fatal("a revision that there is not")
+			t.Fatal("restored a revision that does not exist")
 		}
-		if most := len(documents) + len(documents)/3 + 1; writes > most {
+		if maxWrites := len(documents) + len(documents)/3 + 1; writes > maxWrites {
 			t.Fatalf("%d writes for %d revisions", writes, len(documents)-1)
 		}
 	})
 }
 
-// A record that can't be read is mended under a number that no revision had.
-func TestMend(t *testing.T) {
-	b := bounds()
+// A record that can't be read is replaced by one with a revision that was never used.
+func TestRepair(t *testing.T) {
+	b := testBaseline()
 	w, err := Repair(b, Document{"drain/zone/a": `"finish"`}, Entry{ID: "x", Changes: []Change{{"log/level", "", `"info"`}}}, 40)
 	if err != nil || w.Head.Revision != 41 || len(w.Head.Document) != 2 {
 		t.Fatalf("%+v %v", w, err)
@@ -209,16 +212,16 @@
 		t.Fatal(err)
 	}
 	if _, err := h.DocumentAt(40, h.Entries); err == nil {
-		t.Error("what was before is not known")
+		t.Error("restored a revision from before the repair")
 	}
 	if d, err := h.DocumentAt(0, h.Entries); err != nil || len(d) != 0 {
-		t.Error("the files are always there to go back to")
+		t.Error("revision 0, the files, can't be restored")
 	}
 }
 
-// A request is taken whole or refused, with the key that is wrong.
+// A request is parsed completely, or refused with an error that names the invalid key.
 func TestRequests(t *testing.T) {
-	for body, why := range map[string]string{
+	for body, want := range map[string]string{
 		`[]`:                                "not an object",
 		`{"expected":1`:                     "not JSON",
 		`{"expected":1}`:                    "missing",
@@ -236,7 +239,7 @@
 		`{"expected":1,"who":"a","id":"x","to":1,"set":{}}`:                                                     "to: unknown key",
 		`{"expected":1,"who":"a","why":"` + strings.Repeat("y", 300) + `","id":"x","set":{"log/level":"info"}}`: "why: must be a text of at most 200 bytes",
 	} {
-		if r, err := ParseRequest([]byte(body), false); err == nil || !strings.Contains(err.Error(), why) {
+		if r, err := ParseRequest([]byte(body), false); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %+v %v", body, r, err)
 		}
 	}
@@ -245,13 +248,14 @@
 	if err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("%+v %v", got, err)
 	}
-	back := &Request{Expected: 7, Who: "ann", ID: "x", Rollback: true, To: 3}
-	if got, err := ParseRequest(AppendRequest(nil, back), true); err != nil || !reflect.DeepEqual(got, back) {
+	rollback := &Request{Expected: 7, Who: "ann", ID: "x", Rollback: true, To: 3}
+	if got, err := ParseRequest(AppendRequest(nil, rollback), true); err != nil || !reflect.DeepEqual(got, rollback) {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-// Files in TOML and in JSON say the same; errors name the key, and its line is found.
+// A TOML and a JSON file with the same content give the same changes. Errors name the key, and Line
+// finds the line of a key.
 func TestFiles(t *testing.T) {
 	text := "unset = [\"log/level\"]\n[team.red]\ngpus_max = 4.50 # half\nretired = true\n[drain]\nmachine.\"n-000001\" = \"stop\"\n[drain.net]\n\"10.1.4.0/24\" = 'finish'\n"
 	want := map[string]string{"log/level": "", "team/red/gpus_max": "4.5", "team/red/retired": "true", "drain/machine/n-000001": `"stop"`, "drain/net/10.1.4.0/24": `"finish"`}
@@ -264,10 +268,10 @@
 	}
 	for key, line := range map[string]int{"team/red/gpus_max": 3, "drain/machine/n-000001": 6, "drain/net/10.1.4.0/24": 8, "team/red/gpus": 0} {
 		if got := Line([]byte(text), key); got != line {
-			t.Errorf("%s is in line %d", key, got)
+			t.Errorf("%s was found in line %d", key, got)
 		}
 	}
-	for text, why := range map[string]string{
+	for text, want := range map[string]string{
 		"[team.red]\ngpus_max = [4]":        "team/red/gpus_max: must be",
 		"[team.red]\ngpus_max = nan":        "team/red/gpus_max: must be a finite number",
 		"unset = 3":                         "unset: must be a list",
@@ -277,19 +281,20 @@
 		"[team.red]\ngpus_max = 1979-05-27": "must be",
 		"gpus_max = ":                       "",
 	} {
-		if got, err := ParseFile([]byte(text)); err == nil || !strings.Contains(err.Error(), why) {
+		if got, err := ParseFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v %v", text, got, err)
 		}
 	}
 	if _, err := ParseOptions([]byte("history_pages = 0")); err == nil {
-		t.Error("no pages")
+		t.Error("history_pages = 0 was accepted")
 	}
 }
 
-// What can't be read is refused; what is read is written as it was.
+// Malformed records are refused. A record that was decoded is the same after it is encoded and
+// decoded again.
 func FuzzRecords(f *testing.F) {
 	h := &Head{}
-	w, err := h.NextRevision(bounds(), Entry{Who: "ann", ID: "x", Changes: []Change{{"log/level", "", `"info"`}, {"team/red/gpus_max", "", "4.5"}}}, 3)
+	w, err := h.NextRevision(testBaseline(), Entry{Who: "ann", ID: "x", Changes: []Change{{"log/level", "", `"info"`}, {"team/red/gpus_max", "", "4.5"}}}, 3)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -300,20 +305,20 @@
 	f.Add([]byte(`{"form":2,"revision":9}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if h, err := DecodeHead(in); err == nil {
-			if again, err := DecodeHead(h.Encode()); err != nil || !reflect.DeepEqual(again, h) {
-				t.Errorf("%v\n%+v\n%+v", err, h, again)
+			if reread, err := DecodeHead(h.Encode()); err != nil || !reflect.DeepEqual(reread, h) {
+				t.Errorf("%v\n%+v\n%+v", err, h, reread)
 			}
 		}
 		if list, err := DecodePage(in); err == nil {
-			if again, err := DecodePage(encodePage(list)); err != nil || !reflect.DeepEqual(again, list) {
-				t.Errorf("%v\n%+v\n%+v", err, list, again)
+			if reread, err := DecodePage(encodePage(list)); err != nil || !reflect.DeepEqual(reread, list) {
+				t.Errorf("%v\n%+v\n%+v", err, list, reread)
 			}
 		}
 		if d, err := DecodeDocument(in); err == nil {
-			Resolve(bounds(), d)
+			Resolve(testBaseline(), d)
 		}
 		if r, err := ParseRequest(in, false); err == nil {
-			_ = Validate(bounds(), nil, r.Changes(nil))
+			_ = Validate(testBaseline(), nil, r.Changes(nil))
 		}
 		_, _ = ParseFile(in)
 	})
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -6,39 +6,40 @@
 	"strings"
 )
 
-// Document is what a revision says: values by key, as canonical JSON (a number, a text,
-// true or false). What it has no key for is as the controllers' files say.
+// Document is the content of a revision: values by key, as canonical JSON (a number, a string, true
+// or false). A setting without a key in the document has its value from the controllers' files.
 type Document map[string]string
 
-// Change sets a key, or takes it out. "" is a key that is not there.
+// Change sets or removes a key. Old is "" if the key was not set before, New is "" if the change
+// removes the key.
 type Change struct{ Key, Old, New string }
 
-// apply is the document after some changes.
+// apply returns the document that results from changes of d.
 func (d Document) apply(changes []Change) Document {
-	n := maps.Clone(d)
-	if n == nil {
-		n = make(Document)
+	result := maps.Clone(d)
+	if result == nil {
+		result = make(Document)
 	}
 	for _, c := range changes {
 		if c.New == "" {
-			delete(n, c.Key)
+			delete(result, c.Key)
 		} else {
-			n[c.Key] = c.New
+			result[c.Key] = c.New
 		}
 	}
-	return n
+	return result
 }
 
-// revert is the document before some changes.
+// revert returns the document from which changes led to d.
 func (d Document) revert(changes []Change) Document {
-	back := make([]Change, len(changes))
+	reversed := make([]Change, len(changes))
 	for i, c := range changes {
-		back[len(changes)-1-i] = Change{c.Key, c.New, c.Old}
+		reversed[len(changes)-1-i] = Change{c.Key, c.New, c.Old}
 	}
-	return d.apply(back)
+	return d.apply(reversed)
 }
 
-// Diff lists what leads from one document to another, in the order of the keys.
+// Diff returns the changes that lead from one document to another, sorted by key.
 func Diff(from, to Document) []Change {
 	var list []Change
 	for key, v := range from {
@@ -55,12 +56,12 @@
 	return list
 }
 
-// Validate says what is wrong with changes of a document, nil: nothing. It names the key.
+// Validate checks changes of a document. An error names the invalid key.
 func Validate(b *Baseline, d Document, changes []Change) error {
 	teams := make(map[string]bool)
 	for _, c := range changes {
-		if part := strings.Split(c.Key, "/"); part[0] == "team" && len(part) == 3 {
-			teams[part[1]] = true
+		if parts := strings.Split(c.Key, "/"); parts[0] == "team" && len(parts) == 3 {
+			teams[parts[1]] = true
 		}
 		if c.New == "" {
 			if d[c.Key] == "" {
@@ -76,14 +77,14 @@
 	s := Resolve(b, after)
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
 		t := s.Teams[name]
-		for _, what := range []string{"cpus", "gpus"} {
-			if amount, limit := teamAmounts[what](&t.Team); *limit > 0 && *amount > *limit {
-				return keyErrorf("team/"+name+"/"+what, "a guarantee of %g is above the team's limit of %g", float64(*amount)/1000, float64(*limit)/1000)
+		for _, setting := range []string{"cpus", "gpus"} {
+			if amount, limit := teamAmounts[setting](&t.Team); *limit > 0 && *amount > *limit {
+				return keyErrorf("team/"+name+"/"+setting, "a guarantee of %g is above the team's limit of %g", float64(*amount)/1000, float64(*limit)/1000)
 			}
 		}
 	}
-	if size, most := len(appendDocument(nil, after)), b.ValueBytes*documentPercent/100; size > most {
-		return keyErrorf("changes", "the document would take %d bytes, and %d fit into a value of the state service with its history", size, most)
+	if size, maxBytes := len(appendDocument(nil, after)), b.ValueBytes*documentPercent/100; size > maxBytes {
+		return keyErrorf("changes", "the document would take %d bytes, and %d fit into a value of the state service with its history", size, maxBytes)
 	}
 	return nil
 }
--- a/internal/configuration/encoding.go
+++ b/internal/configuration/encoding.go
@@ -12,9 +12,10 @@
 	"mapleslip/internal/protocol"
 )
 
+// formatVersion is the version of the format of the records in the state service.
 const formatVersion = 1
 
-// appendDocument writes a document, in the order of its keys.
+// appendDocument appends a document as JSON, sorted by key.
 func appendDocument(b []byte, d Document) []byte {
 	b = append(b, '{')
 	for i, key := range slices.Sorted(maps.Keys(d)) {
@@ -26,16 +27,16 @@
 	return append(b, '}')
 }
 
-// EncodeDocument writes a document as JSON.
+// EncodeDocument encodes a document as JSON.
 func EncodeDocument(d Document) []byte { return appendDocument(nil, d) }
 
-// DecodeDocument reads a document.
+// DecodeDocument decodes a document from JSON.
 func DecodeDocument(value []byte) (Document, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(value)
 	if err != nil {
-		return nil, errRecord
+		return nil, errMalformedRecord
 	}
 	return decodeDocument(v)
 }
@@ -43,20 +44,21 @@
 func decodeDocument(v *fastjson.Value) (Document, error) {
 	o, err := v.Object()
 	if err != nil {
-		return nil, errRecord
+		return nil, errMalformedRecord
 	}
 	d := make(Document, o.Len())
 	o.Visit(func(key []byte, v *fastjson.Value) {
 		text, ok := canonicalJSON(v)
 		if !ok || d[string(key)] != "" {
-			err = errRecord
+			err = errMalformedRecord
 		}
 		d[string(key)] = text
 	})
 	return d, err
 }
 
-// canonicalJSON is a value's text, the same for all ways to write it.
+// canonicalJSON returns the canonical text of a value, which does not depend on how the JSON was
+// written, and whether the value is valid: a number, a string, true or false within the limits.
 func canonicalJSON(v *fastjson.Value) (string, bool) {
 	switch v.Type() {
 	case fastjson.TypeString:
@@ -76,7 +78,7 @@
 
 func canonicalNumber(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 
-// AppendEntry writes an entry of the history.
+// appendEntry appends an entry of the history as JSON.
 func appendEntry(b []byte, e Entry) []byte {
 	b = fmt.Appendf(b, `{"revision":%d,"at_us":%d,"who":`, e.Revision, int64(e.At))
 	b = append(protocol.AppendQuoted(b, e.Who), `,"why":`...)
@@ -85,8 +87,8 @@
 	return append(AppendChanges(b, e.Changes), '}')
 }
 
-// AppendChanges writes changes, each as a list of key, old and new value, null where
-// there is none.
+// AppendChanges appends changes as JSON. Each change is an array of the key, the old and the new
+// value; null means that the key is not set.
 func AppendChanges(b []byte, changes []Change) []byte {
 	b = append(b, '[')
 	for i, c := range changes {
@@ -107,7 +109,7 @@
 	return value
 }
 
-// AppendEntries writes a list of entries.
+// AppendEntries appends a list of entries as JSON.
 func AppendEntries(b []byte, list []Entry) []byte {
 	b = append(b, '[')
 	for i, e := range list {
@@ -119,7 +121,7 @@
 	return append(b, ']')
 }
 
-// Encode writes the head.
+// Encode encodes the head as JSON.
 func (h *Head) Encode() []byte {
 	b := fmt.Appendf(nil, `{"form":%d,"revision":%d,"started":%d,"first":%d,"last":%d,"document":`, formatVersion, h.Revision, h.FirstRevision, h.FirstPage, h.LastPage)
 	b = append(appendDocument(b, h.Document), `,"log":`...)
@@ -130,23 +132,22 @@
 	return append(AppendEntries(fmt.Appendf(nil, `{"form":%d,"log":`, formatVersion), list), '}')
 }
 
-var errRecord = errors.New("malformed record of the configuration")
+var errMalformedRecord = errors.New("malformed record of the configuration")
 
 func parseRecord(value []byte, p *fastjson.Parser) (*fastjson.Value, error) {
 	v, err := p.ParseBytes(value)
 	switch {
 	case err != nil || v.Type() != fastjson.TypeObject:
-		return nil, errRecord
+		return nil, errMalformedRecord
 	case v.GetInt("form") > formatVersion:
 		return nil, fmt.Errorf("the record of the configuration is of form %d, and this program knows %d", v.GetInt("form"), formatVersion)
 	case v.GetInt("form") != formatVersion:
-		return nil, errRecord
+		return nil, errMalformedRecord
 	}
 	return v, nil
 }
 
-// DecodeHead reads a head. An entry out of order, or one that is missing, makes it
-// unreadable as a whole.
+// DecodeHead decodes a head. It returns an error if any entry is missing or out of order.
 func DecodeHead(value []byte) (*Head, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
@@ -163,12 +164,12 @@
 	}
 	n := len(h.Entries)
 	if h.Revision == 0 || n == 0 || h.Entries[n-1].Revision != h.Revision || h.FirstRevision == 0 || h.FirstRevision > h.Entries[0].Revision {
-		return nil, errRecord
+		return nil, errMalformedRecord
 	}
 	return h, nil
 }
 
-// DecodePage reads a page of history.
+// DecodePage decodes a page of the history.
 func DecodePage(value []byte) ([]Entry, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
@@ -179,49 +180,49 @@
 	return decodeEntries(v)
 }
 
-// decodeEntries reads entries that follow each other without a gap.
+// decodeEntries decodes entries and checks that their revisions are consecutive.
 func decodeEntries(v *fastjson.Value) ([]Entry, error) {
 	items, err := protocol.Member(v, "log").Array()
 	if err != nil {
-		return nil, errRecord
+		return nil, errMalformedRecord
 	}
 	list := make([]Entry, 0, len(items))
-	for i, it := range items {
-		e, err := DecodeEntry(it)
+	for i, item := range items {
+		e, err := DecodeEntry(item)
 		if err != nil || i > 0 && e.Revision != list[i-1].Revision+1 {
-			return nil, errRecord
+			return nil, errMalformedRecord
 		}
 		list = append(list, e)
 	}
 	return list, nil
 }
 
-// DecodeEntry reads an entry of the history.
-func DecodeEntry(it *fastjson.Value) (Entry, error) {
+// DecodeEntry decodes an entry of the history.
+func DecodeEntry(item *fastjson.Value) (Entry, error) {
 	e := Entry{
-		Revision: it.GetUint64("revision"), At: micros(it.GetInt64("at_us")), Who: string(it.GetStringBytes("who")),
-		Why: string(it.GetStringBytes("why")), ID: string(it.GetStringBytes("id")),
+		Revision: item.GetUint64("revision"), At: micros(item.GetInt64("at_us")), Who: string(item.GetStringBytes("who")),
+		Why: string(item.GetStringBytes("why")), ID: string(item.GetStringBytes("id")),
 	}
-	for _, c := range it.GetArray("changes") {
-		part := c.GetArray()
-		if len(part) != 3 {
-			return e, errRecord
+	for _, c := range item.GetArray("changes") {
+		fields := c.GetArray()
+		if len(fields) != 3 {
+			return e, errMalformedRecord
 		}
-		ch := Change{Key: string(part[0].GetStringBytes())}
+		change := Change{Key: string(fields[0].GetStringBytes())}
 		ok := [2]bool{true, true}
-		if part[1].Type() != fastjson.TypeNull {
-			ch.Old, ok[0] = canonicalJSON(part[1])
+		if fields[1].Type() != fastjson.TypeNull {
+			change.Old, ok[0] = canonicalJSON(fields[1])
 		}
-		if part[2].Type() != fastjson.TypeNull {
-			ch.New, ok[1] = canonicalJSON(part[2])
+		if fields[2].Type() != fastjson.TypeNull {
+			change.New, ok[1] = canonicalJSON(fields[2])
 		}
-		if ch.Key == "" || !ok[0] || !ok[1] {
-			return e, errRecord
+		if change.Key == "" || !ok[0] || !ok[1] {
+			return e, errMalformedRecord
 		}
-		e.Changes = append(e.Changes, ch)
+		e.Changes = append(e.Changes, change)
 	}
 	if e.Revision == 0 {
-		return e, errRecord
+		return e, errMalformedRecord
 	}
 	return e, nil
 }
--- a/internal/configuration/file.go
+++ b/internal/configuration/file.go
@@ -12,8 +12,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// ParseFile reads the changes of a file, JSON if it begins with a brace, else TOML. In
-// TOML, unset = ["key", ...] takes keys out.
+// ParseFile parses a file of changes and returns the values by key; "" removes the key. The file is
+// JSON if it begins with a brace, else TOML. In TOML, unset = ["key", ...] removes keys.
 func ParseFile(text []byte) (map[string]string, error) {
 	set := make(map[string]string)
 	if trimmed := bytes.TrimSpace(text); len(trimmed) > 0 && trimmed[0] == '{' {
@@ -38,7 +38,7 @@
 		}
 		for _, k := range keys {
 			key, ok := k.(string)
-			if _, twice := set[key]; !ok || twice || key == "" {
+			if _, duplicate := set[key]; !ok || duplicate || key == "" {
 				return nil, keyErrorf("unset", "must be a list of keys, each once")
 			}
 			set[key] = ""
@@ -48,7 +48,7 @@
 	return set, flattenTOML(set, "", f)
 }
 
-func flattenTOML(to map[string]string, path string, v any) error {
+func flattenTOML(values map[string]string, path string, v any) error {
 	switch v := v.(type) {
 	case map[string]any:
 		if path != "" && len(v) == 0 {
@@ -59,76 +59,77 @@
 			if path != "" {
 				key = path + "/" + name
 			}
-			if err := flattenTOML(to, key, x); err != nil {
+			if err := flattenTOML(values, key, x); err != nil {
 				return err
 			}
 		}
 		return nil
 	case string:
-		return setOnce(to, path, string(protocol.AppendQuoted(nil, v)))
+		return setOnce(values, path, string(protocol.AppendQuoted(nil, v)))
 	case bool:
-		return setOnce(to, path, fmt.Sprint(v))
+		return setOnce(values, path, fmt.Sprint(v))
 	case int64:
-		return setOnce(to, path, canonicalNumber(float64(v)))
+		return setOnce(values, path, canonicalNumber(float64(v)))
 	case float64:
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			return keyErrorf(path, "must be a finite number")
 		}
-		return setOnce(to, path, canonicalNumber(v))
+		return setOnce(values, path, canonicalNumber(v))
 	}
 	return keyErrorf(path, "must be a number, a text, true or false")
 }
 
-func setOnce(to map[string]string, key, value string) error {
-	if _, twice := to[key]; twice {
+func setOnce(values map[string]string, key, value string) error {
+	if _, duplicate := values[key]; duplicate {
 		return keyErrorf(key, "is there twice")
 	}
-	to[key] = value
+	values[key] = value
 	return nil
 }
 
-// ParseSet reads KEY=VALUE of a command. VALUE is a number, true, false or a text; "-"
-// takes the key out.
-func ParseSet(word string) (key, value string, err error) {
-	key, text, ok := strings.Cut(word, "=")
+// ParseSet parses an argument KEY=VALUE of a command. VALUE is a number, true, false or a string;
+// "-" removes the key.
+func ParseSet(argument string) (key, value string, err error) {
+	key, text, ok := strings.Cut(argument, "=")
 	switch {
 	case !ok || key == "" || text == "":
-		return "", "", fmt.Errorf("%q is not KEY=VALUE", word)
+		return "", "", fmt.Errorf("%q is not KEY=VALUE", argument)
 	case text == "-":
 		return key, "", nil
 	}
 	if v, err := fastjson.Parse(text); err == nil && v.Type() != fastjson.TypeObject && v.Type() != fastjson.TypeArray {
-		if c, ok := canonicalJSON(v); ok {
-			return key, c, nil
+		if canonical, ok := canonicalJSON(v); ok {
+			return key, canonical, nil
 		}
 		return "", "", keyErrorf(key, "invalid value")
 	}
 	return key, string(protocol.AppendQuoted(nil, text)), nil
 }
 
-// Line finds the line of a TOML file in which a key of the document is set; 0: nowhere.
+// Line returns the number of the line of a TOML file that sets a key of the document, 0 if there is
+// none.
 func Line(text []byte, key string) int {
 	table := ""
 	for n, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
-			table = path(strings.Trim(strings.SplitN(line, "#", 2)[0], "[] \t"))
+			table = documentKey(strings.Trim(strings.SplitN(line, "#", 2)[0], "[] \t"))
 			continue
 		}
 		name, _, ok := strings.Cut(line, "=")
-		full := path(strings.TrimSpace(name))
+		fullKey := documentKey(strings.TrimSpace(name))
 		if table != "" {
-			full = table + "/" + full
+			fullKey = table + "/" + fullKey
 		}
-		if ok && full == key {
+		if ok && fullKey == key {
 			return n + 1
 		}
 	}
 	return 0
 }
 
-// path turns a dotted key of TOML into one of the document.
-func path(dotted string) string {
+// documentKey converts a dotted key of TOML to a key of the document.
+func documentKey(dotted string) string {
 	var b strings.Builder
 	quote := rune(0)
 	for _, r := range dotted {
--- a/internal/configuration/head.go
+++ b/internal/configuration/head.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Keys of the state service. The head has the last revision and the newest part of the history;
-// pages have the older parts.
+// Keys of the state service. The head contains the newest revision and the newest part of the
+// history; the pages contain the older parts.
 const (
 	KeyHead    = "cfg/head"
 	PagePrefix = "cfg/p/"
 )
 
-// Parts of a value, in percent: what a document and one change's entry may take of the
-// head. The rest is history, and a page of it is moved out when the head is full: by
-// then that much has come together.
+// Largest parts of the head's value, in percent, that the document and the entry of one change may
+// take. The rest holds earlier entries. They move to a page only when the head is full, so a page
+// contains as much history as the head had room for.
 const (
 	documentPercent = 60
 	entryPercent    = 35
@@ -26,43 +26,44 @@
 	Revision uint64
 	At       micros // time of day
 	Who, Why string
-	ID       string // of the request, so that one that is repeated is known
+	ID       string // identifies the request, so that a retry of it is recognized
 	Changes  []Change
 }
 
-// Head is the last revision.
+// Head is the record of the newest revision.
 type Head struct {
 	Revision  uint64
 	Document  Document
-	Entries   []Entry // the newest, the last one last
-	FirstPage uint64  // number of the oldest page of history that is kept, 0: none was ever written
-	LastPage  uint64
-	// FirstRevision of the history is 1, or that with which an operator repaired a head that
-	// could not be read.
+	Entries   []Entry // newest part of the history, in ascending order
+	FirstPage uint64  // oldest stored page; 0 if none was written, LastPage+1 after a repair
+	LastPage  uint64  // newest page
+	// FirstRevision is the first revision of the history: 1, or the revision with which an operator
+	// repaired a head that could not be read.
 	FirstRevision uint64
 }
 
-// RevisionWrite is what a change writes in one transaction, on the condition that the head's
-// record has the revision that it was made from.
+// RevisionWrite contains the writes of one change. They are made in one transaction, on the
+// condition that the head's record is still the one from which the change was computed.
 type RevisionWrite struct {
 	Head *Head
-	// Page is the key of a page of history that became full, "": none. Most changes
-	// write the head alone.
+	// Page is the key of a new page of history, to which the entries of a full head move. It is ""
+	// for most changes, which write only the head.
 	Page        string
 	PageValue   []byte
-	DroppedPage string // the oldest page, where there are more than are kept; "": none
-	// EntriesLeftOut is how many of the oldest entries that the head had fit no page: it was
-	// written under larger limits.
+	DroppedPage string // key of the oldest page, if it has to be deleted; "" if none
+	// EntriesLeftOut is the number of the oldest entries of the head that did not fit into the
+	// page. It is above 0 only if the head was written under a larger size limit.
 	EntriesLeftOut int
 }
 
-// PageKey is the key of a page of history.
+// PageKey returns the key of a page of history.
 func PageKey(n uint64) string { return fmt.Sprintf("%s%09d", PagePrefix, n) }
 
-// ErrTooLong is an entry that does not fit.
+// ErrTooLong reports a change whose entry does not fit into a record.
 var ErrTooLong = errors.New("changes: too many at once for one entry of the history")
 
-// NextRevision makes the revision after a head. pages is how many pages of history are kept.
+// NextRevision computes the revision that follows the head. pages is the number of pages of history
+// to keep.
 func (h *Head) NextRevision(b *Baseline, e Entry, pages int) (*RevisionWrite, error) {
 	if err := Validate(b, h.Document, e.Changes); err != nil {
 		return nil, err
@@ -79,7 +80,8 @@
 	if len(next.Encode()) <= b.ValueBytes {
 		return w, nil
 	}
-	// All but the new entry go to a page: they take less than a value, as they did so far.
+	// All entries but the new one move to a page. They fit, since they were part of the old head,
+	// unless the size limit was reduced since then.
 	next.LastPage++
 	w.Page, w.PageValue, w.EntriesLeftOut = fitPage(b, next.LastPage, h.Entries)
 	next.Entries = []Entry{e}
@@ -96,22 +98,23 @@
 	return w, nil
 }
 
-// Repair makes a head in the place of one that can't be read, from the last document that is known.
-// Its number is above any that was ever given out: each revision took a write of the state service,
-// and lastWrite is the number of the last one.
-func Repair(b *Baseline, known Document, e Entry, lastWrite uint64) (*RevisionWrite, error) {
-	if err := Validate(b, known, e.Changes); err != nil {
+// Repair creates a head that replaces one that can't be read, based on the last known document. Its
+// revision is above all that were ever used: each revision took one write of the state service, and
+// lastWrite is the number of the last write.
+func Repair(b *Baseline, lastKnown Document, e Entry, lastWrite uint64) (*RevisionWrite, error) {
+	if err := Validate(b, lastKnown, e.Changes); err != nil {
 		return nil, err
 	}
 	e.Revision = lastWrite + 1
-	// Its pages of history are not known; new ones get numbers that none had.
+	// The pages of the unreadable head are not known, so new pages get numbers that were never
+	// used.
 	return &RevisionWrite{Head: &Head{
-		Revision: e.Revision, Document: known.apply(e.Changes), Entries: []Entry{e},
+		Revision: e.Revision, Document: lastKnown.apply(e.Changes), Entries: []Entry{e},
 		LastPage: lastWrite, FirstPage: lastWrite + 1, FirstRevision: e.Revision,
 	}}, nil
 }
 
-// FindRequest looks for the entry that a request made, by its id.
+// FindRequest returns the entry of the request with an ID, if the head contains it.
 func (h *Head) FindRequest(id string) (Entry, bool) {
 	for _, e := range h.Entries {
 		if id != "" && e.ID == id {
@@ -121,37 +124,38 @@
 	return Entry{}, false
 }
 
-// DocumentAt is the document of an earlier revision, worked out from the entries after it.
-func (h *Head) DocumentAt(to uint64, history []Entry) (Document, error) {
+// DocumentAt returns the document of an earlier revision. It starts from the newest document and
+// reverts the later entries of the history.
+func (h *Head) DocumentAt(revision uint64, history []Entry) (Document, error) {
 	switch {
-	case to > h.Revision:
-		return nil, keyErrorf("to", "there is no revision %d", to)
-	case to == 0:
+	case revision > h.Revision:
+		return nil, keyErrorf("to", "there is no revision %d", revision)
+	case revision == 0:
 		return Document{}, nil
 	}
 	d := h.Document
-	next := h.Revision
+	current := h.Revision
 	for _, e := range slices.Backward(history) {
-		if e.Revision > next {
+		if e.Revision > current {
 			continue
 		}
-		if next == to {
+		if current == revision {
 			break
 		}
-		if e.Revision != next {
-			return nil, keyErrorf("to", "the history from revision %d to %d is not kept", to, next)
+		if e.Revision != current {
+			return nil, keyErrorf("to", "the history from revision %d to %d is not kept", revision, current)
 		}
 		d = d.revert(e.Changes)
-		next--
+		current--
 	}
-	if next != to || to < h.FirstRevision {
-		return nil, keyErrorf("to", "the history from revision %d on is not kept", to)
+	if current != revision || revision < h.FirstRevision {
+		return nil, keyErrorf("to", "the history from revision %d on is not kept", revision)
 	}
 	return d, nil
 }
 
-// fitPage makes a page of the newest entries, as many as a value takes. Under smaller limits than
-// those of its head it leaves the oldest out.
+// fitPage encodes a page with as many of the newest entries as fit into a value. It leaves out the
+// oldest ones if the size limit is smaller than when the head was written.
 func fitPage(b *Baseline, number uint64, entries []Entry) (key string, value []byte, leftOut int) {
 	value = encodePage(entries)
 	for len(value) > b.ValueBytes && leftOut < len(entries) {
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -1,6 +1,6 @@
-// Package configuration is what operators may change while the service runs: a document of keys
-// and values, its revisions and their history, what they come to, and how long a controller may go
-// by one.
+// Package configuration implements the configuration that operators can change while the service
+// runs: a document of keys and values, its revisions and their history, the settings that result
+// from it, and the leases that limit how long a controller may use a revision.
 //
 // It does no I/O. The leader of the cluster reads and writes the records and grants the other
 // controllers leases on a revision (internal/controller/config_manager.go).
@@ -19,21 +19,21 @@
 
 type micros = protocol.Micros
 
-// Baseline is what a document is judged by: the files that the controllers were started
-// with. They are revision 0.
+// Baseline contains the settings from the files with which the controllers were started. They are
+// revision 0, and documents are checked against them.
 type Baseline struct {
 	Teams      map[string]protocol.Team
 	Zones      []string
 	Operator   protocol.OperatorSettings
-	ValueBytes int // most that a value of the state service may take
+	ValueBytes int // maximum size of a value in the state service
 }
 
-// keyErrorf is what is wrong with a key of a change.
+// keyErrorf returns an error about a key of a change.
 func keyErrorf(key, format string, args ...any) error {
 	return &protocol.KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Limits of a key and of the texts that go with a change, in bytes.
+// Size limits of a key and of the texts of a change, in bytes.
 const (
 	maxKeyBytes = 120
 	maxWhoBytes = 64
@@ -41,11 +41,11 @@
 	maxIDBytes  = 40
 )
 
-// operatorSettings are the operators' settings that may be changed, with their bounds in seconds.
-// They are those of the operators' file.
+// operatorSettings contains the operators' settings that can be changed, with their bounds in
+// seconds. The bounds are the same as for the operators' file.
 var operatorSettings = map[string]struct {
 	low, high float64
-	of        func(*protocol.OperatorSettings) *protocol.Micros
+	field     func(*protocol.OperatorSettings) *protocol.Micros
 }{
 	"round_s":           {0.1, 60, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.MaxCycleInterval }},
 	"round_gap_s":       {0.01, 10, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.MinCycleInterval }},
@@ -53,7 +53,8 @@
 	"idle_return_s":     {1, 86400, func(o *protocol.OperatorSettings) *protocol.Micros { return &o.IdleScaleInDelay }},
 }
 
-// fixedSettings are settings that can't be changed while the service runs, and why.
+// fixedSettings contains the settings that can't be changed while the service runs, each with the
+// reason.
 var fixedSettings = map[string]string{
 	"operator/leader_lease_s":   "who holds the lease counts on its length: it takes a restart of all controllers",
 	"operator/answer_on_s":      "it is in the record of each leader: it takes a restart of all controllers",
@@ -67,11 +68,11 @@
 	"facts":                     "it is the platform's to say, and workers and users count on it",
 }
 
-// fixedReason says why a setting that exists can't be changed, "": there is no such one.
+// fixedReason returns why a setting can't be changed, or "" if the key belongs to no fixed setting.
 func fixedReason(key string) string {
 	for path := key; ; {
-		if why := fixedSettings[path]; why != "" {
-			return why
+		if reason := fixedSettings[path]; reason != "" {
+			return reason
 		}
 		i := strings.LastIndexByte(path, '/')
 		if i < 0 {
@@ -84,41 +85,41 @@
 // Levels are the levels of logs.
 var Levels = []string{"error", "info", "debug"}
 
-// What becomes of work in the way of a change.
+// Values that specify what happens to running work that conflicts with a change.
 const (
-	wordFinish = "finish" // it goes on
-	wordStop   = "stop"   // it is stopped, with time to save its progress
+	valueFinish = "finish" // it continues
+	valueStop   = "stop"   // it is stopped, with time to save its progress
 )
 
-// checkValue says what is wrong with a value. It is canonical JSON.
+// checkValue checks a value, given as canonical JSON, and its key.
 func checkValue(b *Baseline, key, value string) error {
 	if len(key) > maxKeyBytes || strings.ContainsFunc(key, func(r rune) bool { return r <= ' ' || r == '"' || r == '\\' || r > '~' }) {
 		return keyErrorf(key[:min(len(key), maxKeyBytes)], "must be at most %d printable characters without spaces", maxKeyBytes)
 	}
-	part := strings.Split(key, "/")
+	parts := strings.Split(key, "/")
 	switch {
-	case part[0] == "team" && len(part) == 3:
-		return b.checkTeam(key, part[1], part[2], value)
-	case part[0] == "drain" && len(part) >= 3 && part[2] != "":
-		return b.checkDrain(key, part, value)
-	case part[0] == "rent" && len(part) == 3 && part[1] != "":
-		return b.checkCeiling(key, part[2], value)
-	case part[0] == "operator" && len(part) == 2 && part[1] == "warm_spare":
-		_, err := number(key, value, 0, 100)
+	case parts[0] == "team" && len(parts) == 3:
+		return b.checkTeam(key, parts[1], parts[2], value)
+	case parts[0] == "drain" && len(parts) >= 3 && parts[2] != "":
+		return b.checkDrain(key, parts, value)
+	case parts[0] == "rent" && len(parts) == 3 && parts[1] != "":
+		return b.checkCeiling(key, parts[2], value)
+	case parts[0] == "operator" && len(parts) == 2 && parts[1] == "warm_spare":
+		_, err := parseNumber(key, value, 0, 100)
 		return err
-	case part[0] == "operator" && len(part) == 2 && operatorSettings[part[1]].of != nil:
-		_, err := number(key, value, operatorSettings[part[1]].low, operatorSettings[part[1]].high)
+	case parts[0] == "operator" && len(parts) == 2 && operatorSettings[parts[1]].field != nil:
+		_, err := parseNumber(key, value, operatorSettings[parts[1]].low, operatorSettings[parts[1]].high)
 		return err
 	case key == "log/level":
-		return oneOf(key, value, Levels...)
+		return checkOneOf(key, value, Levels...)
 	}
-	if why := fixedReason(key); why != "" {
-		return keyErrorf(key, "can't be changed while the service runs: %s", why)
+	if reason := fixedReason(key); reason != "" {
+		return keyErrorf(key, "can't be changed while the service runs: %s", reason)
 	}
 	return keyErrorf(key, "unknown key")
 }
 
-// checkZone says that a zone is unknown.
+// checkZone returns an error if a zone is unknown.
 func (b *Baseline) checkZone(key, zone string) error {
 	if slices.Contains(b.Zones, zone) {
 		return nil
@@ -127,39 +128,40 @@
 }
 
 // checkDrain checks a drain of a zone, a machine or a network.
-func (b *Baseline) checkDrain(key string, part []string, value string) error {
+func (b *Baseline) checkDrain(key string, parts []string, value string) error {
 	switch {
-	case part[1] == "zone" && len(part) == 3:
-		if err := b.checkZone(key, part[2]); err != nil {
+	case parts[1] == "zone" && len(parts) == 3:
+		if err := b.checkZone(key, parts[2]); err != nil {
 			return err
 		}
-	case part[1] == "machine" && len(part) == 3:
-	case part[1] == "net" && len(part) == 4:
-		if p, err := netip.ParsePrefix(part[2] + "/" + part[3]); err != nil || p != p.Masked() {
+	case parts[1] == "machine" && len(parts) == 3:
+	case parts[1] == "net" && len(parts) == 4:
+		if p, err := netip.ParsePrefix(parts[2] + "/" + parts[3]); err != nil || p != p.Masked() {
 			return keyErrorf(key, "must be a range of addresses, as in drain/net/10.1.4.0/24")
 		}
 	default:
 		return keyErrorf(key, "unknown key")
 	}
-	return oneOf(key, value, wordFinish, wordStop)
+	return checkOneOf(key, value, valueFinish, valueStop)
 }
 
-// maxCeiling is the highest ceiling of rental.
+// maxCeiling is the highest number of machines that can be set as a ceiling of rental.
 const maxCeiling = 1e6
 
-// checkCeiling checks a ceiling of rental in a zone.
+// checkCeiling checks a ceiling on the rented machines of a type in a zone.
 func (b *Baseline) checkCeiling(key, zone, value string) error {
 	if err := b.checkZone(key, zone); err != nil {
 		return err
 	}
-	n, err := number(key, value, 0, maxCeiling)
+	n, err := parseNumber(key, value, 0, maxCeiling)
 	if err == nil && n != math.Trunc(n) {
 		return keyErrorf(key, "must be a whole number")
 	}
 	return err
 }
 
-// teamAmounts are what of a team may be said in numbers, and where it is.
+// teamAmounts maps the numeric settings of a team to the fields that contain them. For a guarantee,
+// limit is the limit that it must not exceed; for a limit, it is nil.
 var teamAmounts = map[string]func(*protocol.Team) (amount *int64, limit *int64){
 	"cpus":     func(t *protocol.Team) (*int64, *int64) { return &t.Guarantee.CPU, &t.Limit.CPU },
 	"gpus":     func(t *protocol.Team) (*int64, *int64) { return &t.Guarantee.GPU, &t.Limit.GPU },
@@ -167,40 +169,40 @@
 	"gpus_max": func(t *protocol.Team) (*int64, *int64) { return &t.Limit.GPU, nil },
 }
 
-func (b *Baseline) checkTeam(key, name, what, value string) error {
+func (b *Baseline) checkTeam(key, name, setting, value string) error {
 	team, known := b.Teams[name]
 	if !known {
-		// Users' submissions are judged by the platform's file: a job of a team that is
-		// not in it has to be refused, whatever a change says.
+		// Submissions are validated by the platform's file. Jobs of a team that is not in the file
+		// have to be refused, whatever the configuration contains.
 		return keyErrorf(key, "the platform's file has no team %s, so its jobs can't be accepted: the team has to be added there first", name)
 	}
-	switch what {
+	switch setting {
 	case "retired":
 		if value != "true" && value != "false" {
 			return keyErrorf(key, "must be true or false")
 		}
 		return nil
 	case "excess":
-		return oneOf(key, value, wordFinish, wordStop)
+		return checkOneOf(key, value, valueFinish, valueStop)
 	}
-	of := teamAmounts[what]
-	if of == nil {
+	amountOf := teamAmounts[setting]
+	if amountOf == nil {
 		return keyErrorf(key, "unknown key")
 	}
-	v, err := number(key, value, 0, 1e9)
+	v, err := parseNumber(key, value, 0, 1e9)
 	if err != nil {
 		return err
 	}
-	if amount, limit := of(&team); limit == nil && *amount > 0 && (v == 0 || thousandths(v) > *amount) {
+	if amount, limit := amountOf(&team); limit == nil && *amount > 0 && (v == 0 || toThousandths(v) > *amount) {
 		return keyErrorf(key, "must be above 0 and at most %g, which is the platform's limit", float64(*amount)/1000)
 	}
 	return nil
 }
 
-// thousandths rounds down: a limit never comes out above what was said.
-func thousandths(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
+// toThousandths rounds down, so that a limit is never above the configured one.
+func toThousandths(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
 
-func number(key, value string, low, high float64) (float64, error) {
+func parseNumber(key, value string, low, high float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(v >= low && v <= high) {
 		return 0, keyErrorf(key, "must be a number from %g to %g", low, high)
@@ -208,11 +210,11 @@
 	return v, nil
 }
 
-func oneOf(key, value string, words ...string) error {
-	for _, w := range words {
+func checkOneOf(key, value string, allowed ...string) error {
+	for _, w := range allowed {
 		if value == strconv.Quote(w) {
 			return nil
 		}
 	}
-	return keyErrorf(key, "must be one of %s", strings.Join(words, ", "))
+	return keyErrorf(key, "must be one of %s", strings.Join(allowed, ", "))
 }
--- a/internal/configuration/lease.go
+++ b/internal/configuration/lease.go
@@ -6,52 +6,53 @@
 	"mapleslip/internal/protocol"
 )
 
-// A follower goes by a revision only as long as it holds a lease on it, which the leader's grants
-// renew. A grant may be held up on its way for any time, and the follower may be frozen, so the
-// lease can't count from when the grant came; the leader's clock says nothing here. It counts from
-// a time of the follower's own clock that the leader names: that of the last acknowledgement that
-// it has heard. The leader heard it before it sent the grant, so a lease expires at most its length
-// after the leader sent that.
-
-// Lease is how long a controller goes by a revision without another grant. It is no setting: two
-// controllers that were started with different ones could both be right, and a revision older than
-// one that is in force still be gone by.
+// A follower may use a revision only while it holds a lease on it, which the leader's grants renew.
+// A grant may be delayed on its way for any time, and the follower may be frozen, so the lease
+// can't start when the grant arrives. It can't start at a time of the leader's clock either,
+// because the follower can't compare that with its own. So each grant contains a time of the
+// follower's own clock, and the lease starts then: the time at which the follower sent the last
+// acknowledgement that the leader received. The leader received it before it sent the grant, so a
+// lease expires at most its length after the leader sent the grant.
+
+// Lease is how long a controller may use a revision without another grant. It is a constant, not a
+// setting: controllers that were started with different values could each hold a lease that is
+// valid by its own value, while one of them still uses a revision older than the one in force.
 const Lease = 4 * protocol.Second
 
-// certainLeaseExpiry is after how long a lease has expired by another clock: they drift apart by a
-// part of a thousand, and a little is for timers.
+// certainLeaseExpiry is the time after which a lease has expired on any other clock. Clocks drift
+// apart by up to a thousandth, and 10 ms are a margin for timers.
 const certainLeaseExpiry = Lease + Lease/1000 + 10*protocol.Millisecond
 
-// Grant is what a leader grants a follower.
+// Grant renews a follower's lease on a revision. The leader sends it.
 type Grant struct {
 	Epoch    uint64
 	Revision uint64
-	// The last acknowledgement that the leader heard: which incarnation of the follower's process
-	// sent it, and when by its steady clock.
+	// Incarnation and HeardAt identify the last acknowledgement that the leader received: which
+	// incarnation of the follower's process sent it, and when by the follower's steady clock.
 	Incarnation uint64
 	HeardAt     micros
 }
 
-// Holder is what a follower knows of its lease.
+// Holder is a follower's state of its lease.
 type Holder struct {
-	Incarnation uint64 // drawn when the process begins
+	Incarnation uint64 // random number of this process, drawn when it starts
 	Epoch       uint64
 	Revision    uint64
 	expiresAt   micros
 }
 
-// GrantResult is what a follower makes of a grant.
+// GrantResult is the result of applying a grant.
 type GrantResult uint8
 
 // Results of a grant.
 const (
-	GrantStale         GrantResult = iota // of an earlier leader, or with an earlier revision: it says nothing
+	GrantStale         GrantResult = iota // of an earlier leader or an earlier revision; ignored
 	GrantRenewed                          // the lease is renewed as far as the grant allows
-	GrantNeedsDocument                    // the revision is not known here
-	GrantAdopted                          // it came with the document, which goes into force here
+	GrantNeedsDocument                    // not renewed: the follower lacks the revision's document
+	GrantAdopted                          // the document came with the grant and is now used
 )
 
-// ApplyGrant takes a grant, which may come with the document.
+// ApplyGrant applies a grant. hasDocument is whether the document came with it.
 func (h *Holder) ApplyGrant(now micros, g Grant, hasDocument bool) GrantResult {
 	if g.Epoch < h.Epoch || g.Revision < h.Revision {
 		return GrantStale
@@ -71,13 +72,13 @@
 	return result
 }
 
-// Holds reports whether this controller may go by its revision.
+// Holds reports whether the follower may use its revision.
 func (h *Holder) Holds(now micros) bool { return now < h.expiresAt }
 
-// Granter is what a leader knows of the followers' leases.
+// Granter is a leader's state of the leases that it grants to followers.
 type Granter struct {
-	// The revisions that it granted, and since when: no grant since names an earlier one. The
-	// first is the newest for which leases on earlier ones have certainly expired.
+	// The granted revisions, each with the time since which no grant names an earlier one. The
+	// first is the newest one for which leases on earlier revisions have certainly expired.
 	revisions []grantedRevision
 	acks      map[string]acknowledgement // by follower
 }
@@ -89,18 +90,18 @@
 
 type acknowledgement struct {
 	incarnation uint64
-	at          micros // by the follower's clock
+	at          micros // when it was sent, by the follower's clock
 	revision    uint64
-	receivedAt  micros // by this clock
+	receivedAt  micros // by the leader's clock
 }
 
-// NewGranter is what a leader knows when it begins: earlier leaders may have granted leases until
-// it took the leader key.
+// NewGranter returns the state of a leader that took the leader key at now. Until then, earlier
+// leaders may have granted leases on older revisions.
 func NewGranter(revision uint64, now micros) *Granter {
 	return &Granter{revisions: []grantedRevision{{revision, now}}, acks: make(map[string]acknowledgement)}
 }
 
-// SetRevision notes that the leader goes by another revision from now on.
+// SetRevision records that the leader uses a newer revision from now on.
 func (g *Granter) SetRevision(revision uint64, now micros) {
 	if revision <= g.revision() {
 		return
@@ -113,35 +114,37 @@
 
 func (g *Granter) revision() uint64 { return g.revisions[len(g.revisions)-1].revision }
 
-// NextGrant is the next grant for a follower, and whether it needs the document.
+// NextGrant returns the next grant for a follower, and whether the follower needs the document with
+// it.
 func (g *Granter) NextGrant(name string, epoch uint64) (grant Grant, needsDocument bool) {
 	ack := g.acks[name]
 	grant = Grant{Epoch: epoch, Revision: g.revision(), Incarnation: ack.incarnation, HeardAt: ack.at}
 	return grant, ack.revision < g.revision()
 }
 
-// OnAck notes a follower's acknowledgement. at is by its own clock.
+// OnAck records an acknowledgement of a follower. at is by the follower's clock.
 func (g *Granter) OnAck(name string, incarnation uint64, at micros, revision uint64, now micros) {
-	last := g.acks[name]
-	if last.incarnation == incarnation {
-		if last.at > at {
-			return // an older one, late
+	previous := g.acks[name]
+	if previous.incarnation == incarnation {
+		if previous.at > at {
+			return // an older acknowledgement that was delayed
 		}
-		revision = max(revision, last.revision) // it never goes back
+		revision = max(revision, previous.revision) // followers never return to an earlier one
 	}
 	g.acks[name] = acknowledgement{incarnation, at, revision, now}
 }
 
-// Acknowledged is the revision that a follower has acknowledged, and when that was last heard;
-// 0: nothing was in this term.
+// Acknowledged returns the revision that a follower has acknowledged, and when the leader last
+// received an acknowledgement from it; both are 0 if it received none in this term.
 func (g *Granter) Acknowledged(name string) (revision uint64, receivedAt protocol.Micros) {
 	ack := g.acks[name]
 	return ack.revision, ack.receivedAt
 }
 
-// InForce reports whether no follower goes by a revision older than one that the leader goes by:
-// each has acknowledged it, or its lease on an earlier one has certainly expired, since that counts
-// from before the last grant that named one.
+// InForce reports whether no follower uses a revision older than the given one. Either each
+// follower has acknowledged it, or the leases on earlier revisions have certainly expired: the
+// leader has granted no earlier revision for certainLeaseExpiry, and a lease starts before its
+// grant is sent.
 func (g *Granter) InForce(revision uint64, now micros, followers []string) bool {
 	for _, granted := range g.revisions {
 		if granted.revision >= revision && now-granted.since >= certainLeaseExpiry {
@@ -159,8 +162,8 @@
 	return true
 }
 
-// NewestInForce is the newest revision in force everywhere, among those that are remembered;
-// 0: none yet.
+// NewestInForce returns the newest remembered revision that is in force on all followers, 0 if
+// there is none yet.
 func (g *Granter) NewestInForce(now micros, followers []string) uint64 {
 	for _, granted := range slices.Backward(g.revisions) {
 		if g.InForce(granted.revision, now, followers) {
--- a/internal/configuration/lease_test.go
+++ b/internal/configuration/lease_test.go
@@ -9,81 +9,82 @@
 	"mapleslip/internal/protocol"
 )
 
-// deployment is one leader after another and some other controllers, with messages that
-// come at any time, in any order, again, or not at all.
+// deployment simulates a sequence of leaders with a set of followers. Messages may arrive at any
+// time, in any order, more than once, or not at all.
 type deployment struct {
-	now      micros // true time
-	revision uint64 // committed
-	reported uint64 // told to be in force
-	epoch    uint64
-	leader   *Granter
-	names    []string
-	others   map[string]*follower
-	mail     []func()
+	now       micros // true time
+	revision  uint64 // committed
+	reported  uint64 // newest revision reported to be in force
+	epoch     uint64
+	leader    *Granter
+	names     []string
+	followers map[string]*follower
+	messages  []func()
 }
 
 type follower struct {
-	holder Holder
-	born   micros
-	fast   micros // its clock gains so many parts of 10,000
-	frozen bool
+	holder    Holder
+	startedAt micros
+	clockGain micros // its clock is fast by this many parts of 10,000
+	frozen    bool
 }
 
-func (d *deployment) clock(f *follower) micros {
-	since := d.now - f.born
-	return protocol.Second + since + since*f.fast/10_000
+func (d *deployment) clockOf(f *follower) micros {
+	since := d.now - f.startedAt
+	return protocol.Second + since + since*f.clockGain/10_000
 }
 
-func (d *deployment) ask(name string) {
-	q, needs := d.leader.NextGrant(name, d.epoch)
+func (d *deployment) sendGrant(name string) {
+	grant, needsDocument := d.leader.NextGrant(name, d.epoch)
 	epoch := d.epoch
-	d.mail = append(d.mail, func() {
-		f := d.others[name]
+	d.messages = append(d.messages, func() {
+		f := d.followers[name]
 		if f.frozen {
 			return
 		}
-		f.holder.ApplyGrant(d.clock(f), q, needs)
-		life, at, revision := f.holder.Incarnation, d.clock(f), f.holder.Revision
-		d.mail = append(d.mail, func() {
+		f.holder.ApplyGrant(d.clockOf(f), grant, needsDocument)
+		incarnation, at, revision := f.holder.Incarnation, d.clockOf(f), f.holder.Revision
+		d.messages = append(d.messages, func() {
 			if d.epoch == epoch {
-				d.leader.OnAck(name, life, at, revision, d.now)
+				d.leader.OnAck(name, incarnation, at, revision, d.now)
 			}
 		})
 	})
 }
 
-// Whatever comes late, whoever is frozen, ends, is back at once or leads: nobody holds a
-// lease on a revision older than one that was told to be in force.
-func TestNobodyHoldsAnOlderRevision(t *testing.T) {
+// No follower may hold a lease on a revision older than one that was reported to be in force,
+// however messages are delayed, repeated or lost, and whichever controllers freeze, restart or
+// become the leader.
+func TestNoLeaseOnOlderRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &deployment{others: make(map[string]*follower), epoch: 1, leader: NewGranter(0, 0)}
-		lives := uint64(0)
-		begin := func(name string) {
-			lives++
-			d.others[name] = &follower{holder: Holder{Incarnation: lives}, born: d.now, fast: micros(rapid.IntRange(-5, 5).Draw(t, "fast"))}
+		d := &deployment{followers: make(map[string]*follower), epoch: 1, leader: NewGranter(0, 0)}
+		incarnations := uint64(0)
+		startFollower := func(name string) {
+			incarnations++
+			d.followers[name] = &follower{holder: Holder{Incarnation: incarnations}, startedAt: d.now, clockGain: micros(rapid.IntRange(-5, 5).Draw(t, "fast"))}
 		}
 		for i := range rapid.IntRange(1, 3).Draw(t, "others") {
 			d.names = append(d.names, fmt.Sprint(i))
-			begin(d.names[i])
+			startFollower(d.names[i])
 		}
 		log := ""
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			name := rapid.SampledFrom(d.names).Draw(t, "who")
-			what := rapid.SampledFrom([]string{"ask", "ask", "deliver", "deliver", "deliver", "deliver", "again", "lose", "commit", "time", "time", "wait", "wait", "freeze", "restart", "lead"}).Draw(t, "what")
-			log += fmt.Sprintf("%.2f %s %s\n", d.now.Seconds(), what, name)
-			switch what {
+			event := rapid.SampledFrom([]string{"ask", "ask", "deliver", "deliver", "deliver", "deliver", "again", "lose", "commit", "time", "time", "wait", "wait", "freeze", "restart", "lead"}).Draw(t, "what")
+			log += fmt.Sprintf("%.2f %s %s\n", d.now.Seconds(), event, name)
+			switch event {
 			case "ask":
-				d.ask(name)
+				d.sendGrant(name)
 			case "deliver", "again", "lose":
-				if len(d.mail) == 0 {
+				if len(d.messages) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(d.mail)-1).Draw(t, "which")
-				deliver := d.mail[i]
-				if what != "again" {
-					d.mail = append(d.mail[:i:i], d.mail[i+1:]...)
+				i := rapid.IntRange(0, len(d.messages)-1).Draw(t, "which")
+				deliver := d.messages[i]
+				if event != "again" {
+					d.messages = append(d.messages[:i:i], d.messages[i+1:]...)
 				}
-				if what != "lose" {
+				if event != "lose" {
 					deliver()
 				}
 			case "commit":
@@ -98,49 +99,49 @@
 					d.reported = r
 				}
 			case "freeze":
-				d.others[name].frozen = !d.others[name].frozen
+				d.followers[name].frozen = !d.followers[name].frozen
 			case "restart":
-				begin(name)
+				startFollower(name)
 			case "lead":
 				d.epoch++
 				d.leader = NewGranter(d.revision, d.now)
 			}
 			for _, name := range d.names {
-				f := d.others[name]
-				if !f.frozen && f.holder.Holds(d.clock(f)) && f.holder.Revision < d.reported {
-					t.Fatalf("%s goes by %d, and %d is in force\n%s", name, f.holder.Revision, d.reported, log)
+				f := d.followers[name]
+				if !f.frozen && f.holder.Holds(d.clockOf(f)) && f.holder.Revision < d.reported {
+					t.Fatalf("%s uses revision %d, but %d was reported to be in force\n%s", name, f.holder.Revision, d.reported, log)
 				}
 			}
 		}
 	})
 }
 
-// A revision is in force as soon as all have said so, and without one of them after its
-// lease; changes that keep coming don't put that off.
+// A revision is in force as soon as all followers have acknowledged it, or, if one does not, when
+// that one's lease has expired. Further changes must not delay this.
 func TestInForce(t *testing.T) {
 	g := NewGranter(3, 0)
-	others := []string{"a", "b"}
+	followers := []string{"a", "b"}
 	g.SetRevision(4, 10*protocol.Second)
 	g.OnAck("a", 1, 5, 4, 11*protocol.Second)
-	if g.InForce(4, 11*protocol.Second, others) || !g.InForce(3, 11*protocol.Second, others) {
-		t.Error("one of two has not said so")
+	if g.InForce(4, 11*protocol.Second, followers) || !g.InForce(3, 11*protocol.Second, followers) {
+		t.Error("revision 4 is in force before both followers acknowledged it, or revision 3 is not")
 	}
 	g.OnAck("b", 2, 5, 4, 11*protocol.Second)
-	if !g.InForce(4, 11*protocol.Second, others) {
-		t.Error("both have said so")
+	if !g.InForce(4, 11*protocol.Second, followers) {
+		t.Error("revision 4 is not in force although both followers acknowledged it")
 	}
 	for r := uint64(5); r < 30; r++ {
 		g.SetRevision(r, micros(r)*3*protocol.Second)
 	}
 	at := 29 * 3 * protocol.Second
-	if !g.InForce(27, at, others) || g.InForce(29, at, others) || g.NewestInForce(at, others) != 27 {
-		t.Errorf("the newest in force is %d", g.NewestInForce(at, others))
+	if !g.InForce(27, at, followers) || g.InForce(29, at, followers) || g.NewestInForce(at, followers) != 27 {
+		t.Errorf("the newest in force is %d", g.NewestInForce(at, followers))
 	}
 	if len(g.revisions) > 4 {
 		t.Errorf("%d revisions are remembered", len(g.revisions))
 	}
-	g.OnAck("b", 3, 1, 0, at) // back at once: it knows nothing, and holds nothing
-	if q, document := g.NextGrant("b", 9); !document || q.Incarnation != 3 || q.HeardAt != 1 || q.Revision != 29 {
-		t.Errorf("%+v %t", q, document)
+	g.OnAck("b", 3, 1, 0, at) // restarted, without a document and a lease
+	if grant, needsDocument := g.NextGrant("b", 9); !needsDocument || grant.Incarnation != 3 || grant.HeardAt != 1 || grant.Revision != 29 {
+		t.Errorf("got grant %+v, needs document: %t", grant, needsDocument)
 	}
 }
--- a/internal/configuration/request.go
+++ b/internal/configuration/request.go
@@ -12,21 +12,22 @@
 	"mapleslip/internal/protocol"
 )
 
-// Request asks for a revision.
+// Request is a request for a new revision.
 type Request struct {
-	Expected uint64 // the revision that whoever asks has seen: on another one it is refused
+	Expected uint64 // revision that the requester has seen; refused if another is current
 	Who, Why string
-	ID       string // names the request, so that it is known when it is repeated
-	// Set has the values by key, "": the key is taken out. All of them make one revision.
+	ID       string // identifies the request, so that a retry of it is recognized
+	// Set contains the values by key; "" removes the key. Together they make one revision.
 	Set map[string]string
-	// Repair puts the change in the place of a record that can't be read.
+	// Repair replaces a record that can't be read.
 	Repair bool
-	// Rollback: the document of an earlier revision is what is asked for, and Set is empty.
+	// Rollback requests the document of the earlier revision To. Set is then empty.
 	Rollback bool
 	To       uint64
 }
 
-// Changes is what a request changes in a document: what is so already is left out.
+// Changes returns what the request changes in a document. Keys that already have the requested
+// value are left out.
 func (r *Request) Changes(d Document) []Change {
 	var list []Change
 	for key, v := range r.Set {
@@ -38,14 +39,14 @@
 	return list
 }
 
-// Errors of a request's body as a whole.
+// Errors about the whole body of a request.
 var (
 	errNotJSON   = errors.New("not JSON")
 	errNotObject = errors.New("not an object")
 )
 
-// ParseRequest reads a request's body. An unknown key, one that is there twice, and a value of
-// the wrong kind are errors that name it.
+// ParseRequest parses the body of a request. If a key is unknown, duplicate or has a value of the
+// wrong type, the error names it.
 func ParseRequest(body []byte, rollback bool) (*Request, error) {
 	if err := fastjson.ValidateBytes(body); err != nil {
 		return nil, errNotJSON
@@ -69,7 +70,7 @@
 	return r.Request, nil
 }
 
-// requestReader reads the fields of a request, and keeps the first error.
+// requestReader reads the fields of a request and keeps the first error.
 type requestReader struct {
 	*Request
 	seen map[string]bool
@@ -136,7 +137,7 @@
 	return set
 }
 
-// checkComplete checks that nothing is missing.
+// checkComplete checks that no required field is missing.
 func (r *requestReader) checkComplete() {
 	required := []string{"expected", "who", "id", "set"}
 	if r.Rollback {
@@ -155,9 +156,9 @@
 	}
 }
 
-// flatten takes the values of an object, and of the objects in it, by their paths:
-// {"team":{"vision":{"gpus_max":40}}} is {"team/vision/gpus_max":40}. null takes a key out.
-func flatten(to map[string]string, path string, v *fastjson.Value) error {
+// flatten adds the values of an object and of its nested objects by their paths:
+// {"team":{"vision":{"gpus_max":40}}} becomes {"team/vision/gpus_max":40}. null removes a key.
+func flatten(values map[string]string, path string, v *fastjson.Value) error {
 	if o, e := v.Object(); e == nil {
 		var err error
 		if path != "" && o.Len() == 0 {
@@ -169,7 +170,7 @@
 				key = path + "/" + key
 			}
 			if err == nil {
-				err = flatten(to, key, v)
+				err = flatten(values, key, v)
 			}
 		})
 		return err
@@ -177,22 +178,22 @@
 	if path == "" {
 		return keyErrorf("set", "must be an object")
 	}
-	if _, twice := to[path]; twice {
+	if _, duplicate := values[path]; duplicate {
 		return keyErrorf(path, "is there twice")
 	}
 	if v.Type() == fastjson.TypeNull {
-		to[path] = ""
+		values[path] = ""
 		return nil
 	}
 	text, ok := canonicalJSON(v)
 	if !ok {
 		return keyErrorf(path, "must be a number, a text, true, false, or null to take it out")
 	}
-	to[path] = text
+	values[path] = text
 	return nil
 }
 
-// AppendRequest writes a request's body.
+// AppendRequest appends the body of a request as JSON.
 func AppendRequest(b []byte, r *Request) []byte {
 	b = fmt.Appendf(b, `{"expected":%d,"who":`, r.Expected)
 	b = append(protocol.AppendQuoted(b, r.Who), `,"why":`...)
--- a/internal/configuration/resolve.go
+++ b/internal/configuration/resolve.go
@@ -10,46 +10,48 @@
 	"mapleslip/internal/protocol"
 )
 
-// Drain says whether tasks may be started on a machine, and what becomes of those that run there.
+// Drain specifies whether tasks may start on a machine, and what happens to the tasks that run
+// there.
 type Drain uint8
 
-// Kinds of drains.
+// Drains, from the least to the most strict.
 const (
 	NotDrained  Drain = iota
-	DrainFinish       // nothing starts, what runs goes on
-	DrainStop         // nothing starts, what runs is stopped after it has saved
+	DrainFinish       // no tasks start; running tasks continue
+	DrainStop         // no tasks start; running tasks are stopped after they have saved
 )
 
-// Team is a team as a revision has it.
+// Team is a team with the settings of a revision.
 type Team struct {
 	protocol.Team
-	Retired bool // takes no new jobs
-	// StopExcess: what runs above the limit is stopped. Otherwise it goes on, and
-	// nothing more starts.
+	Retired bool // new jobs of the team are refused
+	// StopExcess stops running tasks above the team's limit. Otherwise they continue, and no more
+	// tasks start.
 	StopExcess bool
 }
 
-// Settings is what a document comes to, on top of the controllers' files.
+// Settings are the effective settings: those of the controllers' files, changed by a document.
 type Settings struct {
 	Teams    map[string]Team
 	Zones    map[string]Drain
 	Machines map[string]Drain
 	Nets     []NetDrain
-	Ceilings map[MachineKind]int // most machines of a type in a zone
+	Ceilings map[MachineKind]int // maximum number of machines of a type in a zone
 	Operator protocol.OperatorSettings
-	LogLevel string // level, "": as each controller was started
+	LogLevel string // "" for the level with which each controller was started
 }
 
-// NetDrain drains the machines with an address in a range: a rack, mostly.
+// NetDrain drains the machines whose address is in a range, usually those of a rack.
 type NetDrain struct {
 	Net   netip.Prefix
 	Drain Drain
 }
 
-// MachineKind is a type of machines in a zone.
+// MachineKind is a machine type in a zone.
 type MachineKind struct{ Type, Zone string }
 
-// DrainOf says whether a machine is drained, and how: the strictest that names it counts.
+// DrainOf returns the drain of a machine: the strictest of those for its zone, its name and its
+// address.
 func (s *Settings) DrainOf(machine, zone, addr string) Drain {
 	if len(s.Zones)+len(s.Machines)+len(s.Nets) == 0 {
 		return NotDrained
@@ -67,9 +69,9 @@
 	return d
 }
 
-// Resolve works out what a document comes to. A key that the baseline does not know, or whose
-// value it does not allow, says nothing: the files may have changed since it was written. No limit
-// comes out above that of the platform's file.
+// Resolve computes the settings that result from a document. It ignores a key that the baseline
+// does not contain and a value that the baseline does not allow, because the files may have changed
+// since the document was written. No resulting limit is above the one in the platform's file.
 func Resolve(b *Baseline, d Document) *Settings {
 	s := &Settings{
 		Teams: make(map[string]Team, len(b.Teams)), Zones: make(map[string]Drain), Machines: make(map[string]Drain),
@@ -86,7 +88,7 @@
 	return s
 }
 
-// set sets a key, which was checked, to a value.
+// set applies the value of a key. Both were checked before.
 func (s *Settings) set(key []string, value string) {
 	number, _ := strconv.ParseFloat(value, 64)
 	switch key[0] {
@@ -102,14 +104,14 @@
 		if key[1] == "warm_spare" {
 			s.Operator.WarmSpare = number
 		} else {
-			*operatorSettings[key[1]].of(&s.Operator) = protocol.FromSeconds(number)
+			*operatorSettings[key[1]].field(&s.Operator) = protocol.FromSeconds(number)
 		}
 	case "log":
 		s.LogLevel, _ = strconv.Unquote(value)
 	}
 }
 
-// set sets a setting of a team.
+// set applies a setting of the team.
 func (t *Team) set(name, value string, number float64) {
 	switch name {
 	case "retired":
@@ -118,9 +120,9 @@
 		t.StopExcess = drainOf(value) == DrainStop
 	default:
 		amount, _ := teamAmounts[name](&t.Team)
-		*amount = thousandths(number)
+		*amount = toThousandths(number)
 		if *amount == 0 && number > 0 {
-			*amount = 1 // 0 would be no limit
+			*amount = 1 // 0 would mean no limit
 		}
 	}
 }
@@ -137,7 +139,7 @@
 }
 
 func drainOf(value string) Drain {
-	if value == strconv.Quote(wordStop) {
+	if value == strconv.Quote(valueStop) {
 		return DrainStop
 	}
 	return DrainFinish
--- a/internal/configuration/settings.go
+++ b/internal/configuration/settings.go
@@ -2,22 +2,22 @@
 
 import "mapleslip/internal/protocol"
 
-// Options is the operators' file that switches changes on.
+// Options are the settings of the operators' file that enables configuration changes.
 type Options struct {
-	HistoryPages int // of history that are kept, of one value each
+	HistoryPages int // pages of history to keep; each takes one value of the state service
 }
 
-// Defaults are the options used where the operators' file sets none.
+// Defaults returns the options that apply where the operators' file sets none.
 func Defaults() Options { return Options{HistoryPages: 256} }
 
 type optionsFile struct {
 	Pages *int `toml:"history_pages"`
 }
 
-// LoadOptions reads the operators' file; errors name the file and the key.
+// LoadOptions reads the operators' file. Errors name the file and the key.
 func LoadOptions(path string) (Options, error) { return protocol.LoadFile(path, ParseOptions) }
 
-// ParseOptions checks the text of the operators' file.
+// ParseOptions parses and checks the text of the operators' file.
 func ParseOptions(text []byte) (Options, error) {
 	o := Defaults()
 	var f optionsFile
