--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Levels are the levels of logs.
+// Levels are the log levels.
 var Levels = []string{"error", "info", "debug"}
 
 // Values that specify what happens to running work that conflicts with a change.
--- a/internal/featuregate/decide.go
+++ b/internal/featuregate/decide.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// StoredEntry is a controller's entry of the roster as the state service has it.
+// StoredEntry is a controller's entry of the roster, as read from the state service.
 type StoredEntry struct {
 	Entry
 	Revision uint64
-	Err      error // it can't be read
+	Err      error // set if the entry can't be read
 }
 
-// Reason says why a level waits for a controller.
+// Reason is why a controller blocks a feature level.
 type Reason uint8
 
-// Reasons.
+// Reasons why a controller blocks a feature level.
 const (
-	NoEntry    Reason = iota // a version that knows of no levels, or it has not been able to say yet
-	Unreadable               // its entry can't be read
-	ServesLess               // it runs a version that does not serve the level
-	Withdrawn                // it serves from a higher level on only
-	RunsOld                  // it answers as a version that knows of no levels, whatever its entry says
+	NoEntry         Reason = iota // its version has no levels, or it could not write its entry yet
+	Unreadable                    // its entry can't be read
+	MaxLevelTooLow                // its version does not serve the level
+	MinLevelTooHigh               // its version serves only higher levels
+	RunsOld                       // it responds like a version without levels, despite its entry
 )
 
 func (r Reason) String() string {
@@ -31,52 +31,56 @@
 	}[r]
 }
 
-// Blocker is a controller for which a level waits, and why.
+// Blocker is a controller that blocks a feature level, and the reason.
 type Blocker struct {
 	Controller string
 	Reason     Reason
 }
 
-// Decision is what the leader does about the active level.
+// Decision is the result of Decide.
 type Decision struct {
-	Next     Level     // the level that every controller has: to be made active if it is above the active one
-	Blockers []Blocker // for whom the highest level that the leader serves waits, in the order of the settings
+	// Next is the level that the leader activates if it is above the active one. Every controller
+	// then serves it.
+	Next Level
+	// Blockers are the controllers that block the highest level that the leader serves, in the
+	// order of the settings, those with MinLevelTooHigh last.
+	Blockers []Blocker
 }
 
-// Decide compares the controllers of the settings with the roster. A level is ready when
-// all of them have it, whether they answer just now or not; an entry of a controller that
-// the settings don't name counts for nothing.
-func Decide(names []string, leader Range, active Level, roster map[string]StoredEntry) Decision {
+// Decide compares the controllers in the settings with the roster. A level is ready when every
+// controller serves it, whether the controller responds at the moment or not. Entries of
+// controllers that are not in the settings are ignored.
+func Decide(controllers []string, leader Range, active Level, roster map[string]StoredEntry) Decision {
 	d := Decision{Next: leader.High}
-	for _, name := range names {
-		k, found := roster[name]
+	for _, name := range controllers {
+		entry, found := roster[name]
 		switch {
 		case !found:
 			d.block(name, NoEntry, active)
-		case k.Err != nil || k.Controller != name:
+		case entry.Err != nil || entry.Controller != name:
 			d.block(name, Unreadable, active)
-		case k.Levels.High < leader.High:
-			d.block(name, ServesLess, max(active, min(d.Next, k.Levels.High)))
+		case entry.Levels.High < leader.High:
+			d.block(name, MaxLevelTooLow, max(active, min(d.Next, entry.Levels.High)))
 		}
 	}
-	for _, name := range names {
-		if k, found := roster[name]; found && k.Err == nil && k.Levels.Low > d.Next {
-			d.block(name, Withdrawn, active)
+	for _, name := range controllers {
+		if entry, found := roster[name]; found && entry.Err == nil && entry.Levels.Low > d.Next {
+			d.block(name, MinLevelTooHigh, active)
 		}
 	}
 	return d
 }
 
-func (d *Decision) block(name string, why Reason, next Level) {
-	d.Blockers = append(d.Blockers, Blocker{name, why})
+func (d *Decision) block(name string, reason Reason, next Level) {
+	d.Blockers = append(d.Blockers, Blocker{name, reason})
 	d.Next = min(d.Next, next)
 }
 
-// Describe names those for whom a level waits, for the log.
-func Describe(waits []Blocker) string {
-	parts := make([]string, len(waits))
-	for i, w := range waits {
-		parts[i] = fmt.Sprintf("%s (%s)", w.Controller, w.Reason)
+// Describe lists blockers and their reasons, for the log.
+func Describe(blockers []Blocker) string {
+	parts := make([]string, len(blockers))
+	for i, blocker := range blockers {
+		parts[i] = fmt.Sprintf("%s (%s)", blocker.Controller, blocker.Reason)
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/featuregate/production_test.go
+++ b/internal/featuregate/production_test.go
@@ -9,9 +9,10 @@
 	"mapleslip/internal/records"
 )
 
-// This file, too, stands by itself. Put into the tree of the version in production beside
-// samples_test.go, with LEVEL1 naming testdata/level1, it shows that that version's own
-// readers refuse what is written from level 1 on; not part of CI, which has no other tree:
+// This file needs no other file of this package. Copied with samples_test.go into the source tree
+// of the version in production, and run with LEVEL1 set to testdata/level1, it shows that the
+// decoders of that version refuse what is written from level 1 on. CI does not run it, because it
+// has no other source tree:
 //
 //	LEVEL1=$PWD/internal/featuregate/testdata/level1 go test -run TestProductionRefuses FOLDER/internal/featuregate
 
@@ -20,7 +21,7 @@
 	if folder == "" {
 		return
 	}
-	for name, read := range map[string]func([]byte) error{
+	for name, decode := range map[string]func([]byte) error{
 		"epoch.json":         func(b []byte) error { _, err := records.DecodeEpoch(b); return err },
 		"machine-types.json": func(b []byte) error { _, err := protocol.ParseMachineTypes(b); return err },
 	} {
@@ -28,15 +29,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = read(b)
+		err = decode(b)
 		if err == nil {
-			t.Errorf("%s is read: %s", name, b)
+			t.Errorf("%s is decoded: %s", name, b)
 		}
 		t.Logf("%s: %v", name, err)
 	}
-	// A leader's question for levels: what can't be read is answered with status 0.
-	question := "\x01\x0a\x00\x06node-1\x00\x00\x00\x00"
-	if m, err := protocol.ParsePeer([]byte(question)); err == nil {
-		t.Errorf("the question for levels is read as %+v", m)
+	// A leader's request for the levels: the version in production can't parse it and responds with
+	// status 0.
+	request := "\x01\x0a\x00\x06node-1\x00\x00\x00\x00"
+	if m, err := protocol.ParsePeer([]byte(request)); err == nil {
+		t.Errorf("the request for the levels is decoded as %+v", m)
 	}
 }
--- a/internal/featuregate/record.go
+++ b/internal/featuregate/record.go
@@ -12,37 +12,39 @@
 
 // Keys of the state service.
 const (
-	KeyLevel       = "level"   // the active level; there is none at level 0
-	RegistryPrefix = "roster/" // what each controller runs, by its name
+	KeyLevel       = "level"   // the active level; there is no record at level 0
+	RegistryPrefix = "roster/" // the version that each controller runs, by the controller's name
 )
 
-// RegistryKey is the key of a controller's entry of the roster.
-func RegistryKey(node string) string { return RegistryPrefix + node }
+// RegistryKey returns the key of a controller's entry of the roster.
+func RegistryKey(controller string) string { return RegistryPrefix + controller }
 
-// form is that of both records. A later one is not read: nothing is known of what it says.
-const form = 1
+// formatVersion is the version of the format of both records. Records of other versions are
+// refused, since the meaning of their content is unknown.
+const formatVersion = 1
 
-var errRecord = errors.New("malformed record of the feature levels")
+var errMalformedRecord = errors.New("malformed record of the feature levels")
 
-// Entry is what a controller runs. It is written when its process starts.
+// Entry is a controller's entry of the roster: the version that it runs. The controller writes it
+// when its process starts.
 type Entry struct {
 	Controller string
 	Levels     Range
-	Build      string // its version, for people
+	Build      string // program version, only for display
 }
 
-// EncodeEntry writes an entry of the roster.
+// EncodeEntry encodes an entry of the roster as JSON.
 func EncodeEntry(e Entry) []byte {
-	b := protocol.AppendQuoted(fmt.Appendf(nil, `{"form":%d,"node":`, form), e.Controller)
+	b := protocol.AppendQuoted(fmt.Appendf(nil, `{"form":%d,"node":`, formatVersion), e.Controller)
 	b = fmt.Appendf(b, `,"low":%d,"high":%d,"build":`, e.Levels.Low, e.Levels.High)
 	return append(protocol.AppendQuoted(b, e.Build), '}')
 }
 
-// DecodeEntry reads an entry of the roster.
+// DecodeEntry decodes an entry of the roster.
 func DecodeEntry(value []byte) (Entry, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
-	v, err := open(p, value)
+	v, err := parseRecord(p, value)
 	if err != nil {
 		return Entry{}, err
 	}
@@ -50,35 +52,35 @@
 	high, err2 := protocol.Member(v, "high").Uint64()
 	e := Entry{Controller: string(v.GetStringBytes("node")), Levels: Range{Level(low), Level(high)}, Build: string(v.GetStringBytes("build"))}
 	if err1 != nil || err2 != nil || e.Controller == "" || low > high {
-		return Entry{}, errRecord
+		return Entry{}, errMalformedRecord
 	}
 	return e, nil
 }
 
-// EncodeLevel writes the active level.
+// EncodeLevel encodes the active level as JSON.
 func EncodeLevel(l Level) []byte {
-	return append(strconv.AppendUint(fmt.Appendf(nil, `{"form":%d,"level":`, form), uint64(l), 10), '}')
+	return append(strconv.AppendUint(fmt.Appendf(nil, `{"form":%d,"level":`, formatVersion), uint64(l), 10), '}')
 }
 
-// DecodeLevel reads the active level.
+// DecodeLevel decodes the active level.
 func DecodeLevel(value []byte) (Level, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
-	v, err := open(p, value)
+	v, err := parseRecord(p, value)
 	if err != nil {
 		return 0, err
 	}
 	l, err := protocol.Member(v, "level").Uint64()
 	if err != nil || l == 0 {
-		return 0, errRecord
+		return 0, errMalformedRecord
 	}
 	return Level(l), nil
 }
 
-func open(p *fastjson.Parser, value []byte) (*fastjson.Value, error) {
+func parseRecord(p *fastjson.Parser, value []byte) (*fastjson.Value, error) {
 	v, err := p.ParseBytes(value)
-	if err != nil || v.Type() != fastjson.TypeObject || v.GetInt("form") != form {
-		return nil, errRecord
+	if err != nil || v.Type() != fastjson.TypeObject || v.GetInt("form") != formatVersion {
+		return nil, errMalformedRecord
 	}
 	return v, nil
 }
--- a/internal/featuregate/samples_test.go
+++ b/internal/featuregate/samples_test.go
@@ -16,21 +16,23 @@
 	"mapleslip/internal/state"
 )
 
-// This file stands by itself: put into the tree of the version in production, with
-// "WRITE=folder", it wrote testdata/level0 with that version's own encoders:
+// This file needs no other file of this package. Copied into the source tree of the version in
+// production and run with "WRITE=folder", it wrote testdata/level0 with the encoders of that
+// version:
 //
 //	git worktree add FOLDER COMMIT; mkdir FOLDER/internal/featuregate
 //	cp internal/featuregate/samples_test.go FOLDER/internal/featuregate/
 //	cd FOLDER && WRITE=$PWD/level0 go test -run TestWriteSamples ./internal/featuregate
 
-// sample is a record or a message, and how what was written is read and written again.
+// sample is an encoded record or message, and a function that decodes it and encodes the result
+// again.
 type sample struct {
-	name  string
-	bytes []byte
-	again func(b []byte) ([]byte, error)
+	name     string
+	bytes    []byte
+	reencode func(b []byte) ([]byte, error)
 }
 
-const wall = protocol.Micros(1_700_000_000_123_456)
+const wallTime = protocol.Micros(1_700_000_000_123_456)
 
 func jobSpec(ref string, kind protocol.JobKind, tasks int) *protocol.JobSpec {
 	return &protocol.JobSpec{
@@ -39,7 +41,7 @@
 	}
 }
 
-// fullSpec uses whatever a job may have.
+// fullSpec returns a job specification that uses every field.
 func fullSpec() *protocol.JobSpec {
 	s := jobSpec("req-000405", protocol.Gang, 4)
 	s.MachineTypes, s.Zone = []string{"big", `qu"oted`}, "a"
@@ -73,14 +75,14 @@
 	}
 }
 
-// samples are all kinds of records and messages of level 0.
+// samples returns every kind of record and message of level 0.
 func samples() []sample {
 	var list []sample
-	add := func(name string, b []byte, again func(b []byte) ([]byte, error)) {
-		list = append(list, sample{name, b, again})
+	add := func(name string, b []byte, reencode func(b []byte) ([]byte, error)) {
+		list = append(list, sample{name, b, reencode})
 	}
-	job := func(name string, j *state.Job) {
-		j.SubmittedWall, j.LeaderEpoch = wall, 7
+	addJob := func(name string, j *state.Job) {
+		j.SubmittedWall, j.LeaderEpoch = wallTime, 7
 		add(name, records.EncodeJob(j), func(b []byte) ([]byte, error) {
 			j, err := records.DecodeJob(b)
 			if err != nil {
@@ -89,23 +91,23 @@
 			return records.EncodeJob(j), nil
 		})
 	}
-	job("job-array", state.NewJob(jobSpec("req-000001", protocol.Array, 25)))
-	job("job-service", state.NewJob(jobSpec("req-000002", protocol.Service, 2)))
-	job("job-with-everything", state.NewJob(fullSpec()))
-	asked := state.NewJob(jobSpec("req-000003", protocol.Array, 1))
-	asked.State, asked.Cancellation.RequestedWall = state.JobCancelling, wall+5
-	job("job-being-cancelled", asked)
-	told := state.NewJob(jobSpec("req-000004", protocol.Array, 1))
-	told.State, told.Cancellation.RequestedWall = state.JobCancelledLegacy, wall+6
-	job("job-cancelled-by-an-earlier-version", told)
+	addJob("job-array", state.NewJob(jobSpec("req-000001", protocol.Array, 25)))
+	addJob("job-service", state.NewJob(jobSpec("req-000002", protocol.Service, 2)))
+	addJob("job-with-everything", state.NewJob(fullSpec()))
+	cancelling := state.NewJob(jobSpec("req-000003", protocol.Array, 1))
+	cancelling.State, cancelling.Cancellation.RequestedWall = state.JobCancelling, wallTime+5
+	addJob("job-being-cancelled", cancelling)
+	cancelledLegacy := state.NewJob(jobSpec("req-000004", protocol.Array, 1))
+	cancelledLegacy.State, cancelledLegacy.Cancellation.RequestedWall = state.JobCancelledLegacy, wallTime+6
+	addJob("job-cancelled-by-an-earlier-version", cancelledLegacy)
 	for _, p := range []protocol.Phase{protocol.PhaseDone, protocol.PhaseCancelled} {
 		add("final-"+string(p), records.EncodeFinal(p, 25), func(b []byte) ([]byte, error) {
 			p, n, err := records.DecodeFinal(b)
 			return records.EncodeFinal(p, n), err
 		})
 	}
-	yields := []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 6, At: wall, ReachableWorkers: map[string]int{"a": 3, "b": 0}}}
-	for name, e := range map[string]records.Epoch{"epoch": {Number: 7}, "epoch-unlisted": {Number: 8, LaunchesUnrecorded: true}, "epoch-with-yields": {Number: 9, Transfers: yields}} {
+	transfers := []protocol.LeadershipTransfer{{From: "node-1", To: "node-2", Epoch: 6, At: wallTime, ReachableWorkers: map[string]int{"a": 3, "b": 0}}}
+	for name, e := range map[string]records.Epoch{"epoch": {Number: 7}, "epoch-unlisted": {Number: 8, LaunchesUnrecorded: true}, "epoch-with-yields": {Number: 9, Transfers: transfers}} {
 		add(name, records.EncodeEpoch(e), func(b []byte) ([]byte, error) {
 			e, err := records.DecodeEpoch(b)
 			return records.EncodeEpoch(e), err
@@ -119,59 +121,59 @@
 		types, err := protocol.ParseMachineTypes(b)
 		return protocol.AppendMachineTypes(nil, types), err
 	})
-	memory := protocol.HandoverState{Epoch: 7, At: wall, Partitions: []protocol.Partition{{Zone: "a", Since: wall - 9, LastSeen: wall - 1}}, SilentHosts: []protocol.SilentHost{{Host: "n-000009", Since: wall - 7}}}
-	add("memory", records.EncodeHandover(memory), func(b []byte) ([]byte, error) {
+	handover := protocol.HandoverState{Epoch: 7, At: wallTime, Partitions: []protocol.Partition{{Zone: "a", Since: wallTime - 9, LastSeen: wallTime - 1}}, SilentHosts: []protocol.SilentHost{{Host: "n-000009", Since: wallTime - 7}}}
+	add("memory", records.EncodeHandover(handover), func(b []byte) ([]byte, error) {
 		m, err := records.DecodeHandover(b)
 		return records.EncodeHandover(m), err
 	})
-	hosts := func(images bool) []byte {
+	encodeHosts := func(images bool) []byte {
 		var list []*state.Host
 		for i, spot := range []bool{false, true} {
 			h := state.NewHost(0, fmt.Sprintf("n-%06d", i+1), "big", "a", spot)
-			h.Addr, h.Record.WrittenWall = fmt.Sprintf("10.0.0.%d:9000", i+1), wall
+			h.Addr, h.Record.WrittenWall = fmt.Sprintf("10.0.0.%d:9000", i+1), wallTime
 			h.Images["work:7"], h.Images["web:1"] = &state.Image{Size: 8250}, &state.Image{Size: 1000}
 			list = append(list, h)
 		}
 		return records.EncodeHosts(list, images)
 	}
 	for name, images := range map[string]bool{"hosts": true, "hosts-without-images": false} {
-		add(name, hosts(images), func(b []byte) ([]byte, error) {
+		add(name, encodeHosts(images), func(b []byte) ([]byte, error) {
 			list, err := records.DecodeHosts(0, b)
 			return records.EncodeHosts(list, images), err
 		})
 	}
 	refs := []string{"req-000001", "req-000405"}
-	add("bookings", records.EncodeBookings(refs, func(string) protocol.Micros { return wall }), func(b []byte) ([]byte, error) {
+	add("bookings", records.EncodeBookings(refs, func(string) protocol.Micros { return wallTime }), func(b []byte) ([]byte, error) {
 		at, err := records.DecodeBookings(b)
 		return records.EncodeBookings(refs, func(ref string) protocol.Micros { return at[ref] }), err
 	})
-	array := func() *state.Job { return state.NewJob(jobSpec("req-000001", protocol.Array, 25)) }
-	done := array()
+	newArray := func() *state.Job { return state.NewJob(jobSpec("req-000001", protocol.Array, 25)) }
+	completed := newArray()
 	for _, i := range []int{0, 3, 24} {
-		done.Complete(i, false)
+		completed.Complete(i, false)
 	}
-	add("completions", records.EncodeCompletions([]*state.Job{done}), func(b []byte) ([]byte, error) {
+	add("completions", records.EncodeCompletions([]*state.Job{completed}), func(b []byte) ([]byte, error) {
 		list, err := records.DecodeCompletions(b)
-		j := array()
+		j := newArray()
 		if err == nil {
 			err = records.ApplyChunk(j, 0, list["req-000001"])
 		}
 		return records.EncodeCompletions([]*state.Job{j}), err
 	})
-	add("completions-of-a-large-array", records.EncodeChunk(done, 0), func(b []byte) ([]byte, error) {
-		j := array()
+	add("completions-of-a-large-array", records.EncodeChunk(completed, 0), func(b []byte) ([]byte, error) {
+		j := newArray()
 		err := records.ApplyChunk(j, 0, b)
 		return records.EncodeChunk(j, 0), err
 	})
-	launch := func(ref string, index int, host string, number uint64) records.Launch {
+	newLaunch := func(ref string, index int, host string, number uint64) records.Launch {
 		return records.Launch{Name: protocol.AttemptName{TaskName: protocol.TaskName{Job: ref, Index: index}, Number: number}, Host: host}
 	}
-	add("launches", records.EncodeLaunches([]records.Launch{launch("req-000001", 0, "n-000001", 7<<24|1), launch("req-000001", 3, "n-000002", 7<<24|2), launch("req-000405", 1, "n-000001", 7<<24|3)}),
+	add("launches", records.EncodeLaunches([]records.Launch{newLaunch("req-000001", 0, "n-000001", 7<<24|1), newLaunch("req-000001", 3, "n-000002", 7<<24|2), newLaunch("req-000405", 1, "n-000001", 7<<24|3)}),
 		func(b []byte) ([]byte, error) {
 			list, err := records.DecodeLaunches(b)
 			return records.EncodeLaunches(list), err
 		})
-	entry := configuration.Entry{Revision: 3, At: wall, Who: "ops", Why: `a "reason"`, ID: "c-1", Changes: []configuration.Change{{Key: "log/level", Old: `"info"`, New: `"debug"`}, {Key: "team/red/gpus_max", New: "4"}}}
+	entry := configuration.Entry{Revision: 3, At: wallTime, Who: "ops", Why: `a "reason"`, ID: "c-1", Changes: []configuration.Change{{Key: "log/level", Old: `"info"`, New: `"debug"`}, {Key: "team/red/gpus_max", New: "4"}}}
 	head := configuration.Head{Revision: 3, FirstRevision: 1, FirstPage: 1, LastPage: 1, Document: configuration.Document{"log/level": `"debug"`, "team/red/gpus_max": "4"}, Entries: []configuration.Entry{entry}}
 	add("configuration", head.Encode(), func(b []byte) ([]byte, error) {
 		h, err := configuration.DecodeHead(b)
@@ -187,7 +189,7 @@
 		}
 		return r.Encode(), nil
 	})
-	for name, m := range messages(memory) {
+	for name, m := range messages(handover) {
 		add("message-"+name, protocol.AppendPeer(nil, m), func(b []byte) ([]byte, error) {
 			frame, _, err := protocol.SplitPeer(b)
 			if err != nil {
@@ -204,12 +206,12 @@
 	return list
 }
 
-// messages are all kinds of messages between controllers.
-func messages(memory protocol.HandoverState) map[string]*protocol.PeerMessage {
+// messages returns every kind of message between controllers, by the name of its sample.
+func messages(handover protocol.HandoverState) map[string]*protocol.PeerMessage {
 	m := map[string]*protocol.PeerMessage{
 		"answer":         {Kind: protocol.PeerResponse, Status: 503, RetryAfter: protocol.Second, Body: []byte(`{"error":"later"}`)},
 		"answer-refused": {Kind: protocol.PeerResponse},
-		"question":       {Kind: protocol.PeerStatusRequest, Epoch: 7, From: "node-1", Body: protocol.AppendHandoverState(nil, memory)},
+		"question":       {Kind: protocol.PeerStatusRequest, Epoch: 7, From: "node-1", Body: protocol.AppendHandoverState(nil, handover)},
 		"question-empty": {Kind: protocol.PeerStatusRequest, Epoch: 7, From: "node-1", Body: protocol.AppendHandoverState(nil, protocol.HandoverState{})},
 		"stand":          {Kind: protocol.PeerStatus, AnswersWorkers: true, AnsweredAgo: 5 * protocol.Second, RedirectedWorkers: 2, Body: protocol.AppendReachability(nil, map[string]int{"a": 2})},
 		"report":         {Kind: protocol.PeerHeartbeat, ReturnedFromLeader: true, Body: []byte(`{"host":"n-000001"}`)},
@@ -229,32 +231,33 @@
 	return m
 }
 
-// fileOf is the file of a sample: records are JSON, messages are binary and kept as hex.
-func fileOf(folder string, s sample) (path string, content string) {
+// sampleFile returns the path and the content of a sample's file: JSON for records, hex for
+// messages, which are binary.
+func sampleFile(folder string, s sample) (path string, content string) {
 	if strings.HasPrefix(s.name, "message-") {
 		return filepath.Join(folder, s.name+".hex"), hex.EncodeToString(s.bytes) + "\n"
 	}
 	return filepath.Join(folder, s.name+".json"), string(s.bytes) + "\n"
 }
 
-// TestWriteSamples writes the files, where it is asked to.
+// TestWriteSamples writes the files if the environment variable WRITE names a folder.
 func TestWriteSamples(t *testing.T) {
 	folder := os.Getenv("WRITE")
 	if folder == "" {
 		return
 	}
 	for _, s := range samples() {
-		path, content := fileOf(folder, s)
+		path, content := sampleFile(folder, s)
 		if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestSamplesAreRead: each sample is read, and written again the same.
+// TestSamplesAreRead checks that each sample can be decoded, and is encoded to the same bytes.
 func TestSamplesAreRead(t *testing.T) {
 	for _, s := range samples() {
-		if b, err := s.again(s.bytes); err != nil || string(b) != string(s.bytes) {
+		if b, err := s.reencode(s.bytes); err != nil || string(b) != string(s.bytes) {
 			t.Errorf("%s: %v\n%q\n%q", s.name, err, b, s.bytes)
 		}
 	}
