--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -14,7 +14,7 @@
 
 const (
 	queueSending queueState = iota
-	queueFailing            // has been logged
+	queueFailing            // the failure has been logged
 )
 
 // queue passes finished spans to an exporter in batches. Its capacity is limited; spans that don't
