--- a/internal/leadership/transfer.go
+++ b/internal/leadership/transfer.go
@@ -1,9 +1,10 @@
-// Package leadership decides when a leader transfers leadership, and keeps what outlives a leader:
-// which workers it heard, which zones looked cut off, which hosts were silent since when. It does
-// no I/O and has no clock.
+// Package leadership decides when a leader transfers leadership to another controller, and handles
+// the state that a leader hands over to its successors: the number of workers that reached it, the
+// zones that appeared partitioned, and the hosts that were silent and since when. It does no I/O
+// and has no clock.
 //
-// All instants are microseconds of the time of day, since they go from one
-// controller to the next; those differ by as much as the settings say.
+// All times are microseconds of the time of day, because they are passed from one controller to
+// another. The clocks of two controllers differ by at most the skew that the settings allow.
 package leadership
 
 import (
@@ -15,110 +16,112 @@
 
 type micros = protocol.Micros
 
-// ZoneWorkers is how a leader hears the workers of one zone.
+// ZoneWorkers counts the workers of one zone by how their heartbeats reach the leader.
 type ZoneWorkers struct {
-	All     int // that it should hear
-	Silent  int // that it does not
-	Relayed int // that it hears by way of another controller only
+	All     int // workers that should send heartbeats to the leader
+	Silent  int // workers from which the leader receives no heartbeats
+	Relayed int // workers whose heartbeats arrive only through another controller
 }
 
-// Reachability is how many workers a controller hears, by zone. Zone "" stands for
-// workers of any zone, of a controller that does not tell them apart.
+// Reachability is the number of workers that reach a controller, by zone. The key "" counts
+// workers of any zone, reported by a controller that does not distinguish zones.
 type Reachability map[string]int
 
-// Total is how many workers it is in all.
-func (h Reachability) Total() int {
+// Total returns the number of workers in all zones.
+func (r Reachability) Total() int {
 	n := 0
-	for _, k := range h {
-		n += k
+	for _, count := range r {
+		n += count
 	}
 	return n
 }
 
-// Decision says why a leader keeps its lease, or that it transfers leadership.
+// Decision is the result of Decide: that the leader transfers leadership, or why it keeps its lease.
 type Decision uint8
 
-// Decisions. The first that applies is made.
+// Decisions, in the order in which Decide checks them.
 const (
-	KeepHearsMost       Decision = iota // less than half of the workers are missed
-	KeepNobodyHearsMore                 // those that it misses come to no other controller either
-	KeepNoImprovement                   // the one before it gave the lease back and heard as many: it is not the leader
-	KeepTransferLimit                   // the lease was given back often enough
-	KeepNoSuccessor                     // whoever hears them has given the lease back itself
-	Transfer                            // another controller hears them
+	KeepHearsMost       Decision = iota // less than half of the workers fail to reach the leader directly
+	KeepNobodyHearsMore                 // most of the workers that fail to reach the leader reach no other controller either
+	KeepNoImprovement                   // the previous leader, which transferred leadership, was reached by as many: the leader is not the cause
+	KeepTransferLimit                   // MaxTransfers transfers have been made within TransferWindow
+	KeepNoSuccessor                     // each controller that they reach has recently transferred leadership itself
+	Transfer                            // the workers reach another controller
 )
 
-// String is the decision's name in the log.
+// String returns the name of the decision in the log.
 func (d Decision) String() string {
 	return [...]string{"hears most", "nobody hears more", "hears no more than the one before", "settled", "none left", "yields"}[d]
 }
 
-// Limits on transfers. A fault that does not change makes the leader change at most MaxTransfers
-// times within TransferWindow; and one that leads in another's place and hears no more than that
-// one did keeps the lease, because then the link of neither is what is lost.
+// Limits on transfers. While a fault persists, leadership is transferred at most MaxTransfers times
+// within TransferWindow. In addition, a leader that is reached by no more workers than the previous
+// leader, which transferred leadership, keeps the lease: the fault is then in the links of neither.
 const (
-	MaxTransfers     = 2
-	TransferWindow   = 10 * 60 * protocol.Second
-	minMissedWorkers = 3
+	MaxTransfers          = 2
+	TransferWindow        = 10 * 60 * protocol.Second
+	minUnreachableWorkers = 3
 )
 
-// RecentTransfers drops the transfers that are too old to count, and all but the newest
-// MaxTransfers. A time of day that was put back counts as recent.
-func RecentTransfers(past []protocol.LeadershipTransfer, now micros) []protocol.LeadershipTransfer {
-	var list []protocol.LeadershipTransfer
-	for _, t := range past {
+// RecentTransfers returns the transfers within TransferWindow, and of these the newest
+// MaxTransfers. A transfer whose time is in the future, after the clock was set back, is included.
+func RecentTransfers(transfers []protocol.LeadershipTransfer, now micros) []protocol.LeadershipTransfer {
+	var recent []protocol.LeadershipTransfer
+	for _, t := range transfers {
 		if now-t.At < TransferWindow {
-			list = append(list, t)
+			recent = append(recent, t)
 		}
 	}
-	return list[max(0, len(list)-MaxTransfers):]
+	return recent[max(0, len(recent)-MaxTransfers):]
 }
 
-// Decide says whether a leader should give its lease back, and to whom: most of the
-// workers are silent to it or heard through others only, and the others hear them.
+// Decide returns whether a leader should give up its lease, and the controller that should lead
+// instead. It should if at least half of the workers are silent or reach it only through other
+// controllers, and at least half of these workers reach other controllers.
 //
-// Zone by zone, what others hear counts only as far as it is missed here: workers
-// that came to another controller and were redirected to this one are no reason to transfer
-// leadership for those behind a partition, whom nobody hears.
-func Decide(now micros, own map[string]ZoneWorkers, others map[string]Reachability, past []protocol.LeadershipTransfer) (to string, d Decision) {
-	all, missed, heard := 0, 0, 0
-	for _, z := range own {
-		all += z.All
-		missed += z.Silent + z.Relayed
-		heard += z.All - z.Silent - z.Relayed
+// In each zone, the workers that reach other controllers count only up to the number that fail to
+// reach this leader directly. Otherwise workers that contacted another controller and were
+// redirected to this leader could cause a transfer on account of workers behind a partition, which
+// reach no controller at all.
+func Decide(now micros, zones map[string]ZoneWorkers, peers map[string]Reachability, transfers []protocol.LeadershipTransfer) (to string, d Decision) {
+	expected, unreachable, reachable := 0, 0, 0
+	for _, z := range zones {
+		expected += z.All
+		unreachable += z.Silent + z.Relayed
+		reachable += z.All - z.Silent - z.Relayed
 	}
-	if missed < minMissedWorkers || 2*missed < all {
+	if unreachable < minUnreachableWorkers || 2*unreachable < expected {
 		return "", KeepHearsMost
 	}
-	gain, anywhere := 0, 0
-	sum := make(Reachability)
-	for _, o := range others {
-		for zone, n := range o {
-			sum[zone] += n
+	reachableElsewhere, unzoned := 0, 0
+	peerTotals := make(Reachability)
+	for _, peer := range peers {
+		for zone, n := range peer {
+			peerTotals[zone] += n
 		}
 	}
-	for zone, n := range sum {
+	for zone, n := range peerTotals {
 		if zone == "" {
-			anywhere = n
+			unzoned = n
 		} else {
-			gain += min(n, own[zone].Silent+own[zone].Relayed)
+			reachableElsewhere += min(n, zones[zone].Silent+zones[zone].Relayed)
 		}
 	}
-	if gain = min(missed, gain+anywhere); 2*gain < missed {
+	if reachableElsewhere = min(unreachable, reachableElsewhere+unzoned); 2*reachableElsewhere < unreachable {
 		return "", KeepNobodyHearsMore
 	}
-	past = RecentTransfers(past, now)
-	if len(past) > 0 && heard <= Reachability(past[len(past)-1].ReachableWorkers).Total() {
+	transfers = RecentTransfers(transfers, now)
+	if len(transfers) > 0 && reachable <= Reachability(transfers[len(transfers)-1].ReachableWorkers).Total() {
 		return "", KeepNoImprovement
 	}
-	if len(past) >= MaxTransfers {
+	if len(transfers) >= MaxTransfers {
 		return "", KeepTransferLimit
 	}
-	best := 0
-	for _, name := range slices.Sorted(maps.Keys(others)) {
-		gaveUp := slices.ContainsFunc(past, func(t protocol.LeadershipTransfer) bool { return t.From == name })
-		if n := others[name].Total(); n > best && !gaveUp {
-			to, best = name, n
+	mostWorkers := 0
+	for _, name := range slices.Sorted(maps.Keys(peers)) {
+		alreadyTransferred := slices.ContainsFunc(transfers, func(t protocol.LeadershipTransfer) bool { return t.From == name })
+		if n := peers[name].Total(); n > mostWorkers && !alreadyTransferred {
+			to, mostWorkers = name, n
 		}
 	}
 	if to == "" {
@@ -127,29 +130,30 @@
 	return to, Transfer
 }
 
-// ReachableByZone is what a leader hears by itself, for the record of its transfer.
-func ReachableByZone(own map[string]ZoneWorkers) map[string]int {
-	h := make(map[string]int, len(own))
-	for zone, z := range own {
-		h[zone] = z.All - z.Silent - z.Relayed
+// ReachableByZone returns the number of workers that reach the leader directly, by zone, for the
+// record of its transfer.
+func ReachableByZone(zones map[string]ZoneWorkers) map[string]int {
+	reachable := make(map[string]int, len(zones))
+	for zone, z := range zones {
+		reachable[zone] = z.All - z.Silent - z.Relayed
 	}
-	return h
+	return reachable
 }
 
-// DeferralTime is how long the others let the one go first that a lease was given
-// back for.
+// DeferralTime is how long other controllers wait before they claim leadership after a transfer, so
+// that the controller named in it can claim it first.
 const DeferralTime = 700 * protocol.Millisecond
 
-// maxDeferralAge is how old a transfer may be for others to let its controller go first.
+// maxDeferralAge is the age up to which a transfer makes other controllers wait.
 const maxDeferralAge = 3 * protocol.Second
 
-// ShouldDefer reports whether a controller lets another one go first: the newest transfer is of
-// the last epoch, names that other one, and is recent.
-func ShouldDefer(self string, epoch uint64, now micros, past []protocol.LeadershipTransfer) bool {
-	if len(past) == 0 {
+// ShouldDefer reports whether a controller should wait for another one to claim leadership first:
+// the newest transfer ended the last epoch, names another controller, and is recent.
+func ShouldDefer(self string, epoch uint64, now micros, transfers []protocol.LeadershipTransfer) bool {
+	if len(transfers) == 0 {
 		return false
 	}
-	t := past[len(past)-1]
+	t := transfers[len(transfers)-1]
 	age := now - t.At
 	return t.Epoch == epoch && t.To != "" && t.To != self && age >= -protocol.Second && age < maxDeferralAge
 }
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -1,122 +1,124 @@
-// Package slo counts which share of the jobs of a class, of a team, and of a class's
-// largest jobs, are served,
-// and says which of them fall short. It decides nothing: see docs/results.md for the
-// orders by it that were tried. It does no I/O and owns no clock.
+// Package slo counts how many jobs of each class, of each team, and of the largest jobs of each
+// class meet their service-level objectives, and reports the groups in which too few do. Scheduling
+// does not use the result: docs/results.md describes the job orders based on it that were tried.
+// The package does no I/O and has no clock.
 //
-// A job counts once: as served when it has what was asked in time, as missed when that
-// time is over. Counts are kept for the last while, so that what was is forgotten.
+// A job is counted once: as served when it meets its objective in time, as missed when that time
+// has passed. The share is taken over a sliding window, so that older jobs no longer count.
 package slo
 
 import "mapleslip/internal/protocol"
 
 type micros = protocol.Micros
 
-// The window that is looked back on, in steps that are forgotten one by one.
+// The sliding window consists of buckets that expire one by one.
 const (
-	steps    = 8
-	stepSpan = 15 * protocol.Second
+	bucketCount = 8
+	bucketWidth = 15 * protocol.Second
 )
 
-// A group falls short once less than shortBelow of at least fewest jobs were
-// served, and no more once enoughFrom were. In hundredths.
+// A group becomes Insufficient when less than insufficientBelowPercent of at least minJobs jobs were
+// served, and Sufficient again when at least sufficientFromPercent were.
 const (
-	shortBelow = 55
-	enoughFrom = 65
-	fewest     = 10
+	insufficientBelowPercent = 55
+	sufficientFromPercent    = 65
+	minJobs                  = 10
 )
 
-// mostGroups bounds what is remembered: users choose the names of classes.
-const mostGroups = 4096
+// maxGroupsPerKind bounds the memory for groups, because users choose the names of classes.
+const maxGroupsPerKind = 4096
 
-// Kind is what jobs are grouped by.
+// Kind is the property by which jobs are grouped.
 type Kind uint8
 
 // Kinds of groups.
 const (
 	Class Kind = iota
 	Team
-	Largest // the largest jobs of a class, by class; served: begun in time
-	kinds
+	Largest // the largest jobs of each class, by class; served if they started in time
+	kindCount
 )
 
-// Kinds lists all kinds of groups.
+// Kinds returns all kinds of groups.
 func Kinds() []Kind { return []Kind{Class, Team, Largest} }
 
 func (k Kind) String() string { return [...]string{"class", "team", "largest"}[k] }
 
-// State is how a group is served.
+// State tells whether enough jobs of a group were served.
 type State uint8
 
 // States of a group.
 const (
-	Enough State = iota
-	Short
+	Sufficient State = iota
+	Insufficient
 )
 
 func (s State) String() string { return [...]string{"enough", "short"}[s] }
 
-// Count is how many jobs were served and missed.
+// Count is the number of jobs that were served and the number that were missed.
 type Count struct{ Served, Missed int }
 
-// Of is how many jobs that are.
+// Of returns the number of jobs counted.
 func (c Count) Of() int { return c.Served + c.Missed }
 
 type group struct {
-	state State
-	steps [steps]Count
-	at    [steps]micros // number of the step that each counts
-	all   Count
+	state         State
+	buckets       [bucketCount]Count
+	bucketNumbers [bucketCount]micros // time of each bucket in units of bucketWidth
+	total         Count
 }
 
-// Window counts for all groups.
-type Window struct{ groups [kinds]map[string]*group }
+// Window holds the counts of all groups.
+type Window struct{ groups [kindCount]map[string]*group }
 
-// Add counts a job, and reports whether the state of its group has changed.
+// Add counts a job and reports whether this changed the state of its group. Jobs of further groups
+// are ignored once there are maxGroupsPerKind groups of a kind.
 func (w *Window) Add(k Kind, name string, now micros, served bool) (changed bool) {
 	if w.groups[k] == nil {
 		w.groups[k] = make(map[string]*group)
 	}
 	g := w.groups[k][name]
 	if g == nil {
-		if len(w.groups[k]) >= mostGroups {
+		if len(w.groups[k]) >= maxGroupsPerKind {
 			return false
 		}
 		g = &group{}
 		w.groups[k][name] = g
 	}
-	n := now / stepSpan
-	i := int(n % steps)
-	if g.at[i] != n {
-		g.at[i], g.steps[i] = n, Count{}
+	number := now / bucketWidth
+	i := int(number % bucketCount)
+	if g.bucketNumbers[i] != number {
+		g.bucketNumbers[i], g.buckets[i] = number, Count{}
 	}
-	c := &g.steps[i]
+	c := &g.buckets[i]
 	if served {
 		c.Served++
-		g.all.Served++
+		g.total.Served++
 	} else {
 		c.Missed++
-		g.all.Missed++
+		g.total.Missed++
 	}
-	return g.judge(now)
+	return g.updateState(now)
 }
 
-// judge is the one place where a group's state changes.
-func (g *group) judge(now micros) bool {
-	c := g.lately(now)
-	was := g.state
+// updateState is the only place where the state of a group changes. It reports whether it did.
+func (g *group) updateState(now micros) bool {
+	c := g.recent(now)
+	previous := g.state
 	switch {
-	case g.state == Enough && c.Of() >= fewest && 100*c.Served < shortBelow*c.Of():
-		g.state = Short
-	case g.state == Short && 100*c.Served >= enoughFrom*c.Of():
-		g.state = Enough
+	case g.state == Sufficient && c.Of() >= minJobs && 100*c.Served < insufficientBelowPercent*c.Of():
+		g.state = Insufficient
+	case g.state == Insufficient && 100*c.Served >= sufficientFromPercent*c.Of():
+		g.state = Sufficient
 	}
-	return g.state != was
+	return g.state != previous
 }
 
-func (g *group) lately(now micros) Count {
+// recent returns the counts within the window.
+func (g *group) recent(now micros) Count {
 	var sum Count
-	for i, c := range g.steps {
-		if now/stepSpan-g.at[i] < steps {
+	for i, c := range g.buckets {
+		if now/bucketWidth-g.bucketNumbers[i] < bucketCount {
 			sum.Served += c.Served
 			sum.Missed += c.Missed
 		}
@@ -124,27 +126,27 @@
 	return sum
 }
 
-// Lately is how many of a group were served within the window.
+// Lately returns the counts of a group within the window.
 func (w *Window) Lately(k Kind, name string, now micros) Count {
 	if g := w.groups[k][name]; g != nil {
-		return g.lately(now)
+		return g.recent(now)
 	}
 	return Count{}
 }
 
-// Is tells a group's state.
+// Is returns the state of a group.
 func (w *Window) Is(k Kind, name string) State {
 	if g := w.groups[k][name]; g != nil {
 		return g.state
 	}
-	return Enough
+	return Sufficient
 }
 
-// Counts are those of all groups of a kind, since the beginning.
+// Counts returns the counts of all groups of a kind since the window was created.
 func (w *Window) Counts(k Kind) map[string]Count {
 	out := make(map[string]Count, len(w.groups[k]))
 	for name, g := range w.groups[k] {
-		out[name] = g.all
+		out[name] = g.total
 	}
 	return out
 }
--- a/internal/slo/window_test.go
+++ b/internal/slo/window_test.go
@@ -11,9 +11,9 @@
 
 const sec = protocol.Second
 
-// A class of which less than the floor is served falls short, and stays so until
-// clearly more is; what is longer ago than the window doesn't count.
-func TestShort(t *testing.T) {
+// A class becomes insufficient when too few of its jobs are served, and stays so until clearly more
+// are. Jobs counted before the window are ignored.
+func TestStateHysteresis(t *testing.T) {
 	var w Window
 	add := func(n int, at micros, served bool) (changes int) {
 		for range n {
@@ -23,28 +23,29 @@
 		}
 		return changes
 	}
-	if add(9, 10*sec, false); w.Is(Class, "rerun") != Enough {
-		t.Error("nine jobs are too few to tell")
+	if add(9, 10*sec, false); w.Is(Class, "rerun") != Sufficient {
+		t.Error("the state changed after nine jobs, fewer than minJobs")
 	}
-	if add(1, 20*sec, false) != 1 || w.Is(Class, "rerun") != Short {
-		t.Error("ten of ten missed")
+	if add(1, 20*sec, false) != 1 || w.Is(Class, "rerun") != Insufficient {
+		t.Error("the class is not insufficient after ten of ten jobs were missed")
 	}
-	if add(15, 30*sec, true); w.Is(Class, "rerun") != Short {
-		t.Errorf("%+v: 0.6 is above the floor, but hardly", w.Lately(Class, "rerun", 30*sec))
+	if add(15, 30*sec, true); w.Is(Class, "rerun") != Insufficient {
+		t.Errorf("%+v: the class is sufficient again with 60%% of jobs served, below sufficientFromPercent", w.Lately(Class, "rerun", 30*sec))
 	}
-	if add(4, 40*sec, true) != 1 || w.Is(Class, "rerun") != Enough {
-		t.Errorf("%+v", w.Lately(Class, "rerun", 40*sec))
+	if add(4, 40*sec, true) != 1 || w.Is(Class, "rerun") != Sufficient {
+		t.Errorf("%+v: the class is not sufficient again", w.Lately(Class, "rerun", 40*sec))
 	}
 	if got := w.Lately(Class, "rerun", 300*sec); got != (Count{}) {
-		t.Errorf("four minutes later: %+v", got)
+		t.Errorf("four minutes later, counts within the window: %+v, want none", got)
 	}
-	if got := w.Counts(Class)["rerun"]; got != (Count{19, 10}) || w.Is(Team, "rerun") != Enough {
-		t.Errorf("%+v", got)
+	if got := w.Counts(Class)["rerun"]; got != (Count{19, 10}) || w.Is(Team, "rerun") != Sufficient {
+		t.Errorf("counts since the start: %+v, want 19 served and 10 missed", got)
 	}
 }
 
-// Whatever is counted when, the window's counts are those of a plain look at all jobs.
-func TestWindowAgainstAPlainLook(t *testing.T) {
+// At any time, the counts within the window equal those computed directly from the list of all
+// jobs.
+func TestWindowMatchesDirectCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Window
 		type job struct {
@@ -52,17 +53,17 @@
 			at     micros
 			served bool
 		}
-		var all []job
+		var jobs []job
 		now := micros(0)
 		for range rapid.IntRange(1, 60).Draw(t, "jobs") {
 			now += micros(rapid.IntRange(0, 40).Draw(t, "later")) * sec
 			j := job{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "group")), now, rapid.Bool().Draw(t, "served")}
 			w.Add(Team, j.name, now, j.served)
-			all = append(all, j)
+			jobs = append(jobs, j)
 			var want Count
-			for _, o := range all {
-				if o.name == j.name && now/stepSpan-o.at/stepSpan < steps {
-					if o.served {
+			for _, other := range jobs {
+				if other.name == j.name && now/bucketWidth-other.at/bucketWidth < bucketCount {
+					if other.served {
 						want.Served++
 					} else {
 						want.Missed++
@@ -70,7 +71,7 @@
 				}
 			}
 			if got := w.Lately(Team, j.name, now); got != want {
-				t.Fatalf("%+v, not %+v", got, want)
+				t.Fatalf("counts within the window: %+v, want %+v", got, want)
 			}
 		}
 	})
