--- a/internal/leadership/transfer.go
+++ b/internal/leadership/transfer.go
@@ -36,17 +36,26 @@
 	return n
 }
 
-// Decision is the result of Decide: that the leader transfers leadership, or why it keeps its lease.
+// Decision is the result of Decide: that the leader transfers leadership, or why it keeps its
+// lease.
 type Decision uint8
 
 // Decisions, in the order in which Decide checks them.
 const (
-	KeepHearsMost       Decision = iota // less than half of the workers fail to reach the leader directly
-	KeepNobodyHearsMore                 // most of the workers that fail to reach the leader reach no other controller either
-	KeepNoImprovement                   // the previous leader, which transferred leadership, was reached by as many: the leader is not the cause
-	KeepTransferLimit                   // MaxTransfers transfers have been made within TransferWindow
-	KeepNoSuccessor                     // each controller that they reach has recently transferred leadership itself
-	Transfer                            // the workers reach another controller
+	// KeepHearsMost: less than half of the workers, or fewer than minUnreachableWorkers, fail to
+	// reach the leader directly.
+	KeepHearsMost Decision = iota
+	// KeepNobodyHearsMore: most workers that fail to reach the leader reach no other controller.
+	KeepNobodyHearsMore
+	// KeepNoImprovement: the previous leader, which transferred leadership, was reached by as many
+	// workers, so the leader is not the cause.
+	KeepNoImprovement
+	// KeepTransferLimit: MaxTransfers transfers have been made within TransferWindow.
+	KeepTransferLimit
+	// KeepNoSuccessor: each controller that the workers reach has recently transferred leadership.
+	KeepNoSuccessor
+	// Transfer: the workers reach another controller.
+	Transfer
 )
 
 // String returns the name of the decision in the log.
--- a/internal/leadership/transfer_test.go
+++ b/internal/leadership/transfer_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// Under any persistent network fault, leadership is transferred at most MaxTransfers times, and never
-// by a leader that is reached by no more workers than the previous leader. Which workers reach which
-// controllers is drawn once; what the controllers report about it is drawn each time, because a
-// report may be old or wrong.
+// Under any persistent network fault, leadership is transferred at most MaxTransfers times, and
+// never by a leader that is reached by no more workers than the previous leader. Which workers
+// reach which controllers is drawn once; what the controllers report about it is drawn each time,
+// because a report may be old or wrong.
 func TestTransfersAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := rapid.IntRange(2, 7).Draw(t, "nodes")
--- a/internal/rollout/address.go
+++ b/internal/rollout/address.go
@@ -13,30 +13,30 @@
 	"mapleslip/internal/protocol"
 )
 
-// InstanceData is what the template of an address may use: where an instance is, and what
-// the instance knows of itself as well.
+// InstanceData is the data available to address templates. Apart from the IP address of the host,
+// it contains only what an instance can determine itself.
 type InstanceData struct {
-	IP      string // of the machine
-	Job     string // the batch's name
-	Number  uint64 // its digits; of longer names the last 18
-	Index   int    // of the task
-	Attempt uint64 // of its start
+	IP      string // IP address of the host
+	Job     string // name of the instance's job
+	Number  uint64 // number in the name of the job, see the function Number
+	Index   int    // index of the task in the job
+	Attempt uint64 // number of the attempt of the task
 	Service string
 	Version string
 }
 
 var templateFuncs = template.FuncMap{
-	"add": func(a, b any) (int64, error) { return arith(a, b, func(x, y int64) int64 { return x + y }) },
-	"mul": func(a, b any) (int64, error) { return arith(a, b, func(x, y int64) int64 { return x * y }) },
+	"add": func(a, b any) (int64, error) { return applyInt64(a, b, func(x, y int64) int64 { return x + y }) },
+	"mul": func(a, b any) (int64, error) { return applyInt64(a, b, func(x, y int64) int64 { return x * y }) },
 	"mod": func(a, b any) (int64, error) {
-		if n, err := whole(b); err != nil || n <= 0 {
+		if n, err := toInt64(b); err != nil || n <= 0 {
 			return 0, errors.New("mod needs a positive number")
 		}
-		return arith(a, b, func(x, y int64) int64 { return x % y })
+		return applyInt64(a, b, func(x, y int64) int64 { return x % y })
 	},
 }
 
-func whole(v any) (int64, error) {
+func toInt64(v any) (int64, error) {
 	switch n := v.(type) {
 	case int:
 		return int64(n), nil
@@ -48,14 +48,14 @@
 	return 0, fmt.Errorf("%v is no number", v)
 }
 
-func arith(a, b any, f func(x, y int64) int64) (int64, error) {
-	x, err := whole(a)
-	y, err2 := whole(b)
-	return f(x, y), errors.Join(err, err2)
+func applyInt64(a, b any, operation func(x, y int64) int64) (int64, error) {
+	x, err := toInt64(a)
+	y, err2 := toInt64(b)
+	return operation(x, y), errors.Join(err, err2)
 }
 
-// compileTemplate reads a template. Only fields and the arithmetic are taken: a loop in a template,
-// or one template that names another, could hold up the leader.
+// compileTemplate parses a template. It accepts only fields and the functions in templateFuncs: a
+// loop, or a template that calls another one, could block the leader.
 func compileTemplate(name, text string) (*template.Template, error) {
 	t, err := template.New(name).Funcs(templateFuncs).Option("missingkey=error").Parse(text)
 	if err != nil {
@@ -78,13 +78,14 @@
 	return t, nil
 }
 
-// checkPipe checks that an action is made of fields, numbers and the functions above.
+// checkPipe returns an error if an action contains anything but fields, numbers and the functions
+// in templateFuncs.
 func checkPipe(p *parse.PipeNode) error {
 	if len(p.Decl) > 0 {
 		return errors.New("no variables may be declared")
 	}
-	for _, c := range p.Cmds {
-		for _, arg := range c.Args {
+	for _, command := range p.Cmds {
+		for _, arg := range command.Args {
 			switch a := arg.(type) {
 			case *parse.FieldNode, *parse.NumberNode:
 			case *parse.IdentifierNode:
@@ -103,15 +104,16 @@
 	return nil
 }
 
-// target makes the addresses of a version's instances.
-type target struct {
+// checkTarget computes the addresses at which the instances of a version are checked.
+type checkTarget struct {
 	spec          *protocol.HealthCheck
 	address, path *template.Template
 }
 
-// newTarget compiles a check, and tries it.
-func newTarget(h *protocol.HealthCheck) (*target, error) {
-	t := &target{spec: h}
+// newCheckTarget compiles the templates of a health check and executes them once with sample data,
+// to find errors early.
+func newCheckTarget(h *protocol.HealthCheck) (*checkTarget, error) {
+	t := &checkTarget{spec: h}
 	var err error
 	if t.address, err = compileTemplate("check.at", h.AddressTemplate); err != nil {
 		return nil, err
@@ -127,39 +129,39 @@
 	return t, nil
 }
 
-// instanceAddress makes an instance's address and path. The address has to be the machine's: a
-// awaitHealthy is no way to reach others by.
-func (t *target) instanceAddress(p InstanceData) (addr, path string, err error) {
-	fill := func(tm *template.Template) string {
+// instanceAddress returns the address and the path at which an instance is checked. The address
+// must be on the host of the instance, so that checks can't be used to reach other hosts.
+func (t *checkTarget) instanceAddress(data InstanceData) (addr, path string, err error) {
+	execute := func(tmpl *template.Template) string {
 		var b bytes.Buffer
-		if e := tm.Execute(&b, p); e != nil && err == nil {
-			err = errors.New(strings.TrimPrefix(e.Error(), "template: "))
+		if execErr := tmpl.Execute(&b, data); execErr != nil && err == nil {
+			err = errors.New(strings.TrimPrefix(execErr.Error(), "template: "))
 		}
 		return b.String()
 	}
-	addr = fill(t.address)
+	addr = execute(t.address)
 	if t.path != nil {
-		path = fill(t.path)
+		path = execute(t.path)
 	}
 	if err != nil {
 		return "", "", err
 	}
-	host, port, e := net.SplitHostPort(addr)
-	if n, e2 := strconv.Atoi(port); e != nil || e2 != nil || n < 1 || n > 65535 {
+	host, port, splitErr := net.SplitHostPort(addr)
+	if n, portErr := strconv.Atoi(port); splitErr != nil || portErr != nil || n < 1 || n > 65535 {
 		return "", "", fmt.Errorf("check.at: %q is not IP:port", addr)
 	}
-	if host != p.IP {
-		return "", "", fmt.Errorf("check.at: %q is not on the instance's machine %s: begin it with {{.IP}}", addr, p.IP)
+	if host != data.IP {
+		return "", "", fmt.Errorf("check.at: %q is not on the instance's machine %s: begin it with {{.IP}}", addr, data.IP)
 	}
-	odd := func(c rune) bool { return c <= ' ' || c >= 0x7f }
-	if t.path != nil && (!strings.HasPrefix(path, "/") || len(path) > 1000 || strings.ContainsFunc(path, odd)) {
+	isInvalid := func(c rune) bool { return c <= ' ' || c >= 0x7f }
+	if t.path != nil && (!strings.HasPrefix(path, "/") || len(path) > 1000 || strings.ContainsFunc(path, isInvalid)) {
 		return "", "", fmt.Errorf("check.path: %q is no path", path)
 	}
 	return addr, path, nil
 }
 
-// Number is what an instance can work out from its job's name too: its digits, of
-// longer names the last 18.
+// Number returns the number in the name of a job, or its last 18 digits if there are more. An
+// instance can compute it from the name of its job too.
 func Number(ref string) uint64 {
 	digits := strings.TrimPrefix(ref, "req-")
 	n, _ := strconv.ParseUint(digits[max(0, len(digits)-18):], 10, 64)
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -6,18 +6,19 @@
 	"slices"
 )
 
-// decide works out the next change of the record, nil: none now. observe came before.
+// decide returns the next change of the record, or nil if there is none now. observe must be called
+// before.
 func (sv *service) decide(now, checkRoundTime micros) *Record {
 	r := sv.record
 	if r.State.Ended() {
-		// One that failed may have jobs that are still being taken away. Until they are
-		// out of its record no other roll-out of the service can begin.
+		// Jobs of a failed roll-out may still be leaving. No other roll-out of the service can
+		// start until they have been removed from the record.
 		if n := sv.dropClearedBatches(r.clone()); len(n.Old.Batches)+len(n.New.Batches) < len(r.Old.Batches)+len(r.New.Batches) {
 			return n
 		}
 		return nil
 	}
-	sv.blocked = ""
+	sv.blockedOn = ""
 	if n := sv.handleUserCancellation(); n != nil {
 		return n
 	}
@@ -37,77 +38,79 @@
 		return n
 	}
 	allHealthy := sv.newTally.healthy+sv.faultyAndUnhealthy(now, checkRoundTime) >= sv.newTally.requested
-	var n *Record
+	var next *Record
 	switch r.State {
 	case Planned:
-		n = sv.plan()
+		next = sv.plan()
 	case Staging:
-		n = sv.stage()
+		next = sv.stage()
 	case Checking:
-		n = sv.awaitHealthy(allHealthy)
+		next = sv.awaitHealthy(allHealthy)
 	case Soaking:
-		n = sv.awaitSoak(now, allHealthy)
+		next = sv.awaitSoak(now, allHealthy)
 	case Promoting:
-		n = sv.promote()
+		next = sv.promote()
 	case Reverting:
-		n = sv.revert()
+		next = sv.revert()
 	case Paused, Done, Reverted, Failed, Idle:
 	}
-	if n != nil {
-		// One instance that fails now and then would have checking and soaking
-		// follow each other for ever: only what was not reached before counts.
-		if at := n.Stage*int(Idle) + int(n.State); at > sv.furthest || n.JobsMade > r.JobsMade || n.leavingJobs() > r.leavingJobs() {
-			sv.furthest, sv.progressAt = max(at, sv.furthest), now
+	if next != nil {
+		// With an instance that fails intermittently, the roll-out could alternate between
+		// checking and soaking forever. Only steps not reached before count as progress.
+		if step := next.Stage*int(Idle) + int(next.State); step > sv.furthestStep || next.JobsMade > r.JobsMade || next.leavingJobs() > r.leavingJobs() {
+			sv.furthestStep, sv.progressAt = max(step, sv.furthestStep), now
 		}
 	}
 	if s := sv.spec(); now-sv.progressAt > s.StartTimeout+s.HealthTimeout+2*s.SoakTime {
-		return sv.pause("nothing went on for too long: " + cmp.Or(sv.blocked, "checks are missing"))
+		return sv.pause("nothing went on for too long: " + cmp.Or(sv.blockedOn, "checks are missing"))
 	}
-	return n
+	return next
 }
 
-// plan waits for the first checks of what is there.
+// plan waits until the instances that exist before the roll-out have been checked once.
 func (sv *service) plan() *Record {
-	r, o := sv.record, sv.oldTally
-	if o.unconfirmed > 0 {
-		// A new leader that had not heard of the machines yet took all instances for down,
-		// and paused for somebody to look.
-		sv.blocked = fmt.Sprintf("%d of %d old instances are not heard of yet", o.unconfirmed, o.requested)
+	r, old := sv.record, sv.oldTally
+	if old.unconfirmed > 0 {
+		// Without this, a new leader that had received no heartbeats from the hosts yet considered
+		// all instances down, and paused the roll-out until an operator intervened.
+		sv.blockedOn = fmt.Sprintf("%d of %d old instances are not heard of yet", old.unconfirmed, old.requested)
 		return nil
 	}
-	if o.checked < o.running {
-		sv.blocked = fmt.Sprintf("%d of %d old instances are checked", o.checked, o.running)
+	if old.checked < old.running {
+		sv.blockedOn = fmt.Sprintf("%d of %d old instances are checked", old.checked, old.running)
 		return nil
 	}
-	if o.healthy < sv.minHealthy() && !r.IgnoreUnhealthyStart {
-		return sv.pause(fmt.Sprintf("%d of %d instances are healthy before anything is done, fewer than the floor of %d; resume goes on all the same", o.healthy, o.requested, sv.minHealthy()))
+	if old.healthy < sv.minHealthy() && !r.IgnoreUnhealthyStart {
+		return sv.pause(fmt.Sprintf("%d of %d instances are healthy before anything is done, fewer than the floor of %d; resume goes on all the same", old.healthy, old.requested, sv.minHealthy()))
 	}
-	n := r.clone()
-	n.setState(Staging, "")
-	return n
+	next := r.clone()
+	next.setState(Staging, "")
+	return next
 }
 
-// addBatches makes jobs for so many instances of a version.
+// addBatches adds new jobs with count instances in total to a version.
 func (r *Record) addBatches(v *Version, count int) {
-	for most := batchSize(r.New.Spec); count > 0; {
-		n := min(count, most)
+	for maxTasks := batchSize(r.New.Spec); count > 0; {
+		n := min(count, maxTasks)
 		r.JobsMade++
 		v.Batches = append(v.Batches, Batch{Ref: jobRef(r.Service, r.New.Spec.ID, r.JobsMade), Tasks: n})
 		count -= n
 	}
 }
 
-// oldInstancesToKeep is how many old instances are left once so many new ones are there.
-func (sv *service) oldInstancesToKeep(isNew int) int {
+// oldInstancesToKeep returns how many old instances remain once there are newInstances new ones:
+// the share of OldCount that corresponds to the new instances still missing, rounded up.
+func (sv *service) oldInstancesToKeep(newInstances int) int {
 	s := sv.spec()
-	return (sv.record.OldCount*(s.Count-isNew) + s.Count - 1) / s.Count
+	return (sv.record.OldCount*(s.Count-newInstances) + s.Count - 1) / s.Count
 }
 
-// markLeaving takes jobs of a version away, those first with which the fewest healthy
-// instances go, as long as the floor holds and so many instances are left; over:
-// one job may take more with it. It reports whether it took any.
-func (sv *service) markLeaving(v *Version, t tally, left int, over bool) bool {
-	sure := sv.oldTally.certainlyHealthy + sv.newTally.certainlyHealthy
+// markLeaving marks jobs of a version as leaving until keep instances remain, and reports whether
+// it marked any. Jobs with the fewest healthy instances come first. It skips jobs without which
+// too few instances would be healthy and, unless allowFewer is set, jobs without which fewer than
+// keep instances would remain.
+func (sv *service) markLeaving(v *Version, t tally, keep int, allowFewer bool) bool {
+	certainlyHealthy := sv.oldTally.certainlyHealthy + sv.newTally.certainlyHealthy
 	order := make([]int, 0, len(v.Batches))
 	for k, b := range v.Batches {
 		if !b.Leaving {
@@ -117,143 +120,144 @@
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(t.byBatch[v.Batches[a].Ref].healthy, t.byBatch[v.Batches[b].Ref].healthy)
 	})
-	live, changed := v.requestedInstances(), false
+	remaining, changed := v.requestedInstances(), false
 	for _, k := range order {
 		b := &v.Batches[k]
 		bt := t.byBatch[b.Ref]
-		if live <= left || live-b.Tasks < left && !over {
+		if remaining <= keep || remaining-b.Tasks < keep && !allowFewer {
 			continue
 		}
-		if !sv.mayCancel(sure, bt) {
-			sv.blocked = fmt.Sprintf("%d instances are healthy, to take %s away would leave %d of at least %d", sure, b.Ref, sure-bt.certainlyHealthy, sv.minHealthy())
+		if !sv.mayCancel(certainlyHealthy, bt) {
+			sv.blockedOn = fmt.Sprintf("%d instances are healthy, to take %s away would leave %d of at least %d", certainlyHealthy, b.Ref, certainlyHealthy-bt.certainlyHealthy, sv.minHealthy())
 			continue
 		}
 		b.Leaving = true
-		sure -= bt.certainlyHealthy
-		live -= b.Tasks
+		certainlyHealthy -= bt.certainlyHealthy
+		remaining -= b.Tasks
 		changed = true
 	}
 	return changed
 }
 
-// stage adds instances of the new version up to the stage's number.
+// stage adds instances of the new version up to the number of the stage. If there is no room for
+// them, it marks old jobs as leaving.
 func (sv *service) stage() *Record {
 	r := sv.record
 	want := sv.spec().Stages[r.Stage]
-	n := r.clone()
+	next := r.clone()
 	if sv.newTally.requested >= want {
-		n.setState(Checking, "")
-		return n
+		next.setState(Checking, "")
+		return next
 	}
 	if room := sv.maxInstances() - sv.newTally.present - sv.oldTally.present; room > 0 {
-		n.addBatches(&n.New, min(room, want-sv.newTally.requested))
-		return n
+		next.addBatches(&next.New, min(room, want-sv.newTally.requested))
+		return next
 	}
-	sv.blocked = "instances that were taken away are still there"
-	if left := sv.oldInstancesToKeep(want); sv.markLeaving(&n.Old, sv.oldTally, left, false) || sv.oldTally.requested == sv.oldTally.present && sv.markLeaving(&n.Old, sv.oldTally, left, true) {
-		return n
+	sv.blockedOn = "instances that were taken away are still there"
+	if keep := sv.oldInstancesToKeep(want); sv.markLeaving(&next.Old, sv.oldTally, keep, false) || sv.oldTally.requested == sv.oldTally.present && sv.markLeaving(&next.Old, sv.oldTally, keep, true) {
+		return next
 	}
 	return nil
 }
 
-// awaitHealthy waits until all new instances are healthy.
+// awaitHealthy waits until all new instances of the stage are healthy.
 func (sv *service) awaitHealthy(allHealthy bool) *Record {
 	t := sv.newTally
-	n := sv.record.clone()
+	next := sv.record.clone()
 	switch {
 	case t.requested < sv.spec().Stages[sv.record.Stage]:
-		n.setState(Staging, "") // some were cancelled by their user
+		next.setState(Staging, "") // a user cancelled some of the jobs
 	case allHealthy:
-		n.setState(Soaking, "")
+		next.setState(Soaking, "")
 	default:
-		sv.blocked = fmt.Sprintf("%d of %d new instances are healthy", t.healthy, t.requested)
+		sv.blockedOn = fmt.Sprintf("%d of %d new instances are healthy", t.healthy, t.requested)
 		return nil
 	}
-	return n
+	return next
 }
 
-// awaitSoak waits until they have been healthy for the soak time. Nobody knows what
-// was before this node led: then it begins anew.
+// awaitSoak waits until the new instances have been healthy for the soak time. A new leader starts
+// the soak time again, because it does not know the results of checks made under earlier leaders.
 func (sv *service) awaitSoak(now micros, allHealthy bool) *Record {
 	t := sv.newTally
-	n := sv.record.clone()
+	next := sv.record.clone()
 	switch {
 	case !allHealthy || t.requested < sv.spec().Stages[sv.record.Stage]:
 		sv.healthySince = 0
-		sv.blocked = "new instances don't stay healthy for the soak time"
-		n.setState(Checking, "")
+		sv.blockedOn = "new instances don't stay healthy for the soak time"
+		next.setState(Checking, "")
 	case sv.healthySince == 0:
 		sv.healthySince = now
 		return nil
 	case now-sv.healthySince >= sv.spec().SoakTime:
 		sv.healthySince = 0
-		n.setState(Promoting, "")
+		next.setState(Promoting, "")
 	default:
 		return nil
 	}
-	return n
+	return next
 }
 
-// promote takes as many old instances away as the stage says.
+// promote marks old jobs as leaving until only as many old instances remain as the stage requires.
 func (sv *service) promote() *Record {
 	r, s := sv.record, sv.spec()
-	n := r.clone()
-	last := r.Stage == len(s.Stages)-1
-	left := sv.oldInstancesToKeep(s.Stages[r.Stage])
+	next := r.clone()
+	lastStage := r.Stage == len(s.Stages)-1
+	keep := sv.oldInstancesToKeep(s.Stages[r.Stage])
 	if sv.newTally.requested < s.Stages[r.Stage] {
-		n.setState(Checking, "")
-		return n
+		next.setState(Checking, "")
+		return next
 	}
-	if sv.markLeaving(&n.Old, sv.oldTally, left, last) {
-		return n
+	if sv.markLeaving(&next.Old, sv.oldTally, keep, lastStage) {
+		return next
 	}
 	for _, b := range r.Old.Batches {
-		if !b.Leaving && (last || sv.oldTally.requested-b.Tasks >= left) {
-			return nil // the floor forbids it now
+		if !b.Leaving && (lastStage || sv.oldTally.requested-b.Tasks >= keep) {
+			return nil // removing more would leave too few healthy instances at present
 		}
 	}
 	switch {
-	case !last:
-		n.Stage++
-		n.setState(Staging, "")
+	case !lastStage:
+		next.Stage++
+		next.setState(Staging, "")
 	case sv.oldTally.present > 0:
-		sv.blocked = "old instances are still there"
+		sv.blockedOn = "old instances are still there"
 		return nil
 	default:
-		n.Old, n.New.Batches = n.New, nil
-		n.setState(Done, "")
+		next.Old, next.New.Batches = next.New, nil
+		next.setState(Done, "")
 	}
-	return n
+	return next
 }
 
-// revert brings the old instances back and takes the new ones away. What fails
-// goes at once; a healthy new one goes when the floor holds without it.
+// revert restores the old instances and removes the new ones. Failing new instances are removed at
+// once, healthy ones as soon as enough other instances are healthy.
 func (sv *service) revert() *Record {
 	r := sv.record
-	n := r.clone()
-	changed := sv.markLeaving(&n.New, sv.newTally, 0, true)
+	next := r.clone()
+	changed := sv.markLeaving(&next.New, sv.newTally, 0, true)
 	if r.OldCount > 0 {
 		if room := min(sv.maxInstances()-sv.newTally.present-sv.oldTally.present, r.OldCount-sv.oldTally.requested); room > 0 {
-			n.addBatches(&n.Old, room)
+			next.addBatches(&next.Old, room)
 			changed = true
 		}
 	}
 	if changed {
-		return n
+		return next
 	}
 	switch {
 	case sv.newTally.present > 0:
-		sv.blocked = cmp.Or(sv.blocked, "new instances are still there")
+		sv.blockedOn = cmp.Or(sv.blockedOn, "new instances are still there")
 	case sv.oldTally.present > sv.oldTally.requested:
-		sv.blocked = "old instances that were taken away are still there"
+		sv.blockedOn = "old instances that were taken away are still there"
 	case sv.oldTally.requested < r.OldCount:
-		sv.blocked = "there is no room for the old instances"
+		sv.blockedOn = "there is no room for the old instances"
 	case sv.oldTally.healthy < sv.minHealthy():
-		sv.blocked = fmt.Sprintf("%d of %d old instances are healthy, fewer than the floor of %d", sv.oldTally.healthy, sv.oldTally.requested, sv.minHealthy())
+		sv.blockedOn = fmt.Sprintf("%d of %d old instances are healthy, fewer than the floor of %d", sv.oldTally.healthy, sv.oldTally.requested, sv.minHealthy())
 	default:
-		n.New.Batches = nil
-		n.setState(Reverted, r.Reason)
-		return n
+		next.New.Batches = nil
+		next.setState(Reverted, r.Reason)
+		return next
 	}
 	return nil
 }
--- a/internal/rollout/jobs.go
+++ b/internal/rollout/jobs.go
@@ -6,52 +6,53 @@
 	"mapleslip/internal/protocol"
 )
 
-// JobState is how a job stands.
+// JobState is the state of a job, as far as roll-outs distinguish it.
 type JobState uint8
 
-// How a job stands.
+// States of a job.
 const (
-	JobAbsent    JobState = iota // not known: not accepted yet, or over and gone
+	JobAbsent    JobState = iota // unknown: not accepted yet, or ended and deleted
 	JobLive                      // accepted
-	JobCancelled                 // cancelled; tasks may still be on machines
+	JobCancelled                 // cancelled; its tasks may still be on hosts
 )
 
-// Job is what the leader knows of a job.
+// Job is the leader's state of a job.
 type Job struct {
 	State   JobState
-	Settled bool // none of its tasks can be on a machine
-	Service bool // it is a daemon job
+	Settled bool // no task of the job can be on a host
+	Service bool // the job is a daemon job
 	Spec    *protocol.JobSpec
 }
 
-// Instance is a task of a job as the leader knows it.
+// Instance is the leader's state of a task of a job.
 type Instance struct {
 	Index       int
 	Running     bool
-	Unconfirmed bool // an earlier leader launched it, and its machine has not been heard of since
+	Unconfirmed bool // launched under an earlier leader, and its host has not reported yet
 	Attempt     uint64
-	IP          string // of its machine
+	IP          string // IP address of the host
 }
 
-// JobSource is what the leader knows of jobs. each, if it is not nil, is called for
-// every task of a job that is known.
+// JobSource provides the leader's state of jobs. If visit is not nil, Job calls it for every task
+// of a job that is known.
 type JobSource interface {
-	Job(ref string, each func(Instance)) Job
+	Job(ref string, visit func(Instance)) Job
 }
 
-// retryDelay is when a submission or cancellation without an answer is repeated.
+// retryDelay is the time after which a submission or cancellation is repeated if it was not
+// answered.
 const retryDelay = 3 * protocol.Second
 
-// reconcileJobs does what the durable record says: what is not there yet is submitted, what
-// leaves is cancelled. A submission that may still be applied is repeated until it
-// is answered, also for a job that leaves: cancelled too early it would come after.
-// While a roll-out is paused only what was begun is repeated.
+// reconcileJobs carries out the durable record: it submits jobs that do not exist yet and cancels
+// jobs that are leaving. A submission that may still be applied is repeated until it is answered,
+// even if the job is leaving, because otherwise the job could be created after its cancellation.
+// While the roll-out is paused, only requests that were made before are repeated.
 func (m *Manager) reconcileJobs(sv *service) {
-	sure := sv.oldTally.certainlyHealthy + sv.newTally.certainlyHealthy
+	certainlyHealthy := sv.oldTally.certainlyHealthy + sv.newTally.certainlyHealthy
 	for _, part := range []struct {
-		version *Version
-		tally   tally
-		held    bool // its jobs don't go
+		version  *Version
+		tally    tally
+		retained bool // its jobs must not be cancelled
 	}{{&sv.record.Old, sv.oldTally, sv.record.State == Reverting}, {&sv.record.New, sv.newTally, false}} {
 		for _, b := range part.version.Batches {
 			ref := b.Ref
@@ -59,7 +60,7 @@
 				continue
 			}
 			if b.Leaving && (sv.known[ref] || !sv.submitPending[ref]) {
-				if !m.cancelBatch(sv, ref, part.held, part.tally.byBatch[ref], &sure) {
+				if !m.cancelBatch(sv, ref, part.retained, part.tally.byBatch[ref], &certainlyHealthy) {
 					continue
 				}
 			} else if !m.submitBatch(sv, part.version, b) {
@@ -70,22 +71,23 @@
 	}
 }
 
-// cancelBatch cancels a job that leaves, if it may go. sure is how many instances are surely
-// healthy.
-func (m *Manager) cancelBatch(sv *service, ref string, held bool, bt batchTally, sure *int) bool {
+// cancelBatch requests the cancellation of a leaving job if it is permitted now, and reports
+// whether it did. certainlyHealthy is the number of certainly healthy instances of the service,
+// which it reduces by those of the job.
+func (m *Manager) cancelBatch(sv *service, ref string, retained bool, bt batchTally, certainlyHealthy *int) bool {
 	if !sv.cancelRequested[ref] {
-		if sv.record.State == Paused || sv.known[ref] && (held || !sv.mayCancel(*sure, bt)) {
+		if sv.record.State == Paused || sv.known[ref] && (retained || !sv.mayCancel(*certainlyHealthy, bt)) {
 			return false
 		}
 		sv.cancelRequested[ref] = true
-		*sure -= bt.certainlyHealthy
+		*certainlyHealthy -= bt.certainlyHealthy
 	}
 	m.emit(Cancel{ref})
 	return true
 }
 
-// submitBatch submits a job that is not known yet. While a roll-out is paused only what was tried
-// is.
+// submitBatch submits a job that is not known yet, and reports whether it did. While the roll-out
+// is paused, it only repeats submissions that were made before.
 func (m *Manager) submitBatch(sv *service, v *Version, b Batch) bool {
 	if sv.known[b.Ref] || sv.record.State == Paused && !sv.submitPending[b.Ref] {
 		return false
@@ -95,7 +97,7 @@
 	return true
 }
 
-// onSubmitted takes the answer to a submission.
+// onSubmitted handles the answer to a submission.
 func (m *Manager) onSubmitted(e Submitted) {
 	sv := m.owners[e.Ref]
 	if sv == nil {
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -2,48 +2,49 @@
 
 import "mapleslip/internal/protocol"
 
-// Event is something that happened outside.
+// Event is an external event that Manager.Step handles.
 type Event interface{ event() }
 
-// Tick is the passing of time.
+// Tick signals that time has passed.
 type Tick struct{}
 
-// Saved says that a service's record is durable as it was last asked for.
+// Saved reports that the record of a service in the last Save is durable.
 type Saved struct{ Service string }
 
-// Submitted is the answer to a job's submission.
+// Submitted is the answer to the submission of a job.
 type Submitted struct {
 	Ref     string
 	Status  int
-	Phase   protocol.Phase // of a job that was accepted
-	Refusal string         // it was refused for good
+	Phase   protocol.Phase // phase of an accepted job
+	Refusal string         // reason for a permanent rejection
 }
 
-// CancelDone is the answer to a job's cancellation; 404: there is no such job.
+// CancelDone is the answer to the cancellation of a job. Status 404 means that the job does not
+// exist.
 type CancelDone struct {
 	Ref    string
 	Status int
 }
 
-// Checked is the end of a check.
+// Checked is the result of a check.
 type Checked struct {
 	ID         uint64
-	Made       bool // false: nobody could make it
+	Made       bool // false if no controller could make the check
 	OK         bool
-	Controller string // the controller that made it
-	Failure    string // it failed
+	Controller string // controller that made the check
+	Failure    string // reason for a failure
 }
 
-// TaskFailed says that a task of a job ended with an error.
+// TaskFailed reports that a task of a job ended with an error.
 type TaskFailed struct {
 	Ref   string
 	Index int
 }
 
-// Op is what an operator asks.
+// Op is the operation that an operator requests.
 type Op uint8
 
-// What operators ask.
+// Operations.
 const (
 	Start Op = iota
 	Show
@@ -53,31 +54,31 @@
 	Revert
 )
 
-// Request is an operator's.
+// Request is a request by an operator.
 type Request struct {
-	To      uint64 // the answer names it
+	To      uint64 // identifies the request in its Reply
 	Op      Op
 	Service string
-	Spec    *protocol.RolloutSpec // of Start
+	Spec    *protocol.RolloutSpec // set for Start only
 }
 
-// Effect is something to be done outside.
+// Effect is an action that the caller of Manager.Step has to carry out.
 type Effect interface{ effect() }
 
-// Save asks for a service's record to be made durable, under the leader's stamp.
-// It is tried until it is, or until the leader is another.
+// Save requests that the record of a service be written on condition that this controller is still
+// the leader. The caller retries until the record is durable or another controller leads.
 type Save struct {
 	Service string
 	Value   []byte
 }
 
-// Submit asks for a job to be submitted as a user's would be.
+// Submit requests that a job be submitted in the same way as by a user.
 type Submit struct{ Job *protocol.JobSpec }
 
-// Cancel asks for a job to be cancelled as its user would.
+// Cancel requests that a job be cancelled in the same way as by its user.
 type Cancel struct{ Ref string }
 
-// Check asks for an instance to be checked by some controller that is not in Not.
+// Check requests that an instance be checked by any controller that is not in Except.
 type Check struct {
 	ID         uint64
 	Kind       protocol.CheckKind
@@ -93,16 +94,16 @@
 	Body   []byte
 }
 
-// StateChanged tells of a change of state, once it is durable.
+// StateChanged reports a change of state that is durable.
 type StateChanged struct {
 	Service, ID string
 	From, To    State
 	Reason      string
-	Text        string // as the operators' template has it
+	Text        string // message made from the operators' template, "" without one
 }
 
-// CheckDisputed tells that a controller found an instance failing that another one
-// found well: its own links are more likely at fault.
+// CheckDisputed reports that controller Against found an instance failing that controller By then
+// found healthy. The cause is more likely in the links of Against.
 type CheckDisputed struct{ By, Against string }
 
 func (Tick) event() {}
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -2,50 +2,52 @@
 
 // tally counts the instances of a version.
 type tally struct {
-	requested        int // asked for
-	present          int // asked for, or still on a machine
+	requested        int // instances of jobs that are not leaving
+	present          int // requested, or possibly still on a host
 	running          int
-	unconfirmed      int // not known to run or not: see Instance
+	unconfirmed      int // not known whether it runs, see Instance
 	healthy          int
-	certainlyHealthy int // healthy, and no check failed that others are asked about now
-	failing          int // running, and their last check failed
-	checked          int // running, and known to pass or to fail, or unknown for too long
+	certainlyHealthy int // healthy, and no failed check is being confirmed
+	failing          int // running, and the last check failed
+	checked          int // running, and passing, failing, or unknown beyond HealthTimeout
 	byBatch          map[string]batchTally
 }
 
+// batchTally counts the running instances of a job.
 type batchTally struct {
 	healthy          int
-	certainlyHealthy int // healthy, and no check failed that others are asked about now
-	possiblyHealthy  int // that can't be taken for unhealthy
+	certainlyHealthy int // healthy, and no failed check is being confirmed
+	possiblyHealthy  int // not certainly unhealthy
 }
 
-// observe takes in how the jobs stand, and counts their instances.
-func (sv *service) observe(now micros, jobs JobSource, checkRoundTime micros, due func(*instance)) {
-	sv.observations++
-	sv.oldTally = sv.observeVersion(now, jobs, &sv.record.Old, false, checkRoundTime, due)
-	sv.newTally = sv.observeVersion(now, jobs, &sv.record.New, true, checkRoundTime, due)
+// observe reads the state of the jobs and counts their instances. It calls schedule for the running
+// instances.
+func (sv *service) observe(now micros, jobs JobSource, checkRoundTime micros, schedule func(*instance)) {
+	sv.observationSeq++
+	sv.oldTally = sv.observeVersion(now, jobs, &sv.record.Old, false, checkRoundTime, schedule)
+	sv.newTally = sv.observeVersion(now, jobs, &sv.record.New, true, checkRoundTime, schedule)
 	for s, i := range sv.instances {
-		if i.lastObservation != sv.observations {
-			i.running = false // a result that still comes is nobody's
+		if i.lastObservation != sv.observationSeq {
+			i.running = false // results of checks in flight are ignored
 			delete(sv.instances, s)
 		}
 	}
 }
 
-// observation is a look at the instances of a version.
+// observation is one pass over the instances of a version.
 type observation struct {
 	*service
 	now           micros
 	version       *Version
-	isNew         bool   // it is the new version
-	passLifetime  micros // how old a check may be that still says that an instance is healthy
+	isNew         bool   // version is the new version
+	passLifetime  micros // age up to which a passed check proves that an instance is healthy
 	scheduleCheck func(*instance)
 	tally         tally
 }
 
-// observeVersion counts the instances of a version, and has due called for those that run.
-func (sv *service) observeVersion(now micros, jobs JobSource, v *Version, isNew bool, checkRoundTime micros, due func(*instance)) tally {
-	o := observation{service: sv, now: now, version: v, isNew: isNew, scheduleCheck: due, tally: tally{byBatch: make(map[string]batchTally, len(v.Batches))}}
+// observeVersion counts the instances of a version and calls schedule for those that run.
+func (sv *service) observeVersion(now micros, jobs JobSource, v *Version, isNew bool, checkRoundTime micros, schedule func(*instance)) tally {
+	o := observation{service: sv, now: now, version: v, isNew: isNew, scheduleCheck: schedule, tally: tally{byBatch: make(map[string]batchTally, len(v.Batches))}}
 	if v.Spec == nil {
 		return o.tally
 	}
@@ -56,20 +58,21 @@
 	return o.tally
 }
 
-// observeBatch counts the instances of a job.
+// observeBatch counts the instances of a job and records whether the job was accepted, cancelled or
+// has left all hosts.
 func (o *observation) observeBatch(jobs JobSource, b Batch) {
 	var bt batchTally
-	each := func(in Instance) {
+	visit := func(in Instance) {
 		if in.Index < b.Tasks {
 			o.countInstance(b.Ref, in, &bt)
 		}
 	}
 	if b.Leaving && o.cancelRequested[b.Ref] {
-		each = nil
+		visit = nil
 	}
-	job := jobs.Job(b.Ref, each)
+	job := jobs.Job(b.Ref, visit)
 	if b.Leaving && job.State == JobCancelled {
-		o.cancelRequested[b.Ref] = true // by the leader before, or by its user
+		o.cancelRequested[b.Ref] = true // by an earlier leader or by a user
 	}
 	switch {
 	case job.State == JobLive:
@@ -82,8 +85,8 @@
 	if !b.Leaving {
 		t.requested += b.Tasks
 	}
-	left := o.cancelConfirmed[b.Ref] && (job.State == JobAbsent || job.Settled)
-	if !b.Leaving || !left {
+	gone := o.cancelConfirmed[b.Ref] && (job.State == JobAbsent || job.Settled)
+	if !b.Leaving || !gone {
 		t.present += b.Tasks
 	} else {
 		o.cleared[b.Ref] = true
@@ -93,7 +96,7 @@
 	t.byBatch[b.Ref] = bt
 }
 
-// countInstance counts an instance.
+// countInstance adds an instance to the tallies of its version and of its job.
 func (o *observation) countInstance(ref string, in Instance, bt *batchTally) {
 	i := o.instanceIn(slot{ref, in.Index}, in)
 	t := &o.tally
@@ -105,7 +108,7 @@
 	}
 	t.running++
 	o.scheduleCheck(i)
-	if i.health != Unknown || o.now-max(i.since, o.timeoutsFrom) > o.version.Spec.HealthTimeout {
+	if i.health != Unknown || o.now-max(i.stateSince, o.timeoutsFrom) > o.version.Spec.HealthTimeout {
 		t.checked++
 	}
 	if i.streak < 0 {
@@ -117,12 +120,13 @@
 			bt.certainlyHealthy++
 		}
 	}
-	if !i.unhealthy() {
+	if !i.certainlyUnhealthy() {
 		bt.possiblyHealthy++
 	}
 }
 
-// instanceIn is the instance in a slot. One that runs anew begins anew.
+// instanceIn returns the instance in a slot. If it has started, stopped or been replaced by another
+// attempt since the last observation, its earlier results are discarded.
 func (o *observation) instanceIn(s slot, in Instance) *instance {
 	i := o.instances[s]
 	switch {
@@ -133,6 +137,6 @@
 	case i.running != in.Running || in.Running && i.attempt != in.Attempt:
 		i.restart(o.now, in)
 	}
-	i.lastObservation = o.observations
+	i.lastObservation = o.observationSeq
 	return i
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -15,27 +15,27 @@
 	"mapleslip/internal/protocol"
 )
 
-// Prefix is where the records of services are in the state service.
+// Prefix is the key prefix of the records of services in the state service.
 const Prefix = "ro/"
 
-// formatVersion is the form of the records.
+// formatVersion is the version of the record format.
 const formatVersion = 1
 
-// Batch is a job with some of a version's instances.
+// Batch is a job that consists of some of the instances of a version.
 type Batch struct {
 	Ref     string
 	Tasks   int
-	Leaving bool // it is cancelled, or will be
+	Leaving bool // the job has been cancelled or is to be cancelled
 }
 
 // Version is one version of a service and its jobs.
 type Version struct {
 	Hash    string
-	Spec    *protocol.RolloutSpec // nil: none
+	Spec    *protocol.RolloutSpec // nil if there is no such version
 	Batches []Batch
 }
 
-// requestedInstances counts the instances that are asked for.
+// requestedInstances counts the instances of jobs that are not leaving.
 func (v *Version) requestedInstances() (n int) {
 	for _, b := range v.Batches {
 		if !b.Leaving {
@@ -45,22 +45,22 @@
 	return n
 }
 
-// Record is what is durable of a service: the version that serves, and the last
-// roll-out with its version.
+// Record is the durable state of a service: the version before the last roll-out, the last roll-out
+// and its new version. When a roll-out is done, its version becomes Old.
 type Record struct {
 	Service              string
 	State                State
-	PausedIn             State // in which it was paused
+	PausedIn             State // state in which the roll-out was paused
 	Reason               string
-	Stage                int // index into the stages
-	JobsMade             int // jobs made by this roll-out
-	Changes              int // of the record, in this roll-out
-	OldCount             int // instances of the old version when it began
+	Stage                int // index into the stages of the specification
+	JobsMade             int // number of jobs created by this roll-out
+	Changes              int // number of changes of the record during this roll-out
+	OldCount             int // instances of the old version when the roll-out started
 	IgnoreUnhealthyStart bool
 	Old, New             Version
 }
 
-// leavingJobs counts the jobs that are to go.
+// leavingJobs counts the jobs that are leaving.
 func (r *Record) leavingJobs() (n int) {
 	for _, v := range []*Version{&r.Old, &r.New} {
 		for _, b := range v.Batches {
@@ -78,7 +78,8 @@
 	return &c
 }
 
-// VersionOf is the identity of a version: the same job is the same version.
+// VersionOf returns the identity of the version that a job specification defines. The name, the
+// number of tasks and the kind of the job do not matter.
 func VersionOf(job *protocol.JobSpec) string {
 	spec := *job
 	spec.Ref, spec.Tasks, spec.Kind = "", 0, protocol.Service
@@ -86,23 +87,23 @@
 	return hex.EncodeToString(sum[:6])
 }
 
-// jobRef names a job that a roll-out makes. A new leader comes to the same name,
-// so a job that was submitted before is found and not submitted twice. Among names
-// of 20 digits one that a user chose is hit by chance once in 10^19.
+// jobRef returns the name of a job that a roll-out creates. The name depends only on the arguments,
+// so that a new leader finds a job that was already submitted instead of submitting it twice. A
+// name of 20 digits that a user chose is the same by chance once in 10^19.
 func jobRef(service, id string, number int) string {
 	sum := blake2b.Sum256([]byte(service + "\x00" + id + "\x00" + strconv.Itoa(number)))
 	return fmt.Sprintf("req-%020d", binary.BigEndian.Uint64(sum[:8]))
 }
 
-// job is the specification of a batch.
+// job returns the job specification of a batch.
 func (v *Version) job(b Batch) *protocol.JobSpec {
 	spec := *v.Spec.Job
 	spec.Ref, spec.Tasks, spec.Kind = b.Ref, b.Tasks, protocol.Service
 	return &spec
 }
 
-// Encode writes a record. Batches are a text each, "number of the job:tasks", with
-// a "-" in front where they leave: a record has to hold some hundred of them.
+// Encode serializes a record. Each batch is a short text, "number of the job:tasks", preceded by
+// "-" if it is leaving, because a record must have room for several hundred batches.
 func (r *Record) Encode() []byte {
 	b := fmt.Appendf(nil, `{"form":%d,"service":`, formatVersion)
 	b = append(protocol.AppendQuoted(b, r.Service), `,"state":`...)
@@ -111,15 +112,15 @@
 	b = protocol.AppendQuoted(b, r.Reason)
 	b = fmt.Appendf(b, `,"stage":%d,"made":%d,"changes":%d,"oldCount":%d,"forced":%t`, r.Stage, r.JobsMade, r.Changes, r.OldCount, r.IgnoreUnhealthyStart)
 	for _, part := range []struct {
-		name string
-		v    *Version
+		name    string
+		version *Version
 	}{{"old", &r.Old}, {"new", &r.New}} {
-		if part.v.Spec == nil {
+		if part.version.Spec == nil {
 			continue
 		}
 		b = append(append(append(b, `,"`...), part.name...), `":{"spec":`...)
-		b = append(protocol.AppendRollout(b, part.v.Spec), `,"jobs":"`...)
-		for i, batch := range part.v.Batches {
+		b = append(protocol.AppendRollout(b, part.version.Spec), `,"jobs":"`...)
+		for i, batch := range part.version.Batches {
 			if i > 0 {
 				b = append(b, ' ')
 			}
@@ -134,7 +135,8 @@
 	return append(b, '}')
 }
 
-// appendRef writes a job's name: 20 digits in base 36, others as they are.
+// appendRef writes the name of a job without its prefix. A number of 20 digits is written in base
+// 36 after a period, any other name unchanged.
 func appendRef(b []byte, ref string) []byte {
 	digits := strings.TrimPrefix(ref, "req-")
 	if n, err := strconv.ParseUint(digits, 10, 64); err == nil && len(digits) == 20 {
@@ -144,8 +146,8 @@
 }
 
 func parseRef(s string) (string, bool) {
-	if code, short := strings.CutPrefix(s, "."); short {
-		n, err := strconv.ParseUint(code, 36, 64)
+	if base36, encoded := strings.CutPrefix(s, "."); encoded {
+		n, err := strconv.ParseUint(base36, 36, 64)
 		return fmt.Sprintf("req-%020d", n), err == nil
 	}
 	ref := "req-" + s
@@ -154,7 +156,7 @@
 
 var errRecord = errors.New("malformed record of a roll-out")
 
-// Decode reads a record.
+// Decode parses a record that Encode has written.
 func Decode(value []byte) (*Record, error) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
@@ -169,15 +171,15 @@
 		Service: string(v.GetStringBytes("service")), Reason: string(v.GetStringBytes("reason")), Stage: v.GetInt("stage"), JobsMade: v.GetInt("made"),
 		Changes: v.GetInt("changes"), OldCount: v.GetInt("oldCount"), IgnoreUnhealthyStart: v.GetBool("forced"),
 	}
-	var ok, ok2 bool
-	r.State, ok = stateNamed(string(v.GetStringBytes("state")))
-	r.PausedIn, ok2 = stateNamed(string(v.GetStringBytes("from")))
-	if !ok || !ok2 || !protocol.ValidService(r.Service) || r.Stage < 0 || r.JobsMade < 0 || r.OldCount < 0 {
+	var ok, pausedInOK bool
+	r.State, ok = parseState(string(v.GetStringBytes("state")))
+	r.PausedIn, pausedInOK = parseState(string(v.GetStringBytes("from")))
+	if !ok || !pausedInOK || !protocol.ValidService(r.Service) || r.Stage < 0 || r.JobsMade < 0 || r.OldCount < 0 {
 		return nil, errRecord
 	}
 	for _, part := range []struct {
-		name string
-		to   *Version
+		name    string
+		version *Version
 	}{{"old", &r.Old}, {"new", &r.New}} {
 		o := v.Get(part.name)
 		if o == nil {
@@ -187,16 +189,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errRecord, part.name, err)
 		}
-		*part.to = Version{Hash: VersionOf(spec.Job), Spec: spec}
-		for _, text := range strings.Fields(string(o.GetStringBytes("jobs"))) {
-			rest, leaving := strings.CutPrefix(text, "-")
-			name, tasks, _ := strings.Cut(rest, ":")
-			ref, ok := parseRef(name)
+		*part.version = Version{Hash: VersionOf(spec.Job), Spec: spec}
+		for _, field := range strings.Fields(string(o.GetStringBytes("jobs"))) {
+			job, leaving := strings.CutPrefix(field, "-")
+			shortRef, tasks, _ := strings.Cut(job, ":")
+			ref, ok := parseRef(shortRef)
 			n, err := strconv.Atoi(tasks)
 			if !ok || err != nil || n < 1 || n > protocol.MaxTasks {
 				return nil, errRecord
 			}
-			part.to.Batches = append(part.to.Batches, Batch{ref, n, leaving})
+			part.version.Batches = append(part.version.Batches, Batch{ref, n, leaving})
 		}
 	}
 	if r.State != Idle && (r.New.Spec == nil || r.Stage >= len(r.New.Spec.Stages)) {
--- a/internal/rollout/request.go
+++ b/internal/rollout/request.go
@@ -11,20 +11,20 @@
 	"mapleslip/internal/protocol"
 )
 
-// CompileMessage reads the operators' template of a message. It may use .Service,
-// .ID, .From, .To and .Reason.
+// CompileMessage compiles the operators' message template, which may use .Service, .ID, .From, .To
+// and .Reason.
 func CompileMessage(text string) (*template.Template, error) {
 	t, err := compileTemplate("message", text)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.Execute(io.Discard, messageOf(StateChanged{})); err != nil {
+	if err := t.Execute(io.Discard, messageData(StateChanged{})); err != nil {
 		return nil, errors.New("message: may use .Service, .ID, .From, .To and .Reason")
 	}
 	return t, nil
 }
 
-// RequestError is why a request is refused, with its HTTP status.
+// RequestError is the reason for which a request is rejected, with its HTTP status.
 type RequestError struct {
 	Status  int
 	Problem string
@@ -40,30 +40,31 @@
 	m.emit(Reply{To: to, Status: status, Body: body})
 }
 
-// replyError answers that a request is refused. An error without a status is of the request.
+// replyError rejects a request. Any error but a RequestError is reported as a bad request.
 func (m *Manager) replyError(to uint64, err error) {
 	status := http.StatusBadRequest
-	var refused *RequestError
-	if errors.As(err, &refused) {
-		status = refused.Status
+	var requestErr *RequestError
+	if errors.As(err, &requestErr) {
+		status = requestErr.Status
 	}
 	m.reply(to, status, protocol.ErrorBody(err.Error()))
 }
 
-// replyStatus answers how a service's roll-out stands.
+// replyStatus answers with the status of a service's roll-out.
 func (m *Manager) replyStatus(to uint64, sv *service, status int) {
 	m.reply(to, status, protocol.AppendRolloutStatus(nil, m.status(sv), true))
 }
 
-// replyOnceSaved answers how a roll-out stands once what is being written is durable.
+// replyOnceSaved answers with the status of a service's roll-out once its pending record is
+// durable.
 func (m *Manager) replyOnceSaved(to uint64, sv *service, status int) {
-	m.waiting[sv] = append(m.waiting[sv], func() { m.replyStatus(to, sv, status) })
+	m.afterSave[sv] = append(m.afterSave[sv], func() { m.replyStatus(to, sv, status) })
 }
 
 // replyList answers with the roll-outs of all services.
 func (m *Manager) replyList(to uint64) {
 	b := []byte(`{"rollouts":[`)
-	for _, name := range m.names() {
+	for _, name := range m.serviceNames() {
 		sv := m.services[name]
 		if sv.record.State == Idle {
 			continue
@@ -76,7 +77,7 @@
 	m.reply(to, http.StatusOK, append(b, "]}"...))
 }
 
-// onRequest serves an operator's request.
+// onRequest handles an operator's request.
 func (m *Manager) onRequest(e Request) {
 	sv := m.services[e.Service]
 	switch {
@@ -94,48 +95,48 @@
 	case e.Op == Show:
 		m.replyStatus(e.To, sv, http.StatusOK)
 	case sv.pending != nil:
-		// What is being written comes first.
-		m.waiting[sv] = append(m.waiting[sv], func() { m.onRequest(e) })
+		// The request is handled once the pending record is durable.
+		m.afterSave[sv] = append(m.afterSave[sv], func() { m.onRequest(e) })
 	case sv.record.State.Ended():
 		m.replyError(e.To, requestErrorf(http.StatusConflict, "the roll-out has ended: %s", sv.record.State))
 	default:
-		m.steer(e, sv)
+		m.applyCommand(e, sv)
 	}
 }
 
-// byCommand is the reason for a change of state that an operator asked for.
+// byCommand is the reason for a change of state that an operator requested.
 const byCommand = "by command"
 
-// steer pauses, resumes or reverts a roll-out.
-func (m *Manager) steer(e Request, sv *service) {
+// applyCommand pauses, resumes or reverts a roll-out.
+func (m *Manager) applyCommand(e Request, sv *service) {
 	r := sv.record
-	n := r.clone()
+	next := r.clone()
 	switch {
 	case e.Op == Pause && r.State != Paused:
-		n.setState(Paused, byCommand)
+		next.setState(Paused, byCommand)
 	case e.Op == Resume && r.State == Paused:
-		n.IgnoreUnhealthyStart = n.IgnoreUnhealthyStart || r.PausedIn == Planned
-		n.setState(r.PausedIn, "")
-		// What was wrong may have been repaired: instances have to show it anew.
+		next.IgnoreUnhealthyStart = next.IgnoreUnhealthyStart || r.PausedIn == Planned
+		next.setState(r.PausedIn, "")
+		// The fault may have been repaired, so earlier results no longer count.
 		sv.reset(m.now)
 		for _, i := range sv.instances {
 			i.restart(m.now, Instance{Index: i.index, Running: i.running, Attempt: i.attempt, IP: i.ip})
 		}
 	case e.Op == Revert && r.State != Reverting:
-		n.setState(Reverting, byCommand)
+		next.setState(Reverting, byCommand)
 		sv.progressAt, sv.timeoutsFrom = m.now, m.now
-	default: // it is so already
+	default: // the roll-out already is in the requested state
 		m.replyStatus(e.To, sv, http.StatusOK)
 		return
 	}
-	m.save(sv, n)
+	m.save(sv, next)
 	m.replyOnceSaved(e.To, sv, http.StatusOK)
 }
 
-// replyIfRepeated answers a request that repeats the last one of the service. It reports whether
-// it did.
+// replyIfRepeated answers a request to start a roll-out that is already the last one of the
+// service, and reports whether it did.
 func (m *Manager) replyIfRepeated(e Request, sv *service) bool {
-	last := sv.newest().New.Spec
+	last := sv.latestRecord().New.Spec
 	if last == nil || last.ID != e.Spec.ID {
 		return false
 	}
@@ -147,7 +148,7 @@
 	return true
 }
 
-// start begins a roll-out.
+// start starts the roll-out that a request describes.
 func (m *Manager) start(e Request, sv *service) error {
 	r, err := m.newRollout(e.Spec, sv)
 	if err != nil {
@@ -156,11 +157,11 @@
 	if sv == nil {
 		sv, err = newService(&Record{Service: e.Spec.Service, State: Idle}, m.now)
 		if err != nil {
-			panic(err) // there is nothing in it to be wrong
+			panic(err) // a record without versions has no checks that could be invalid
 		}
 		m.services[e.Spec.Service] = sv
 	}
-	// Nothing of an earlier roll-out counts for this one.
+	// Faults and results of an earlier roll-out do not count for this one.
 	sv.reset(m.now)
 	sv.dropInstances()
 	m.save(sv, r)
@@ -168,12 +169,12 @@
 	return nil
 }
 
-// newRollout makes the record of a roll-out, if it can be done.
+// newRollout returns the record of a new roll-out, or an error if it can't be carried out.
 func (m *Manager) newRollout(s *protocol.RolloutSpec, sv *service) (*Record, error) {
 	if err := checkNotBusy(sv); err != nil {
 		return nil, err
 	}
-	if _, err := newTarget(&s.Check); err != nil {
+	if _, err := newCheckTarget(&s.Check); err != nil {
 		return nil, err
 	}
 	r := &Record{Service: s.Service, State: Idle}
@@ -202,21 +203,22 @@
 	return r, nil
 }
 
-// checkNotBusy returns an error while a roll-out of a service goes on.
+// checkNotBusy returns an error if the last roll-out of a service is still in progress, or if its
+// jobs are still leaving.
 func checkNotBusy(sv *service) error {
 	switch {
 	case sv == nil:
 		return nil
 	case !sv.record.State.Ended() || sv.pending != nil:
-		now := sv.newest()
-		return requestErrorf(http.StatusConflict, "roll-out %s of this service is %s", now.New.Spec.ID, now.State)
+		current := sv.latestRecord()
+		return requestErrorf(http.StatusConflict, "roll-out %s of this service is %s", current.New.Spec.ID, current.State)
 	case sv.needsWork():
 		return requestErrorf(http.StatusConflict, "instances of the last roll-out are still being taken away")
 	}
 	return nil
 }
 
-// adopt makes the old version of jobs that users submitted.
+// adopt returns an old version that consists of jobs submitted by users.
 func (m *Manager) adopt(s *protocol.RolloutSpec, r *Record) (*Version, error) {
 	if r.Old.Spec != nil {
 		return nil, requestErrorf(http.StatusConflict, "adopt: the service has a version that a roll-out made")
@@ -248,11 +250,11 @@
 	return v, nil
 }
 
-// recordBytesPerJob is what a job takes of a record, at most.
+// recordBytesPerJob is the maximum size of a job in a record.
 const recordBytesPerJob = 24
 
-// checkFeasible returns an error if a roll-out can't be done without fewer healthy instances than
-// its floor at some time.
+// checkFeasible returns an error if a roll-out can't be carried out without falling below its
+// minimum of healthy instances, or if its record could become too large.
 func (m *Manager) checkFeasible(r *Record) error {
 	infeasible := func(format string, args ...any) error {
 		return requestErrorf(http.StatusUnprocessableEntity, format, args...)
@@ -265,7 +267,8 @@
 		if s.MinHealthy > r.OldCount {
 			return infeasible("floor: the service has %d instances, %d can't be healthy", r.OldCount, s.MinHealthy)
 		}
-		// What may be missing while a job goes: the surge, and what is above the floor.
+		// The number of instances that may be missing while a job is removed: the surge, and
+		// those above the minimum of healthy instances.
 		slack := max(s.Count, r.OldCount) + s.MaxSurge - s.MinHealthy
 		if slack < 1 {
 			return infeasible("surge: none, and the floor is all instances: none could ever be replaced")
@@ -276,7 +279,7 @@
 			}
 		}
 	}
-	// A record names the jobs of both versions, and those that a reversal makes.
+	// A record contains the jobs of both versions, and those that a revert creates.
 	size := batchSize(s)
 	jobs := (s.Count+size-1)/size + len(r.Old.Batches) + (r.OldCount+size-1)/size + len(s.Stages)
 	if len(r.Encode())+maxReasonBytes+recordBytesPerJob*jobs > m.settings.ValueBytes {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -19,37 +19,37 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, 300) }
 
-// world is a cluster as a roll-out sees it, in simulated time.
-type world struct {
-	t    interface{ Fatalf(string, ...any) }
-	now  micros
-	seq  int
-	todo []todo
-	log  []string
-
-	g       *Manager
-	life    int // of the leader
-	record  []byte
-	held    []func() // what waits for the state service
-	outage  bool
-	blind   map[string]bool // nodes whose links to machines are cut
-	jobs    map[string]*simJob
-	room    int
-	placed  int
-	depends bool // what all instances need is away
-	answers map[uint64]Reply
-	made    map[string]string // what the instances of an image do
-	spec    *protocol.RolloutSpec
-	old     int // instances at the beginning
-	cancels map[string]bool
-	saves   int
-	paused  micros
-	events  int           // faults still to come
-	spent   time.Duration // by the manager
-	rng     *rand.Rand
-}
-
-type todo struct {
+// simCluster simulates the part of a cluster that roll-outs observe, in simulated time.
+type simCluster struct {
+	t     interface{ Fatalf(string, ...any) }
+	now   micros
+	seq   int
+	calls []scheduledCall
+	log   []string
+
+	manager         *Manager
+	term            int // number of the current leader
+	record          []byte
+	blockedWrites   []func() // requests that wait for the state service
+	outage          bool
+	partitioned     map[string]bool // controllers whose links to hosts are cut
+	jobs            map[string]*simJob
+	capacity        int
+	placements      int
+	dependencyDown  bool // a service that all instances need is unavailable
+	replies         map[uint64]Reply
+	behaviors       map[string]string // how the instances of an image behave
+	spec            *protocol.RolloutSpec
+	oldCount        int // instances of the old version at the start
+	cancelledByUser map[string]bool
+	saves           int
+	pausedAt        micros
+	pendingFaults   int           // number of faults still to be injected
+	managerTime     time.Duration // wall time spent in Manager.Step
+	rng             *rand.Rand
+}
+
+type scheduledCall struct {
 	at  micros
 	seq int
 	fn  func()
@@ -63,78 +63,78 @@
 }
 
 type simTask struct {
-	running bool
-	attempt uint64
-	ip      string
-	since   micros
-	ready   micros // not placed before
-	broken  micros // when it stopped being healthy, 0: it is, or never was
-	mended  micros // when it came to be again
-	crashed bool
-	failing bool // a flapping one, at its last check
-}
-
-func newWorld(t interface{ Fatalf(string, ...any) }, spec *protocol.RolloutSpec, old int, room int) *world {
-	w := &world{
-		t: t, spec: spec, room: room, old: old, blind: map[string]bool{}, jobs: map[string]*simJob{}, answers: map[uint64]Reply{},
-		made: map[string]string{}, cancels: map[string]bool{}, rng: rand.New(rand.NewPCG(uint64(old), uint64(room))),
-	}
-	if old > 0 {
-		was := *spec
+	running         bool
+	attempt         uint64
+	ip              string
+	since           micros
+	placeableAt     micros // earliest time of placement
+	unhealthySince  micros // 0 if it is healthy or never was
+	recoveredAt     micros // time at which it became healthy again
+	crashed         bool
+	lastCheckFailed bool // the last check of a flapping instance failed
+}
+
+func newSimCluster(t interface{ Fatalf(string, ...any) }, spec *protocol.RolloutSpec, oldCount int, capacity int) *simCluster {
+	sim := &simCluster{
+		t: t, spec: spec, capacity: capacity, oldCount: oldCount, partitioned: map[string]bool{}, jobs: map[string]*simJob{}, replies: map[uint64]Reply{},
+		behaviors: map[string]string{}, cancelledByUser: map[string]bool{}, rng: rand.New(rand.NewPCG(uint64(oldCount), uint64(capacity))),
+	}
+	if oldCount > 0 {
+		oldSpec := *spec
 		job := *spec.Job
 		job.Image = "old"
-		was.ID, was.Job = "before", &job
-		rec := &Record{Service: spec.Service, State: Done, New: Version{Hash: VersionOf(&job), Spec: &was}}
-		rec.Old = Version{Hash: VersionOf(&job), Spec: &was}
-		for left := old; left > 0; {
+		oldSpec.ID, oldSpec.Job = "before", &job
+		record := &Record{Service: spec.Service, State: Done, New: Version{Hash: VersionOf(&job), Spec: &oldSpec}}
+		record.Old = Version{Hash: VersionOf(&job), Spec: &oldSpec}
+		for left := oldCount; left > 0; {
 			n := min(left, batchSize(spec))
 			b := Batch{Ref: jobRef(spec.Service, "before", left), Tasks: n}
-			rec.Old.Batches = append(rec.Old.Batches, b)
-			w.enter(rec.Old.job(b))
+			record.Old.Batches = append(record.Old.Batches, b)
+			sim.addJob(record.Old.job(b))
 			left -= n
 		}
-		w.record = rec.Encode()
+		sim.record = record.Encode()
 	}
-	w.lead()
-	return w
+	sim.startLeader()
+	return sim
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%7.2f ", w.now.Seconds())+fmt.Sprintf(format, args...))
+func (sim *simCluster) logf(format string, args ...any) {
+	sim.log = append(sim.log, fmt.Sprintf("%7.2f ", sim.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) fatal(format string, args ...any) {
-	w.t.Fatalf("%s\n%s", fmt.Sprintf(format, args...), strings.Join(w.log, "\n"))
+func (sim *simCluster) fatalf(format string, args ...any) {
+	sim.t.Fatalf("%s\n%s", fmt.Sprintf(format, args...), strings.Join(sim.log, "\n"))
 }
 
-func (w *world) after(d micros, fn func()) {
-	w.seq++
-	w.todo = append(w.todo, todo{w.now + d, w.seq, fn})
+func (sim *simCluster) after(d micros, fn func()) {
+	sim.seq++
+	sim.calls = append(sim.calls, scheduledCall{sim.now + d, sim.seq, fn})
 }
 
-func (w *world) enter(spec *protocol.JobSpec) *simJob {
+func (sim *simCluster) addJob(spec *protocol.JobSpec) *simJob {
 	j := &simJob{spec: spec}
 	for range spec.Tasks {
-		j.tasks = append(j.tasks, &simTask{ready: w.now + second/2})
+		j.tasks = append(j.tasks, &simTask{placeableAt: sim.now + second/2})
 	}
-	w.jobs[spec.Ref] = j
+	sim.jobs[spec.Ref] = j
 	return j
 }
 
-// lead has a new leader begin with what is durable.
-func (w *world) lead() {
-	w.life++
-	w.g = NewManager(Settings{ChecksPerS: 200, MaxInFlight: 50, MaxServices: 3, ValueBytes: 8192, OtherControllers: len(nodes) - 1}, w, uint64(w.life))
-	if w.record != nil {
-		if err := w.g.Load(w.now, w.record); err != nil {
-			w.fatal("%v", err)
+// startLeader starts a new leader from the durable record.
+func (sim *simCluster) startLeader() {
+	sim.term++
+	sim.manager = NewManager(Settings{ChecksPerS: 200, MaxInFlight: 50, MaxServices: 3, ValueBytes: 8192, OtherControllers: len(controllers) - 1}, sim, uint64(sim.term))
+	if sim.record != nil {
+		if err := sim.manager.Load(sim.now, sim.record); err != nil {
+			sim.fatalf("load record: %v", err)
 		}
 	}
 }
 
-// Job says how a job stands.
-func (w *world) Job(ref string, each func(Instance)) Job {
-	j := w.jobs[ref]
+// Job implements JobSource.
+func (sim *simCluster) Job(ref string, visit func(Instance)) Job {
+	j := sim.jobs[ref]
 	if j == nil {
 		return Job{}
 	}
@@ -143,159 +143,160 @@
 		out.State = JobCancelled
 	}
 	for k, t := range j.tasks {
-		if each != nil && !j.cancelled {
-			each(Instance{Index: k, Running: t.running, Attempt: t.attempt, IP: t.ip})
+		if visit != nil && !j.cancelled {
+			visit(Instance{Index: k, Running: t.running, Attempt: t.attempt, IP: t.ip})
 		}
 	}
 	return out
 }
 
-func (w *world) step(ev Event) {
-	life := w.life
-	began := time.Now()
-	effects := w.g.Step(w.now, ev)
-	w.spent += time.Since(began)
+func (sim *simCluster) step(ev Event) {
+	term := sim.term
+	startedAt := time.Now()
+	effects := sim.manager.Step(sim.now, ev)
+	sim.managerTime += time.Since(startedAt)
 	for _, e := range effects {
-		w.perform(life, e)
+		sim.execute(term, e)
 	}
 }
 
-// stored calls fn once the state service serves, unless the leader is another.
-func (w *world) stored(life int, fn func()) {
-	w.after(second/20, func() {
-		if life != w.life {
+// whenStored calls fn once the state service is available, unless the leader has changed.
+func (sim *simCluster) whenStored(term int, fn func()) {
+	sim.after(second/20, func() {
+		if term != sim.term {
 			return
 		}
-		if w.outage {
-			w.held = append(w.held, func() { w.stored(life, fn) })
+		if sim.outage {
+			sim.blockedWrites = append(sim.blockedWrites, func() { sim.whenStored(term, fn) })
 			return
 		}
 		fn()
 	})
 }
 
-func (w *world) perform(life int, e Effect) {
-	tell := func(d micros, ev Event) {
-		w.after(d, func() {
-			if life == w.life {
-				w.step(ev)
+func (sim *simCluster) execute(term int, e Effect) {
+	deliver := func(d micros, ev Event) {
+		sim.after(d, func() {
+			if term == sim.term {
+				sim.step(ev)
 			}
 		})
 	}
 	switch e := e.(type) {
 	case Save:
-		w.stored(life, func() {
+		sim.whenStored(term, func() {
 			if _, err := Decode(e.Value); err != nil {
-				w.fatal("%v: %s", err, e.Value)
+				sim.fatalf("%v: %s", err, e.Value)
 			}
-			w.record = e.Value
-			w.saves++
-			tell(second/50, Saved{e.Service})
+			sim.record = e.Value
+			sim.saves++
+			deliver(second/50, Saved{e.Service})
 		})
 	case Submit:
-		w.stored(life, func() {
-			j, status := w.jobs[e.Job.Ref], 200
+		sim.whenStored(term, func() {
+			j, status := sim.jobs[e.Job.Ref], 200
 			if j == nil {
-				w.note("submitted %s, %d of %s", e.Job.Ref, e.Job.Tasks, e.Job.Image)
-				j, status = w.enter(e.Job), 201
-				w.checkMost()
+				sim.logf("submitted %s, %d of %s", e.Job.Ref, e.Job.Tasks, e.Job.Image)
+				j, status = sim.addJob(e.Job), 201
+				sim.checkMaxInstances()
 			}
 			phase := protocol.PhaseRunning
 			if j.cancelled {
 				phase = protocol.PhaseCancelled
 			}
-			tell(second/50, Submitted{Ref: e.Job.Ref, Status: status, Phase: phase})
+			deliver(second/50, Submitted{Ref: e.Job.Ref, Status: status, Phase: phase})
 		})
 	case Cancel:
-		j := w.jobs[e.Ref]
+		j := sim.jobs[e.Ref]
 		if j == nil {
-			tell(second/50, CancelDone{e.Ref, 404})
+			deliver(second/50, CancelDone{e.Ref, 404})
 			return
 		}
 		if !j.cancelled {
-			w.checkFloor(e.Ref)
-			w.note("cancelled %s, %d of %s", e.Ref, len(j.tasks), j.spec.Image)
+			sim.checkMinHealthy(e.Ref)
+			sim.logf("cancelled %s, %d of %s", e.Ref, len(j.tasks), j.spec.Image)
 			j.cancelled = true
-			w.after(second, func() {
+			sim.after(second, func() {
 				for _, t := range j.tasks {
 					t.running = false
 				}
 			})
 		}
-		w.stored(life, func() { tell(second/50, CancelDone{e.Ref, 200}) })
+		sim.whenStored(term, func() { deliver(second/50, CancelDone{e.Ref, 200}) })
 	case Check:
-		w.check(life, e)
+		sim.runCheck(term, e)
 	case Reply:
-		w.answers[e.To] = e
+		sim.replies[e.To] = e
 	case StateChanged:
-		w.note("%s -> %s %s", e.From, e.To, e.Reason)
+		sim.logf("%s -> %s %s", e.From, e.To, e.Reason)
 		if e.To == Paused && e.Reason == "" {
-			w.fatal("paused without a reason")
+			sim.fatalf("paused without a reason")
 		}
-		w.paused = 0
+		sim.pausedAt = 0
 		if e.To == Paused {
-			w.paused = w.now
+			sim.pausedAt = sim.now
 		}
 	}
 }
 
-var nodes = []string{"a", "b", "c"}
+var controllers = []string{"a", "b", "c"}
 
-func (w *world) check(life int, e Check) {
-	w.seq++
+func (sim *simCluster) runCheck(term int, e Check) {
+	sim.seq++
 	by := ""
-	for k := range nodes {
-		if n := nodes[(w.seq+k)%len(nodes)]; !slices.Contains(e.Except, n) {
+	for k := range controllers {
+		if n := controllers[(sim.seq+k)%len(controllers)]; !slices.Contains(e.Except, n) {
 			by = n
 			break
 		}
 	}
-	ok, took := false, second/20
-	for _, j := range w.jobs {
+	ok, duration := false, second/20
+	for _, j := range sim.jobs {
 		for k, t := range j.tasks {
 			if t.running && e.Addr == fmt.Sprintf("%s:%d", t.ip, 20000+k) {
-				if w.made[j.spec.Image] == "flaps" {
-					if t.failing = w.rng.IntN(2) == 0; t.failing && t.broken == 0 {
-						t.broken = w.now
+				if sim.behaviors[j.spec.Image] == "flaps" {
+					if t.lastCheckFailed = sim.rng.IntN(2) == 0; t.lastCheckFailed && t.unhealthySince == 0 {
+						t.unhealthySince = sim.now
 					}
 				}
-				ok = w.passes(j, t)
+				ok = sim.passes(j, t)
 			}
 		}
 	}
-	why := "refused"
-	if w.blind[by] || !ok && w.seq%2 == 0 {
-		ok, why, took = false, "time-out", e.Timeout // it hangs, or nothing comes through
+	failure := "refused"
+	if sim.partitioned[by] || !ok && sim.seq%2 == 0 {
+		// The instance hangs, or the link is cut.
+		ok, failure, duration = false, "time-out", e.Timeout
 	}
-	w.after(took, func() {
-		if life == w.life {
-			w.step(Checked{ID: e.ID, Made: true, OK: ok, Controller: by, Failure: why})
+	sim.after(duration, func() {
+		if term == sim.term {
+			sim.step(Checked{ID: e.ID, Made: true, OK: ok, Controller: by, Failure: failure})
 		}
 	})
 }
 
-// passes is the truth about an instance. Of flapping ones nobody knows more than
-// their last check.
-func (w *world) passes(j *simJob, t *simTask) bool {
-	if w.depends || !t.running || t.crashed {
+// passes reports whether an instance is really healthy. For a flapping instance, this is the result
+// of its last check.
+func (sim *simCluster) passes(j *simJob, t *simTask) bool {
+	if sim.dependencyDown || !t.running || t.crashed {
 		return false
 	}
-	switch behaviour, age := w.made[j.spec.Image], w.now-t.since; behaviour {
+	switch behavior, age := sim.behaviors[j.spec.Image], sim.now-t.since; behavior {
 	case "bad":
 		return false
-	case "later": // passes, and breaks some time later
+	case "breaks": // passes at first and breaks after some time
 		return age < 12*second
 	case "flaps":
-		return !t.failing
+		return !t.lastCheckFailed
 	}
 	return true
 }
 
-// sweep places tasks, and notes when instances stop being healthy.
-func (w *world) sweep() {
-	refs := make([]string, 0, len(w.jobs))
+// updateTasks places tasks and records when instances become healthy or unhealthy.
+func (sim *simCluster) updateTasks() {
+	refs := make([]string, 0, len(sim.jobs))
 	used := 0
-	for ref, j := range w.jobs {
+	for ref, j := range sim.jobs {
 		refs = append(refs, ref)
 		for _, t := range j.tasks {
 			if t.running {
@@ -305,152 +306,153 @@
 	}
 	slices.Sort(refs)
 	for _, ref := range refs {
-		j := w.jobs[ref]
+		j := sim.jobs[ref]
 		for k, t := range j.tasks {
-			if !t.running && !j.cancelled && t.ready <= w.now && used < w.room {
+			if !t.running && !j.cancelled && t.placeableAt <= sim.now && used < sim.capacity {
 				used++
-				w.placed++
-				*t = simTask{running: true, attempt: t.attempt + 1, ip: fmt.Sprintf("10.%d.%d.%d", w.placed>>16, w.placed>>8&255, w.placed&255), since: w.now}
+				sim.placements++
+				*t = simTask{running: true, attempt: t.attempt + 1, ip: fmt.Sprintf("10.%d.%d.%d", sim.placements>>16, sim.placements>>8&255, sim.placements&255), since: sim.now}
 			}
-			if t.running && w.made[j.spec.Image] == "crash" && w.now-t.since > 10*second {
-				w.crash(ref, k)
+			if t.running && sim.behaviors[j.spec.Image] == "crash" && sim.now-t.since > 10*second {
+				sim.crashTask(ref, k)
 			}
-			switch ok := w.passes(j, t); {
-			case ok && t.broken > 0:
-				t.broken, t.mended = 0, w.now
+			switch ok := sim.passes(j, t); {
+			case ok && t.unhealthySince > 0:
+				t.unhealthySince, t.recoveredAt = 0, sim.now
 			case ok:
-			case t.broken == 0 && t.attempt > 0:
-				t.broken = w.now
+			case t.unhealthySince == 0 && t.attempt > 0:
+				t.unhealthySince = sim.now
 			}
 		}
 	}
 }
 
-func (w *world) crash(ref string, k int) {
-	t := w.jobs[ref].tasks[k]
+func (sim *simCluster) crashTask(ref string, k int) {
+	t := sim.jobs[ref].tasks[k]
 	if !t.running || t.crashed {
 		return
 	}
-	t.crashed, t.broken = true, w.now
-	life := w.life
-	w.after(second/2, func() { // the worker reports it, and it is placed anew
-		t.running, t.ready = false, w.now+2*second
-		if life == w.life {
-			w.step(TaskFailed{ref, k})
+	t.crashed, t.unhealthySince = true, sim.now
+	term := sim.term
+	sim.after(second/2, func() { // the worker reports the crash, and the task is placed again
+		t.running, t.placeableAt = false, sim.now+2*second
+		if term == sim.term {
+			sim.step(TaskFailed{ref, k})
 		}
 	})
 }
 
-// lose ends the machines of so many running tasks, of all versions.
-func (w *world) lose(n int) {
-	refs := make([]string, 0, len(w.jobs))
-	for ref := range w.jobs {
+// failHosts ends the hosts of up to n running tasks of any version.
+func (sim *simCluster) failHosts(n int) {
+	refs := make([]string, 0, len(sim.jobs))
+	for ref := range sim.jobs {
 		refs = append(refs, ref)
 	}
 	slices.Sort(refs)
 	for _, ref := range refs {
-		for _, t := range w.jobs[ref].tasks {
-			if n > 0 && t.running && (w.seq+n)%3 > 0 {
+		for _, t := range sim.jobs[ref].tasks {
+			if n > 0 && t.running && (sim.seq+n)%3 > 0 {
 				n--
-				t.running, t.broken, t.ready = false, w.now, w.now+4*second
+				t.running, t.unhealthySince, t.placeableAt = false, sim.now, sim.now+4*second
 			}
 		}
 	}
 }
 
-// checkFloor is the law: a job is only taken away when, without it, as many
-// instances as asked for are healthy, but for those that broke too lately for any
-// check to have told; or when none of its own is healthy, but for those that were
-// mended as lately.
-func (w *world) checkFloor(ref string) {
-	if w.old == 0 || w.cancels[ref] {
+// checkMinHealthy fails the test if a job may not be cancelled now. A job may be cancelled only
+// if the minimum of instances is healthy without it, or if none of its own instances is healthy.
+// Instances that broke or recovered too recently for checks to detect it are counted in favor of
+// the roll-out.
+func (sim *simCluster) checkMinHealthy(ref string) {
+	if sim.oldCount == 0 || sim.cancelledByUser[ref] {
 		return
 	}
-	c := w.spec.Check
-	window := micros(c.FailureThreshold)*c.Interval*11/10 + 2*c.Timeout + 3*second
-	own, healthy, lately := 0, 0, 0
-	for r, o := range w.jobs {
-		for _, t := range o.tasks {
-			switch ok := !o.cancelled && w.passes(o, t); {
-			case r == ref && ok && (t.mended == 0 || w.now-t.mended > window):
+	c := sim.spec.Check
+	detectionTime := micros(c.FailureThreshold)*c.Interval*11/10 + 2*c.Timeout + 3*second
+	own, healthy, recentlyBroken := 0, 0, 0
+	for otherRef, other := range sim.jobs {
+		for _, t := range other.tasks {
+			switch ok := !other.cancelled && sim.passes(other, t); {
+			case otherRef == ref && ok && (t.recoveredAt == 0 || sim.now-t.recoveredAt > detectionTime):
 				own++
-			case r == ref:
+			case otherRef == ref:
 			case ok:
 				healthy++
-			case !o.cancelled && (t.broken > 0 && w.now-t.broken <= window || t.broken == 0 && t.running):
-				lately++ // 0: at this very instant
+			case !other.cancelled && (t.unhealthySince > 0 && sim.now-t.unhealthySince <= detectionTime || t.unhealthySince == 0 && t.running):
+				recentlyBroken++ // unhealthySince == 0: it broke at this moment
 			}
 		}
 	}
-	if own > 0 && healthy+lately < w.spec.MinHealthy {
-		w.fatal("%s is taken away with %d healthy instances: %d others are healthy, %d broke lately, the floor is %d", ref, own, healthy, lately, w.spec.MinHealthy)
+	if own > 0 && healthy+recentlyBroken < sim.spec.MinHealthy {
+		sim.fatalf("%s is cancelled with %d healthy instances: %d others are healthy, %d broke recently, the minimum is %d", ref, own, healthy, recentlyBroken, sim.spec.MinHealthy)
 	}
 }
 
-// checkMost is the other law: there are never more than count and surge.
-func (w *world) checkMost() {
+// checkMaxInstances fails the test if there are more instances than the count and the surge permit.
+func (sim *simCluster) checkMaxInstances() {
 	n := 0
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if !j.cancelled || slices.ContainsFunc(j.tasks, func(t *simTask) bool { return t.running }) {
 			n += len(j.tasks)
 		}
 	}
-	if most := max(w.spec.Count, w.old) + w.spec.MaxSurge; n > most {
-		w.fatal("%d instances, and only %d may be", n, most)
+	if limit := max(sim.spec.Count, sim.oldCount) + sim.spec.MaxSurge; n > limit {
+		sim.fatalf("%d instances, more than the maximum of %d", n, limit)
 	}
 }
 
-func (w *world) ask(op Op) uint64 {
-	w.seq++
-	id := uint64(w.seq)
-	w.step(Request{To: id, Op: op, Service: w.spec.Service, Spec: w.spec})
+func (sim *simCluster) request(op Op) uint64 {
+	sim.seq++
+	id := uint64(sim.seq)
+	sim.step(Request{To: id, Op: op, Service: sim.spec.Service, Spec: sim.spec})
 	return id
 }
 
-// state is the durable one.
-func (w *world) state() *Record {
-	if w.record == nil {
+// durableRecord returns the stored record of the service.
+func (sim *simCluster) durableRecord() *Record {
+	if sim.record == nil {
 		return &Record{State: Idle}
 	}
-	r, err := Decode(w.record)
+	r, err := Decode(sim.record)
 	if err != nil {
-		w.fatal("%v", err)
+		sim.fatalf("decode the stored record: %v", err)
 	}
 	return r
 }
 
-// run lets time pass until done says so, or for so long.
-func (w *world) run(most micros, done func() bool) bool {
-	for end := w.now + most; w.now < end; {
+// runUntil advances the time until done returns true, for at most limit. It returns the last
+// result of done.
+func (sim *simCluster) runUntil(limit micros, done func() bool) bool {
+	for end := sim.now + limit; sim.now < end; {
 		if done() {
 			return true
 		}
-		w.now += second / 10
+		sim.now += second / 10
 		for {
 			k := -1
-			for i, e := range w.todo {
-				if e.at <= w.now && (k < 0 || e.at < w.todo[k].at || e.at == w.todo[k].at && e.seq < w.todo[k].seq) {
+			for i, e := range sim.calls {
+				if e.at <= sim.now && (k < 0 || e.at < sim.calls[k].at || e.at == sim.calls[k].at && e.seq < sim.calls[k].seq) {
 					k = i
 				}
 			}
 			if k < 0 {
 				break
 			}
-			fn := w.todo[k].fn
-			w.todo = slices.Delete(w.todo, k, k+1)
+			fn := sim.calls[k].fn
+			sim.calls = slices.Delete(sim.calls, k, k+1)
 			fn()
 		}
-		w.sweep()
-		w.step(Tick{})
+		sim.updateTasks()
+		sim.step(Tick{})
 	}
 	return done()
 }
 
-func (w *world) restore() {
-	w.outage = false
-	held := w.held
-	w.held = nil
-	for _, fn := range held {
+func (sim *simCluster) endOutage() {
+	sim.outage = false
+	blocked := sim.blockedWrites
+	sim.blockedWrites = nil
+	for _, fn := range blocked {
 		fn()
 	}
 }
@@ -463,23 +465,23 @@
 	}
 }
 
-// fault is something that goes wrong, or that somebody does, at some time.
+// fault is a fault, or a request by an operator or a user, at a given time.
 type fault struct {
 	at    int // tenths of a second
 	kind  string
 	count int
 }
 
-var faultKinds = []string{"crash", "machines", "leader", "leader", "outage", "blind", "blind", "depends", "room", "cancel", "pause", "resume", "resume", "revert", "again"}
+var faultKinds = []string{"crash", "machines", "leader", "leader", "outage", "partition", "partition", "dependency", "capacity", "cancel", "pause", "resume", "resume", "revert", "repeat"}
 
 func drawFault(t *rapid.T) fault {
 	return fault{rapid.IntRange(0, 600).Draw(t, "at"), rapid.SampledFrom(faultKinds).Draw(t, "kind"), rapid.IntRange(0, 20).Draw(t, "count")}
 }
 
-func (w *world) do(f fault) {
-	w.note("-- %s %d", f.kind, f.count)
-	refs := make([]string, 0, len(w.jobs))
-	for ref, j := range w.jobs {
+func (sim *simCluster) inject(f fault) {
+	sim.logf("-- %s %d", f.kind, f.count)
+	refs := make([]string, 0, len(sim.jobs))
+	for ref, j := range sim.jobs {
 		if !j.cancelled {
 			refs = append(refs, ref)
 		}
@@ -489,59 +491,59 @@
 	case "crash":
 		if len(refs) > 0 {
 			ref := refs[f.count%len(refs)]
-			w.crash(ref, f.count%len(w.jobs[ref].tasks))
+			sim.crashTask(ref, f.count%len(sim.jobs[ref].tasks))
 		}
 	case "machines":
-		w.lose(f.count%4 + 1)
+		sim.failHosts(f.count%4 + 1)
 	case "leader":
-		w.lead()
+		sim.startLeader()
 	case "outage":
-		w.outage = true
-		w.after(micros(f.count)*3*second, w.restore)
-	case "blind":
-		n := nodes[f.count%3]
-		if len(w.blind) == 2 {
-			return // nobody can tell when none of them sees anything
-		}
-		w.blind[n] = true
-		w.after(micros(f.count)*2*second, func() { delete(w.blind, n) })
-	case "depends":
-		w.depends = true
-		w.after(micros(f.count)*second, func() { w.depends = false })
-	case "room":
-		was := w.room
-		w.room = max(0, w.room-f.count)
-		w.after(micros(f.count)*3*second, func() { w.room = was })
+		sim.outage = true
+		sim.after(micros(f.count)*3*second, sim.endOutage)
+	case "partition":
+		n := controllers[f.count%3]
+		if len(sim.partitioned) == 2 {
+			return // without any links left, no instance could be checked
+		}
+		sim.partitioned[n] = true
+		sim.after(micros(f.count)*2*second, func() { delete(sim.partitioned, n) })
+	case "dependency":
+		sim.dependencyDown = true
+		sim.after(micros(f.count)*second, func() { sim.dependencyDown = false })
+	case "capacity":
+		previous := sim.capacity
+		sim.capacity = max(0, sim.capacity-f.count)
+		sim.after(micros(f.count)*3*second, func() { sim.capacity = previous })
 	case "cancel":
 		if len(refs) > 0 {
-			j := w.jobs[refs[f.count%len(refs)]]
-			j.cancelled, j.byUser, w.cancels[j.spec.Ref] = true, true, true
+			j := sim.jobs[refs[f.count%len(refs)]]
+			j.cancelled, j.byUser, sim.cancelledByUser[j.spec.Ref] = true, true, true
 			for _, t := range j.tasks {
 				t.running = false
 			}
 		}
 	case "pause":
-		w.ask(Pause)
+		sim.request(Pause)
 	case "resume":
-		w.ask(Resume)
+		sim.request(Resume)
 	case "revert":
-		w.ask(Revert)
-	case "again": // the request is repeated, as after a time-out
-		w.ask(Start)
+		sim.request(Revert)
+	case "repeat": // the request is repeated, as after a timeout
+		sim.request(Start)
 	}
 }
 
-// Whatever goes wrong, no step leaves fewer healthy instances than asked for, and
-// each roll-out ends in done, reverted, or paused with a reason; or failed, when its
-// user cancelled all of the service.
+// Under random faults, no step of a roll-out leaves fewer healthy instances than the minimum, and
+// each roll-out ends as done, reverted, paused with a reason, or failed if users cancelled all
+// jobs of the service.
 func TestRolloutsWithFaults(t *testing.T) {
-	ends := map[State]int{}
+	endStates := map[State]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSpec()
 		s.Count = rapid.IntRange(1, 9).Draw(t, "instances")
-		old := s.Count
+		oldCount := s.Count
 		if rapid.IntRange(0, 5).Draw(t, "scales") == 0 {
-			old = rapid.IntRange(0, 9).Draw(t, "old")
+			oldCount = rapid.IntRange(0, 9).Draw(t, "old")
 		}
 		s.MaxSurge = rapid.IntRange(0, 3).Draw(t, "surge")
 		s.MinHealthy = rapid.IntRange(0, s.Count).Draw(t, "floor")
@@ -552,78 +554,78 @@
 		}
 		s.Stages = append(s.Stages, s.Count)
 		spare := rapid.IntRange(-1, 20).Draw(t, "spare")
-		w := newWorld(t, s, old, max(s.Count, old)+s.MaxSurge+spare)
-		w.made["new"] = rapid.SampledFrom([]string{"", "", "", "bad", "later", "flaps", "crash"}).Draw(t, "version")
+		sim := newSimCluster(t, s, oldCount, max(s.Count, oldCount)+s.MaxSurge+spare)
+		sim.behaviors["new"] = rapid.SampledFrom([]string{"", "", "", "bad", "breaks", "flaps", "crash"}).Draw(t, "version")
 		faults := rapid.SliceOfN(rapid.Custom(drawFault), 0, 6).Draw(t, "faults")
-		w.run(4*second, func() bool { return false }) // the old ones start
-		id := w.ask(Start)
-		w.events = len(faults)
+		sim.runUntil(4*second, func() bool { return false }) // the old instances start
+		id := sim.request(Start)
+		sim.pendingFaults = len(faults)
 		for _, f := range faults {
-			w.after(micros(f.at)*second/10, func() {
-				w.events--
-				w.do(f)
+			sim.after(micros(f.at)*second/10, func() {
+				sim.pendingFaults--
+				sim.inject(f)
 			})
 		}
-		w.run(2*second, func() bool { _, ok := w.answers[id]; return ok })
-		if a := w.answers[id]; a.Status == 422 {
-			return // it can't hold its floor, and says so
+		sim.runUntil(2*second, func() bool { _, ok := sim.replies[id]; return ok })
+		if a := sim.replies[id]; a.Status == 422 {
+			return // rejected: the minimum of healthy instances can't be kept
 		}
 		ended := func() bool {
-			r := w.state()
-			return w.events == 0 && !w.outage && (r.State.Ended() && r.New.Spec != nil && r.New.Spec.ID == "r-1" || r.State == Paused && w.now-w.paused > 15*second)
+			r := sim.durableRecord()
+			return sim.pendingFaults == 0 && !sim.outage && (r.State.Ended() && r.New.Spec != nil && r.New.Spec.ID == "r-1" || r.State == Paused && sim.now-sim.pausedAt > 15*second)
 		}
-		if !w.run(1200*second, ended) && w.state().New.Spec != nil && w.state().New.Spec.ID == "r-1" {
-			w.fatal("it did not end: %s", w.record)
+		if !sim.runUntil(1200*second, ended) && sim.durableRecord().New.Spec != nil && sim.durableRecord().New.Spec.ID == "r-1" {
+			sim.fatalf("the roll-out did not end: %s", sim.record)
 		}
-		r := w.state()
-		ends[r.State]++
-		if len(faults) == 0 && spare >= 0 { // it ends as it should
+		r := sim.durableRecord()
+		endStates[r.State]++
+		if len(faults) == 0 && spare >= 0 { // without faults the end state is known
 			want := []State{Done}
-			switch w.made["new"] {
+			switch sim.behaviors["new"] {
 			case "bad":
 				want = []State{Reverted}
-			case "later", "crash", "flaps": // it may have shown when it was over only
+			case "breaks", "crash", "flaps": // the fault may appear only after the roll-out has ended
 				want = []State{Done, Reverted}
 			}
 			if !slices.Contains(want, r.State) && s.MaxFaulty == 0 {
-				w.fatal("%v with nothing in the way: %s", r.State, r.Reason)
+				sim.fatalf("the roll-out ended as %v without any fault: %s", r.State, r.Reason)
 			}
 		}
-		w.checkEnd(r)
-		if m := w.g.services["picker"]; m != nil && r.State.Ended() && !w.run(60*second, func() bool { return !m.needsWork() }) {
-			w.fatal("it is over and not over: %s", w.record)
+		sim.checkRemainingJobs(r)
+		if sv := sim.manager.services["picker"]; sv != nil && r.State.Ended() && !sim.runUntil(60*second, func() bool { return !sv.needsWork() }) {
+			sim.fatalf("the roll-out has ended, but its jobs are still leaving: %s", sim.record)
 		}
 	})
-	if len(ends) > 0 {
-		t.Logf("ends: %v", ends)
+	if len(endStates) > 0 {
+		t.Logf("end states: %v", endStates)
 	}
 }
 
-// checkEnd checks which jobs are left.
-func (w *world) checkEnd(r *Record) {
+// checkRemainingJobs fails the test if the jobs that remain do not match the final record.
+func (sim *simCluster) checkRemainingJobs(r *Record) {
 	if r.New.Spec == nil || r.New.Spec.ID != "r-1" {
-		return // the leader ended before it was recorded
+		return // the leader changed before the roll-out was recorded
 	}
 	live := map[string]int{}
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if !j.cancelled {
 			live[j.spec.Image] += len(j.tasks)
 		}
 	}
 	switch r.State {
 	case Done:
-		if live["old"] > 0 || live["new"] != w.spec.Count && len(w.cancels) == 0 {
-			w.fatal("done with %v", live)
+		if live["old"] > 0 || live["new"] != sim.spec.Count && len(sim.cancelledByUser) == 0 {
+			sim.fatalf("done with %v", live)
 		}
 	case Reverted:
-		if live["new"] > 0 || live["old"] != w.old && len(w.cancels) == 0 {
-			w.fatal("reverted with %v", live)
+		if live["new"] > 0 || live["old"] != sim.oldCount && len(sim.cancelledByUser) == 0 {
+			sim.fatalf("reverted with %v", live)
 		}
 	case Failed:
-		if len(w.cancels) == 0 {
-			w.fatal("failed, and nobody cancelled anything")
+		if len(sim.cancelledByUser) == 0 {
+			sim.fatalf("failed, although no user cancelled a job")
 		}
-	default: // it is not over
+	default: // the roll-out has not ended
 	}
 }
 
@@ -631,22 +633,22 @@
 	r := &Record{Service: "picker", State: Paused, PausedIn: Soaking, Reason: `it "says"`, Stage: 1, JobsMade: 3, Changes: 9, OldCount: 4, IgnoreUnhealthyStart: true}
 	s := testSpec()
 	r.New = Version{Hash: VersionOf(s.Job), Spec: s, Batches: []Batch{{jobRef("picker", "r-1", 1), 2, false}, {"req-000123", 5, true}}}
-	again, err := Decode(r.Encode())
+	decoded, err := Decode(r.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(r, again); d != "" {
+	if d := cmp.Diff(r, decoded); d != "" {
 		t.Error(d)
 	}
-	for _, bad := range []string{`{}`, `{"form":2}`, strings.Replace(string(r.Encode()), `"paused"`, `"resting"`, 1), strings.Replace(string(r.Encode()), `:5"`, `:0"`, 1)} {
-		if _, err := Decode([]byte(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+	for _, malformed := range []string{`{}`, `{"form":2}`, strings.Replace(string(r.Encode()), `"paused"`, `"resting"`, 1), strings.Replace(string(r.Encode()), `:5"`, `:0"`, 1)} {
+		if _, err := Decode([]byte(malformed)); err == nil {
+			t.Errorf("accepted a malformed record: %s", malformed)
 		}
 	}
 }
 
-// An address must be the instance's own machine, and its template may neither loop
-// nor reach for anything else.
+// An address template that names another host, contains a loop or uses anything but fields and the
+// permitted functions is rejected.
 func TestAddress(t *testing.T) {
 	for text, want := range map[string]string{
 		"{{.IP}}:{{add 20000 .Index}}":                         "10.0.0.9:20003",
@@ -665,12 +667,12 @@
 		"":                                      "is not IP:port",
 	} {
 		got := ""
-		if _, err := newTarget(&protocol.HealthCheck{AddressTemplate: "{{.IP}}:1", Path: "/a\x01b"}); err == nil {
-			t.Error("a path with a control character was taken")
+		if _, err := newCheckTarget(&protocol.HealthCheck{AddressTemplate: "{{.IP}}:1", Path: "/a\x01b"}); err == nil {
+			t.Error("accepted a path with a control character")
 		}
-		tg, err := newTarget(&protocol.HealthCheck{Kind: protocol.CheckTCP, AddressTemplate: text})
+		target, err := newCheckTarget(&protocol.HealthCheck{Kind: protocol.CheckTCP, AddressTemplate: text})
 		if err == nil {
-			got, _, err = tg.instanceAddress(InstanceData{IP: "10.0.0.9", Job: "req-000412", Number: 412, Index: 3})
+			got, _, err = target.instanceAddress(InstanceData{IP: "10.0.0.9", Job: "req-000412", Number: 412, Index: 3})
 		}
 		if err != nil {
 			got = err.Error()
@@ -681,13 +683,13 @@
 	}
 }
 
-// The leader ends as soon as the record says a state, or a moment later; the next one
-// goes on in the very stage, and one that ends there as well is followed by a third.
-func TestLeaderEndsInEachState(t *testing.T) {
+// A new leader that starts as soon as the record reaches a state continues the roll-out in that
+// stage. In a second pass, the new leader is itself replaced in the same state.
+func TestLeaderChangeInEachState(t *testing.T) {
 	for _, c := range []struct {
-		state State
-		made  string
-		end   State
+		state    State
+		behavior string
+		end      State
 	}{
 		{Planned, "", Done},
 		{Staging, "", Done},
@@ -695,64 +697,63 @@
 		{Soaking, "", Done},
 		{Promoting, "", Done},
 		{Done, "", Done},
-		{Reverting, "later", Reverted},
-		{Reverted, "later", Reverted},
-		{Staging, "later", Reverted},
-		{Soaking, "later", Reverted},
+		{Reverting, "breaks", Reverted},
+		{Reverted, "breaks", Reverted},
+		{Staging, "breaks", Reverted},
+		{Soaking, "breaks", Reverted},
 	} {
 		for leaders := 1; leaders <= 2; leaders++ {
 			for stage := range 2 {
-				if stage == 1 && (c.state == Planned || c.made != "") {
-					continue // it is in the first only
+				if stage == 1 && (c.state == Planned || c.behavior != "") {
+					continue // the state occurs in the first stage only
 				}
-				w := newWorld(t, testSpec(), 4, 30)
-				w.made["new"] = c.made
-				w.run(4*second, func() bool { return false })
-				w.ask(Start)
-				left, last := leaders, 0
-				w.run(600*second, func() bool {
-					r := w.state()
-					if r.New.Spec.ID == "r-1" && r.State == c.state && (r.Stage == stage || c.made != "" || c.state == Done) && left > 0 && w.saves > last {
-						w.note("-- the leader ends")
-						left, last = left-1, w.saves
+				sim := newSimCluster(t, testSpec(), 4, 30)
+				sim.behaviors["new"] = c.behavior
+				sim.runUntil(4*second, func() bool { return false })
+				sim.request(Start)
+				changesLeft, lastSaves := leaders, 0
+				sim.runUntil(600*second, func() bool {
+					r := sim.durableRecord()
+					if r.New.Spec.ID == "r-1" && r.State == c.state && (r.Stage == stage || c.behavior != "" || c.state == Done) && changesLeft > 0 && sim.saves > lastSaves {
+						sim.logf("-- a new leader starts")
+						changesLeft, lastSaves = changesLeft-1, sim.saves
 						if leaders == 2 {
-							last-- // the second ends at once
+							lastSaves-- // the second leader change happens at once
 						}
-						w.lead()
+						sim.startLeader()
 					}
-					return left == 0 && r.State.Ended() && r.New.Spec.ID == "r-1"
+					return changesLeft == 0 && r.State.Ended() && r.New.Spec.ID == "r-1"
 				})
-				r := w.state()
-				if r.State != c.end || left > 0 {
-					w.fatal("leaders end in %v of stage %d: it is %v, %s", c.state, stage, r.State, r.Reason)
+				r := sim.durableRecord()
+				if r.State != c.end || changesLeft > 0 {
+					sim.fatalf("leader changes in %v of stage %d: the roll-out is %v, %s", c.state, stage, r.State, r.Reason)
 				}
-				w.checkEnd(r)
+				sim.checkRemainingJobs(r)
 			}
 		}
 	}
 }
 
-// An instance that the former leader found healthy is nobody's until it is checked
-// anew, and nothing is taken away relying on it.
-func TestCheckedAnew(t *testing.T) {
-	w := newWorld(t, testSpec(), 4, 30)
-	w.run(4*second, func() bool { return false })
-	w.ask(Start)
-	w.run(60*second, func() bool { return w.state().State == Soaking })
-	if m := w.g.services["picker"]; m.newTally.healthy != 1 {
-		w.fatal("%d new ones are healthy", m.newTally.healthy)
+// An instance that an earlier leader found healthy does not count as healthy under a new leader
+// until it has been checked again, so that no job is cancelled on the strength of old results.
+func TestNewLeaderRepeatsChecks(t *testing.T) {
+	sim := newSimCluster(t, testSpec(), 4, 30)
+	sim.runUntil(4*second, func() bool { return false })
+	sim.request(Start)
+	sim.runUntil(60*second, func() bool { return sim.durableRecord().State == Soaking })
+	if sv := sim.manager.services["picker"]; sv.newTally.healthy != 1 {
+		sim.fatalf("%d new instances are healthy, want 1", sv.newTally.healthy)
 	}
-	w.lead()
-	w.step(Tick{})
-	if m := w.g.services["picker"]; m.newTally.healthy+m.oldTally.healthy != 0 || m.newTally.running != 1 {
-		w.fatal("%+v", m.newTally)
+	sim.startLeader()
+	sim.step(Tick{})
+	if sv := sim.manager.services["picker"]; sv.newTally.healthy+sv.oldTally.healthy != 0 || sv.newTally.running != 1 {
+		sim.fatalf("new version under the new leader: %+v", sv.newTally)
 	}
 }
 
-// BenchmarkRollout plays a roll-out whose new version breaks 12 s after it started, in
-// its last stage, in simulated time: how long it takes from the first faulty instance
-// until the last one is gone, how often the record changes, and what the leader spends
-// on it in a second.
+// BenchmarkRollout simulates a roll-out whose new version breaks in the last stage. It measures the
+// simulated time from the first faulty instance until the last one has been removed, the number of
+// changes of the record, and the wall time that the leader spends per simulated second.
 func BenchmarkRollout(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
@@ -761,71 +762,74 @@
 				s.Count, s.MinHealthy, s.MaxSurge, s.Stages = n, n*9/10, n/5, []int{n / 10, n / 2, n}
 				s.SoakTime, s.StartTimeout, s.HealthTimeout = 4*second, 120*second, 120*second
 				s.Check.Interval = 5 * second
-				w := newWorld(b, s, n, 2*n)
-				w.run(4*second, func() bool { return false })
-				w.ask(Start)
-				w.run(3600*second, func() bool { r := w.state(); return r.New.Spec.ID == "r-1" && r.Stage == 2 && r.State == Soaking })
-				jobs, broke, began, spent := len(w.jobs), w.now, w.now, w.spent
-				w.made["new"] = "bad"
-				gone := func() bool {
-					for _, j := range w.jobs {
+				sim := newSimCluster(b, s, n, 2*n)
+				sim.runUntil(4*second, func() bool { return false })
+				sim.request(Start)
+				sim.runUntil(3600*second, func() bool {
+					r := sim.durableRecord()
+					return r.New.Spec.ID == "r-1" && r.Stage == 2 && r.State == Soaking
+				})
+				jobs, brokenAt, startedAt, managerTime := len(sim.jobs), sim.now, sim.now, sim.managerTime
+				sim.behaviors["new"] = "bad"
+				allGone := func() bool {
+					for _, j := range sim.jobs {
 						if j.spec.Image == "new" && slices.ContainsFunc(j.tasks, func(t *simTask) bool { return t.running }) {
 							return false
 						}
 					}
 					return true
 				}
-				if !w.run(3600*second, gone) {
-					w.fatal("they are still there")
+				if !sim.runUntil(3600*second, allGone) {
+					sim.fatalf("instances of the new version are still running")
 				}
-				b.ReportMetric((w.now - broke).Seconds(), "revert_s")
-				b.ReportMetric((w.spent-spent).Seconds()*1000/(w.now-began).Seconds(), "ms/sim_s")
-				if !w.run(3600*second, func() bool { return w.state().State == Reverted }) {
-					w.fatal("not reverted: %s", w.record)
+				b.ReportMetric((sim.now - brokenAt).Seconds(), "revert_s")
+				b.ReportMetric((sim.managerTime-managerTime).Seconds()*1000/(sim.now-startedAt).Seconds(), "ms/sim_s")
+				if !sim.runUntil(3600*second, func() bool { return sim.durableRecord().State == Reverted }) {
+					sim.fatalf("not reverted: %s", sim.record)
 				}
-				b.ReportMetric(float64(w.state().Changes), "changes")
+				b.ReportMetric(float64(sim.durableRecord().Changes), "changes")
 				b.ReportMetric(float64(jobs), "jobs")
 			}
 		})
 	}
 }
 
-// A job was to go, and the state service was away for a while before the record that
-// says so was durable. Meanwhile instances were lost: it stays.
+// A job is not cancelled if other instances are lost while the record that marks it as leaving is
+// being saved, here during an outage of the state service.
 func TestOutageBeforeCancel(t *testing.T) {
-	w := newWorld(t, testSpec(), 4, 30)
-	w.run(4*second, func() bool { return false })
-	w.ask(Start)
-	m := w.g.services["picker"]
-	if !w.run(60*second, func() bool { return m.pending != nil && m.pending.leavingJobs() > 0 }) {
-		w.fatal("nothing was to go")
+	sim := newSimCluster(t, testSpec(), 4, 30)
+	sim.runUntil(4*second, func() bool { return false })
+	sim.request(Start)
+	sv := sim.manager.services["picker"]
+	if !sim.runUntil(60*second, func() bool { return sv.pending != nil && sv.pending.leavingJobs() > 0 }) {
+		sim.fatalf("no job was marked as leaving")
 	}
-	w.outage = true
-	gone := map[string]bool{}
-	for _, b := range m.pending.Old.Batches {
-		if t := w.jobs[b.Ref].tasks[0]; !b.Leaving && len(gone) < 2 {
-			gone[b.Ref] = true
-			t.running, t.broken = false, w.now
+	sim.outage = true
+	lost := map[string]bool{}
+	for _, b := range sv.pending.Old.Batches {
+		if t := sim.jobs[b.Ref].tasks[0]; !b.Leaving && len(lost) < 2 {
+			lost[b.Ref] = true
+			t.running, t.unhealthySince = false, sim.now
 		}
 	}
-	w.room = 0 // they don't come back
-	w.run(15*second, func() bool { return false })
-	w.restore()
-	w.run(3*second, func() bool { return false })
-	for ref, j := range w.jobs {
-		if j.cancelled && !gone[ref] {
-			w.fatal("%s was taken away", ref)
+	sim.capacity = 0 // lost instances are not placed again
+	sim.runUntil(15*second, func() bool { return false })
+	sim.endOutage()
+	sim.runUntil(3*second, func() bool { return false })
+	for ref, j := range sim.jobs {
+		if j.cancelled && !lost[ref] {
+			sim.fatalf("%s was cancelled", ref)
 		}
 	}
-	for _, b := range w.state().Old.Batches {
-		if b.Leaving && !gone[b.Ref] {
-			w.fatal("%s is still to go: %s", b.Ref, w.record)
+	for _, b := range sim.durableRecord().Old.Batches {
+		if b.Leaving && !lost[b.Ref] {
+			sim.fatalf("%s is still marked as leaving: %s", b.Ref, sim.record)
 		}
 	}
 }
 
-// FuzzDecode looks for records that end the program, or that are written otherwise
-// than they were read.
+// FuzzDecode searches for records that make Decode panic, or that differ after they have been
+// encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	s := testSpec()
 	r := &Record{Service: "picker", State: Paused, PausedIn: Soaking, Reason: "why", JobsMade: 3}
@@ -836,51 +840,51 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(r.Encode())
+		decoded, err := Decode(r.Encode())
 		if err != nil {
 			t.Fatalf("%v: %s", err, r.Encode())
 		}
-		if d := cmp.Diff(r, again); d != "" {
+		if d := cmp.Diff(r, decoded); d != "" {
 			t.Error(d)
 		}
 	})
 }
 
-// All jobs of a service were cancelled by its user while one of them was on its way out
-// anyway: the roll-out has failed, and once that one is gone another can begin.
-func TestFailedIsOver(t *testing.T) {
-	w := newWorld(t, testSpec(), 4, 30)
-	w.run(4*second, func() bool { return false })
-	w.ask(Start)
-	m := w.g.services["picker"]
-	if !w.run(60*second, func() bool { return m.record.leavingJobs() > 0 }) {
-		w.fatal("nothing was to go")
+// After a user has cancelled all jobs of a service while one of them was leaving anyway, the
+// roll-out has failed, and another one can start as soon as that job is gone.
+func TestStartAfterFailed(t *testing.T) {
+	sim := newSimCluster(t, testSpec(), 4, 30)
+	sim.runUntil(4*second, func() bool { return false })
+	sim.request(Start)
+	sv := sim.manager.services["picker"]
+	if !sim.runUntil(60*second, func() bool { return sv.record.leavingJobs() > 0 }) {
+		sim.fatalf("no job was marked as leaving")
 	}
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if !j.cancelled {
-			j.cancelled, w.cancels[j.spec.Ref] = true, true
+			j.cancelled, sim.cancelledByUser[j.spec.Ref] = true, true
 			for _, t := range j.tasks {
 				t.running = false
 			}
 		}
 	}
-	if !w.run(30*second, func() bool { return w.state().State == Failed && !m.needsWork() }) {
-		w.fatal("not over: %s", w.record)
+	if !sim.runUntil(30*second, func() bool { return sim.durableRecord().State == Failed && !sv.needsWork() }) {
+		sim.fatalf("the roll-out has not failed, or jobs are still leaving: %s", sim.record)
 	}
-	again := *w.spec
-	again.ID = "r-2"
-	w.spec = &again
-	id := w.ask(Start)
-	w.run(5*second, func() bool { _, ok := w.answers[id]; return ok })
-	if a := w.answers[id]; a.Status != 201 {
-		w.fatal("%d %s", a.Status, a.Body)
+	next := *sim.spec
+	next.ID = "r-2"
+	sim.spec = &next
+	id := sim.request(Start)
+	sim.runUntil(5*second, func() bool { _, ok := sim.replies[id]; return ok })
+	if a := sim.replies[id]; a.Status != 201 {
+		sim.fatalf("second roll-out: status %d, %s", a.Status, a.Body)
 	}
 }
 
-// twoServices is a fleet with the instances of two services, all running.
+// twoServices is a JobSource in which all instances of two services run.
 type twoServices struct{}
 
-func (twoServices) Job(ref string, each func(Instance)) Job {
+func (twoServices) Job(ref string, visit func(Instance)) Job {
 	j := Job{State: JobLive, Service: true, Spec: testSpec().Job}
 	if ref == "req-000001" {
 		j.Spec.Tasks = 200
@@ -888,38 +892,38 @@
 		j.Spec.Tasks = 2
 	}
 	for k := range j.Spec.Tasks {
-		if each != nil {
-			each(Instance{Index: k, Running: true, Attempt: 1, IP: "10.0.0." + ref[9:]})
+		if visit != nil {
+			visit(Instance{Index: k, Running: true, Attempt: 1, IP: "10.0.0." + ref[9:]})
 		}
 	}
 	return j
 }
 
-// All instances of one service hang, each for the longest time-out; the checks of
-// another service go on as if they did not.
-func TestHangingServiceHoldsUpNoOther(t *testing.T) {
-	g := NewManager(Settings{ChecksPerS: 20, MaxInFlight: 16, MaxServices: 3, ValueBytes: 1 << 20}, twoServices{}, 1)
+// Instances of one service that all hang until a long timeout do not delay the checks of another
+// service.
+func TestHangingServiceDoesNotDelayOthers(t *testing.T) {
+	manager := NewManager(Settings{ChecksPerS: 20, MaxInFlight: 16, MaxServices: 3, ValueBytes: 1 << 20}, twoServices{}, 1)
 	for k, service := range []string{"big", "small"} {
 		s := testSpec()
 		s.Service, s.Check.Timeout = service, 60*second
 		s.Count, s.MinHealthy, s.Stages = 2, 0, []int{2}
 		s.AdoptJobs = []string{fmt.Sprintf("req-00000%d", k+1)}
-		for _, e := range g.Step(0, Request{To: 1, Op: Start, Service: service, Spec: s}) {
-			if a, refused := e.(Reply); refused {
-				t.Fatalf("%s", a.Body)
+		for _, e := range manager.Step(0, Request{To: 1, Op: Start, Service: service, Spec: s}) {
+			if a, rejected := e.(Reply); rejected {
+				t.Fatalf("roll-out rejected: %s", a.Body)
 			}
 		}
-		g.Step(0, Saved{service})
+		manager.Step(0, Saved{service})
 	}
 	passed, hanging := 0, map[uint64]micros{}
 	for now := micros(0); now < 60*second; now += second / 20 {
-		for id, ends := range hanging {
-			if ends <= now {
+		for id, timeoutAt := range hanging {
+			if timeoutAt <= now {
 				delete(hanging, id)
-				g.Step(now, Checked{ID: id, Made: true, Controller: "a", Failure: "time-out"})
+				manager.Step(now, Checked{ID: id, Made: true, Controller: "a", Failure: "time-out"})
 			}
 		}
-		for _, e := range g.Step(now, Tick{}) {
+		for _, e := range manager.Step(now, Tick{}) {
 			c, ok := e.(Check)
 			switch {
 			case !ok:
@@ -927,11 +931,11 @@
 				hanging[c.ID] = now + c.Timeout
 			default:
 				passed++
-				g.Step(now, Checked{ID: c.ID, Made: true, OK: true, Controller: "a"})
+				manager.Step(now, Checked{ID: c.ID, Made: true, OK: true, Controller: "a"})
 			}
 		}
 	}
 	if passed < 100 || passed > 125 || len(hanging) > 8 { // two instances, one check a second each
-		t.Errorf("%d checks of the small service, %d of the big one hang", passed, len(hanging))
+		t.Errorf("%d checks of the small service passed, %d of the big one are in flight", passed, len(hanging))
 	}
 }
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -6,38 +6,38 @@
 	"mapleslip/internal/protocol"
 )
 
-// service is the roll-out of one service.
+// service is the leader's state of one service and its roll-out.
 type service struct {
 	record  *Record // durable
-	pending *Record // is being written; nothing is decided meanwhile
+	pending *Record // record that is being written, or nil; no change is decided meanwhile
 
-	oldTarget, newTarget *target
+	oldTarget, newTarget *checkTarget
 	instances            map[slot]*instance
-	due                  dueHeap // checks to come
+	dueChecks            dueHeap // instances with a scheduled check
 	checksInFlight       int
-	observations         uint64            // how often the instances were looked at
-	faults               map[slot]string   // new instances that are faulty, and why
-	known                map[string]bool   // jobs that were seen, or accepted
-	submitPending        map[string]bool   // jobs whose submission may have been applied, or may still be
-	cancelConfirmed      map[string]bool   // jobs whose cancellation was answered
-	cleared              map[string]bool   // and of which nothing is left
-	cancelRequested      map[string]bool   // jobs whose cancellation was asked for under this leader
-	cancelledByUser      map[string]bool   // jobs that their user cancelled
-	retryAt              map[string]micros // until then a job's submission or cancellation is not repeated
-	refused              map[string]string // jobs that can't run, and why
-	timeoutsFrom         micros            // limits on time count from here at the earliest
-	progressAt           micros            // when something last went on
-	furthest             int               // stage and state that were reached
-	healthySince         micros            // since when all new instances have been healthy
-	blocked              string            // what it waits for
+	observationSeq       uint64            // number of observations so far
+	faults               map[slot]string   // new instances that are faulty, with the reason
+	known                map[string]bool   // jobs that were observed or accepted
+	submitPending        map[string]bool   // jobs submitted without an answer, applied or not
+	cancelConfirmed      map[string]bool   // jobs whose cancellation was confirmed
+	cleared              map[string]bool   // of these, leaving jobs without a task on a host
+	cancelRequested      map[string]bool   // leaving jobs whose cancellation was requested
+	cancelledByUser      map[string]bool   // jobs that a user cancelled
+	retryAt              map[string]micros // time from which a job's request may be repeated
+	refused              map[string]string // jobs whose submission was rejected, with the reason
+	timeoutsFrom         micros            // earliest start of all timeouts
+	progressAt           micros            // time of the last progress
+	furthestStep         int               // furthest stage and state reached, as one number
+	healthySince         micros            // time from which all new instances were healthy, or 0
+	blockedOn            string            // what the roll-out waits for
 
 	oldTally, newTally tally
 }
 
-// newService makes a service as its record has it.
-func newService(rec *Record, now micros) (*service, error) {
+// newService creates a service from its record.
+func newService(record *Record, now micros) (*service, error) {
 	sv := &service{
-		record: rec, instances: make(map[slot]*instance), faults: make(map[slot]string), known: make(map[string]bool),
+		record: record, instances: make(map[slot]*instance), faults: make(map[slot]string), known: make(map[string]bool),
 		submitPending: make(map[string]bool), cancelConfirmed: make(map[string]bool), cleared: make(map[string]bool),
 		cancelRequested: make(map[string]bool), cancelledByUser: make(map[string]bool), retryAt: make(map[string]micros),
 		refused: make(map[string]string),
@@ -46,40 +46,40 @@
 	return sv, sv.compileTargets()
 }
 
-// reset has nothing that was seen before count for what comes.
+// reset discards faults, rejections and progress, and restarts all timeouts.
 func (sv *service) reset(now micros) {
 	clear(sv.faults)
 	clear(sv.refused)
-	sv.timeoutsFrom, sv.progressAt, sv.furthest, sv.healthySince = now, now, 0, 0
+	sv.timeoutsFrom, sv.progressAt, sv.furthestStep, sv.healthySince = now, now, 0, 0
 }
 
-// compileTargets makes the targets of the versions' checks.
+// compileTargets compiles the checks of both versions.
 func (sv *service) compileTargets() (err error) {
 	sv.oldTarget, sv.newTarget = nil, nil
 	if sv.record.Old.Spec != nil {
-		if sv.oldTarget, err = newTarget(&sv.record.Old.Spec.Check); err != nil {
+		if sv.oldTarget, err = newCheckTarget(&sv.record.Old.Spec.Check); err != nil {
 			return err
 		}
 	}
 	if sv.record.New.Spec != nil {
-		sv.newTarget, err = newTarget(&sv.record.New.Spec.Check)
+		sv.newTarget, err = newCheckTarget(&sv.record.New.Spec.Check)
 	}
 	return err
 }
 
-// spec is what the last roll-out was asked to do.
+// spec returns the specification of the last roll-out.
 func (sv *service) spec() *protocol.RolloutSpec { return sv.record.New.Spec }
 
-// newest is the record as it is being written, or as it is.
-func (sv *service) newest() *Record {
+// latestRecord returns the record that is being written, or else the durable one.
+func (sv *service) latestRecord() *Record {
 	if sv.pending != nil {
 		return sv.pending
 	}
 	return sv.record
 }
 
-// minHealthy is how many instances have to be healthy at any time. The first version of
-// a service begins with none.
+// minHealthy returns the number of instances that must be healthy at any time. It is 0 for the
+// first version of a service, which starts without instances.
 func (sv *service) minHealthy() int {
 	if sv.record.OldCount == 0 {
 		return 0
@@ -87,27 +87,27 @@
 	return sv.spec().MinHealthy
 }
 
-// maxInstances is how many instances there may be at any time.
+// maxInstances returns the number of instances that may exist at any time.
 func (sv *service) maxInstances() int {
 	return max(sv.spec().Count, sv.record.OldCount) + sv.spec().MaxSurge
 }
 
-// batchSize is how many instances a job has at most. So many go at once, so all others
-// being healthy must be enough; and a later roll-out with less surge must be able to
-// take them away: there are ten jobs or more, where there are ten instances.
+// batchSize returns the maximum number of instances of a job. All instances of a job are removed
+// together, so the minimum must be met if all others are healthy. A job also has at most a tenth of
+// the instances, rounded up, so that a later roll-out with less surge can remove it.
 func batchSize(s *protocol.RolloutSpec) int {
 	return max(1, min(s.MaxSurge+s.Count-s.MinHealthy, (s.Count+9)/10, maxBatchSize))
 }
 
-// maxBatchSize bounds what a single job takes with it when it goes.
+// maxBatchSize bounds the number of instances that are removed together with a single job.
 const maxBatchSize = 100
 
-// passLifetime is how long a pass counts.
+// passLifetime returns the age up to which a passed check of a version counts.
 func (sv *service) passLifetime(v *Version, checkRoundTime micros) micros {
 	return 3*max(v.Spec.Check.Interval, checkRoundTime) + 2*v.Spec.Check.Timeout
 }
 
-// dropInstances forgets all instances.
+// dropInstances discards all instances and their results.
 func (sv *service) dropInstances() {
 	for _, i := range sv.instances {
 		i.running = false
@@ -115,24 +115,24 @@
 	clear(sv.instances)
 }
 
-// mayCancel reports whether a job may be taken away when so many instances are surely
-// healthy: the floor holds without it, or all its instances are certainly not
-// healthy, so that nothing is lost with it. On the way to a new version that is not
-// taken for certain while nothing at all passes: then it may be the checks.
-func (sv *service) mayCancel(sure int, bt batchTally) bool {
-	nothing := sv.record.State.forward() && sv.oldTally.healthy+sv.newTally.healthy == 0 && sv.oldTally.running+sv.newTally.running > 0
-	return bt.possiblyHealthy == 0 && !nothing || sure-bt.certainlyHealthy >= sv.minHealthy()
+// mayCancel reports whether a job may be cancelled while certainlyHealthy instances are certainly
+// healthy: either the minimum is met without the job, or all its instances are certainly unhealthy,
+// so that no healthy instance is lost. The latter does not apply on the way to a new version while
+// no instance passes at all, because then the checks themselves may be at fault.
+func (sv *service) mayCancel(certainlyHealthy int, bt batchTally) bool {
+	nothingPasses := sv.record.State.forward() && sv.oldTally.healthy+sv.newTally.healthy == 0 && sv.oldTally.running+sv.newTally.running > 0
+	return bt.possiblyHealthy == 0 && !nothingPasses || certainlyHealthy-bt.certainlyHealthy >= sv.minHealthy()
 }
 
-// needsWork reports whether there is something to do for a service.
+// needsWork reports whether the service has a roll-out in progress or jobs that are leaving.
 func (sv *service) needsWork() bool {
 	return !sv.record.State.Ended() || sv.record.leavingJobs() > 0
 }
 
-// dropClearedBatches takes jobs of which nothing is left out of a record.
-func (sv *service) dropClearedBatches(n *Record) *Record {
-	for _, v := range []*Version{&n.Old, &n.New} {
+// dropClearedBatches removes leaving jobs of which no task is left from a record.
+func (sv *service) dropClearedBatches(record *Record) *Record {
+	for _, v := range []*Version{&record.Old, &record.New} {
 		v.Batches = slices.DeleteFunc(v.Batches, func(b Batch) bool { return b.Leaving && sv.cleared[b.Ref] })
 	}
-	return n
+	return record
 }
--- a/internal/rollout/settings.go
+++ b/internal/rollout/settings.go
@@ -2,11 +2,12 @@
 
 import "mapleslip/internal/protocol"
 
-// Defaults are the settings used where the operators' file sets none.
+// Defaults returns the settings that apply where the operators' file does not set them.
 func Defaults() Settings { return Settings{ChecksPerS: 50, MaxInFlight: 64, MaxServices: 32} }
 
-// mostServices have to fit into one line of an answer, which is 64 KiB at most.
-const mostServices = 48
+// maxServicesLimit is the highest number of services that can be set: the roll-outs of all services
+// must fit into one line of a reply, which is 64 KiB at most.
+const maxServicesLimit = 48
 
 type file struct {
 	ChecksPerS *float64 `toml:"checks_per_s"`
@@ -15,10 +16,10 @@
 	Message    *string  `toml:"message"`
 }
 
-// LoadSettings reads the operators' file; errors name the file and the key.
+// LoadSettings reads the operators' file. Errors contain the name of the file and the key.
 func LoadSettings(path string) (Settings, error) { return protocol.LoadFile(path, ParseSettings) }
 
-// ParseSettings checks the text of the operators' file.
+// ParseSettings parses and validates the text of the operators' file.
 func ParseSettings(text []byte) (Settings, error) {
 	s := Defaults()
 	var f file
@@ -28,7 +29,7 @@
 	for _, err := range []error{
 		protocol.SetBounded("checks_per_s", f.ChecksPerS, &s.ChecksPerS, 1, 10_000),
 		protocol.SetBounded("checks_at_once", f.AtOnce, &s.MaxInFlight, 1, 4096),
-		protocol.SetBounded("services", f.Services, &s.MaxServices, 1, mostServices),
+		protocol.SetBounded("services", f.Services, &s.MaxServices, 1, maxServicesLimit),
 	} {
 		if err != nil {
 			return s, err
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,7 +6,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// status says how a service's roll-out stands.
+// status returns the status of a service's roll-out.
 func (m *Manager) status(sv *service) *protocol.RolloutStatus {
 	r, s := sv.record, sv.spec()
 	st := &protocol.RolloutStatus{
@@ -16,7 +16,7 @@
 	if r.State == Paused {
 		st.Reason = fmt.Sprintf("in %s: %s", r.PausedIn, r.Reason)
 	}
-	of := func(v *Version, t tally) protocol.VersionStatus {
+	versionStatus := func(v *Version, t tally) protocol.VersionStatus {
 		o := protocol.VersionStatus{Version: v.Hash, Instances: v.requestedInstances()}
 		if !r.State.Ended() {
 			o.Running, o.Healthy, o.Failing = t.running, t.healthy, t.failing
@@ -28,8 +28,8 @@
 		}
 		return o
 	}
-	st.Old, st.New = of(&r.Old, sv.oldTally), of(&r.New, sv.newTally)
-	if r.State == Done { // the new version is the one that serves
+	st.Old, st.New = versionStatus(&r.Old, sv.oldTally), versionStatus(&r.New, sv.newTally)
+	if r.State == Done { // the new version is now the old one of the record
 		st.New, st.Old = st.Old, protocol.VersionStatus{}
 	}
 	st.New.Faulty = len(sv.faults)
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -17,8 +17,8 @@
 	bucketWidth = 15 * protocol.Second
 )
 
-// A group becomes Insufficient when less than insufficientBelowPercent of at least minJobs jobs were
-// served, and Sufficient again when at least sufficientFromPercent were.
+// A group becomes Insufficient when less than insufficientBelowPercent of at least minJobs jobs
+// were served, and Sufficient again when at least sufficientFromPercent were.
 const (
 	insufficientBelowPercent = 55
 	sufficientFromPercent    = 65
