--- a/internal/loopback/network.go
+++ b/internal/loopback/network.go
@@ -1,5 +1,5 @@
-// Package loopback finds networks of loopback addresses, 127.N.0.0/16, that no other
-// deployment on this machine uses.
+// Package loopback reserves networks of loopback addresses, 127.N.0.0/16, so that deployments on
+// the same machine use different addresses.
 package loopback
 
 import (
@@ -10,42 +10,45 @@
 	"syscall"
 )
 
-// A network's second byte is from first to last. Below are addresses that people choose
-// by hand, above those that systems use.
+// The second octet of a network is in the range from firstOctet to lastOctet. Lower values are
+// often chosen by hand, higher values are used by operating systems.
 const (
-	first = 64
-	last  = 223
-	// lock is the address of a network whose holder listens on it.
-	lock = "255.254:7399"
+	firstOctet = 64
+	lastOctet  = 223
+	// lockAddress is the last two octets and the port of an address in each network. Listening on
+	// that address reserves the network.
+	lockAddress = "255.254:7399"
 )
 
-// ErrNone is that of a machine on which every network is held.
-var ErrNone = errors.New("no free loopback network from 127.64.0.0/16 to 127.223.0.0/16")
+// ErrNoFreeNetwork reports that every network is reserved on this machine.
+var ErrNoFreeNetwork = errors.New("no free loopback network from 127.64.0.0/16 to 127.223.0.0/16")
 
-// Network is one that this process holds until Close, or its end.
+// Network is a reservation, which lasts until Close is called or the process exits.
 type Network struct {
-	Prefix string // "127.77."
-	held   net.Listener
+	Prefix   string // first two octets of the addresses, like "127.77."
+	listener net.Listener
 }
 
-// Reserve takes a free network. Processes that reserve at the same time get different
-// ones. An error other than ErrNone says why nothing can be listened on at all.
+// Reserve reserves a free network. Processes that call it at the same time get different
+// networks. An error other than ErrNoFreeNetwork is the reason why the process can't listen on
+// loopback addresses at all.
 func Reserve() (*Network, error) { return reserve(os.Getpid()) }
 
-func reserve(from int) (*Network, error) {
-	const count = last - first + 1
+// reserve tries each network once, beginning with the one at index start modulo their number.
+func reserve(start int) (*Network, error) {
+	const count = lastOctet - firstOctet + 1
 	for i := range count {
-		prefix := fmt.Sprintf("127.%d.", first+(from+i)%count)
-		l, err := net.Listen("tcp4", prefix+lock)
+		prefix := fmt.Sprintf("127.%d.", firstOctet+(start+i)%count)
+		l, err := net.Listen("tcp4", prefix+lockAddress)
 		if err == nil {
-			return &Network{Prefix: prefix, held: l}, nil
+			return &Network{Prefix: prefix, listener: l}, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, err
 		}
 	}
-	return nil, ErrNone
+	return nil, ErrNoFreeNetwork
 }
 
-// Close gives the network back.
-func (n *Network) Close() error { return n.held.Close() }
+// Close releases the network for other processes.
+func (n *Network) Close() error { return n.listener.Close() }
--- a/internal/loopback/network_test.go
+++ b/internal/loopback/network_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whoever holds a network keeps others out of it, wherever they begin to look, and lets
-// them in again when it is over; all of them together are bounded.
+// A reserved network is not reserved again before it is closed, whatever network the search
+// starts from. Once all networks are reserved, reserve returns ErrNoFreeNetwork.
 func TestReserve(t *testing.T) {
 	a, err := reserve(13)
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	defer func() { _ = b.Close() }()
 	if a.Prefix == b.Prefix {
-		t.Fatalf("%s was given out twice", a.Prefix)
+		t.Fatalf("%s was reserved twice", a.Prefix)
 	}
 	for _, n := range []*Network{a, b} {
 		l, err := net.Listen("tcp4", n.Prefix+"0.1:7400")
@@ -28,15 +28,15 @@
 		}
 		defer l.Close()
 	}
-	was := a.Prefix
+	released := a.Prefix
 	_ = a.Close()
-	again, err := reserve(13)
+	c, err := reserve(13)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = again.Close() }()
-	if again.Prefix != was && again.Prefix == b.Prefix {
-		t.Errorf("%s after %s was free", again.Prefix, was)
+	defer func() { _ = c.Close() }()
+	if c.Prefix != released && c.Prefix == b.Prefix {
+		t.Errorf("got %s, which is still reserved, after %s was closed", c.Prefix, released)
 	}
 	var held []*Network
 	defer func() {
@@ -44,9 +44,9 @@
 			_ = n.Close()
 		}
 	}()
-	for range last - first + 2 {
+	for range lastOctet - firstOctet + 2 {
 		n, err := reserve(0)
-		if errors.Is(err, ErrNone) {
+		if errors.Is(err, ErrNoFreeNetwork) {
 			return
 		}
 		if err != nil {
@@ -54,5 +54,5 @@
 		}
 		held = append(held, n)
 	}
-	t.Error("there is always one more")
+	t.Error("reserve returned more networks than there are")
 }
