--- a/internal/transport/bucket.go
+++ b/internal/transport/bucket.go
@@ -2,117 +2,127 @@
 
 import "mapleslip/internal/protocol"
 
-// Priority is the class of calls that wait for the same service.
+// Priority is the class of a call to a metered service.
 type Priority uint8
 
-// Leadership goes before everything: without it nothing else may be done. The others
-// share what is left by weight, see fairQueue.
+// Leadership calls are sent before all others, because nothing else may be done without
+// leadership. The other classes share the remaining rate by weight, see fairQueue.
 const (
-	Leadership Priority = iota
-	Pressing            // a user waits, for work that has to start at once
-	User                // a user waits
-	Urgent              // work waits
+	Leadership      Priority = iota
+	LatencyCritical          // a user waits for the answer, and a job must start at once
+	User                     // a user waits for the answer
+	Urgent                   // jobs or tasks wait for the result
 	Normal
-	Ending // a job is over: Urgent's second lane, see flow
-	priorities
+	FinalRecord // the record of a finished job: the second subqueue of Urgent, see flow
+	numPriorities
 )
 
-// weights are the parts of a service that the classes have while all of them wait: of
-// 35 changes a second 5, 12, 16 and 2. Where work waits it is records that hundreds of
-// tasks share; a submission is one to itself. What one has no use for the others have.
-var weights = [priorities]float64{Pressing: 5, User: 12, Urgent: 16, Normal: 2}
+// weights sets how the rate is divided while all classes have calls waiting: of 35 changes a
+// second, the classes get 5, 12, 16 and 2. Hundreds of tasks share one record of class Urgent, but
+// each submission takes a record of its own. A class that does not use its share leaves it to the
+// others.
+var weights = [numPriorities]float64{LatencyCritical: 5, User: 12, Urgent: 16, Normal: 2}
 
-// saved is how much of its part a class of users may catch up on, as what each of its calls
-// costs divided by its weight: a few submissions that come after a pause go before what
-// other classes have waiting, and a flood of them gets the class's part and no more.
-// Without it each waited for its turn behind the records of those before it, a quarter of
-// a second where the rate is low.
-var saved = [priorities]float64{Pressing: 0.6, User: 0.6}
+// idleCredit is how far behind the virtual time a class may begin after an idle period, in units
+// of cost divided by weight. With it, a few submissions after a pause are sent before the waiting
+// calls of other classes, while a flood of submissions gets only the share of its class. Without
+// it, each submission waited behind the records of the submissions before it, for a quarter of a
+// second where the rate is low.
+var idleCredit = [numPriorities]float64{LatencyCritical: 0.6, User: 0.6}
 
-// Metered is one call waiting for its turn.
+// Metered is a call to a metered service, queued until the rates allow it.
 type Metered struct {
 	Priority Priority
-	Changes  int // puts and deletes
-	Expires  protocol.Micros
-	Send     func()
-	Expire   func()
+	Changes  int             // number of puts and deletes
+	Expires  protocol.Micros // time from which the call is no longer sent
+	Send     func()          // sends the call
+	Expire   func()          // called instead of Send once the call has expired
 }
 
-// fairQueue is self-clocked fair queueing (Golestani, INFOCOM 1994) over the classes:
-// each call is tagged with when its class would be through with it if it had its part of
-// the service and no more, and the lowest tag is next. A class that has waited for nothing
-// begins at the tag of what was sent last, or a little before (see saved), so hardly
-// anything is saved up by not asking, and a small call of a class that asks for little
-// passes the large ones of one that asks for much. Leadership has no tags and goes first.
+// fairQueue implements self-clocked fair queueing (Golestani, INFOCOM 1994) over the classes. The
+// tag of a call is the virtual time at which its class would finish it if the class got exactly its
+// share of the rate; the call with the lowest tag is sent next. A class that had no calls waiting
+// begins at the highest tag that was sent, or slightly before it (see idleCredit). So a class
+// accumulates almost no allowance while it is idle, and a small call of a class with little load is
+// sent before large calls of a class with much load. Leadership calls have no tags and are sent
+// first.
 type fairQueue struct {
-	flows   [priorities]flow
-	virtual float64 // highest tag of a call that was taken
-	waiting int
+	flows       [numPriorities]flow
+	virtualTime float64 // highest tag of a call that was removed for sending
+	waiting     int     // number of calls in all flows
 }
 
-// lanes is how many lines the calls of one class wait in.
-const lanes = 2
+// numSubqueues is the number of subqueues of each class.
+const numSubqueues = 2
 
-// flow is what waits of a class. Its lanes have equal parts of what the class has, and one
-// that is empty leaves its part to the other. Only Urgent has a second one. Where thousands
-// of jobs of one task end, their records are most of what is written: in one line with them
-// the records of launches came seconds later, expired, and began again at its end.
+// flow contains the waiting calls of a class. The subqueues share the rate of the class equally,
+// and an empty subqueue leaves its share to the other. Only Urgent uses the second subqueue, for
+// final records. When thousands of single-task jobs finish, most writes are their final records. In
+// one queue with them, launch records were delayed by seconds, expired, and were queued again at
+// the end.
 type flow struct {
-	lanes  [lanes]lane
-	finish float64 // tag of the class's last call that was taken, or where it begins
+	subqueues [numSubqueues]subqueue
+	finishTag float64 // tag of the last call removed for sending; after an idle period see add
 }
 
-// lane is one line of calls, in order.
-type lane struct {
-	calls  []Metered
-	served float64 // what its calls took, counted from the other lane's when it begins
+// subqueue contains waiting calls in the order in which they were added.
+type subqueue struct {
+	calls []Metered
+	// cost of the calls removed for sending; an empty subqueue that gets a call is first raised to
+	// the value of the other subqueue
+	servedCost float64
 }
 
-// laneOf is where calls of a priority wait.
-func laneOf(p Priority) (class Priority, lane int) {
-	if p == Ending {
+// subqueueOf returns the class, and the index of its subqueue, in which calls of a priority wait.
+func subqueueOf(p Priority) (class Priority, index int) {
+	if p == FinalRecord {
 		return Urgent, 1
 	}
 	return p, 0
 }
 
-func (f *flow) empty() bool { return len(f.lanes[0].calls) == 0 && len(f.lanes[1].calls) == 0 }
+func (f *flow) empty() bool { return len(f.subqueues[0].calls) == 0 && len(f.subqueues[1].calls) == 0 }
 
-// head is the lane whose turn it is. The flow is not empty.
-func (f *flow) head() *lane {
-	first, second := &f.lanes[0], &f.lanes[1]
-	if len(first.calls) == 0 || len(second.calls) > 0 && second.served < first.served {
+// nextSubqueue returns the subqueue of the next call: the non-empty one with the lower cost so far.
+// The flow must not be empty.
+func (f *flow) nextSubqueue() *subqueue {
+	first, second := &f.subqueues[0], &f.subqueues[1]
+	if len(first.calls) == 0 || len(second.calls) > 0 && second.servedCost < first.servedCost {
 		return second
 	}
 	return first
 }
 
+// add queues a call. A class that had no calls waiting begins at its last tag, or at the virtual
+// time less its credit if that is higher.
 func (q *fairQueue) add(c Metered) {
-	class, n := laneOf(c.Priority)
+	class, n := subqueueOf(c.Priority)
 	f := &q.flows[class]
 	if f.empty() {
-		f.finish = max(f.finish, q.virtual-saved[c.Priority])
+		f.finishTag = max(f.finishTag, q.virtualTime-idleCredit[c.Priority])
 	}
-	l, other := &f.lanes[n], &f.lanes[lanes-1-n]
-	if len(l.calls) == 0 {
-		l.served = max(l.served, other.served)
+	sub, other := &f.subqueues[n], &f.subqueues[numSubqueues-1-n]
+	if len(sub.calls) == 0 {
+		sub.servedCost = max(sub.servedCost, other.servedCost)
 	}
-	l.calls = append(l.calls, c)
+	sub.calls = append(sub.calls, c)
 	q.waiting++
 }
 
-// cost is what a call takes of the service; one that only reads counts as one.
+// cost is the number of changes of a call; a call that only reads costs as much as one change.
 func cost(c *Metered) float64 { return max(1, float64(c.Changes)) }
 
-func (f *flow) tag(p Priority) float64 { return f.finish + cost(&f.head().calls[0])/weights[p] }
+func (f *flow) tag(p Priority) float64 {
+	return f.finishTag + cost(&f.nextSubqueue().calls[0])/weights[p]
+}
 
-// next is the class whose turn it is.
-func (q *fairQueue) next() (Priority, bool) {
+// nextClass returns the class of the next call, or false if no call waits.
+func (q *fairQueue) nextClass() (Priority, bool) {
 	if !q.flows[Leadership].empty() {
 		return Leadership, true
 	}
 	best, found, tag := Leadership, false, 0.0
-	for p := Leadership + 1; p < Ending; p++ {
+	for p := Leadership + 1; p < FinalRecord; p++ {
 		if f := &q.flows[p]; !f.empty() {
 			if t := f.tag(p); !found || t < tag {
 				best, found, tag = p, true, t
@@ -122,163 +132,166 @@
 	return best, found
 }
 
-// take takes a class's first call.
-func (q *fairQueue) take(p Priority) Metered {
+// pop removes and returns the next call of a class, which must have one.
+func (q *fairQueue) pop(p Priority) Metered {
 	f := &q.flows[p]
 	if p != Leadership {
-		f.finish = f.tag(p)
-		q.virtual = max(q.virtual, f.finish)
+		f.finishTag = f.tag(p)
+		q.virtualTime = max(q.virtualTime, f.finishTag)
 	}
-	l := f.head()
-	c := l.calls[0]
-	l.served += cost(&c)
-	l.calls[0] = Metered{}
-	l.calls = l.calls[1:]
+	sub := f.nextSubqueue()
+	c := sub.calls[0]
+	sub.servedCost += cost(&c)
+	sub.calls[0] = Metered{}
+	sub.calls = sub.calls[1:]
 	if q.waiting--; q.waiting == 0 {
-		// Whoever comes next begins anew, as the tags say anyway: they stay small.
-		q.virtual = 0
+		// The queue is empty: all classes begin again at 0 and without credit, so that the tags
+		// stay small.
+		q.virtualTime = 0
 		for p := range q.flows {
 			f := &q.flows[p]
-			f.finish, f.lanes[0].served, f.lanes[1].served = 0, 0, 0
+			f.finishTag, f.subqueues[0].servedCost, f.subqueues[1].servedCost = 0, 0, 0
 		}
 	}
 	return c
 }
 
-// expired takes out what has waited for too long.
-func (q *fairQueue) expired(now protocol.Micros, to []Metered) []Metered {
+// removeExpired removes the calls that have expired and appends them to removed.
+func (q *fairQueue) removeExpired(now protocol.Micros, removed []Metered) []Metered {
 	for p := range q.flows {
-		for n := range q.flows[p].lanes {
-			l := &q.flows[p].lanes[n]
-			waiting := len(l.calls)
-			to = l.expired(now, to)
-			q.waiting -= waiting - len(l.calls)
+		for n := range q.flows[p].subqueues {
+			sub := &q.flows[p].subqueues[n]
+			before := len(sub.calls)
+			removed = sub.removeExpired(now, removed)
+			q.waiting -= before - len(sub.calls)
 		}
 	}
-	return to
+	return removed
 }
 
-// expired takes out what has waited for too long.
-func (l *lane) expired(now protocol.Micros, to []Metered) []Metered {
-	rest := l.calls[:0]
-	for _, c := range l.calls {
+// removeExpired removes the calls that have expired and appends them to removed.
+func (s *subqueue) removeExpired(now protocol.Micros, removed []Metered) []Metered {
+	kept := s.calls[:0]
+	for _, c := range s.calls {
 		if now >= c.Expires {
-			to = append(to, c)
+			removed = append(removed, c)
 		} else {
-			rest = append(rest, c)
+			kept = append(kept, c)
 		}
 	}
-	clear(l.calls[len(rest):])
-	l.calls = rest
-	return to
+	clear(s.calls[len(kept):])
+	s.calls = kept
+	return removed
 }
 
-// bucket fills at rate per second up to one burst.
-type bucket struct {
-	rate, burst, level float64
-	at                 protocol.Micros
+// tokenBucket gains rate tokens per second, up to burst tokens.
+type tokenBucket struct {
+	rate, burst, tokens float64
+	filledAt            protocol.Micros
 }
 
-func (b *bucket) fill(now protocol.Micros) {
-	if now > b.at {
-		b.level = min(b.burst, b.level+b.rate*(now-b.at).Seconds())
-		b.at = now
+func (b *tokenBucket) fill(now protocol.Micros) {
+	if now > b.filledAt {
+		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.filledAt).Seconds())
+		b.filledAt = now
 	}
 }
 
-// Meter keeps calls to a service within its published rates, which all
-// controllers share: the leader takes most, the others a small part each.
+// Meter keeps the calls of this process to a service within the service's published rates of calls
+// and changes. All controllers share these rates: the leader uses most, each follower a small part.
 type Meter struct {
-	calls, changes bucket
-	rate, writes   float64
-	shareOfCalls   float64 // parts of the rates that this process may use
-	shareOfChanges float64
-	largestOwn     int // changes of its largest call
-	burst          float64
-	largest        float64   // changes of the largest call
-	reads          fairQueue // calls without changes, which don't wait for the rate of changes
-	edits          fairQueue // calls with changes
-	editNext       bool      // which of the two is next where the rate of calls is short
+	calls, changes       tokenBucket
+	callRate, changeRate float64   // per second, for all processes together
+	callShare            float64   // part of callRate that this process may use
+	changeShare          float64   // part of changeRate that this process may use
+	largestOwnCall       int       // changes in the largest call of this process
+	burstSeconds         float64   // a burst is the allowance of this many seconds
+	largestCall          float64   // changes in the largest call of any process
+	reads                fairQueue // calls without changes, which don't wait for the rate of changes
+	writes               fairQueue // calls with changes
+	writeNext            bool      // reads and writes alternate while both may be sent
 }
 
-// NewMeter makes a meter; burst is how many seconds' worth may come at once,
-// largest how many changes one call may carry.
-func NewMeter(rate, writes, burst float64, largest int) *Meter {
-	m := &Meter{rate: rate, writes: writes, burst: burst, largest: float64(largest)}
-	m.SetShare(1, 1, largest)
-	m.calls.level, m.changes.level = m.calls.burst, m.changes.burst
+// NewMeter returns a meter for the given rates per second. A burst may use the allowance of
+// burstSeconds, and one call may carry largestCall changes.
+func NewMeter(callRate, changeRate, burstSeconds float64, largestCall int) *Meter {
+	m := &Meter{callRate: callRate, changeRate: changeRate, burstSeconds: burstSeconds, largestCall: float64(largestCall)}
+	m.SetShare(1, 1, largestCall)
+	m.calls.tokens, m.changes.tokens = m.calls.burst, m.changes.burst
 	return m
 }
 
-// SetShare sets the parts of the published rates that this process may use, and how many
-// changes its largest call carries, at most what the meter was made for. What it has
-// saved up beyond that is gone: a process that is back at once, again and again, or seven
-// of them together, would else come with a full burst each time.
-func (m *Meter) SetShare(calls, changes float64, largest int) {
-	m.shareOfCalls, m.shareOfChanges, m.largestOwn = calls, changes, largest
-	m.calls.rate, m.calls.burst = m.rate*calls, max(1, m.rate*calls*m.burst)
-	m.changes.rate, m.changes.burst = m.writes*changes, max(min(m.largest, float64(largest)), m.writes*changes*m.burst)
-	m.calls.level, m.changes.level = min(m.calls.level, m.calls.burst), min(m.changes.level, m.changes.burst)
+// SetShare sets the parts of the published rates that this process may use, and the number of
+// changes in its largest call, which is limited to that given to NewMeter. Unused allowance above
+// the new burst is discarded: otherwise a process that restarts repeatedly, or seven processes that
+// start together, would each begin with the full burst of all processes.
+func (m *Meter) SetShare(callShare, changeShare float64, largestCall int) {
+	m.callShare, m.changeShare, m.largestOwnCall = callShare, changeShare, largestCall
+	m.calls.rate, m.calls.burst = m.callRate*callShare, max(1, m.callRate*callShare*m.burstSeconds)
+	m.changes.rate, m.changes.burst = m.changeRate*changeShare, max(min(m.largestCall, float64(largestCall)), m.changeRate*changeShare*m.burstSeconds)
+	m.calls.tokens, m.changes.tokens = min(m.calls.tokens, m.calls.burst), min(m.changes.tokens, m.changes.burst)
 }
 
-// SetWrites sets the rate of changes that all processes share. Where the service has just
-// refused some nothing is saved up.
+// SetWrites sets the rate of changes that all processes share. If the service has just refused
+// changes, the unused allowance for changes is discarded.
 func (m *Meter) SetWrites(perSecond float64, refused bool) {
-	m.writes = perSecond
-	m.SetShare(m.shareOfCalls, m.shareOfChanges, m.largestOwn)
+	m.changeRate = perSecond
+	m.SetShare(m.callShare, m.changeShare, m.largestOwnCall)
 	if refused {
-		m.changes.level = min(m.changes.level, 0)
+		m.changes.tokens = min(m.changes.tokens, 0)
 	}
 }
 
-// Waiting is how many calls wait for their turn.
-func (m *Meter) Waiting() int { return m.reads.waiting + m.edits.waiting }
+// Waiting returns the number of queued calls.
+func (m *Meter) Waiting() int { return m.reads.waiting + m.writes.waiting }
 
 // Add queues a call.
 func (m *Meter) Add(c Metered) {
 	if c.Changes > 0 {
-		m.edits.add(c)
+		m.writes.add(c)
 	} else {
 		m.reads.add(c)
 	}
 }
 
-// Run sends what the rates allow and reports whether calls still wait.
+// Run removes expired calls, sends the calls that the rates allow and reports whether calls still
+// wait.
 func (m *Meter) Run(now protocol.Micros) (waiting bool) {
-	for _, c := range m.edits.expired(now, m.reads.expired(now, nil)) {
+	for _, c := range m.writes.removeExpired(now, m.reads.removeExpired(now, nil)) {
 		c.Expire()
 	}
 	m.calls.fill(now)
 	m.changes.fill(now)
-	for m.calls.level >= 1 {
+	for m.calls.tokens >= 1 {
 		q, p, ok := m.next()
 		if !ok {
 			break
 		}
-		c := q.take(p)
-		m.calls.level--
-		m.changes.level -= float64(c.Changes)
+		c := q.pop(p)
+		m.calls.tokens--
+		m.changes.tokens -= float64(c.Changes)
 		c.Send()
 	}
 	return m.Waiting() > 0
 }
 
-// next is the call whose turn it is. Where the changes of the one with changes are not
-// there yet it waits, and smaller ones behind it with it: else it would wait for ever.
+// next returns the queue and the class of the call to send, or false if there is none. While the
+// first write needs more changes than the rate allows yet, smaller writes behind it wait too:
+// otherwise they could delay it forever.
 func (m *Meter) next() (*fairQueue, Priority, bool) {
-	r, read := m.reads.next()
-	e, edit := m.edits.next()
-	edit = edit && m.changes.level >= float64(m.edits.flows[e].head().calls[0].Changes)
+	readClass, canRead := m.reads.nextClass()
+	writeClass, canWrite := m.writes.nextClass()
+	canWrite = canWrite && m.changes.tokens >= float64(m.writes.flows[writeClass].nextSubqueue().calls[0].Changes)
 	switch {
-	case read && edit:
-		if r != Leadership && (e == Leadership || m.editNext) {
-			m.editNext = false
-			return &m.edits, e, true
+	case canRead && canWrite:
+		if readClass != Leadership && (writeClass == Leadership || m.writeNext) {
+			m.writeNext = false
+			return &m.writes, writeClass, true
 		}
-		m.editNext = true
-		return &m.reads, r, true
-	case edit:
-		return &m.edits, e, true
+		m.writeNext = true
+		return &m.reads, readClass, true
+	case canWrite:
+		return &m.writes, writeClass, true
 	}
-	return &m.reads, r, read
+	return &m.reads, readClass, canRead
 }
--- a/internal/transport/dialer_test.go
+++ b/internal/transport/dialer_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// serveOne answers every request on its connections with an empty 200.
-func serveOne(t *testing.T) string {
+// startServer starts a server that answers every request with status 200 and an empty object, and
+// returns its address.
+func startServer(t *testing.T) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +37,7 @@
 	return ln.Addr().String()
 }
 
-func ask(d *Dialer, addr string) (status int, err error) {
+func get(d *Dialer, addr string) (status int, err error) {
 	err = d.Do(addr, AppendRequest(nil, "GET", addr, "/", nil), 10*time.Second, func(buf []byte, eof bool) (int, bool, error) {
 		r, used, err := ParseResponse(buf, eof)
 		if r != nil {
@@ -47,98 +48,97 @@
 	return status, err
 }
 
-// A connection is kept between calls, and what is kept for one address does
-// not bar another for ever.
+// A connection is kept between calls. At the limit of open connections, an idle connection to one
+// address is closed for a call to another address.
 func TestDialerSockets(t *testing.T) {
-	a, b := serveOne(t), serveOne(t)
+	a, b := startServer(t), startServer(t)
 	d := &Dialer{MaxOpen: 1, MaxPer: 1, KeepIdle: time.Hour}
 	for range 3 {
-		if status, err := ask(d, a); status != 200 || err != nil {
+		if status, err := get(d, a); status != 200 || err != nil {
 			t.Fatalf("status %d, %v", status, err)
 		}
 	}
-	if d.open != 1 || len(d.idle[a]) != 1 {
-		t.Fatalf("%d open, %d idle", d.open, len(d.idle[a]))
+	if d.openCount != 1 || len(d.idle[a]) != 1 {
+		t.Fatalf("%d open, %d idle", d.openCount, len(d.idle[a]))
 	}
 	d.MaxPer = 0
-	if _, err := ask(d, b); !errors.Is(err, ErrSockets) {
-		t.Fatalf("more connections to one address than allowed: %v", err)
+	if _, err := get(d, b); !errors.Is(err, ErrSockets) {
+		t.Fatalf("opened more connections to one address than MaxPer: %v", err)
 	}
 	d.MaxPer = 1
-	if status, err := ask(d, b); status != 200 || err != nil || d.open != 1 || len(d.idle[a]) != 0 {
-		t.Fatalf("a call gives way to a connection that is only kept: status %d, %v, %d open", status, err, d.open)
+	if status, err := get(d, b); status != 200 || err != nil || d.openCount != 1 || len(d.idle[a]) != 0 {
+		t.Fatalf("call at MaxOpen with an idle connection to another address: status %d, %v, %d open", status, err, d.openCount)
 	}
-	if status, err := ask(d, a); status != 200 || err != nil {
+	if status, err := get(d, a); status != 200 || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	d.KeepIdle, d.swept = 0, time.Time{}
-	if status, err := ask(d, b); status != 200 || err != nil {
-		t.Fatalf("after the first was idle for long: status %d, %v", status, err)
+	d.KeepIdle, d.lastSweep = 0, time.Time{}
+	if status, err := get(d, b); status != 200 || err != nil {
+		t.Fatalf("after the idle connection expired: status %d, %v", status, err)
 	}
 }
 
-// The process at an address ends and another one is there at once: the next call goes to
-// that one, and not out on the connection to the one before.
+// The process at an address exits and another process listens there at once. The next call must use
+// a new connection, not the idle connection to the old process.
 func TestDialerAfterRestart(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	end, ended := make(chan struct{}), make(chan struct{})
+	closeConn, connClosed := make(chan struct{}), make(chan struct{})
 	go func() {
-		for life := 0; ; life++ {
+		for n := 0; ; n++ {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			_, _ = c.Read(make([]byte, 1024))
 			_, _ = c.Write(AppendResponse(nil, 200, []byte("{}"), 0, false))
-			if life > 0 {
+			if n > 0 {
 				defer c.Close()
 				continue
 			}
-			<-end
+			<-closeConn
 			c.Close()
-			close(ended)
+			close(connClosed)
 		}
 	}()
 	d := &Dialer{MaxOpen: 2, MaxPer: 2, KeepIdle: time.Hour}
-	if status, err := ask(d, ln.Addr().String()); status != 200 || err != nil {
+	if status, err := get(d, ln.Addr().String()); status != 200 || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	close(end)
-	<-ended
-	for kept := d.idle[ln.Addr().String()][0].conn; open(kept); {
-		time.Sleep(time.Millisecond) // until the end has come over
+	close(closeConn)
+	<-connClosed
+	for conn := d.idle[ln.Addr().String()][0].conn; isReusable(conn); {
+		time.Sleep(time.Millisecond) // until the close arrives
 	}
-	if status, err := ask(d, ln.Addr().String()); status != 200 || err != nil {
+	if status, err := get(d, ln.Addr().String()); status != 200 || err != nil {
 		t.Fatalf("after the restart: status %d, %v", status, err)
 	}
-	if d.open != 1 {
-		t.Fatalf("%d open", d.open)
+	if d.openCount != 1 {
+		t.Fatalf("%d open", d.openCount)
 	}
 }
 
-// A connection that has been idle for longer than its last call was allowed to take is
-// used again all the same.
+// An idle connection is reused also after the deadline of its last call has passed.
 func TestDialerKeepsPastDeadline(t *testing.T) {
-	addr := serveOne(t)
+	addr := startServer(t)
 	d := &Dialer{MaxOpen: 2, MaxPer: 2, KeepIdle: time.Hour}
-	if status, err := ask(d, addr); status != 200 || err != nil {
+	if status, err := get(d, addr); status != 200 || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
 	kept := d.idle[addr][0].conn
 	_ = kept.SetDeadline(time.Now().Add(-time.Hour))
-	if status, err := ask(d, addr); status != 200 || err != nil {
+	if status, err := get(d, addr); status != 200 || err != nil {
 		t.Fatalf("status %d, %v", status, err)
 	}
 	if len(d.idle[addr]) != 1 || d.idle[addr][0].conn != kept {
-		t.Fatalf("another connection was made, though one was idle")
+		t.Fatalf("a new connection was opened although one was idle")
 	}
 }
 
-// All connections of a dialer come from its source address, checks too.
+// All connections of a dialer use its source address, those of Probe too.
 func TestDialerSource(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -146,7 +146,7 @@
 	}
 	defer ln.Close()
 	d := &Dialer{MaxOpen: 2, MaxPer: 2, Source: netip.MustParseAddr("127.0.0.9")}
-	from := func(call func()) string {
+	sourceOf := func(call func()) string {
 		go call()
 		c, err := ln.Accept()
 		if err != nil {
@@ -156,10 +156,10 @@
 		host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 		return host
 	}
-	if got := from(func() { _ = d.Probe(ln.Addr().String(), 10*time.Second) }); got != "127.0.0.9" {
-		t.Errorf("a check came from %s", got)
+	if got := sourceOf(func() { _ = d.Probe(ln.Addr().String(), 10*time.Second) }); got != "127.0.0.9" {
+		t.Errorf("Probe connected from %s", got)
 	}
-	if got := from(func() { _, _ = ask(d, ln.Addr().String()) }); got != "127.0.0.9" {
-		t.Errorf("a call came from %s", got)
+	if got := sourceOf(func() { _, _ = get(d, ln.Addr().String()) }); got != "127.0.0.9" {
+		t.Errorf("Do connected from %s", got)
 	}
 }
--- a/internal/transport/fair_test.go
+++ b/internal/transport/fair_test.go
@@ -11,110 +11,109 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m, 200) }
 
-// drawn is a meter with classes that always have calls with changes waiting, and what was
-// sent of each.
-type drawn struct {
-	m       *Meter
+// drawnMeter is a meter with a drawn rate and largest call, and the number of changes that it sent
+// of each priority.
+type drawnMeter struct {
+	meter   *Meter
 	rate    float64
 	largest int
-	sent    [priorities]float64 // changes, by priority
+	sent    [numPriorities]float64 // changes, by priority
 }
 
-func (d *drawn) add(p Priority, changes int) {
-	d.m.Add(Metered{Priority: p, Changes: changes, Expires: protocol.Forever, Send: func() { d.sent[p] += float64(changes) }, Expire: func() {}})
+func (d *drawnMeter) add(p Priority, changes int) {
+	d.meter.Add(Metered{Priority: p, Changes: changes, Expires: protocol.Forever, Send: func() { d.sent[p] += float64(changes) }, Expire: func() {}})
 }
 
-// waiting is how many calls of a priority wait.
-func (d *drawn) waiting(p Priority) int {
-	class, n := laneOf(p)
-	return len(d.m.edits.flows[class].lanes[n].calls)
+// waiting returns the number of queued calls of a priority.
+func (d *drawnMeter) waiting(p Priority) int {
+	class, n := subqueueOf(p)
+	return len(d.meter.writes.flows[class].subqueues[n].calls)
 }
 
-func drawMeter(t *rapid.T) *drawn {
-	d := &drawn{rate: float64(rapid.IntRange(10, 100).Draw(t, "rate")), largest: rapid.IntRange(2, 5).Draw(t, "largest")}
-	d.m = NewMeter(1e6, d.rate, 1, d.largest)
+func drawMeter(t *rapid.T) *drawnMeter {
+	d := &drawnMeter{rate: float64(rapid.IntRange(10, 100).Draw(t, "rate")), largest: rapid.IntRange(2, 5).Draw(t, "largest")}
+	d.meter = NewMeter(1e6, d.rate, 1, d.largest)
 	return d
 }
 
-// While some classes always have more to send than they may, each gets its part by weight
-// of what is sent, but for a call or two; a class that has nothing to send takes nothing,
-// and nothing of the rate is left unused.
+// While some classes always have more calls waiting than the rate allows, each of them gets its
+// share by weight, to within one or two calls. A class without calls uses nothing, and the whole
+// rate is used.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawMeter(t)
 		sizes := map[Priority]int{}
-		total := 0.0
-		for p := Pressing; p < Ending; p++ {
+		totalWeight := 0.0
+		for p := LatencyCritical; p < FinalRecord; p++ {
 			if rapid.Bool().Draw(t, "waits") {
 				sizes[p] = rapid.IntRange(1, d.largest).Draw(t, "changes")
-				total += weights[p]
+				totalWeight += weights[p]
 			}
 		}
 		seconds := rapid.IntRange(5, 40).Draw(t, "seconds")
 		for i := range seconds * 20 {
-			for p := Pressing; p < Ending; p++ {
+			for p := LatencyCritical; p < FinalRecord; p++ {
 				for n := d.waiting(p); sizes[p] > 0 && n < 200; n++ {
 					d.add(p, sizes[p])
 				}
 			}
-			d.m.Run(protocol.Micros(i) * protocol.Second / 20)
+			d.meter.Run(protocol.Micros(i) * protocol.Second / 20)
 		}
-		all := 0.0
+		totalSent := 0.0
 		for _, n := range d.sent {
-			all += n
+			totalSent += n
 		}
-		most := d.rate*(float64(seconds)-0.05) + d.m.changes.burst
-		if len(sizes) > 0 && (all > most+1e-6 || all < most-float64(d.largest)) {
-			t.Fatalf("%g changes sent, %g may be", all, most)
+		maxSent := d.rate*(float64(seconds)-0.05) + d.meter.changes.burst
+		if len(sizes) > 0 && (totalSent > maxSent+1e-6 || totalSent < maxSent-float64(d.largest)) {
+			t.Fatalf("sent %g changes, the rate allows %g", totalSent, maxSent)
 		}
 		for p, size := range sizes {
-			if part := all * weights[p] / total; d.sent[p] < part-float64(d.largest+size) {
-				t.Errorf("class %d sent %g changes, its part of %g is %g", p, d.sent[p], all, part)
+			if share := totalSent * weights[p] / totalWeight; d.sent[p] < share-float64(d.largest+size) {
+				t.Errorf("class %d sent %g changes, its share of %g is %g", p, d.sent[p], totalSent, share)
 			}
 		}
 	})
 }
 
-// Records of launches and of jobs that are over share the part of one class: together they
-// have what the class has, beside the others, and while both have more to send than they may,
-// each has half of that, but for a call or two. If one of them has nothing to send the other
-// has it all.
-func TestFairLanes(t *testing.T) {
+// Launch records and final records of jobs share the rate of one class. Together they get the share
+// of the class. While both have more calls waiting than the rate allows, each gets half of it, to
+// within one or two calls. If one of them has no calls, the other gets the whole share.
+func TestFairSubqueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawMeter(t)
 		sizes := map[Priority]int{}
-		for _, p := range []Priority{User, Urgent, Ending} {
+		for _, p := range []Priority{User, Urgent, FinalRecord} {
 			if p == Urgent || rapid.IntRange(0, 3).Draw(t, "waits") > 0 {
 				sizes[p] = rapid.IntRange(1, d.largest).Draw(t, "changes")
 			}
 		}
 		seconds := rapid.IntRange(5, 40).Draw(t, "seconds")
 		for i := range seconds * 20 {
-			for _, p := range []Priority{User, Urgent, Ending} {
+			for _, p := range []Priority{User, Urgent, FinalRecord} {
 				for n := d.waiting(p); sizes[p] > 0 && n < 200; n++ {
 					d.add(p, sizes[p])
 				}
 			}
-			d.m.Run(protocol.Micros(i) * protocol.Second / 20)
+			d.meter.Run(protocol.Micros(i) * protocol.Second / 20)
 		}
-		class := d.sent[Urgent] + d.sent[Ending]
-		part := class + d.sent[User]
+		class := d.sent[Urgent] + d.sent[FinalRecord]
+		share := class + d.sent[User]
 		if sizes[User] > 0 {
-			part *= weights[Urgent] / (weights[Urgent] + weights[User])
+			share *= weights[Urgent] / (weights[Urgent] + weights[User])
 		}
-		if slack := float64(2 * d.largest); class < part-slack || class > part+slack {
-			t.Errorf("the class sent %g changes, its part is %g", class, part)
+		if slack := float64(2 * d.largest); class < share-slack || class > share+slack {
+			t.Errorf("the class sent %g changes, its share is %g", class, share)
 		}
-		if apart := d.sent[Urgent] - d.sent[Ending]; sizes[Ending] > 0 && (apart > float64(2*d.largest) || apart < float64(-2*d.largest)) {
-			t.Errorf("%g changes of launches and %g of jobs that are over", d.sent[Urgent], d.sent[Ending])
+		if difference := d.sent[Urgent] - d.sent[FinalRecord]; sizes[FinalRecord] > 0 && (difference > float64(2*d.largest) || difference < float64(-2*d.largest)) {
+			t.Errorf("sent %g changes of launch records and %g of final records", d.sent[Urgent], d.sent[FinalRecord])
 		}
 	})
 }
 
-// However many records of jobs that are over wait, one of launches that comes now and then
-// waits for one call of theirs at most, and they for one of it.
-func TestFairLaneWait(t *testing.T) {
-	for light, heavy := range map[Priority]Priority{Urgent: Ending, Ending: Urgent} {
+// However many final records wait, an occasional launch record waits for at most one of them, and
+// the other way round.
+func TestFairSubqueueWait(t *testing.T) {
+	for light, heavy := range map[Priority]Priority{Urgent: FinalRecord, FinalRecord: Urgent} {
 		m := NewMeter(1e6, 15, 1, 12)
 		var order []Priority
 		add := func(p Priority) {
@@ -130,10 +129,10 @@
 			add(light)
 			m.Run(at + protocol.Second/2)
 			if len(order) < 2 || order[0] != light && order[1] != light {
-				t.Errorf("one of %d waits behind %d: %v", light, heavy, order)
+				t.Errorf("a call of priority %d waits behind several of priority %d: %v", light, heavy, order)
 			}
 		}
-		// Nothing is saved up by not asking.
+		// The subqueue accumulates no allowance while it has no calls.
 		order = nil
 		for range 40 {
 			add(light)
@@ -141,27 +140,27 @@
 		for at := 10 * protocol.Second; at < 13*protocol.Second; at += protocol.Second / 20 {
 			m.Run(at)
 		}
-		passed := 0
+		heavyCalls := 0
 		for _, p := range order {
 			if p == heavy {
-				passed++
+				heavyCalls++
 			}
 		}
-		if len(order) < 20 || passed < len(order)/2-1 {
-			t.Errorf("%d of the next %d are of %d: %v", passed, len(order), heavy, order)
+		if len(order) < 20 || heavyCalls < len(order)/2-1 {
+			t.Errorf("%d of the next %d calls are of priority %d, want half of at least 20: %v", heavyCalls, len(order), heavy, order)
 		}
 	}
 }
 
-// However much the others have waiting, a class that asks for less than its part waits no
-// longer than that part and the largest calls of the others take.
+// However many calls of the other classes wait, a call of a class that uses less than its share
+// waits no longer than it takes to send it at that share, plus the largest calls of the others.
 func TestFairWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawMeter(t)
-		light := Priority(rapid.IntRange(int(Pressing), int(Normal)).Draw(t, "light"))
-		total := 0.0
-		for p := Pressing; p < Ending; p++ {
-			total += weights[p]
+		light := Priority(rapid.IntRange(int(LatencyCritical), int(Normal)).Draw(t, "light"))
+		totalWeight := 0.0
+		for p := LatencyCritical; p < FinalRecord; p++ {
+			totalWeight += weights[p]
 			for range 2000 {
 				if p != light {
 					d.add(p, rapid.IntRange(1, d.largest).Draw(t, "changes"))
@@ -171,72 +170,72 @@
 				}
 			}
 		}
-		d.m.Run(0) // the burst is used up
-		part := d.rate * weights[light] / total
-		bound := protocol.FromSeconds(1/part+float64(int(Ending)*d.largest)/d.rate) + protocol.Second/10
+		d.meter.Run(0) // uses up the burst
+		share := d.rate * weights[light] / totalWeight
+		bound := protocol.FromSeconds(1/share+float64(int(FinalRecord)*d.largest)/d.rate) + protocol.Second/10
 		at := protocol.Second
 		for range 5 {
-			at += protocol.FromSeconds(2 / part)
-			for p := Pressing; p < Ending; p++ {
+			at += protocol.FromSeconds(2 / share)
+			for p := LatencyCritical; p < FinalRecord; p++ {
 				for n := d.waiting(p); p != light && n < 400; n++ {
 					d.add(p, d.largest)
 				}
 			}
-			d.m.Run(at)
-			asked, before := at, d.sent[light]
+			d.meter.Run(at)
+			queuedAt, sentBefore := at, d.sent[light]
 			d.add(light, 1)
-			for d.m.Run(at); d.sent[light] == before; d.m.Run(at) {
-				if at += protocol.Second / 20; at-asked > bound {
-					t.Fatalf("class %d waits for %d ms, at most %d", light, (at-asked)/1000, bound/1000)
+			for d.meter.Run(at); d.sent[light] == sentBefore; d.meter.Run(at) {
+				if at += protocol.Second / 20; at-queuedAt > bound {
+					t.Fatalf("class %d waits for %d ms, want at most %d ms", light, (at-queuedAt)/1000, bound/1000)
 				}
 			}
 		}
 	})
 }
 
-// What is leadership's goes first whatever else waits, and what has waited for too long is
-// told so exactly once and not sent.
+// Leadership calls are sent before all others. Each call is either sent once, or expires once and
+// is not sent.
 func TestFairLeadershipAndExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawMeter(t)
-		d.m.calls.rate, d.m.calls.burst, d.m.calls.level = 5, 5, 0
-		d.m.changes.level = 0
+		d.meter.calls.rate, d.meter.calls.burst, d.meter.calls.tokens = 5, 5, 0
+		d.meter.changes.tokens = 0
 		sent, expired := map[int]int{}, map[int]int{}
-		leads := -1 // those of leadership that wait
+		leadershipWaiting := -1 // number of waiting leadership calls, less 1
 		n := rapid.IntRange(1, 60).Draw(t, "calls")
 		for i := range n {
-			p := Priority(rapid.IntRange(0, int(priorities)-1).Draw(t, "class"))
+			p := Priority(rapid.IntRange(0, int(numPriorities)-1).Draw(t, "class"))
 			c := Metered{Priority: p, Changes: rapid.IntRange(0, d.largest).Draw(t, "changes"), Expires: protocol.FromSeconds(rapid.Float64Range(0.1, 30).Draw(t, "expires"))}
-			waiting := &leads
+			counter := &leadershipWaiting
 			if p == Leadership {
-				*waiting++
+				*counter++
 			}
 			c.Send = func() {
 				sent[i]++
 				if p == Leadership {
-					*waiting--
-				} else if *waiting >= 0 && !d.m.reads.flows[Leadership].empty() {
-					t.Errorf("a call of class %d passed one of leadership", p)
+					*counter--
+				} else if *counter >= 0 && !d.meter.reads.flows[Leadership].empty() {
+					t.Errorf("a call of class %d was sent before a leadership call", p)
 				}
 			}
 			c.Expire = func() {
 				expired[i]++
 				if p == Leadership {
-					*waiting--
+					*counter--
 				}
 			}
-			d.m.Add(c)
+			d.meter.Add(c)
 		}
 		for i := range 40 * 20 {
-			d.m.Run(protocol.Micros(i) * protocol.Second / 20)
+			d.meter.Run(protocol.Micros(i) * protocol.Second / 20)
 		}
 		for i := range n {
 			if sent[i]+expired[i] != 1 {
 				t.Errorf("call %d: sent %d times, expired %d times", i, sent[i], expired[i])
 			}
 		}
-		if d.m.Waiting() != 0 {
-			t.Errorf("%d still wait", d.m.Waiting())
+		if d.meter.Waiting() != 0 {
+			t.Errorf("%d calls still wait", d.meter.Waiting())
 		}
 	})
 }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -1,5 +1,6 @@
-// Package transport moves bytes: the evio server, the HTTP/1.1 parser, the
-// dialer for outbound calls and the token buckets for metered services.
+// Package transport contains the server for inbound connections, which is based on evio, the
+// HTTP/1.1 parser, the dialer for outbound calls, and the token buckets and fair queues for metered
+// services.
 package transport
 
 import (
@@ -9,29 +10,29 @@
 	"strings"
 )
 
-// Limits of what a peer may send.
+// Limits of the messages that a peer may send. Sizes are in bytes.
 const (
 	MaxHead    = 16 << 10
-	MaxBody    = 64 << 10
-	MaxAnswer  = 64 << 20 // a follow answer has no limit of its own
-	maxHeaders = 100
+	MaxBody    = 64 << 10 // of a request
+	MaxAnswer  = 64 << 20 // the protocol sets no limit for the answer to a watch
+	maxHeaders = 100      // lines of the head, including the start line
 )
 
 // Request is one parsed HTTP request.
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
-	Close               bool
+	Close               bool // the client wants the connection closed after the answer
 }
 
 // Response is one parsed HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool
+	Close  bool // the server closes the connection after this response
 }
 
-// ParseError is a malformed message, with the status that answers it.
+// ParseError reports a malformed message and the HTTP status with which to answer it.
 type ParseError struct {
 	Status int
 	Text   string
@@ -39,66 +40,68 @@
 
 func (e *ParseError) Error() string { return e.Text }
 
-func bad(status int, text string) error { return &ParseError{status, text} }
+func newParseError(status int, text string) error { return &ParseError{status, text} }
 
-// errMore means that the message is not complete yet.
-var errMore = errors.New("incomplete message")
+// errIncomplete reports that more bytes of the message are needed.
+var errIncomplete = errors.New("incomplete message")
 
-// head is what requests and responses have in common.
+// head contains the start line of a request or response, and the header fields that determine how
+// the message is read.
 type head struct {
-	start   string // the first line
-	length  int    // -1: none given
-	chunked bool
-	close   bool
-	size    int // bytes up to the body
+	startLine     string
+	contentLength int  // -1 if there is no Content-Length field
+	chunked       bool // the body has the chunked transfer encoding
+	close         bool // the connection is closed after the message
+	bodyOffset    int  // number of bytes before the body
 }
 
-// parseHead reads the lines up to the body.
+// parseHead parses the lines before the body. It returns errIncomplete if buf does not contain all
+// of them.
 func parseHead(buf []byte) (head, error) {
-	h := head{length: -1}
+	h := head{contentLength: -1}
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end < 0 {
 		if len(buf) > MaxHead {
-			return h, bad(431, "header too large")
+			return h, newParseError(431, "header too large")
 		}
-		return h, errMore
+		return h, errIncomplete
 	}
 	if end > MaxHead {
-		return h, bad(431, "header too large")
+		return h, newParseError(431, "header too large")
 	}
 	lines := strings.Split(string(buf[:end]), "\r\n")
-	h.start, h.size = lines[0], end+4
+	h.startLine, h.bodyOffset = lines[0], end+4
 	if len(lines) > maxHeaders {
-		return h, bad(431, "too many header fields")
+		return h, newParseError(431, "too many header fields")
 	}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) || hasControl(value) {
-			return h, bad(400, "malformed header field")
+			return h, newParseError(400, "malformed header field")
 		}
 		if err := h.addField(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
 			return h, err
 		}
 	}
-	if h.chunked && h.length >= 0 {
-		return h, bad(400, "both Content-Length and Transfer-Encoding")
+	if h.chunked && h.contentLength >= 0 {
+		return h, newParseError(400, "both Content-Length and Transfer-Encoding")
 	}
 	return h, nil
 }
 
-// addField takes a header field. Those that don't bear on the message are passed over.
+// addField evaluates a header field. It ignores fields that do not affect how the message is read.
 func (h *head) addField(name, value string) error {
 	switch name {
 	case "content-length":
-		// Two lengths that differ are how one request hides another.
+		// Lengths that differ would allow request smuggling: one request hidden in another.
 		n, err := parseLength(value)
-		if err != nil || (h.length >= 0 && h.length != n) {
-			return bad(400, "malformed Content-Length")
+		if err != nil || (h.contentLength >= 0 && h.contentLength != n) {
+			return newParseError(400, "malformed Content-Length")
 		}
-		h.length = n
+		h.contentLength = n
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return bad(501, "unknown Transfer-Encoding")
+			return newParseError(501, "unknown Transfer-Encoding")
 		}
 		h.chunked = true
 	case "connection":
@@ -141,99 +144,99 @@
 	return false
 }
 
-// ParseRequest parses one request at the start of buf. It returns the bytes
-// used, or 0 while more are needed.
+// ParseRequest parses one request at the start of buf. It returns the number of bytes used, or 0
+// while more are needed.
 func ParseRequest(buf []byte) (*Request, int, error) {
 	h, err := parseHead(buf)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	method, rest, ok := strings.Cut(h.start, " ")
+	method, rest, ok := strings.Cut(h.startLine, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !isToken(method) || target == "" || target[0] != '/' || hasControl(target) || strings.Contains(target, " ") {
-		return nil, 0, bad(400, "malformed request line")
+		return nil, 0, newParseError(400, "malformed request line")
 	}
 	switch version {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
 		h.close = true
 	default:
-		return nil, 0, bad(505, "unknown HTTP version")
+		return nil, 0, newParseError(505, "unknown HTTP version")
 	}
 	if h.chunked {
-		return nil, 0, bad(411, "chunked requests are not taken")
+		return nil, 0, newParseError(411, "chunked requests are not taken")
 	}
-	n := max(h.length, 0)
+	n := max(h.contentLength, 0)
 	if n > MaxBody {
-		return nil, 0, bad(413, "body over 64 KiB")
+		return nil, 0, newParseError(413, "body over 64 KiB")
 	}
-	if len(buf) < h.size+n {
+	if len(buf) < h.bodyOffset+n {
 		return nil, 0, nil
 	}
 	r := &Request{Method: method, Close: h.close}
 	r.Path, r.Query, _ = strings.Cut(target, "?")
-	r.Body = append([]byte(nil), buf[h.size:h.size+n]...)
-	return r, h.size + n, nil
+	r.Body = append([]byte(nil), buf[h.bodyOffset:h.bodyOffset+n]...)
+	return r, h.bodyOffset + n, nil
 }
 
-// ParseResponse parses one response at the start of buf; eof says that the
-// other side has closed. It returns the bytes used, or 0 while more are needed.
+// ParseResponse parses one response at the start of buf; eof is whether the peer has closed the
+// connection. It returns the number of bytes used, or 0 while more are needed.
 func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
 	h, err := parseHead(buf)
-	if errors.Is(err, errMore) {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	version, rest, _ := strings.Cut(h.start, " ")
+	version, rest, _ := strings.Cut(h.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := parseLength(code)
 	if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 599 {
-		return nil, 0, bad(400, "malformed status line")
+		return nil, 0, newParseError(400, "malformed status line")
 	}
 	r := &Response{Status: status, Close: h.close || version == "HTTP/1.0"}
 	switch {
 	case h.chunked:
-		body, n, err := parseChunks(buf[h.size:])
+		body, n, err := parseChunks(buf[h.bodyOffset:])
 		if err != nil || n == 0 {
 			return nil, 0, err
 		}
 		r.Body = body
-		return r, h.size + n, nil
-	case h.length >= 0:
-		if len(buf) < h.size+h.length {
+		return r, h.bodyOffset + n, nil
+	case h.contentLength >= 0:
+		if len(buf) < h.bodyOffset+h.contentLength {
 			return nil, 0, nil
 		}
-		r.Body = append([]byte(nil), buf[h.size:h.size+h.length]...)
-		return r, h.size + h.length, nil
+		r.Body = append([]byte(nil), buf[h.bodyOffset:h.bodyOffset+h.contentLength]...)
+		return r, h.bodyOffset + h.contentLength, nil
 	case status == 204 || status == 304 || status < 200:
-		return r, h.size, nil
+		return r, h.bodyOffset, nil
 	}
 	if !eof {
 		return nil, 0, nil
 	}
-	r.Body, r.Close = append([]byte(nil), buf[h.size:]...), true
+	r.Body, r.Close = append([]byte(nil), buf[h.bodyOffset:]...), true
 	return r, len(buf), nil
 }
 
-// parseChunks reads a chunked body. used is 0 while more bytes are needed.
+// parseChunks decodes a chunked body at the start of buf. used is 0 while more bytes are needed.
 func parseChunks(buf []byte) (body []byte, used int, err error) {
 	for {
 		i := bytes.Index(buf[used:], []byte("\r\n"))
 		if i < 0 {
 			if len(buf)-used > 1024 {
-				return nil, 0, bad(400, "malformed chunk")
+				return nil, 0, newParseError(400, "malformed chunk")
 			}
 			return nil, 0, nil
 		}
 		size, _, _ := strings.Cut(string(buf[used:used+i]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil || int(n)+len(body) > MaxAnswer {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, newParseError(400, "malformed chunk")
 		}
 		used += i + 2
 		if n == 0 {
@@ -251,14 +254,14 @@
 		}
 		body = append(body, buf[used:used+int(n)]...)
 		if buf[used+int(n)] != '\r' || buf[used+int(n)+1] != '\n' {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, newParseError(400, "malformed chunk")
 		}
 		used += int(n) + 2
 	}
 }
 
-// skipTrailer returns the bytes of the trailer fields, if there are any, and of the empty line
-// that ends them, or 0 while more are needed.
+// skipTrailer returns the number of bytes of the trailer fields, if there are any, and of the empty
+// line that ends them, or 0 while more are needed.
 func skipTrailer(buf []byte) (used int) {
 	for {
 		i := bytes.Index(buf[used:], []byte("\r\n"))
@@ -280,8 +283,9 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported",
 }
 
-// AppendResponse writes a response; retryAfter, if above 0, is in seconds as
-// the header wants it.
+// AppendResponse appends a response to b. If retryAfter is above 0, the response has a Retry-After
+// field with that number of seconds. closing adds a field that announces that the server closes the
+// connection.
 func AppendResponse(b []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -300,7 +304,7 @@
 	return append(b, body...)
 }
 
-// AppendRequest writes a request.
+// AppendRequest appends a request to b.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -9,14 +9,14 @@
 func TestParseRequest(t *testing.T) {
 	cases := []struct {
 		name, in string
-		status   int // of the refusal, 0: none
-		used     int // -1: all
+		status   int // of the error, 0 if none is expected
+		used     int // bytes used, -1 if all
 		path     string
 	}{
-		{"whole", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", 0, -1, "/healthz"},
+		{"complete", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n", 0, -1, "/healthz"},
 		{"body", "POST /hello HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 0, -1, "/hello"},
-		{"half a head", "GET /healthz HTTP/1.1\r\nHost", 0, 0, ""},
-		{"half a body", "POST /hello HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", 0, 0, ""},
+		{"incomplete head", "GET /healthz HTTP/1.1\r\nHost", 0, 0, ""},
+		{"incomplete body", "POST /hello HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", 0, 0, ""},
 		{"query", "GET /a?b=c HTTP/1.1\r\n\r\n", 0, -1, "/a"},
 		{"two requests", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 0, 19, "/a"},
 		{"chunked", "POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, 0, ""},
@@ -25,10 +25,10 @@
 		{"signed length", "POST /a HTTP/1.1\r\nContent-Length: +2\r\n\r\n{}", 400, 0, ""},
 		{"body over the limit", "POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413, 0, ""},
 		{"head over the limit", "GET /" + strings.Repeat("a", MaxHead), 431, 0, ""},
-		{"space in a name", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, 0, ""},
+		{"space in a field name", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, 0, ""},
 		{"no version", "GET /\r\n\r\n", 400, 0, ""},
-		{"version", "GET / HTTP/2.0\r\n\r\n", 505, 0, ""},
-		{"not a path", "GET x HTTP/1.1\r\n\r\n", 400, 0, ""},
+		{"unknown version", "GET / HTTP/2.0\r\n\r\n", 505, 0, ""},
+		{"target is not a path", "GET x HTTP/1.1\r\n\r\n", 400, 0, ""},
 	}
 	for _, c := range cases {
 		r, used, err := ParseRequest([]byte(c.in))
@@ -56,10 +56,10 @@
 		used           int
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", false, -1},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1;x=y\r\n}\r\n0\r\n\r\n", "{}", false, -1},
-		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{", "", false, 0},
-		{"until the end", "HTTP/1.1 200 OK\r\n\r\n{}", "{}", true, -1},
-		{"not at its end", "HTTP/1.1 200 OK\r\n\r\n{}", "", false, 0},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1;x=y\r\n}\r\n0\r\n\r\n", "{}", false, -1},
+		{"incomplete chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{", "", false, 0},
+		{"body until end of connection", "HTTP/1.1 200 OK\r\n\r\n{}", "{}", true, -1},
+		{"connection still open", "HTTP/1.1 200 OK\r\n\r\n{}", "", false, 0},
 		{"no body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, -1},
 	}
 	for _, c := range cases {
@@ -76,7 +76,7 @@
 	}
 }
 
-// What a parser takes must not depend on how the bytes come in.
+// The result of the parser must not depend on how the bytes are divided into reads.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"))
 	f.Add([]byte("POST /hello HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}GET"))
@@ -90,10 +90,10 @@
 			return
 		}
 		if _, short, err := ParseRequest(in[:used-1]); short != 0 || err != nil && !strings.Contains(err.Error(), "header") {
-			t.Fatalf("a byte less: used %d, err %v", short, err)
+			t.Fatalf("without the last byte: used %d, err %v", short, err)
 		}
 		if _, again, err := ParseRequest(in[:used]); again != used || err != nil {
-			t.Fatalf("alone: used %d, err %v", again, err)
+			t.Fatalf("without the bytes after the request: used %d, err %v", again, err)
 		}
 	})
 }
--- a/internal/transport/saved_test.go
+++ b/internal/transport/saved_test.go
@@ -7,11 +7,11 @@
 	"mapleslip/internal/protocol"
 )
 
-// A few submissions that come together after a pause go before the records that other
-// classes have waiting; a flood of them gets the part of its class.
-func TestAFewSubmissionsGoFirst(t *testing.T) {
+// A few submissions that arrive together after a pause are sent before the waiting records of other
+// classes. A flood of submissions gets only the share of its class.
+func TestIdleCreditOfSubmissions(t *testing.T) {
 	m := NewMeter(1000, 20, 1, 4)
-	m.changes.level = 0
+	m.changes.tokens = 0
 	var sent []Priority
 	add := func(p Priority, changes, count int) {
 		for range count {
@@ -28,21 +28,21 @@
 		return sent
 	}
 	add(Urgent, 4, 200)
-	run(4) // submissions have asked for nothing meanwhile
+	run(4) // no submissions arrive in this time
 	add(User, 1, 5)
 	if got := run(0.6); slices.Index(got, Urgent) >= 0 && slices.Index(got, Urgent) < 5 {
-		t.Errorf("sent %v", got)
+		t.Errorf("sent a record before the 5 submissions: %v", got)
 	}
 	add(User, 1, 500)
 	got := run(14)
-	users := 0
+	submissions := 0
 	for _, p := range got {
 		if p == User {
-			users++
+			submissions++
 		}
 	}
-	// 280 changes, of which the class's part is 12 of 28.
-	if users < 110 || users > 135 {
-		t.Errorf("%d submissions of %d calls", users, len(got))
+	// Of 280 changes, the share of the class is 12 of 28.
+	if submissions < 110 || submissions > 135 {
+		t.Errorf("%d of %d calls are submissions, want 110 to 135", submissions, len(got))
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,156 +12,160 @@
 	"github.com/tidwall/evio"
 )
 
-// ConnID names an inbound connection for its whole life.
+// ConnID identifies an inbound connection. It is not used again for a later connection.
 type ConnID uint64
 
-// Inbound is one message that a connection delivered: an HTTP request, or a
-// frame from another controller.
+// Inbound is one message that was received on a connection: an HTTP request, or a frame from
+// another controller.
 type Inbound struct {
 	Conn  ConnID
-	HTTP  *Request
+	HTTP  *Request // nil if the message is a frame
 	Frame []byte
 }
 
-// FrameSplitter finds a whole frame at the start of buf: the bytes used, or 0
+// FrameSplitter returns the complete frame at the start of buf and the number of bytes used, or 0
 // while more are needed.
 type FrameSplitter func(buf []byte) (frame []byte, used int, err error)
 
-// connState is where a connection is between bytes and answers. evio replaces
-// what is still unwritten when a connection is woken again, so a connection
-// has one message in hand at a time, and closes after an answer if more came.
+// connState is the state of a connection in the exchange of messages and answers. When a connection
+// is woken again, evio replaces the output that is not written yet. So a connection handles one
+// message at a time, and is closed after the answer if it received more bytes before that.
 type connState uint8
 
 const (
-	connReading   connState = iota // collecting bytes of a message
-	connAnswering                  // a message was handed up, its answer is awaited
-	connClosing                    // the last answer is on its way out
+	connReading        connState = iota // receiving the bytes of a message
+	connAwaitingAnswer                  // a message was delivered and its answer is not there yet
+	connClosing                         // the connection is closed once its output is written
 )
 
 type serverConn struct {
-	id      ConnID
-	conn    evio.Conn
-	cluster bool
-	state   connState
-	buf     []byte
-	out     []byte
-	closing bool
-	since   time.Time
-	quiet   *list.Element // its place among those that nothing was heard on since the last answer
+	id           ConnID
+	conn         evio.Conn
+	fromCluster  bool // accepted on the address for controllers, not the one for clients
+	state        connState
+	buf          []byte        // received bytes of an incomplete message
+	out          []byte        // answer to write when evio wakes the connection
+	closing      bool          // close the connection after the next output
+	lastActivity time.Time     // time of the last change of state, or of the first byte of a message
+	idleElement  *list.Element // element of Server.idleConns, nil if the connection is not idle
 }
 
-// to is the one place where a connection changes its state.
-func (s *Server) to(c *serverConn, state connState) {
+// setState changes the state of a connection. No other function does.
+func (s *Server) setState(c *serverConn, state connState) {
 	c.state = state
-	c.since = time.Now()
+	c.lastActivity = time.Now()
 	if state == connReading {
-		s.rest(c)
+		s.markIdle(c)
 	} else {
-		s.stir(c)
+		s.markActive(c)
 	}
 }
 
-// rest puts a connection last among the quiet ones, stir takes it out.
-func (s *Server) rest(c *serverConn) {
-	s.stir(c)
-	c.quiet = s.quiet.PushBack(c)
+// markIdle adds a connection at the end of the list of idle connections.
+func (s *Server) markIdle(c *serverConn) {
+	s.markActive(c)
+	c.idleElement = s.idleConns.PushBack(c)
 }
 
-func (s *Server) stir(c *serverConn) {
-	if c.quiet != nil {
-		s.quiet.Remove(c.quiet)
-		c.quiet = nil
+// markActive removes a connection from the list of idle connections.
+func (s *Server) markActive(c *serverConn) {
+	if c.idleElement != nil {
+		s.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// giveWay closes the connection that has been quiet for longest, if that is long, and
-// reports whether it did. Machines that die leave theirs open: two hundred of them and
-// those that were rented in their place filled a leader's connections, new ones were
-// refused, and workers that could not come in lost their leases.
-func (s *Server) giveWay(now time.Time) bool {
-	e := s.quiet.Front()
+// evictIdle closes the connection that has been idle for longest, if it has been idle for at least
+// Quiet, and reports whether it closed one. Machines that fail leave their connections open: two
+// hundred of them and the machines rented to replace them used up the connection limit of a leader,
+// new connections were refused, and workers that could not connect lost their leases.
+func (s *Server) evictIdle(now time.Time) bool {
+	e := s.idleConns.Front()
 	if e == nil {
 		return false
 	}
 	c := e.Value.(*serverConn)
-	if now.Sub(c.since) < s.Quiet {
+	if now.Sub(c.lastActivity) < s.Quiet {
 		return false
 	}
-	s.stir(c)
+	s.markActive(c)
 	c.closing = true
 	delete(s.conns, c.id)
-	s.gaveWay++
+	s.evicted++
 	c.conn.Wake()
 	return true
 }
 
-// Server listens for users, workers and health checks on one address and for
-// the other controllers on another. evio only serves: outbound calls go
-// through Dialer.
+// Server listens for users, workers and health checks on one address and for the other controllers
+// on another. evio handles inbound connections only: outbound calls use Dialer.
 type Server struct {
-	Split   FrameSplitter
-	Deliver func(Inbound) bool // false: no room, answered 503 at once
-	MaxOpen int
-	Idle    time.Duration
-	Quiet   time.Duration // after that a connection gives way to a new one, if there are MaxOpen
+	Split FrameSplitter
+	// Deliver returns false if it has no room for a message. The server then answers a request with
+	// 503 at once, and closes the connection of a frame.
+	Deliver func(Inbound) bool
+	MaxOpen int           // limit of open connections
+	Idle    time.Duration // a connection without activity for longer than this is closed
+	Quiet   time.Duration // at MaxOpen, a connection that is idle for this long may be evicted
 
-	mu      sync.Mutex
-	next    ConnID
-	conns   map[ConnID]*serverConn
-	quiet   list.List // of serverConn, the one that has been quiet for longest first
-	gaveWay uint64    // since that was last told
-	refused uint64
+	mu        sync.Mutex
+	nextID    ConnID
+	conns     map[ConnID]*serverConn
+	idleConns list.List // of *serverConn without bytes since the last answer, longest idle first
+	evicted   uint64    // connections evicted since the last log message about them
+	refused   uint64    // connections refused since then
 }
 
-// CanListen reports why an address can't be listened on, after it was tried for a
-// while. Without it a wrong address only showed as an error of the loop, five
-// times a second for ever.
+// CanListen returns the reason why the process can't listen on an address, or nil if it can. While
+// the address is in use, it retries for the given time. Without this check a wrong address showed
+// only as an error of the server loop, which failed five times a second without end.
 func CanListen(address string, wait time.Duration) error {
-	for until := time.Now().Add(wait); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(20 * time.Millisecond) {
 		l, err := net.Listen("tcp", address)
 		if err == nil {
 			return l.Close()
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// Run serves until the process ends. An accept error ends evio's loop, and
-// with it every connection; the server then starts again.
+// Run serves connections until the process exits. An error on accept ends evio's loop and closes
+// all connections; Run then starts the loop again.
 func (s *Server) Run(client, cluster string) {
-	var told time.Time
+	var lastLogged time.Time
 	for {
 		s.mu.Lock()
 		s.conns = make(map[ConnID]*serverConn)
-		s.quiet.Init()
+		s.idleConns.Init()
 		s.mu.Unlock()
 		ev := evio.Events{NumLoops: 1, Opened: s.opened, Closed: s.closed, Data: s.data, Tick: s.tick}
 		err := evio.Serve(ev, "tcp://"+client, "tcp://"+cluster)
-		if time.Since(told) > 10*time.Second {
-			told = time.Now()
+		if time.Since(lastLogged) > 10*time.Second {
+			lastLogged = time.Now()
 			slog.Error("server loop ended, starting it again", "err", err)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
+// opened handles a new connection. At MaxOpen connections, it refuses the connection unless it can
+// evict an idle one.
 func (s *Server) opened(ec evio.Conn) ([]byte, evio.Options, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	opts := evio.Options{ReuseInputBuffer: true}
 	now := time.Now()
-	if len(s.conns) >= s.MaxOpen && !s.giveWay(now) {
+	if len(s.conns) >= s.MaxOpen && !s.evictIdle(now) {
 		s.refused++
-		// Accepting without end would take the sockets that outbound calls
-		// need, and at the limit accept fails and ends the loop.
+		// Without a limit, connections would use the sockets that outbound calls need. At the
+		// socket limit of the process, accept fails and ends evio's loop.
 		return nil, opts, evio.Close
 	}
-	s.next++
-	c := &serverConn{id: s.next, conn: ec, cluster: ec.AddrIndex() == 1, since: now}
+	s.nextID++
+	c := &serverConn{id: s.nextID, conn: ec, fromCluster: ec.AddrIndex() == 1, lastActivity: now}
 	s.conns[c.id] = c
-	s.rest(c)
+	s.markIdle(c)
 	ec.SetContext(c)
 	return nil, opts, evio.None
 }
@@ -170,12 +174,14 @@
 	if c, ok := ec.Context().(*serverConn); ok {
 		s.mu.Lock()
 		delete(s.conns, c.id)
-		s.stir(c)
+		s.markActive(c)
 		s.mu.Unlock()
 	}
 	return evio.None
 }
 
+// data handles bytes that a connection received. If in is nil, evio has woken the connection to
+// write its output or to close it.
 func (s *Server) data(ec evio.Conn, in []byte) ([]byte, evio.Action) {
 	c, ok := ec.Context().(*serverConn)
 	if !ok {
@@ -187,7 +193,7 @@
 		out := c.out
 		c.out = nil
 		if c.closing || c.state == connClosing {
-			s.to(c, connClosing)
+			s.setState(c, connClosing)
 			return out, evio.Close
 		}
 		return out, evio.None
@@ -195,31 +201,33 @@
 	switch c.state {
 	case connClosing:
 		return nil, evio.Close
-	case connAnswering:
-		// Pipelining is not part of the protocol: the message in hand is
-		// answered, then the connection is closed.
+	case connAwaitingAnswer:
+		// Pipelining is not part of the protocol: the current message is answered, then the
+		// connection is closed.
 		c.closing = true
 		return nil, evio.None
 	case connReading:
 	}
 	if len(c.buf) == 0 {
-		c.since = time.Now()
-		s.stir(c)
+		c.lastActivity = time.Now()
+		s.markActive(c)
 	}
 	c.buf = append(c.buf, in...)
-	return s.take(c)
+	return s.process(c)
 }
 
-func (s *Server) take(c *serverConn) ([]byte, evio.Action) {
+// process delivers the message in the buffer of a connection if it is complete. A malformed message
+// closes the connection.
+func (s *Server) process(c *serverConn) ([]byte, evio.Action) {
 	var msg Inbound
 	var used int
 	var err error
 	msg.Conn = c.id
-	if c.cluster {
+	if c.fromCluster {
 		msg.Frame, used, err = s.Split(c.buf)
 		if err != nil {
 			slog.Info("malformed frame from a controller", "err", err)
-			s.to(c, connClosing)
+			s.setState(c, connClosing)
 			return nil, evio.Close
 		}
 	} else {
@@ -230,7 +238,7 @@
 			if errors.As(err, &parseError) {
 				status = parseError.Status
 			}
-			s.to(c, connClosing)
+			s.setState(c, connClosing)
 			return AppendResponse(nil, status, []byte(`{"error":"malformed request"}`), 0, true), evio.Close
 		}
 	}
@@ -248,24 +256,25 @@
 	} else {
 		c.buf = c.buf[:0]
 	}
-	s.to(c, connAnswering)
+	s.setState(c, connAwaitingAnswer)
 	if s.Deliver(msg) {
 		return nil, evio.None
 	}
-	if c.cluster {
-		s.to(c, connClosing)
+	if c.fromCluster {
+		s.setState(c, connClosing)
 		return nil, evio.Close
 	}
-	s.to(c, connReading)
+	s.setState(c, connReading)
 	out := AppendResponse(nil, 503, []byte(`{"error":"busy"}`), 1, c.closing)
 	if c.closing {
-		s.to(c, connClosing)
+		s.setState(c, connClosing)
 		return out, evio.Close
 	}
 	return out, evio.None
 }
 
-// tick closes connections that sent half a message and then nothing.
+// tick closes connections whose message is incomplete 10 seconds after its first bytes, and
+// connections without activity for longer than Idle.
 func (s *Server) tick() (time.Duration, evio.Action) {
 	s.mu.Lock()
 	var stale []*serverConn
@@ -275,17 +284,17 @@
 		if len(c.buf) > 0 && c.state == connReading {
 			limit = 10 * time.Second
 		}
-		if now.Sub(c.since) > limit {
+		if now.Sub(c.lastActivity) > limit {
 			c.closing = true
 			stale = append(stale, c)
 		}
 	}
-	refused, gaveWay := s.refused, s.gaveWay
-	s.refused, s.gaveWay = 0, 0
+	refused, evicted := s.refused, s.evicted
+	s.refused, s.evicted = 0, 0
 	open := len(s.conns)
 	s.mu.Unlock()
-	if refused+gaveWay > 0 {
-		slog.Info("no room for connections", "open", open, "refused", refused, "gave_way", gaveWay)
+	if refused+evicted > 0 {
+		slog.Info("connection limit reached", "open", open, "refused", refused, "gave_way", evicted)
 	}
 	for _, c := range stale {
 		c.conn.Wake()
@@ -293,16 +302,17 @@
 	return 2 * time.Second, evio.None
 }
 
-// Answer sends an answer to the message in hand, if the connection is open.
+// Answer sends the answer to the current message of a connection, if the connection is still open
+// and awaits one.
 func (s *Server) Answer(id ConnID, encode func(closing bool) []byte) {
 	s.mu.Lock()
 	c := s.conns[id]
-	if c == nil || c.state != connAnswering {
+	if c == nil || c.state != connAwaitingAnswer {
 		s.mu.Unlock()
 		return
 	}
 	c.out = encode(c.closing)
-	s.to(c, connReading)
+	s.setState(c, connReading)
 	conn := c.conn
 	s.mu.Unlock()
 	conn.Wake()
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/evio"
 )
 
-// fakeConn stands in for evio's connection.
+// fakeConn implements evio.Conn and counts the calls of Wake.
 type fakeConn struct {
 	ctx   any
 	index int
@@ -23,12 +23,12 @@
 func (c *fakeConn) RemoteAddr() net.Addr { return nil }
 func (c *fakeConn) Wake()                { c.wakes++ }
 
-func testServer(room bool) (*Server, *[]Inbound) {
+func testServer(accept bool) (*Server, *[]Inbound) {
 	var got []Inbound
 	s := &Server{
 		MaxOpen: 2, Idle: time.Minute, Quiet: time.Minute, conns: make(map[ConnID]*serverConn),
 		Split:   func(b []byte) ([]byte, int, error) { return b, len(b), nil },
-		Deliver: func(m Inbound) bool { got = append(got, m); return room },
+		Deliver: func(m Inbound) bool { got = append(got, m); return accept },
 	}
 	return s, &got
 }
@@ -37,14 +37,15 @@
 	s.Answer(id, func(closing bool) []byte { return AppendResponse(nil, 200, nil, 0, closing) })
 }
 
-// A request in two parts is delivered once whole; the connection stays open.
+// A request that arrives in two parts is delivered once it is complete, and the connection stays
+// open.
 func TestServerHalfSent(t *testing.T) {
 	s, got := testServer(true)
 	c := &fakeConn{}
 	s.opened(c)
 	s.data(c, []byte("GET /healthz HT"))
 	if len(*got) != 0 {
-		t.Fatal("delivered half a request")
+		t.Fatal("delivered an incomplete request")
 	}
 	s.data(c, []byte("TP/1.1\r\n\r\n"))
 	if len(*got) != 1 || (*got)[0].HTTP.Path != "/healthz" {
@@ -56,8 +57,8 @@
 	}
 }
 
-// Pipelining is not part of the protocol: the first request is answered, then
-// the connection is closed, since evio would drop an answer that still waits.
+// Pipelining is not part of the protocol: the first request is answered, then the connection is
+// closed, because evio would drop an answer that is not written yet.
 func TestServerPipelined(t *testing.T) {
 	s, got := testServer(true)
 	c := &fakeConn{}
@@ -73,21 +74,21 @@
 	}
 }
 
-// What can't be taken is answered at once; what is malformed is answered and
-// the connection closed; connections over the bound are closed.
+// A request that Deliver does not accept is answered at once. A malformed request is answered and
+// its connection closed. Connections above the limit are closed.
 func TestServerRefuses(t *testing.T) {
 	s, _ := testServer(false)
 	c := &fakeConn{}
 	s.opened(c)
 	if out, act := s.data(c, []byte("GET /a HTTP/1.1\r\n\r\n")); !strings.HasPrefix(string(out), "HTTP/1.1 503") || !strings.Contains(string(out), "Retry-After: 1") || act != evio.None {
-		t.Errorf("no room: %q, action %v", out, act)
+		t.Errorf("not accepted: %q, action %v", out, act)
 	}
 	if out, act := s.data(c, []byte("POST /a HTTP/1.1\r\nContent-Length: 70000\r\n\r\n")); !strings.HasPrefix(string(out), "HTTP/1.1 413") || act != evio.Close {
-		t.Errorf("too large: %q, action %v", out, act)
+		t.Errorf("body too large: %q, action %v", out, act)
 	}
 	s.opened(&fakeConn{})
 	if _, _, act := s.opened(&fakeConn{}); act != evio.Close {
-		t.Errorf("third connection of two: action %v", act)
+		t.Errorf("third connection at a limit of two: action %v", act)
 	}
 	s.closed(c, nil)
 	if len(s.conns) != 1 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// An answer for a connection that is gone, or that awaits none, goes nowhere.
+// An answer for a connection that is closed, or that awaits no answer, is dropped.
 func TestServerLateAnswer(t *testing.T) {
 	s, got := testServer(true)
 	c := &fakeConn{}
@@ -107,32 +108,32 @@
 	s.closed(c, nil)
 	answer(s, id)
 	if c.wakes != 1 {
-		t.Errorf("woken %d times", c.wakes)
+		t.Errorf("woken %d times, want once", c.wakes)
 	}
 }
 
-// An address that can't be listened on is found before the loop starts, which
-// would try it five times a second for ever.
+// An address that the process can't listen on is found before the server loop starts, which would
+// fail on it five times a second without end.
 func TestCanListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := CanListen(l.Addr().String(), 0); err == nil {
-		t.Error("an address in use is taken")
+		t.Error("an address in use was accepted")
 	}
 	l.Close()
 	if err := CanListen(l.Addr().String(), 0); err != nil {
 		t.Errorf("a free address: %v", err)
 	}
 	if err := CanListen("203.0.113.1:1", time.Hour); err == nil {
-		t.Error("an address of another machine is taken")
+		t.Error("an address of another machine was accepted")
 	}
 }
 
-// When there is no room, the connection that has been quiet for longest gives way to a
-// new one, but only after a while: whoever reports or polls keeps its own.
-func TestServerGivesWay(t *testing.T) {
+// At the limit of open connections, the connection that has been idle for longest is closed for a
+// new one, but only after Quiet: a client that reports or polls keeps its connection.
+func TestServerEvictsIdleConnection(t *testing.T) {
 	s, got := testServer(true)
 	first, second, third, fourth := &fakeConn{}, &fakeConn{}, &fakeConn{}, &fakeConn{}
 	s.opened(first)
@@ -142,18 +143,18 @@
 	}
 	s.Quiet = 0
 	s.data(first, []byte("GET /healthz HTTP/1.1\r\n\r\n"))
-	answer(s, (*got)[0].Conn) // the first is heard again: the second is the quiet one
+	answer(s, (*got)[0].Conn) // the first sent a request, so the second is idle for longest
 	s.data(first, nil)
-	if _, _, act := s.opened(third); act != evio.None || s.gaveWay != 1 || len(s.conns) != 2 {
-		t.Fatalf("action %v, %d gave way, %d open", act, s.gaveWay, len(s.conns))
+	if _, _, act := s.opened(third); act != evio.None || s.evicted != 1 || len(s.conns) != 2 {
+		t.Fatalf("action %v, %d evicted, %d open", act, s.evicted, len(s.conns))
 	}
 	if _, act := s.data(second, nil); act != evio.Close {
-		t.Errorf("the quiet connection is not closed: %v", act)
+		t.Errorf("the idle connection is not closed: action %v", act)
 	}
 	s.closed(second, nil)
 	s.data(first, []byte("GET /healthz HTTP/1.1\r\n\r\n"))
 	s.data(third, []byte("GET /heal"))
 	if _, _, act := s.opened(fourth); act != evio.Close {
-		t.Errorf("a connection with a message in hand gave way: %v", act)
+		t.Errorf("a connection with a pending message was evicted: action %v", act)
 	}
 }
