--- a/internal/simulation/answer_comparison.go
+++ b/internal/simulation/answer_comparison.go
@@ -9,39 +9,41 @@
 	"mapleslip/internal/protocol"
 )
 
-// Users who look closely: right after any controller said that a job is accepted, done or
-// cancelled they ask all controllers, and repeat the submission, within milliseconds. What
-// every user is told, by close looks or otherwise, is compared with what was told before.
+// Comparison of the answers that users get. Each answer to a submission, query or cancellation
+// is compared with the earlier answers about the same job. With close looks switched on, users
+// also send follow-up requests: within milliseconds after any controller reported that a job
+// is accepted, done or cancelled, they query all controllers and repeat the submission.
 
-// closeLooks is what the users of all jobs were told, and how they go on from there.
+// closeLooks has the states of all jobs that controllers reported to users, and the settings of the
+// follow-up requests.
 type closeLooks struct {
-	on          bool
-	cancelEvery int // of so many jobs that are accepted one is cancelled at once, 0: none
-	accepted    int // jobs accepted while looks were on
-	answers     int // that were compared while looks were on
-	steps       uint64
+	enabled     bool
+	cancelEvery int    // one of this many accepted jobs is cancelled at once; 0: none
+	accepted    int    // jobs accepted while follow-up requests were enabled
+	answers     int    // answers compared while follow-up requests were enabled
+	sequence    uint64 // number of the last request or answer
 	jobs        map[string]*told
 }
 
-// told is what any controller told any user of a job. Requests and answers are numbered
-// in the order in which they were sent and came, so that of two at the same instant one
-// is the earlier.
+// told is the state of one job that any controller reported to any user. Requests and answers are
+// numbered in the order in which they were sent and received, so that two at the same instant
+// have an order too.
 type told struct {
-	accepted uint64 // the first answer that it is known, 0: none
-	over     uint64 // the first answer that it is over
-	phase    string // as which
+	accepted   uint64 // number of the first answer that confirms the job, 0 if none
+	finished   uint64 // number of the first answer that the job is done or cancelled, 0 if none
+	finalPhase string // phase in that answer, "done" or "cancelled"
 }
 
-// lookAfter is when users look again, after an answer that was news.
-var lookAfter = []micros{0, 1 * protocol.Millisecond, 5 * protocol.Millisecond, 20 * protocol.Millisecond, 100 * protocol.Millisecond, 400 * protocol.Millisecond}
+// followUpDelays are the delays of the follow-up requests after a new answer.
+var followUpDelays = []micros{0, 1 * protocol.Millisecond, 5 * protocol.Millisecond, 20 * protocol.Millisecond, 100 * protocol.Millisecond, 400 * protocol.Millisecond}
 
-// actCloseLooks: close-looks on|off [cancel=N]: from now on users look closely, and one of
-// N cancels its job as soon as it is accepted.
+// actCloseLooks carries out close-looks on|off [cancel=N]: from now on users send follow-up
+// requests, and every N-th job is cancelled as soon as it is accepted.
 func (w *World) actCloseLooks(words []string) error {
 	if len(words) < 2 || words[1] != "on" && words[1] != "off" {
 		return fmt.Errorf("close-looks on|off [cancel=N]")
 	}
-	w.looks.on = words[1] == "on"
+	w.looks.enabled = words[1] == "on"
 	w.looks.cancelEvery = int(number(options(words[2:]), "cancel", 0))
 	return nil
 }
@@ -49,8 +51,8 @@
 // userOperations are the requests of users whose answers are compared.
 var userOperations = []string{"submit", "query", "cancel"}
 
-// compared is a user's request's answer, compared with what users were told before the
-// request was sent.
+// compared wraps the handler of the answer to a user's request: the answer is first compared with
+// the answers that users got before the request was sent.
 func (w *World) compared(n *node, what, body string, answer func(int, []byte)) func(int, []byte) {
 	if w.live != nil || !slices.Contains(userOperations, what) {
 		return answer
@@ -59,22 +61,22 @@
 	if what == "submit" {
 		ref = fastjson.GetString([]byte(body), "ref")
 	}
-	w.looks.steps++
-	sent := w.looks.steps
+	w.looks.sequence++
+	sent := w.looks.sequence
 	return func(status int, body []byte) {
-		news := w.compare(n, what, ref, sent, status, fastjson.GetString(body, "phase"))
+		isNew := w.compare(n, what, ref, sent, status, fastjson.GetString(body, "phase"))
 		answer(status, body)
-		if news && w.looks.on {
-			w.lookClosely(ref)
+		if isNew && w.looks.enabled {
+			w.scheduleFollowUps(ref)
 		}
 	}
 }
 
-// compare checks one answer and reports whether it is news: the first to say that a job
-// is accepted, or over.
-func (w *World) compare(n *node, what, ref string, sent uint64, status int, phase string) (news bool) {
+// compare checks one answer. isNew reports that it is the first answer that the job is
+// accepted, or the first that it is done or cancelled.
+func (w *World) compare(n *node, what, ref string, sent uint64, status int, phase string) (isNew bool) {
 	l := &w.looks
-	l.steps++
+	l.sequence++
 	if l.jobs == nil {
 		l.jobs = make(map[string]*told)
 	}
@@ -83,12 +85,12 @@
 		t = &told{}
 		l.jobs[ref] = t
 	}
-	if l.on {
+	if l.enabled {
 		l.answers++
 	}
-	known := t.accepted > 0 && t.accepted < sent
+	acceptedBefore := t.accepted > 0 && t.accepted < sent
 	switch {
-	case status == 404 && known, known && what == "submit" && (status == 400 || status == 422):
+	case status == 404 && acceptedBefore, acceptedBefore && what == "submit" && (status == 400 || status == 422):
 		w.broken("forgotten: %s, %s at %s got %d", ref, what, n.name, status)
 		return false
 	case status != 200 && status != 201:
@@ -99,77 +101,79 @@
 		w.broken("invented: %s at %s", ref, n.name)
 		return false
 	}
-	over := phase == "done" || phase == "cancelled"
+	final := phase == "done" || phase == "cancelled"
 	switch {
-	case t.over > 0 && over && phase != t.phase, t.over > 0 && t.over < sent && phase != t.phase:
-		w.broken("went_back: %s was %s and is %s, %s at %s", ref, t.phase, phase, what, n.name)
+	case t.finished > 0 && final && phase != t.finalPhase, t.finished > 0 && t.finished < sent && phase != t.finalPhase:
+		w.broken("went_back: %s was %s and is %s, %s at %s", ref, t.finalPhase, phase, what, n.name)
 	case phase == "cancelled" && j != nil && !w.askedToCancel(j):
 		w.broken("went_back: nobody cancelled %s, %s at %s", ref, what, n.name)
 	}
 	if t.accepted == 0 {
-		t.accepted, news = l.steps, true
+		t.accepted, isNew = l.sequence, true
 	}
-	if t.over == 0 && over {
-		t.over, t.phase, news = l.steps, phase, true
+	if t.finished == 0 && final {
+		t.finished, t.finalPhase, isNew = l.sequence, phase, true
 	}
-	return news
+	return isNew
 }
 
-// actLook: look REF [every=0.005 for=1]: its user asks all controllers, also before any
-// said that it is accepted; or again and again for a while.
+// actLook carries out look REF [every=0.005 for=1]: the user of a job sends follow-up requests
+// to all controllers, also if none has accepted the job yet. With every and for, in seconds,
+// the requests are repeated at that interval for that time.
 func (w *World) actLook(words []string) error {
 	ref, o := words[1], options(words[2:])
 	if w.jobs[ref] == nil {
 		return fmt.Errorf("no such job")
 	}
-	every, left := protocol.FromSeconds(number(o, "every", 0)), protocol.FromSeconds(number(o, "for", 0))
+	every, remaining := protocol.FromSeconds(number(o, "every", 0)), protocol.FromSeconds(number(o, "for", 0))
 	if every == 0 {
-		w.lookClosely(ref)
+		w.scheduleFollowUps(ref)
 		return nil
 	}
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		for _, n := range w.nodes {
-			w.lookAt(n, ref)
+			w.sendFollowUps(n, ref)
 		}
-		if left -= every; left > 0 {
-			w.after(every, again)
+		if remaining -= every; remaining > 0 {
+			w.after(every, repeat)
 		}
 	}
-	again()
+	repeat()
 	return nil
 }
 
-// observeVersion asks one controller about a job, and submits it again; what is cancelled is
-// cancelled again.
-func (w *World) lookAt(n *node, ref string) {
+// sendFollowUps queries a job at one controller and submits it there again. If the job was reported
+// as cancelled, the cancellation is repeated too.
+func (w *World) sendFollowUps(n *node, ref string) {
 	if !w.reachable(n) {
 		return
 	}
-	nobody := func(int, []byte) {}
-	w.request(n, "query", ref, nobody)
-	w.request(n, "submit", string(w.jobs[ref].body), nobody)
-	if t := w.looks.jobs[ref]; t != nil && t.over > 0 && t.phase == "cancelled" {
-		w.request(n, "cancel", ref, nobody)
+	ignoreAnswer := func(int, []byte) {}
+	w.request(n, "query", ref, ignoreAnswer)
+	w.request(n, "submit", string(w.jobs[ref].body), ignoreAnswer)
+	if t := w.looks.jobs[ref]; t != nil && t.finished > 0 && t.finalPhase == "cancelled" {
+		w.request(n, "cancel", ref, ignoreAnswer)
 	}
 }
 
-// lookClosely asks every controller about a job, and submits it again, a few times.
-func (w *World) lookClosely(ref string) {
+// scheduleFollowUps sends follow-up requests about a job to every controller, after each of
+// followUpDelays. If the job was just accepted, it may also be cancelled, see cancelEvery.
+func (w *World) scheduleFollowUps(ref string) {
 	j := w.jobs[ref]
 	if j == nil {
 		return
 	}
 	l := &w.looks
-	if t := l.jobs[ref]; t != nil && t.accepted > 0 && t.over == 0 {
+	if t := l.jobs[ref]; t != nil && t.accepted > 0 && t.finished == 0 {
 		l.accepted++
 		if l.cancelEvery > 0 && l.accepted%l.cancelEvery == 0 && !j.asked {
 			w.after(0, func() { w.cancel(j) })
 		}
 	}
-	for _, d := range lookAfter {
+	for _, d := range followUpDelays {
 		for _, n := range w.nodes {
-			w.after(d, func() { w.lookAt(n, ref) })
+			w.after(d, func() { w.sendFollowUps(n, ref) })
 		}
 	}
 }
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -14,29 +14,31 @@
 	"mapleslip/internal/records"
 )
 
-// changes judges what is done about a configuration that changes, by what the state
-// service has and what operators were told.
+// changes checks how the controllers apply changes of the configuration, by the records in the
+// state service and the answers that operators got.
 type changes struct {
-	options  configuration.Options
-	settings map[uint64]*configuration.Settings // by revision, as they were committed
-	last     uint64                             // the newest that was committed
-	reported uint64                             // the newest that an operator was told is in force
-	ids      map[string]uint64                  // requests, by the revision that they made
-	told     map[string]uint64                  // requests that an operator was told were made
-	launched map[string]bool                    // launches that were recorded
-	writes   int                                // puts for changes
-	made     int                                // revisions
-	asked    int                                // requests that were given up or refused, and those that were made
-	newest   uint64                             // revision that an operator's last request made
-	level    map[string]string                  // of the log, by node
-	spoilt   bool                               // somebody else wrote the head: a process that has just begun can't know it
+	options         configuration.Options
+	settings        map[uint64]*configuration.Settings // by revision, as committed
+	lastCommitted   uint64                             // the newest committed revision
+	reportedInForce uint64                             // the newest one reported as in force
+	ids             map[string]uint64                  // revision that each request made, by ID
+	confirmed       map[string]uint64                  // the same, as reported to operators
+	launched        map[string]bool                    // launches that were in a record, by attempt
+	writes          int                                // puts of the head and of history pages
+	revisions       int                                // committed revisions
+	completed       int                                // requests that were made, refused or given up
+	lastMade        uint64                             // revision made by the last request
+	level           map[string]string                  // log level by node, "" as at its start
+	// spoilt is set once the trace has overwritten a record. A controller that has just started can
+	// then have a revision older than the one reported as in force, so that is not checked any more.
+	spoilt bool
 }
 
-// judgeChanges switches changes on.
+// judgeChanges enables changes of the configuration, and their checks.
 func (w *World) judgeChanges() {
 	w.changes = &changes{
 		options: configuration.Options{HistoryPages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
-		told: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string),
+		confirmed: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string),
 	}
 	w.changes.settings[0] = configuration.Resolve(w.configBounds(), nil)
 }
@@ -45,22 +47,24 @@
 	return &configuration.Baseline{Teams: w.Platform.Teams, Zones: w.Platform.Zones, Operator: w.Operator, ValueBytes: w.Platform.MaxValueBytes}
 }
 
-// allowed reports whether some revision from one on allows something.
-func (g *changes) allowed(from uint64, by func(*configuration.Settings) bool) bool {
-	for r := from; r <= g.last; r++ {
-		if s := g.settings[r]; s != nil && by(s) {
+// allowedSince reports whether any committed revision, beginning with from, permits something.
+func (g *changes) allowedSince(from uint64, permits func(*configuration.Settings) bool) bool {
+	for r := from; r <= g.lastCommitted; r++ {
+		if s := g.settings[r]; s != nil && permits(s) {
 			return true
 		}
 	}
 	return false
 }
 
-func within(limit, amount protocol.Resources) bool {
+// withinLimit reports whether an amount is within a limit. A limit of 0 means unlimited.
+func withinLimit(limit, amount protocol.Resources) bool {
 	return (limit.CPU == 0 || amount.CPU <= limit.CPU) && (limit.GPU == 0 || amount.GPU <= limit.GPU)
 }
 
-// there is what the tasks of a team that are on machines take, told to start at least.
-func (w *World) there(team string) (sum protocol.Resources) {
+// teamUsage is the resources of a team's tasks on all machines. It includes those that were
+// launched and have not started yet.
+func (w *World) teamUsage(team string) (sum protocol.Resources) {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
 			if t.job.spec.Team == team && t.state != "exited" {
@@ -71,16 +75,17 @@
 	return sum
 }
 
-// committed looks at what a transaction wrote.
-func (w *World) committed(then []*fastjson.Value) {
-	w.carriedOut(then)
-	w.recorded.took(then)
-	w.committedLevels(then)
+// committed is called with the changes of each committed transaction. It carries out the lines of
+// the trace that wait for them and checks the records that they write.
+func (w *World) committed(writes []*fastjson.Value) {
+	w.runTriggers(writes)
+	w.recorded.update(writes)
+	w.committedLevels(writes)
 	g := w.changes
 	if g == nil {
 		return
 	}
-	for _, c := range then {
+	for _, c := range writes {
 		if c.Exists("drop") {
 			continue
 		}
@@ -93,8 +98,8 @@
 			g.writes++
 		case strings.HasPrefix(key, records.JobPrefix):
 			j, err := records.DecodeJob(value)
-			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.last].Teams[j.Spec.Team].Retired {
-				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.last)
+			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.lastCommitted].Teams[j.Spec.Team].Retired {
+				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.lastCommitted)
 			}
 		case strings.HasPrefix(key, records.LaunchShardPrefix):
 			w.committedLaunches(value)
@@ -102,6 +107,8 @@
 	}
 }
 
+// committedHead checks a written head: its revision follows the last one, its request was not
+// applied before, and its limits are not above the platform's.
 func (w *World) committedHead(value []byte) {
 	g := w.changes
 	g.writes++
@@ -111,33 +118,33 @@
 		return
 	}
 	e := h.Entries[len(h.Entries)-1]
-	if h.Revision != g.last+1 && (h.FirstRevision != h.Revision || h.Revision <= g.last) {
-		w.broken("configuration: revision %d after %d", h.Revision, g.last)
+	if h.Revision != g.lastCommitted+1 && (h.FirstRevision != h.Revision || h.Revision <= g.lastCommitted) {
+		w.broken("configuration: revision %d after %d", h.Revision, g.lastCommitted)
 	}
 	if r, twice := g.ids[e.ID]; twice {
 		w.broken("configuration: request %s applied twice, as %d and %d", e.ID, r, h.Revision)
 	}
-	g.ids[e.ID], g.last = h.Revision, h.Revision
-	g.made++
+	g.ids[e.ID], g.lastCommitted = h.Revision, h.Revision
+	g.revisions++
 	g.settings[h.Revision] = configuration.Resolve(w.configBounds(), h.Document)
 	for name, t := range g.settings[h.Revision].Teams {
-		if p := w.Platform.Teams[name].Limit; !within(p, t.Limit) || p.GPU > 0 && t.Limit.GPU == 0 || p.CPU > 0 && t.Limit.CPU == 0 {
+		if p := w.Platform.Teams[name].Limit; !withinLimit(p, t.Limit) || p.GPU > 0 && t.Limit.GPU == 0 || p.CPU > 0 && t.Limit.CPU == 0 {
 			w.broken("configuration: the limit of %s is above the platform's", name)
 		}
 	}
 	w.note("revision %d: %s", h.Revision, configuration.AppendChanges(nil, e.Changes))
 }
 
-// committedLaunches checks launches that are new in a record: they are decided by the
-// newest revision there is.
+// committedLaunches checks the launches that are new in a record: the newest committed revision
+// must allow them.
 func (w *World) committedLaunches(value []byte) {
 	g := w.changes
 	list, err := records.DecodeLaunches(value)
 	if err != nil {
 		return
 	}
-	s := g.settings[g.last]
-	fresh := make(map[string]protocol.Resources)
+	s := g.settings[g.lastCommitted]
+	newUsage := make(map[string]protocol.Resources)
 	for _, l := range list {
 		name := fmt.Sprint(l.Name)
 		j := w.jobs[l.Name.Job]
@@ -146,26 +153,26 @@
 		}
 		g.launched[name] = true
 		if m := w.machines[l.Host]; m != nil && m.tasks[fmt.Sprintf("%s/%d#%d", l.Name.Job, l.Name.Index, l.Name.Number)] != nil {
-			continue // it was launched by an earlier leader
+			continue // already launched, by an earlier leader
 		}
-		fresh[j.spec.Team] = fresh[j.spec.Team].Add(j.spec.TaskResources, 1)
+		newUsage[j.spec.Team] = newUsage[j.spec.Team].Add(j.spec.TaskResources, 1)
 		if m := w.machines[l.Host]; m != nil && s.DrainOf(m.name, m.zone, w.workerAddr(m)) != configuration.NotDrained {
-			w.broken("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.last)
+			w.broken("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.lastCommitted)
 		}
 	}
-	for team, sum := range fresh {
-		if used := w.there(team).Add(sum, 1); !within(s.Teams[team].Limit, used) {
-			w.broken("old revision: launches of %s recorded up to %v, the limit of revision %d is %v", team, used, g.last, s.Teams[team].Limit)
+	for team, sum := range newUsage {
+		if used := w.teamUsage(team).Add(sum, 1); !withinLimit(s.Teams[team].Limit, used) {
+			w.broken("old revision: launches of %s recorded up to %v, the limit of revision %d is %v", team, used, g.lastCommitted, s.Teams[team].Limit)
 		}
 	}
 }
 
-// sends looks at commands that leave for a machine. What is launched is allowed by a
-// revision at least as new as the one that an operator was told is in force.
+// sends checks commands that a controller sends to a machine. Each launch must be allowed by a
+// revision at least as new as the one reported to an operator as in force.
 func (w *World) sends(m *machine, body []byte) {
 	w.checkRecorded(m, body)
 	g := w.changes
-	if g == nil || g.reported == 0 || !strings.Contains(string(body), `"launch"`) {
+	if g == nil || g.reportedInForce == 0 || !strings.Contains(string(body), `"launch"`) {
 		return
 	}
 	v, err := fastjson.ParseBytes(body)
@@ -188,50 +195,54 @@
 		if string(o.GetStringBytes("verb")) != "launch" || stopped[name] || m.tasks[name] != nil || j == nil {
 			continue
 		}
-		used := w.there(j.spec.Team).Add(j.spec.TaskResources, 1)
-		if !g.allowed(g.reported, func(s *configuration.Settings) bool {
-			return within(s.Teams[j.spec.Team].Limit, used) && s.DrainOf(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
+		used := w.teamUsage(j.spec.Team).Add(j.spec.TaskResources, 1)
+		if !g.allowedSince(g.reportedInForce, func(s *configuration.Settings) bool {
+			return withinLimit(s.Teams[j.spec.Team].Limit, used) && s.DrainOf(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
 		}) {
-			w.broken("old revision: launch of %s on %s, which no revision since %d allows", name, m.name, g.reported)
+			w.broken("old revision: launch of %s on %s, which no revision since %d allows", name, m.name, g.reportedInForce)
 		}
 	}
 }
 
-// rents looks at a request for machines that leaves.
+// rents checks a rental request that a controller sends to the cloud: the machines of that kind,
+// with the requested ones, must be allowed by a revision at least as new as the one reported to
+// an operator as in force.
 func (w *World) rents(body []byte) {
 	g := w.changes
-	if g == nil || g.reported == 0 {
+	if g == nil || g.reportedInForce == 0 {
 		return
 	}
-	k := configuration.MachineKind{Type: fastjson.GetString(body, "flavor"), Zone: fastjson.GetString(body, "region")}
-	n := fastjson.GetInt(body, "count")
+	kind := configuration.MachineKind{Type: fastjson.GetString(body, "flavor"), Zone: fastjson.GetString(body, "region")}
+	total := fastjson.GetInt(body, "count")
 	if _, repeated := w.claims[fastjson.GetString(body, "claim")]; repeated {
 		return
 	}
 	for _, m := range w.machines {
-		if m.typ == k.Type && m.zone == k.Zone {
-			n++
+		if m.typ == kind.Type && m.zone == kind.Zone {
+			total++
 		}
 	}
-	if !g.allowed(g.reported, func(s *configuration.Settings) bool { most, ok := s.Ceilings[k]; return !ok || n <= most }) {
-		w.broken("old revision: %d machines of %v with those asked for, which no revision since %d allows", n, k, g.reported)
+	if !g.allowedSince(g.reportedInForce, func(s *configuration.Settings) bool { ceiling, ok := s.Ceilings[kind]; return !ok || total <= ceiling }) {
+		w.broken("old revision: %d machines of %v with those asked for, which no revision since %d allows", total, kind, g.reportedInForce)
 	}
 }
 
-// decides looks at a controller after a step.
+// decides checks, after a step of a controller, that its revision is not older than the one
+// reported to an operator as in force.
 func (w *World) decides(n *node) {
 	g := w.changes
 	if g == nil {
 		return
 	}
-	if r, ok := n.ctl.EffectiveRevision(); ok && r < g.reported && !g.spoilt {
-		w.broken("old revision: %s goes by %d, and %d was told to be in force", n.name, r, g.reported)
+	if r, ok := n.ctl.EffectiveRevision(); ok && r < g.reportedInForce && !g.spoilt {
+		w.broken("old revision: %s goes by %d, and %d was told to be in force", n.name, r, g.reportedInForce)
 	}
 }
 
-// operator asks a controller about the configuration, one after another, until it is
-// answered for good or for a minute.
-func (w *World) operator(via *node, op protocol.UserOp, ref string, body []byte, done func(status int, answer []byte)) {
+// operatorRequest sends a request about the configuration to a controller, or to one after
+// another if via is nil. It retries up to 50 times, a second after each failure, until the
+// answer is final. An answer that takes more than 5 s counts as a failure.
+func (w *World) operatorRequest(via *node, op protocol.UserOp, ref string, body []byte, done func(status int, answer []byte)) {
 	var try func(left int)
 	try = func(left int) {
 		n := via
@@ -239,7 +250,7 @@
 			n = w.upNode()
 		}
 		answered := false
-		take := func(status int, answer []byte) {
+		finish := func(status int, answer []byte) {
 			if answered {
 				return
 			}
@@ -252,20 +263,21 @@
 			}
 		}
 		if n == nil || !n.alive || n.cut {
-			take(0, nil)
+			finish(0, nil)
 			return
 		}
 		w.nextConn++
-		w.answers[w.nextConn] = take
-		w.after(5*protocol.Second, func() { take(0, nil) })
+		w.answers[w.nextConn] = finish
+		w.after(5*protocol.Second, func() { finish(0, nil) })
 		w.step(n, controller.UserRequest{Reply: controller.ReplyAddress{Conn: w.nextConn}, Op: op, Ref: ref, Body: body})
 	}
 	try(50)
 }
 
-// actConfig does what an operator does: config KEY=VALUE ... [via=NODE] [expect=N], or
-// config-back REVISION. It looks at the last revision first, and again where another
-// operator was faster; then it waits until its revision is in force.
+// actConfig carries out config KEY=VALUE ... [via=NODE] [expect=N] [mend=true] or config-back
+// REVISION, as an operator does: it reads the last revision, requests the change and waits until
+// its own revision is in force. If another operator's change was faster, it starts again, up to
+// 5 times, unless expect or mend is given.
 func (w *World) actConfig(words []string) error {
 	if w.changes == nil {
 		return fmt.Errorf("changes are off")
@@ -303,22 +315,22 @@
 	}
 	var try func(left int)
 	try = func(left int) {
-		w.operator(via, protocol.OpConfig, "", nil, func(status int, answer []byte) {
+		w.operatorRequest(via, protocol.OpConfig, "", nil, func(status int, answer []byte) {
 			if status != 200 {
-				g.asked++
+				g.completed++
 				return
 			}
-			q := *r
-			q.Expected, q.ID = uint64(fastjson.GetInt(answer, "revision")), fmt.Sprintf("c-%d-%d", w.now, w.seq)
+			attempt := *r
+			attempt.Expected, attempt.ID = uint64(fastjson.GetInt(answer, "revision")), fmt.Sprintf("c-%d-%d", w.now, w.seq)
 			if expect > 0 {
-				q.Expected = expect
+				attempt.Expected = expect
 			}
-			if q.Expected < g.reported && expect == 0 {
-				w.broken("old revision: an operator was shown %d, and %d was told to be in force", q.Expected, g.reported)
+			if attempt.Expected < g.reportedInForce && expect == 0 {
+				w.broken("old revision: an operator was shown %d, and %d was told to be in force", attempt.Expected, g.reportedInForce)
 			}
-			w.operator(via, op, "", configuration.AppendRequest(nil, &q), func(status int, answer []byte) {
-				if made := g.ids[q.ID]; status == 409 && made > 0 {
-					w.broken("configuration: request %s is revision %d, and its operator was told that it was refused", q.ID, made)
+			w.operatorRequest(via, op, "", configuration.AppendRequest(nil, &attempt), func(status int, answer []byte) {
+				if made := g.ids[attempt.ID]; status == 409 && made > 0 {
+					w.broken("configuration: request %s is revision %d, and its operator was told that it was refused", attempt.ID, made)
 				}
 				switch {
 				case status == 409 && left > 0 && expect == 0 && !r.Repair:
@@ -326,15 +338,15 @@
 					return
 				case status != 200:
 					w.note("an operator got %d %s", status, answer)
-					g.asked++
+					g.completed++
 					return
 				}
-				g.asked++
+				g.completed++
 				revision := uint64(fastjson.GetInt(answer, "revision"))
 				if fastjson.GetBool(answer, "changed") {
-					g.told[q.ID], g.newest = revision, revision
-					if g.ids[q.ID] != revision {
-						w.broken("configuration: an operator was told that its request is revision %d, and it is %d", revision, g.ids[q.ID])
+					g.confirmed[attempt.ID], g.lastMade = revision, revision
+					if g.ids[attempt.ID] != revision {
+						w.broken("configuration: an operator was told that its request is revision %d, and it is %d", revision, g.ids[attempt.ID])
 					}
 				}
 				w.awaitRevision(via, revision)
@@ -348,10 +360,10 @@
 // awaitRevision waits until a revision is in force.
 func (w *World) awaitRevision(via *node, revision uint64) {
 	began := w.now
-	w.operator(via, protocol.OpConfigWait, strconv.FormatUint(revision, 10), nil, func(status int, answer []byte) {
+	w.operatorRequest(via, protocol.OpConfigWait, strconv.FormatUint(revision, 10), nil, func(status int, answer []byte) {
 		if status == 200 {
 			w.note("revision %d is in force after %.2f s", revision, (w.now - began).Seconds())
-			w.changes.reported = max(w.changes.reported, revision)
+			w.changes.reportedInForce = max(w.changes.reportedInForce, revision)
 		}
 	})
 }
@@ -361,13 +373,13 @@
 	g := w.changes
 	got := ""
 	switch words[0] {
-	case "revision": // committed
-		got = strconv.FormatUint(g.last, 10)
-	case "in-force": // as an operator was told
-		got = strconv.FormatUint(g.reported, 10)
-	case "writes": // puts of the state service for changes
+	case "revision": // the last committed revision
+		got = strconv.FormatUint(g.lastCommitted, 10)
+	case "in-force": // the newest revision reported to an operator as in force
+		got = strconv.FormatUint(g.reportedInForce, 10)
+	case "writes": // puts in the state service for changes of the configuration
 		got = strconv.Itoa(g.writes)
-	case "goes-by": // goes-by NODE REVISION, or nothing
+	case "goes-by": // goes-by NODE REVISION|nothing: the revision that a controller applies
 		got = "nothing"
 		if r, ok := w.nodeNamed(words[1]).ctl.EffectiveRevision(); ok {
 			got = strconv.FormatUint(r, 10)
@@ -378,25 +390,25 @@
 		if s := w.leader().ctl.Snapshot().Config; s.Damaged {
 			got = "yes"
 		}
-	case "outdated": // outdated some|none: transactions of the leader that were refused for it
+	case "outdated": // outdated some|none: the leader's transactions refused for a newer revision
 		got = "none"
 		if w.leader().ctl.Snapshot().ConfigOutdated > 0 {
 			got = "some"
 		}
-	case "log": // log NODE LEVEL, "-": as it was started
+	case "log": // log NODE LEVEL; "-": the level that the process was started with
 		got = w.changes.level[words[1]]
 		if got == "" {
 			got = "-"
 		}
 		words = words[1:]
-	case "settled": // each controller goes by the last revision, and an operator was told so
+	case "settled": // the last revision is applied by all controllers and reported as in force
 		for _, n := range w.nodes {
-			if r, ok := n.ctl.EffectiveRevision(); !ok || r != g.last || g.reported != g.last {
-				return fmt.Errorf("%s goes by %d (%t), the last one is %d, in force %d", n.name, r, ok, g.last, g.reported)
+			if r, ok := n.ctl.EffectiveRevision(); !ok || r != g.lastCommitted || g.reportedInForce != g.lastCommitted {
+				return fmt.Errorf("%s applies revision %d (%t), the last one is %d, reported in force is %d", n.name, r, ok, g.lastCommitted, g.reportedInForce)
 			}
 		}
 		return nil
-	case "history": // the history that is kept has no gaps, and ends with the last revision
+	case "history": // see checkHistory
 		return w.checkHistory()
 	default:
 		return fmt.Errorf("unknown word %s", words[0])
@@ -407,13 +419,13 @@
 	return nil
 }
 
-// checkHistory checks the records of the history, and that no change that an operator was
-// told of is lost.
+// checkHistory checks that the stored history has no gaps, and that it has each change reported
+// to an operator as made, unless that is older than the history.
 func (w *World) checkHistory() error {
 	e := w.store.keys[configuration.KeyHead]
 	if e == nil {
-		if len(w.changes.told) > 0 {
-			return fmt.Errorf("there is no head, and %d changes were told to be made", len(w.changes.told))
+		if len(w.changes.confirmed) > 0 {
+			return fmt.Errorf("there is no head, and %d changes were reported as made", len(w.changes.confirmed))
 		}
 		return nil
 	}
@@ -425,7 +437,7 @@
 	for n := h.FirstPage; n > 0 && n <= h.LastPage; n++ {
 		page := w.store.keys[configuration.PageKey(n)]
 		if page == nil {
-			return fmt.Errorf("page %d of the history is not there", n)
+			return fmt.Errorf("page %d of the history is missing", n)
 		}
 		entries, err := configuration.DecodePage([]byte(page.value))
 		if err != nil {
@@ -439,9 +451,9 @@
 			return fmt.Errorf("revision %d follows %d", e.Revision, list[i-1].Revision)
 		}
 	}
-	for id, r := range w.changes.told {
+	for id, r := range w.changes.confirmed {
 		if r >= list[0].Revision && !slices.ContainsFunc(list, func(e configuration.Entry) bool { return e.ID == id && e.Revision == r }) {
-			return fmt.Errorf("request %s, told to be revision %d, is not in the history", id, r)
+			return fmt.Errorf("request %s, reported as revision %d, is not in the history", id, r)
 		}
 	}
 	return nil
--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -11,12 +11,12 @@
 	"mapleslip/internal/protocol"
 )
 
-// What the stand-ins know of jobs that await others, and the rules for them: no task starts
-// before all that its job awaits is done, and no job is called queued or running long after
-// a user was told that one before it is cancelled.
+// Jobs that depend on other jobs, and the rules for them: no task starts before all jobs that
+// its job depends on are done, and no job is reported as queued or running more than the cancel
+// timeout after one of its dependencies was reported as cancelled.
 
-// awaitedBy lists the jobs that a job awaits, as far as their users submitted them.
-func (w *World) awaitedBy(j *userJob) []*userJob {
+// dependenciesOf lists the jobs that a job depends on, as far as their users submitted them.
+func (w *World) dependenciesOf(j *userJob) []*userJob {
 	var list []*userJob
 	for _, ref := range j.spec.DependsOn {
 		if o := w.jobs[ref]; o != nil {
@@ -26,26 +26,26 @@
 	return list
 }
 
-// before lists all jobs that a job needs, directly or through others.
-func (w *World) before(j *userJob) []*userJob {
+// allDependenciesOf lists all jobs that a job depends on, directly or through others.
+func (w *World) allDependenciesOf(j *userJob) []*userJob {
 	var list []*userJob
 	seen := map[*userJob]bool{j: true}
-	for work := []*userJob{j}; len(work) > 0; {
-		for _, o := range w.awaitedBy(work[0]) {
+	for queue := []*userJob{j}; len(queue) > 0; {
+		for _, o := range w.dependenciesOf(queue[0]) {
 			if !seen[o] {
 				seen[o] = true
-				list, work = append(list, o), append(work, o)
+				list, queue = append(list, o), append(queue, o)
 			}
 		}
-		work = work[1:]
+		queue = queue[1:]
 	}
 	return list
 }
 
-// checkEarly checks, from what the machines did, that a task does not start before all that
-// its job awaits is done.
+// checkEarly checks that a task that starts on a machine does not do so before all jobs that its
+// job depends on are done. It uses the results on the machines, not the answers to users.
 func (w *World) checkEarly(j *userJob, task string) {
-	for _, o := range w.awaitedBy(j) {
+	for _, o := range w.dependenciesOf(j) {
 		for i, done := range o.results {
 			if !done {
 				w.broken("too_early: %s starts before %s/%d is done", task, o.spec.Ref, i)
@@ -55,21 +55,22 @@
 	}
 }
 
-// checkOrphaned checks a phase that a user was told of.
+// checkOrphaned checks a phase that was reported to a user: a job must not be reported as queued or
+// running if a dependency was reported as cancelled longer ago than the cancel timeout.
 func (w *World) checkOrphaned(j *userJob, phase string) {
 	if phase != "queued" && phase != "running" {
 		return
 	}
-	for _, o := range w.before(j) {
+	for _, o := range w.allDependenciesOf(j) {
 		if o.toldCancelled > 0 && w.now > o.toldCancelled+w.Platform.CancelTimeout {
 			w.broken("orphaned: %s is %s, %s was cancelled at %.2f", j.spec.Ref, phase, o.spec.Ref, o.toldCancelled.Seconds())
 		}
 	}
 }
 
-// askedToCancel reports whether the user of a job, or of one that it needs, asked to cancel.
+// askedToCancel reports whether a user asked to cancel the job or one that it depends on.
 func (w *World) askedToCancel(j *userJob) bool {
-	for _, o := range w.before(j) {
+	for _, o := range w.allDependenciesOf(j) {
 		if o.asked {
 			return true
 		}
@@ -77,8 +78,8 @@
 	return j.asked
 }
 
-// nameable reports whether a user may name all the jobs that a job awaits: they were
-// accepted, and none is a service.
+// nameable reports whether a job may depend on all the jobs that it names: they were accepted,
+// and none is a service.
 func (w *World) nameable(j *userJob) bool {
 	for _, ref := range j.spec.DependsOn {
 		if o := w.jobs[ref]; o == nil || !o.accepted || o.spec.Kind == protocol.Service {
@@ -88,8 +89,8 @@
 	return true
 }
 
-// checkChained checks the answer to the submission of a job that awaits others. nameable
-// says whether it could name them when it was submitted.
+// checkChained checks the answer to the submission of a job that depends on others. nameable is
+// what World.nameable returned when it was submitted.
 func (w *World) checkChained(j *userJob, nameable bool, status int, body []byte) {
 	if len(j.spec.DependsOn) == 0 {
 		return
@@ -99,7 +100,7 @@
 		if !w.nameable(j) && !nameable {
 			w.broken("invented: %s was accepted and awaits a job that was not", j.spec.Ref)
 		}
-		// An answer that is not final may have crossed with a later one.
+		// A phase that is not final may be older than one reported in the meantime.
 		if phase := fastjson.GetString(body, "phase"); phase == "cancelled" || phase == "done" {
 			w.heard(j, phase)
 		} else if j.toldAt == 0 {
@@ -112,8 +113,8 @@
 	}
 }
 
-// actChain: chain COUNT FIRST KIND ...: each depends on the one before and is submitted once that is
-// accepted.
+// actChain carries out chain COUNT FIRST KIND ...: COUNT jobs, numbered from FIRST. Each depends
+// on the previous one and is submitted once that is accepted.
 func (w *World) actChain(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	first, err2 := strconv.Atoi(strings.TrimPrefix(words[2], "req-"))
@@ -123,7 +124,8 @@
 	return w.submitChain(count, first, words[3:], nil)
 }
 
-// actIfKnown: a verb with -known: as without, if the job was submitted.
+// actIfKnown carries out a verb that ends in -known: the verb without it, if the job was
+// accepted; otherwise nothing.
 func (w *World) actIfKnown(words []string) error {
 	j := w.jobs[words[1]]
 	switch {
@@ -135,7 +137,7 @@
 	return w.act([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
 }
 
-// actResubmit: resubmit REF: its user repeats the submission.
+// actResubmit carries out resubmit REF: the job's user repeats the submission.
 func (w *World) actResubmit(words []string) error {
 	j := w.jobs[words[1]]
 	if j == nil {
@@ -146,21 +148,22 @@
 	return nil
 }
 
-// submitChain submits the next job of a chain and the others after it.
-func (w *World) submitChain(left, number int, words []string, last *userJob) error {
+// submitChain submits the remaining jobs of a chain, each as soon as the previous one is
+// accepted. It stops if that is refused.
+func (w *World) submitChain(left, number int, words []string, previous *userJob) error {
 	if left == 0 {
 		return nil
 	}
-	if last != nil && !last.accepted {
-		if last.status != 400 && last.status != 422 {
-			w.after(100*protocol.Millisecond, func() { _ = w.submitChain(left, number, words, last) })
+	if previous != nil && !previous.accepted {
+		if previous.status != 400 && previous.status != 422 {
+			w.after(100*protocol.Millisecond, func() { _ = w.submitChain(left, number, words, previous) })
 		}
 		return nil
 	}
 	ref := fmt.Sprintf("req-%06d", number)
 	line := append([]string{"submit", ref}, words...)
-	if last != nil {
-		line = append(line, "awaits="+last.spec.Ref)
+	if previous != nil {
+		line = append(line, "awaits="+previous.spec.Ref)
 	}
 	if err := w.actSubmit(line); err != nil {
 		return err
@@ -168,7 +171,8 @@
 	return w.submitChain(left-1, number+1, words, w.jobs[ref])
 }
 
-// submitAfter: submit-after REF KIND ...: submits a job as soon as the jobs that it awaits are accepted.
+// submitAfter carries out submit-after REF KIND ...: submits a job as soon as the jobs that it
+// depends on are accepted.
 func (w *World) submitAfter(words []string) error {
 	if len(words) < 3 {
 		return fmt.Errorf("submit-after REF KIND")
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -8,42 +8,50 @@
 	"mapleslip/internal/slo"
 )
 
-// expectations are the words after "expect"; words has the line from that word on. One that is
-// none of them is a job.
+// expectations are the checks by the word after "expect". Each gets the line from that word on.
+// A word that is not in the table is taken for a job, see expectJob.
 var expectations = map[string]verb{
-	"level":             (*World).expectLevel,
-	"level-waits":       (*World).expectLevel,
-	"leader":            (*World).expectLeader,
-	"role":              (*World).expectRole,
-	"on":                (*World).expectOn,
-	"machines-of":       (*World).expectMachinesOf,
-	"machines":          func(w *World, words []string) error { return differs(strconv.Itoa(len(w.machines)), words[1]) },
-	"machine":           (*World).expectMachine,
-	"at-most":           (*World).expectCount,
-	"at-least":          (*World).expectCount,
-	"all":               (*World).expectAll,
-	"ended-loading":     func(w *World, words []string) error { return differs(strconv.Itoa(w.endedLoading), words[1]) }, // so many nodes did since ends-loading
-	"config":            func(w *World, words []string) error { return w.expectConfig(words[1:]) },
-	"rollout":           func(w *World, words []string) error { return w.expectRollout(words[1:]) }, // rollout SERVICE STATE [healthy=N] [reason=TEXT]
-	"due":               (*World).expectDue,
-	"over":              (*World).expectOver,
-	"nothing-stuck":     (*World).expectNothingStuck,
-	"unanswered":        func(w *World, words []string) error { return longerThan(w.unanswered, words[1]) },    // unanswered SECONDS: no job's user was left without an answer for longer
-	"cancelled-within":  func(w *World, words []string) error { return longerThan(w.cancelLongest, words[1]) }, // cancelled-within SECONDS: each user of cancel-at was answered that soon
-	"waits-beside-room": func(w *World, words []string) error { return w.expectWaits(seconds(words[1])) },      // waits-beside-room SECONDS: no job has, since the count began, for longer
+	"level":       (*World).expectLevel,
+	"level-waits": (*World).expectLevel,
+	"leader":      (*World).expectLeader,
+	"role":        (*World).expectRole,
+	"on":          (*World).expectOn,
+	"machines-of": (*World).expectMachinesOf,
+	"machines":    func(w *World, words []string) error { return checkEqual(strconv.Itoa(len(w.machines)), words[1]) },
+	"machine":     (*World).expectMachine,
+	"at-most":     (*World).expectCount,
+	"at-least":    (*World).expectCount,
+	"all":         (*World).expectAll,
+	// ended-loading N: so many nodes ended because of ends-loading or ends-in.
+	"ended-loading": func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.endedLoading), words[1]) },
+	"config":        func(w *World, words []string) error { return w.expectConfig(words[1:]) },
+	"rollout":       func(w *World, words []string) error { return w.expectRollout(words[1:]) },
+	"due":           (*World).expectDue,
+	"over":          (*World).expectOver,
+	"nothing-stuck": (*World).expectNothingStuck,
+	// unanswered SECONDS: no job's user was without an answer for longer.
+	"unanswered": func(w *World, words []string) error { return checkAtMost(w.unanswered, words[1]) },
+	// cancelled-within SECONDS: no user of cancel-at waited longer for the answer.
+	"cancelled-within": func(w *World, words []string) error { return checkAtMost(w.cancelLongest, words[1]) },
+	// waits-beside-room SECONDS: since the last "count", no job has waited longer while there was
+	// room for it.
+	"waits-beside-room": func(w *World, words []string) error { return w.expectWaits(seconds(words[1])) },
 	"health":            (*World).expectHealth,
 	"old-reports":       (*World).expectOldReports,
 	"lost-answers":      (*World).expectLost,
 	"conflicts":         (*World).expectLost,
 	"written-again":     (*World).expectLost,
-	"starts":            func(w *World, words []string) error { return differs(strconv.Itoa(w.started), words[1]) },
+	"starts":            func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.started), words[1]) },
 	"kept":              (*World).expectKept,
 	"fits":              (*World).expectLimits,
 	"unfit":             (*World).expectLimits,
-	"submitted":         func(w *World, words []string) error { return differs(strconv.Itoa(w.jobs[words[1]].status), words[2]) }, // submitted REF STATUS
+	// submitted REF STATUS: the status in the answer to the job's last submission.
+	"submitted": func(w *World, words []string) error {
+		return checkEqual(strconv.Itoa(w.jobs[words[1]].status), words[2])
+	},
 }
 
-// expect checks one expectation.
+// expect checks the expectation in a line of a trace.
 func (w *World) expect(words []string) error {
 	if check := expectations[words[0]]; check != nil {
 		return check(w, words)
@@ -51,21 +59,23 @@
 	return w.expectJob(words)
 }
 
-func differs(got, want string) error {
+// checkEqual returns an error unless got is what the trace expects.
+func checkEqual(got, want string) error {
 	if got != want {
 		return fmt.Errorf("got %s", got)
 	}
 	return nil
 }
 
-func longerThan(got micros, word string) error {
-	if got > seconds(word) {
+// checkAtMost returns an error if got is longer than limit, in seconds.
+func checkAtMost(got micros, limit string) error {
+	if got > seconds(limit) {
 		return fmt.Errorf("%.1f s", got.Seconds())
 	}
 	return nil
 }
 
-// expectJob: REF PHASE [done=N] [running=N].
+// expectJob checks REF PHASE [done=N] [running=N], as last reported to the job's user.
 func (w *World) expectJob(words []string) error {
 	j := w.jobs[words[0]]
 	if j == nil {
@@ -83,7 +93,7 @@
 	return nil
 }
 
-// expectLeader: leader NODE, none, or some.
+// expectLeader checks leader NODE|none|some.
 func (w *World) expectLeader(words []string) error {
 	name := "none"
 	if n := w.leader(); n != nil {
@@ -92,24 +102,24 @@
 	if words[1] == "some" && name != "none" {
 		return nil
 	}
-	return differs(name, words[1])
+	return checkEqual(name, words[1])
 }
 
-// expectRole: role NODE ROLE.
+// expectRole checks role NODE ROLE.
 func (w *World) expectRole(words []string) error {
-	return differs(w.nodeNamed(words[1]).ctl.Role().String(), words[2])
+	return checkEqual(w.nodeNamed(words[1]).ctl.Role().String(), words[2])
 }
 
-// expectOn: on TASK MACHINE[,MACHINE] or nowhere, or somewhere.
+// expectOn checks on TASK MACHINE[,MACHINE]|nowhere|somewhere.
 func (w *World) expectOn(words []string) error {
 	got := w.hostsOf(words[1])
 	if words[2] == "somewhere" && got != "nowhere" {
 		return nil
 	}
-	return differs(got, words[2])
+	return checkEqual(got, words[2])
 }
 
-// expectMachinesOf: machines-of TYPE N.
+// expectMachinesOf checks machines-of TYPE N.
 func (w *World) expectMachinesOf(words []string) error {
 	n := 0
 	for _, m := range w.machines {
@@ -117,50 +127,51 @@
 			n++
 		}
 	}
-	return differs(strconv.Itoa(n), words[2])
+	return checkEqual(strconv.Itoa(n), words[2])
 }
 
-// expectMachine: machine NAME here|gone.
+// expectMachine checks machine NAME here|gone.
 func (w *World) expectMachine(words []string) error {
 	got := "here"
 	if w.machines[words[1]] == nil {
 		got = "gone"
 	}
-	return differs(got, words[2])
+	return checkEqual(got, words[2])
 }
 
-// expectCount: at-most|at-least N WHAT, see counted.
+// expectCount checks at-most|at-least N WHAT, see countOf.
 func (w *World) expectCount(words []string) error {
 	limit, err := strconv.Atoi(words[1])
 	if err != nil {
 		return err
 	}
-	got := w.counted(words[2:])
+	got := w.countOf(words[2:])
 	if words[0] == "at-most" && got > limit || words[0] == "at-least" && got < limit {
 		return fmt.Errorf("%d", got)
 	}
 	return nil
 }
 
-// counted is how much there was of something: of changes, questions and leaders since the count
-// began, of the others in all.
-func (w *World) counted(words []string) int {
+// countOf returns the count that words name. "changes" (puts and deletes in the state service),
+// "questions" (calls to workers without commands) and "leaders" are counted since the last
+// "count", the others from the start.
+func (w *World) countOf(words []string) int {
 	switch words[0] {
 	case "questions":
 		return w.questions - w.asked
 	case "leaders":
 		return w.leaders - w.led
-	case "refusals": // of odd requests
+	case "refusals": // invalid submissions that were refused, see sendRefusable
 		return w.refusals
-	case "refused": // transactions
+	case "refused": // transactions refused because they exceeded the rate of changes
 		return w.store.refused
-	case "rented": // machines
+	case "rented": // machines rented
 		return w.rented
 	case "starts":
 		return w.started
-	case "looks": // answers of close looks that were compared
+	case "looks": // answers compared while close looks were on
 		return w.looks.answers
-	case "cancelled": // jobs
+	case "cancelled": // jobs reported to a user as cancelled
 		cancelled := 0
 		for _, j := range w.jobs {
 			if j.toldCancelled > 0 {
@@ -168,15 +179,15 @@
 			}
 		}
 		return cancelled
-	case "in-vain": // questions of storms that got no answer
+	case "in-vain": // queries of storms that got neither 200 nor 404
 		return w.inVain
-	case "tries": // tries REF
+	case "tries": // tries REF: attempts of a job's tasks that machines accepted
 		return w.jobs[words[1]].tries
 	}
 	return w.store.written - w.written
 }
 
-// expectAll: all N PHASE: so many jobs are in a phase.
+// expectAll checks all N PHASE: N jobs are in a phase.
 func (w *World) expectAll(words []string) error {
 	n := 0
 	for _, j := range w.jobs {
@@ -184,17 +195,19 @@
 			n++
 		}
 	}
-	return differs(strconv.Itoa(n), words[1])
+	return checkEqual(strconv.Itoa(n), words[1])
 }
 
-// expectDue: due class|team|largest NAME SERVED MISSED, as the leader counts.
+// expectDue checks due class|team|largest NAME SERVED MISSED: the leader's counts for an
+// objective.
 func (w *World) expectDue(words []string) error {
 	kind := map[string]slo.Kind{"class": slo.Class, "team": slo.Team, "largest": slo.Largest}[words[1]]
 	got := w.leader().ctl.Snapshot().Objectives[kind][words[2]]
-	return differs(fmt.Sprintf("%d %d", got.Served, got.Missed), words[3]+" "+words[4])
+	return checkEqual(fmt.Sprintf("%d %d", got.Served, got.Missed), words[3]+" "+words[4])
 }
 
-// expectOver: over REF: its user was told that it is done or cancelled.
+// expectOver checks over REF: if the job was accepted, it was reported to its user as done or
+// cancelled.
 func (w *World) expectOver(words []string) error {
 	if j := w.jobs[words[1]]; j.accepted && !j.toldDone && j.toldCancelled == 0 {
 		return fmt.Errorf("it is %q", j.phase)
@@ -202,30 +215,31 @@
 	return nil
 }
 
-// expectNothingStuck: whatever was accepted runs or is over.
+// expectNothingStuck checks that each accepted job is done or cancelled, or is a service that
+// runs and that no user asked to cancel.
 func (w *World) expectNothingStuck([]string) error {
 	for ref, j := range w.jobs {
-		over := j.toldDone || j.toldCancelled > 0
-		serves := j.phase == "running" && j.spec.Kind == protocol.Service && !j.asked
-		if j.accepted && !over && !serves {
+		finished := j.toldDone || j.toldCancelled > 0
+		serving := j.phase == "running" && j.spec.Kind == protocol.Service && !j.asked
+		if j.accepted && !finished && !serving {
 			return fmt.Errorf("%s is %q, done %d, running %d", ref, j.phase, j.done, j.running)
 		}
 	}
 	return nil
 }
 
-// expectHealth: health NODE STATUS, as the balancer sees it.
+// expectHealth checks health NODE STATUS: the status that the load balancer's check gets.
 func (w *World) expectHealth(words []string) error {
 	got := 0
 	w.request(w.nodeNamed(words[1]), "health", "", func(status int, _ []byte) { got = status })
-	return differs(strconv.Itoa(got), words[2])
+	return checkEqual(strconv.Itoa(got), words[2])
 }
 
-// expectKept: kept KEY yes|no.
+// expectKept checks kept KEY yes|no: whether the key is in the state service.
 func (w *World) expectKept(words []string) error {
 	got := "no"
 	if w.store.keys[words[1]] != nil {
 		got = "yes"
 	}
-	return differs(got, words[2])
+	return checkEqual(got, words[2])
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,33 +12,37 @@
 	"mapleslip/internal/protocol"
 )
 
-// troubles is what the stand-ins know of users who cancel many jobs at once, or each at
-// its very end, who send requests that must be refused, and of messages that reach the
-// next leader or a worker late. See late_messages.go for the others.
+// troubles has the state of these faults: users who cancel many jobs at once, or jobs at the
+// moment that they end, users who send requests that must be refused, and messages that reach
+// the next leader or a worker late. The other faults are in late_messages.go.
 type troubles struct {
-	lateCommands lateness // direct commands that are carried out later and never answered
-	keptReports  []keptReport
-	cancelAtEnd  int // every so manyth job that ends is cancelled at that instant, 0: none
-	ended        int // jobs that ended since then
-	odd          bool
-	oddSent      int
-	refused      []string // jobs that must not be accepted
-	refusals     int      // answers that say so
+	lateCommands     lateness // direct commands that are carried out later and get no answer
+	keptReports      []keptReport
+	cancelAtEnd      int      // every N-th job that ends is cancelled at that moment; 0: none
+	endedJobs        int      // jobs that ended while cancelAtEnd was set
+	oddRequests      bool     // odd requests are sent, see beOdd
+	oddRequestRounds int      // seconds in which odd requests were sent
+	refusedRefs      []string // refs of invalid submissions, which must not be accepted
+	refusals         int      // invalid submissions that were refused
 }
 
-// keptReport is a copy of a worker's report that the next leader gets as it begins.
+// keptReport is a copy of a worker's report that is delivered when the next leader begins.
+// on is "loading", "leading" or "both", see actLate.
 type keptReport struct{ body, on string }
 
-// mostKept bounds the copies for the next leader.
-const mostKept = 300
+// maxKeptReports limits the copies that are kept for the next leader.
+const maxKeptReports = 300
 
-// actLate sets which messages come late:
+// actLate sets which messages arrive late. every=3 selects every third message of the kind, with
+// the text TEXT in it if one is given, and most=N at most N of them; by=6 delays it by 6 s and up
+// to three eighths as much again.
 //
-//	late-writes every=3 by=6 [with=TEXT] [most=1]: carried out that much later, unanswered;
-//	    at=once: carried out at once, only the answer is lost
-//	late-reports every=3 by=6 [to=leader]: copies arrive again; to=next: copies are kept for
-//	    the next leader, on=loading, leading or both
-//	late-commands every=3 by=6: direct commands are carried out that much later, unanswered
+//	late-writes every=3 by=6 [with=TEXT] [most=1]: transactions are carried out late and get no
+//	    answer; at=once: they are carried out at once and only the answer is lost
+//	late-reports every=3 by=6: copies of workers' reports arrive late, at the same controller;
+//	    to=leader: at the controller that leads then; to=next: the copies are kept until the
+//	    next leader reads the records (on=loading), leads (on=leading), or both (on=both)
+//	late-commands every=3 by=6: direct commands are carried out late and get no answer
 //
 // every=0 ends it.
 func (w *World) actLate(words []string) error {
@@ -58,35 +62,36 @@
 	return nil
 }
 
-// actTrouble does what a line says about the troubles of this file.
+// actTrouble carries out the verbs in-zone, cancel-now, cancel-at-end, cancel-asked and
+// odd-requests.
 func (w *World) actTrouble(words []string) error {
 	switch words[0] {
-	case "in-zone": // in-zone ZONE|all WORD: what if-here does, to all machines there
+	case "in-zone": // in-zone ZONE|all VERB: VERB for all machines of the zone
 		for _, m := range w.sortedMachines() {
 			if m.zone == words[1] || words[1] == "all" {
 				w.actMachine(words[2], m)
 			}
 		}
-	case "cancel-now": // cancel-now COUNT [hang=SECONDS]
+	case "cancel-now": // cancel-now COUNT [hang=SECONDS], see cancelNow
 		count, err := strconv.Atoi(words[1])
 		if err != nil {
 			return err
 		}
 		w.cancelNow(count, protocol.FromSeconds(number(options(words[2:]), "hang", 0)))
-	case "cancel-at-end": // cancel-at-end EVERY
+	case "cancel-at-end": // cancel-at-end EVERY, see jobEnded
 		every, err := strconv.Atoi(words[1])
 		if err != nil {
 			return err
 		}
 		w.cancelAtEnd = every
-	case "cancel-asked": // who asked to cancel and got no answer asks once more
+	case "cancel-asked": // users whose job has not been reported as over repeat the cancellation
 		for _, ref := range w.sortedJobs() {
 			if j := w.jobs[ref]; j.asked && !j.toldDone && j.toldCancelled == 0 {
 				w.cancel(j)
 			}
 		}
-	case "odd-requests": // odd-requests on|off
-		w.odd = words[1] == "on"
+	case "odd-requests": // odd-requests on|off, see beOdd
+		w.oddRequests = words[1] == "on"
 	}
 	return nil
 }
@@ -101,18 +106,18 @@
 }
 
 const (
-	cancelWithin = protocol.Second / 5 // in which many jobs are cancelled
-	longToGo     = 5 * protocol.Second
-	mostHang     = 8
+	cancelPeriod        = protocol.Second / 5 // in which cancelNow cancels all jobs
+	minRemainingRuntime = 5 * protocol.Second
+	maxHungMachines     = 8
 )
 
-// cancelNow has users cancel jobs that run and have long to go, within a fifth of a
-// second; some of their machines hang then.
+// cancelNow has users cancel up to count running jobs that are far from their end, within
+// cancelPeriod. If hang is above 0, up to maxHungMachines of their machines hang for that long.
 func (w *World) cancelNow(count int, hang micros) {
 	machines := map[*userJob][]*machine{}
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && t.state == "running" && (t.job.spec.Kind == protocol.Service || t.ends > w.now+longToGo) {
+			if t.on && t.state == "running" && (t.job.spec.Kind == protocol.Service || t.ends > w.now+minRemainingRuntime) {
 				machines[t.job] = append(machines[t.job], m)
 			}
 		}
@@ -123,10 +128,10 @@
 		if chosen == count || j.asked || !j.accepted || len(machines[j]) == 0 {
 			continue
 		}
-		w.after(cancelWithin*micros(chosen)/micros(count), func() { w.cancel(j) })
+		w.after(cancelPeriod*micros(chosen)/micros(count), func() { w.cancel(j) })
 		chosen++
 		for _, m := range machines[j] {
-			if hang == 0 || hung == mostHang || m.hung {
+			if hang == 0 || hung == maxHungMachines || m.hung {
 				continue
 			}
 			hung++
@@ -136,7 +141,8 @@
 	}
 }
 
-// jobEnded is called when a task of a job has completed.
+// jobEnded is called when a task of a job has completed. When it was the last one, the job may be
+// cancelled at that moment, see cancelAtEnd.
 func (w *World) jobEnded(j *userJob) {
 	if w.cancelAtEnd == 0 || j.asked || !j.accepted {
 		return
@@ -146,27 +152,28 @@
 			return
 		}
 	}
-	if w.ended++; w.ended%w.cancelAtEnd == 0 {
+	if w.endedJobs++; w.endedJobs%w.cancelAtEnd == 0 {
 		w.cancel(j)
 	}
 }
 
-// keepForNext keeps a copy of a report for the next leader.
+// keepForNext keeps a copy of a worker's report for the next leader.
 func (w *World) keepForNext(body string) {
-	if len(w.keptReports) < mostKept {
+	if len(w.keptReports) < maxKeptReports {
 		w.keptReports = append(w.keptReports, keptReport{body, w.lateReports.on})
 	}
 }
 
-// roleChanged delivers what was kept for the next leader, to all controllers.
+// roleChanged is called when a controller takes a role. It delivers to all controllers the
+// reports that were kept for a leader in that role.
 func (w *World) roleChanged(role controller.Role) {
 	var rest []keptReport
 	for _, r := range w.keptReports {
-		now := role == controller.RoleRecovering && r.on != "leading" || role == controller.RoleLeader && r.on != "loading"
-		if !now || role == controller.RoleRecovering && r.on == "both" {
+		due := role == controller.RoleRecovering && r.on != "leading" || role == controller.RoleLeader && r.on != "loading"
+		if !due || role == controller.RoleRecovering && r.on == "both" {
 			rest = append(rest, r)
 		}
-		if !now {
+		if !due {
 			continue
 		}
 		for _, n := range w.nodes {
@@ -176,7 +183,8 @@
 	w.keptReports = rest
 }
 
-// holdCommand takes a direct command that comes late; nobody hears what became of it.
+// holdCommand reports whether a direct command is to arrive late. If so, it delivers the command
+// later, and the controller gets no answer.
 func (w *World) holdCommand(n *node, m *machine, c controller.Call) bool {
 	late, by := w.lateCommands.next(c.Path == "/commands" && !strings.Contains(string(c.Body), `"orders":[]`), string(c.Body))
 	if !late {
@@ -188,19 +196,20 @@
 	return true
 }
 
-// beOdd has users repeat submissions of jobs that are not over, cancel jobs that are, and
-// send jobs that can't run or lack a field: one of each a second.
+// beOdd has users send odd requests, called once a second: one submission of an unfinished job
+// is repeated, one job that is done or cancelled is cancelled, one invalid submission is sent,
+// and one of the invalid jobs is queried.
 func (w *World) beOdd() {
-	if !w.odd {
+	if !w.oddRequests {
 		return
 	}
-	w.oddSent++
-	var unfinished, over []*userJob
+	w.oddRequestRounds++
+	var unfinished, finished []*userJob
 	for _, ref := range w.sortedJobs() {
 		switch j := w.jobs[ref]; {
 		case !j.accepted:
 		case j.toldDone || j.toldCancelled > 0:
-			over = append(over, j)
+			finished = append(finished, j)
 		default:
 			unfinished = append(unfinished, j)
 		}
@@ -209,45 +218,46 @@
 	if n == nil {
 		return
 	}
-	nobody := func(int, []byte) {} // each answer is compared, see answer_comparison.go
+	ignoreAnswer := func(int, []byte) {} // compared in any case, see answer_comparison.go
 	if len(unfinished) > 0 {
-		w.request(n, "submit", string(unfinished[w.oddSent%len(unfinished)].body), nobody)
+		w.request(n, "submit", string(unfinished[w.oddRequestRounds%len(unfinished)].body), ignoreAnswer)
 	}
-	if len(over) > 0 {
-		w.request(n, "cancel", over[w.oddSent%len(over)].spec.Ref, nobody)
+	if len(finished) > 0 {
+		w.request(n, "cancel", finished[w.oddRequestRounds%len(finished)].spec.Ref, ignoreAnswer)
 	}
 	w.sendRefusable(n)
-	if len(w.refused) > 0 {
-		w.request(n, "query", w.refused[w.oddSent%len(w.refused)], nobody)
+	if len(w.refusedRefs) > 0 {
+		w.request(n, "query", w.refusedRefs[w.oddRequestRounds%len(w.refusedRefs)], ignoreAnswer)
 	}
 }
 
-// requiredFields are those without which a submission is malformed.
+// requiredFields are the fields without which a submission is malformed.
 var requiredFields = []string{
 	"ref", "jobclass", "owner", "shape", "rank", "shards", "cores", "gpus", "memoryGb", "bundle", "sizeGb",
 	"samePlace", "apart", "reclaimable", "expectS", "snapshotEveryS", "snapshotS",
 }
 
-// sendRefusable submits a job that lacks a field, is none, or can never run.
+// sendRefusable sends a submission that lacks a field, is not an object, or is of a job that can
+// never run, and checks that it is not accepted.
 func (w *World) sendRefusable(n *node) {
-	s := w.refusable(w.oddSent)
+	s := w.refusable(w.oddRequestRounds)
 	if s.ref != "" {
-		w.refused = append(w.refused, s.ref)
+		w.refusedRefs = append(w.refusedRefs, s.ref)
 	}
 	w.request(n, "submit", s.body, func(status int, _ []byte) {
 		switch status {
 		case 400, 422:
 			w.refusals++
 		case 200, 201:
-			w.broken("accepted_invalid: %s (%s) got %d", s.ref, s.why, status)
+			w.broken("accepted_invalid: %s (%s) got %d", s.ref, s.reason, status)
 		}
 	})
 }
 
-// refusable is a submission that has to get 400 or 422.
-type refusable struct{ ref, body, why string }
+// refusable is an invalid submission, which must get 400 or 422. ref is "" if it names no job.
+type refusable struct{ ref, body, reason string }
 
-// refusable makes the i-th of them.
+// refusable builds the i-th invalid submission.
 func (w *World) refusable(i int) refusable {
 	teams := make([]string, 0, len(w.Platform.Teams))
 	for name := range w.Platform.Teams {
@@ -258,21 +268,23 @@
 		Ref: fmt.Sprintf("req-%06d", 800000+i), Class: "work", Team: teams[i%len(teams)], Priority: protocol.PriorityStandard, Tasks: 1,
 		TaskResources: protocol.Resources{CPU: 1000, GPU: 1000, Memory: 1000}, Image: "img-1", ImageSize: 1000, EstimatedRuntime: protocol.Second,
 	}
-	made := func(why string) refusable { return refusable{spec.Ref, string(protocol.AppendJob(nil, spec)), why} }
+	build := func(reason string) refusable {
+		return refusable{spec.Ref, string(protocol.AppendJob(nil, spec)), reason}
+	}
 	switch i % 6 {
 	case 0:
 		spec.TaskResources.CPU = 4_000_000
-		return made("larger than any machine")
+		return build("larger than any machine")
 	case 1:
 		spec.MachineTypes = []string{"unknown"}
-		return made("no allowed machine type")
+		return build("no allowed machine type")
 	case 2:
 		spec.Team = "nobody"
-		return made("unknown team")
+		return build("unknown team")
 	case 3:
 		if limit := w.Platform.Teams[spec.Team].Limit.GPU; limit > 0 {
 			spec.Kind, spec.Tasks = protocol.Gang, int(limit/1000)+1
-			return made("more than the team's limit")
+			return build("more than the team's limit")
 		}
 		return refusable{"", `["` + spec.Ref + `"]`, "not an object"}
 	default:
@@ -287,7 +299,8 @@
 	}
 }
 
-// checkAccepted checks that an accepted job can run by the platform's file.
+// checkAccepted checks that an accepted job can run at all: the team is known, a machine type
+// fits, and the team's limit covers a gang or service as a whole, or one task of an array.
 func (w *World) checkAccepted(j *userJob) {
 	s := j.spec
 	team, known := w.Platform.Teams[s.Team]
@@ -299,16 +312,16 @@
 	if s.Kind == protocol.Array {
 		tasks = 1
 	}
-	all := protocol.Resources{}.Add(s.TaskResources, tasks)
-	if !known || !fits || team.Limit.GPU > 0 && all.GPU > team.Limit.GPU || team.Limit.CPU > 0 && all.CPU > team.Limit.CPU {
+	total := protocol.Resources{}.Add(s.TaskResources, tasks)
+	if !known || !fits || team.Limit.GPU > 0 && total.GPU > team.Limit.GPU || team.Limit.CPU > 0 && total.CPU > team.Limit.CPU {
 		w.broken("accepted_invalid: %s can never run", s.Ref)
 	}
 }
 
-// checkStart checks that a task is neither launched nor started once its user was told
-// that the job is cancelled.
-func (w *World) checkStart(what string, m *machine, t *runningTask) {
+// checkStart is called when a task is launched or starts, and checks that its job has not been
+// reported as cancelled. action is which of the two it is.
+func (w *World) checkStart(action string, m *machine, t *runningTask) {
 	if t.job.toldCancelled > 0 {
-		w.broken("started_cancelled: %s/%d %s on %s", t.job.spec.Ref, t.index, what, m.name)
+		w.broken("started_cancelled: %s/%d %s on %s", t.job.spec.Ref, t.index, action, m.name)
 	}
 }
--- a/internal/simulation/late_answers.go
+++ b/internal/simulation/late_answers.go
@@ -9,41 +9,42 @@
 	"mapleslip/internal/protocol"
 )
 
-// What the stand-ins know of a change of leader that is seen from both sides: answers of
-// the state service that come late though the request was carried out at once, links
-// between two controllers that are lost, and users who keep to one controller.
+// Faults around a change of leader, when an old and a new leader act at the same time: answers
+// of the state service that arrive late although the request was carried out at once, lost links
+// between controllers, and users who stay with one controller.
 
-// lateAnswers is which requests to the state service are carried out at once and answered
-// late: the first so many that have a text in their path or body.
+// lateAnswers selects requests to the state service that are carried out at once and answered
+// late: the next ones, up to the number that remains, with a text in their path or body.
 type lateAnswers struct {
-	with string
-	by   micros
-	left int
+	text      string
+	delay     micros
+	remaining int
 }
 
-// answeredLater is how much later a request is answered than it is carried out.
+// answeredLater is the delay between carrying out a request to the state service and its answer,
+// 0 unless a rule of w.lateAnswers selects the request.
 func (w *World) answeredLater(path string, body []byte) micros {
 	for i := range w.lateAnswers {
-		if l := &w.lateAnswers[i]; l.left > 0 && strings.Contains(path+" "+string(body), l.with) {
-			l.left--
-			return l.by
+		if l := &w.lateAnswers[i]; l.remaining > 0 && strings.Contains(path+" "+string(body), l.text) {
+			l.remaining--
+			return l.delay
 		}
 	}
 	return 0
 }
 
-// actLateAnswers: late-answers with=TEXT by=SECONDS [most=1]
+// actLateAnswers carries out late-answers with=TEXT by=SECONDS [most=1], see lateAnswers.
 func (w *World) actLateAnswers(words []string) error {
 	o := options(words[1:])
 	if o["with"] == "" {
 		return fmt.Errorf("late-answers with=TEXT by=SECONDS [most=1]")
 	}
-	w.lateAnswers = append(w.lateAnswers, lateAnswers{with: o["with"], by: protocol.FromSeconds(number(o, "by", 1)), left: int(number(o, "most", 1))})
+	w.lateAnswers = append(w.lateAnswers, lateAnswers{text: o["with"], delay: protocol.FromSeconds(number(o, "by", 1)), remaining: int(number(o, "most", 1))})
 	return nil
 }
 
-// actLink: unlink NODE, link NODE: the links between a controller and all others are lost,
-// or there again. Nothing is held.
+// actLink carries out unlink NODE and link NODE: the links between a controller and all others
+// are lost, or restored. Messages sent while they are lost are dropped.
 func (w *World) actLink(words []string) error {
 	n := w.nodeNamed(words[1])
 	if n == nil {
@@ -53,53 +54,55 @@
 	return nil
 }
 
-// actCancelAt: cancel-at NODE REF: the user of a job has a connection to that node, and
-// goes to others only while it can't be reached.
+// actCancelAt carries out cancel-at NODE REF: the user of a job cancels it at that node, and at
+// other nodes only while that one can't be reached or the load balancer has taken it out. The
+// user tries up to 60 times, a second after each failure.
 func (w *World) actCancelAt(words []string) error {
 	if len(words) < 3 || w.nodeNamed(words[1]) == nil || w.jobs[words[2]] == nil {
 		return fmt.Errorf("cancel-at NODE REF")
 	}
 	n, j := w.nodeNamed(words[1]), w.jobs[words[2]]
 	j.asked, j.askedAt = true, w.now
-	var try func(left int)
-	try = func(left int) {
-		at := n
-		if !w.reachable(at) || at.out {
-			at = w.upNode()
+	var try func(remaining int)
+	try = func(remaining int) {
+		target := n
+		if !w.reachable(target) || target.out {
+			target = w.upNode()
 		}
-		if left == 0 || at == nil {
+		if remaining == 0 || target == nil {
 			return
 		}
-		w.request(at, "cancel", j.spec.Ref, func(status int, body []byte) {
+		w.request(target, "cancel", j.spec.Ref, func(status int, body []byte) {
 			if status == 200 {
 				w.heard(j, fastjson.GetString(body, "phase"))
 				w.cancelLongest = max(w.cancelLongest, w.now-j.askedAt)
 				return
 			}
-			w.after(protocol.Second, func() { try(left - 1) })
+			w.after(protocol.Second, func() { try(remaining - 1) })
 		})
 	}
 	try(60)
 	return nil
 }
 
-// startsCancelled takes a start after any controller told a user that the job is cancelled
-// for a broken rule.
+// startsCancelled is called when a task starts, and checks that no controller has reported its job
+// to a user as cancelled.
 func (w *World) startsCancelled(t *runningTask) {
-	if told := w.looks.jobs[t.job.spec.Ref]; told != nil && told.over > 0 && told.phase == "cancelled" {
+	if reported := w.looks.jobs[t.job.spec.Ref]; reported != nil && reported.finished > 0 && reported.finalPhase == "cancelled" {
 		w.broken("ran_cancelled: %s/%d starts after that was told", t.job.spec.Ref, t.index)
 	}
 }
 
-// whenChanged is what happens once a key of the state service is changed.
+// whenChanged is a line of a trace that is carried out once a key of the state service is changed.
 type whenChanged struct {
 	change string // "set:KEY" or "drop:KEY"
 	after  micros
 	words  []string
 }
 
-// actWhen: when set:KEY|drop:KEY [after=SECONDS] WORDS: once that transaction was carried
-// out, and before its answer is there unless it takes longer than that.
+// actWhen carries out when set:KEY|drop:KEY [after=SECONDS] WORDS: WORDS are carried out that long
+// after a transaction with that change was committed. Without after, that is before the answer
+// to the transaction arrives.
 func (w *World) actWhen(words []string) error {
 	if len(words) < 3 {
 		return fmt.Errorf("when set:KEY|drop:KEY [after=SECONDS] WORDS")
@@ -112,13 +115,14 @@
 	return nil
 }
 
-// carriedOut does what waits for the changes of a transaction.
-func (w *World) carriedOut(then []*fastjson.Value) {
+// runTriggers carries out the lines of the trace that wait for a change of this transaction, see
+// actWhen.
+func (w *World) runTriggers(writes []*fastjson.Value) {
 	if len(w.whenChanged) == 0 {
 		return
 	}
 	changes := make(map[string]bool)
-	for _, c := range then {
+	for _, c := range writes {
 		if key := c.GetStringBytes("drop"); key != nil {
 			changes["drop:"+string(key)] = true
 		} else {
--- a/internal/simulation/leader_end.go
+++ b/internal/simulation/leader_end.go
@@ -8,58 +8,62 @@
 	"mapleslip/internal/protocol"
 )
 
-// endsOn has the leader end just as it has said something: what is lost with it, or known
-// to others only, hangs on instants that a history seldom hits by drawing times.
+// endsOn ends the leader right after a certain call. What is lost with the leader, and what is
+// then known only to the other components, depends on moments that the random times of a
+// history seldom hit.
 type endsOn struct {
-	with   string // a text in what it says, "": nothing
-	after  micros
-	back   micros // it is there again after so long, 0: not by itself
-	misses string // what becomes of the machine that it was said to, see actMachine
-	lasts  micros
+	text          string // a text in the body of the call; "": the leader is not ended
+	after         micros // from the call to the leader's end
+	restartAfter  micros // the controller starts again after this time, 0 if it doesn't
+	fault         string // verb for the machine that was called, see actMachine
+	faultDuration micros // until the reverse of that verb
 }
 
-// undone is the word that ends what another began.
-var undone = map[string]string{
+// reverseVerbs has for each fault of a machine the verb that ends it; "": none does.
+var reverseVerbs = map[string]string{
 	"hang": "wake", "deaf": "hears", "hold-calls": "deliver-calls", "hold-reports": "deliver-reports",
 	"lose-answers": "pass-answers", "cut-off": "reach", "die": "",
 }
 
-// actEndsOn: ends-on TEXT [after=0] [back=0] [misses=WORD] [lasts=10]: the leader ends that
-// long after the next call of its with this text in it, to whomever; if it is to a worker,
-// that machine hangs, is deaf, dies, or whatever was said, from right after it for so long.
+// actEndsOn carries out ends-on TEXT [after=0] [back=0] [misses=VERB] [lasts=10]: the leader ends
+// that long after its next call, to any target, whose body contains TEXT. If the call is to a
+// worker, VERB (such as hang, deaf or die) is carried out for that machine right after it has
+// got the call, and reversed after the time in lasts. ends-on nothing: no more.
 func (w *World) actEndsOn(words []string) error {
 	o := options(words[2:])
-	if _, known := undone[o["misses"]]; o["misses"] != "" && !known {
+	if _, known := reverseVerbs[o["misses"]]; o["misses"] != "" && !known {
 		return fmt.Errorf("misses=%s", o["misses"])
 	}
 	w.endsOn = endsOn{
-		with: words[1], after: protocol.FromSeconds(number(o, "after", 0)), back: protocol.FromSeconds(number(o, "back", 0)),
-		misses: o["misses"], lasts: protocol.FromSeconds(number(o, "lasts", 10)),
+		text: words[1], after: protocol.FromSeconds(number(o, "after", 0)), restartAfter: protocol.FromSeconds(number(o, "back", 0)),
+		fault: o["misses"], faultDuration: protocol.FromSeconds(number(o, "lasts", 10)),
 	}
 	if words[1] == "nothing" {
-		w.endsOn.with = ""
+		w.endsOn.text = ""
 	}
 	return nil
 }
 
-// said looks at a call that a controller makes.
+// said is called with each call that a controller makes. If it is the one selected by endsOn, the
+// end of the leader and the fault of the called machine are scheduled.
 func (w *World) said(n *node, c controller.Call) {
 	e := w.endsOn
-	if e.with == "" || !strings.Contains(string(c.Body), e.with) || w.leader() != n {
+	if e.text == "" || !strings.Contains(string(c.Body), e.text) || w.leader() != n {
 		return
 	}
 	w.endsOn = endsOn{}
 	life := n.life
 	w.after(e.after, func() {
 		if n.alive && n.life == life {
-			w.note("%s ends after it said %s", n.name, e.with)
-			w.end(n, e.back)
+			w.note("%s ends after it said %s", n.name, e.text)
+			w.end(n, e.restartAfter)
 		}
 	})
 	m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]
-	if c.Target != controller.ToWorker || m == nil || e.misses == "" {
+	if c.Target != controller.ToWorker || m == nil || e.fault == "" {
 		return
 	}
-	w.after(5*protocol.Millisecond, func() { w.actMachine(e.misses, m) }) // it is there by then
-	w.after(e.lasts, func() { w.actMachine(undone[e.misses], m) })
+	// The call has arrived after 5 ms.
+	w.after(5*protocol.Millisecond, func() { w.actMachine(e.fault, m) })
+	w.after(e.faultDuration, func() { w.actMachine(reverseVerbs[e.fault], m) })
 }
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -10,50 +10,51 @@
 	"mapleslip/internal/records"
 )
 
-// fallenLimits are those that the state service holds from some moment on, below what the
-// platform's settings say.
+// fallenLimits are limits that the state service enforces from some moment on. They are lower than
+// those in the platform's settings.
 type fallenLimits struct {
 	protocol.StateLimits
-	alarm   func(format string, args ...any)
-	refused map[string]bool // transactions that got 400
-	copied  bool            // what comes now the network copied or held up: it was not sent now
-	count   int
+	reportViolation func(format string, args ...any)
+	refused         map[string]bool // bodies of the transactions that got 400
+	fromCopy        bool            // the current request is a copy or was delayed by the network
+	count           int             // transactions that were refused
 }
 
-// refuses says what is wrong with a transaction under the limits. One that was refused is
-// not to come again as it is.
-func (l *fallenLimits) refuses(body []byte, then []*fastjson.Value) string {
+// refuses returns why a transaction exceeds the limits, or "". A controller that sends a refused
+// transaction again unchanged violates a rule.
+func (l *fallenLimits) refuses(body []byte, writes []*fastjson.Value) string {
 	problem := ""
-	if len(then) > l.MaxTxnChanges {
+	if len(writes) > l.MaxTxnChanges {
 		problem = "too many changes"
 	}
-	for _, c := range then {
+	for _, c := range writes {
 		if data := c.Get("data"); data != nil && len(data.MarshalTo(nil)) > l.MaxValueBytes {
 			problem = "a value is too large"
 		}
 	}
-	if problem == "" || l.copied {
+	if problem == "" || l.fromCopy {
 		return problem
 	}
 	if l.refused[string(body)] {
-		l.alarm("a transaction that was refused (%s) comes again as it was", problem)
+		l.reportViolation("a transaction that was refused (%s) comes again as it was", problem)
 	}
 	l.refused[string(body)] = true
 	l.count++
 	return problem
 }
 
-// serveCopy carries out a request that the network copied or held up: what was refused since
-// may come so. Whether it is sent again is judged when it is sent, see checkSends.
+// serveCopy carries out a request that the network copied or delayed. It may be a transaction that
+// was refused in the meantime; that a controller sends none of those is checked when it sends,
+// see checkSends.
 func (s *store) serveCopy(method, path string, body []byte) {
 	if s.fallen != nil {
-		s.fallen.copied = true
-		defer func() { s.fallen.copied = false }()
+		s.fallen.fromCopy = true
+		defer func() { s.fallen.fromCopy = false }()
 	}
 	s.serve(method, path, body, func(int, string) {})
 }
 
-// writeRate is how many changes a second are taken.
+// writeRate is the number of changes per second that the state service accepts.
 func (s *store) writeRate() float64 {
 	if s.fallen != nil {
 		return s.fallen.WriteRate
@@ -61,44 +62,45 @@
 	return s.platform.StateWriteRate
 }
 
-// limitsFrom reads limits of the state service: value=2048 ops=4 changes=24.
-func limitsFrom(words []string) protocol.StateLimits {
+// parseLimits reads limits of the state service from options: value=2048 ops=4 changes=24.
+func parseLimits(words []string) protocol.StateLimits {
 	o := options(words)
 	return protocol.StateLimits{MaxValueBytes: int(number(o, "value", 2048)), MaxTxnChanges: int(number(o, "ops", 4)), WriteRate: number(o, "changes", 24)}
 }
 
-// sceneNext announces limits of the state service in the settings: next value=2048 ops=4 changes=24.
+// sceneNext carries out next value=2048 ops=4 changes=24: the platform's settings announce these
+// future limits of the state service.
 func (w *World) sceneNext(words []string) error {
-	l := limitsFrom(words)
+	l := parseLimits(words)
 	w.Platform.AnnouncedStateLimits = &l
 	return nil
 }
 
-// actLimitsFall has the state service hold lower limits from now on, without notice:
-// limits-fall value=2048 ops=4 changes=24.
+// actLimitsFall carries out limits-fall value=2048 ops=4 changes=24: the state service enforces
+// these lower limits from now on, without notice.
 func (w *World) actLimitsFall(words []string) error {
 	w.limited = true
-	w.store.fallen = &fallenLimits{StateLimits: limitsFrom(words), alarm: w.broken, refused: make(map[string]bool)}
+	w.store.fallen = &fallenLimits{StateLimits: parseLimits(words), reportViolation: w.broken, refused: make(map[string]bool)}
 	w.store.writes.room = min(w.store.writes.room, w.store.fallen.WriteRate)
 	return nil
 }
 
-// expectLimits checks how records and transactions stand to the limits: "fits BYTES" that no
-// record that leaders write takes more, "unfit COUNT" that at most so many transactions were
-// refused for their size since the limits fell.
+// expectLimits checks fits BYTES, that no record written by leaders takes more bytes, and
+// unfit COUNT, that at most COUNT transactions were refused for their size since the limits
+// were lowered.
 func (w *World) expectLimits(words []string) error {
-	most := int(number(options([]string{"x=" + words[1]}), "x", 0))
+	limit := int(number(options([]string{"x=" + words[1]}), "x", 0))
 	if words[0] == "unfit" {
-		if w.store.fallen == nil || w.store.fallen.count > most {
+		if w.store.fallen == nil || w.store.fallen.count > limit {
 			return fmt.Errorf("%d were refused", w.store.fallen.count)
 		}
 		return nil
 	}
 	for _, key := range w.store.order {
 		if strings.HasPrefix(key, records.JobPrefix) {
-			continue // as their users wrote them
+			continue // its size depends on what its user submitted
 		}
-		if n := len(w.store.keys[key].value); n > most {
+		if n := len(w.store.keys[key].value); n > limit {
 			return fmt.Errorf("%s takes %d bytes", key, n)
 		}
 	}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -16,37 +16,37 @@
 	"mapleslip/internal/records"
 )
 
-// Live serves the stand-ins of a World on real connections, on loopback: the state
-// service, the cloud, a worker for each machine on an address of its own, and an
-// address for each instance of a service. The controllers are processes; how the
-// stand-ins behave is the World's, as it is in simulated time.
+// Live serves the fakes of a World over real connections on loopback: the state service, the
+// cloud, a worker for each machine on an address of its own, and an address for each instance
+// of a service. The controllers are processes. The fakes behave as in simulated time, because
+// the World's code answers for them.
 type Live struct {
-	mu      sync.Mutex // the World is its holder's
-	w       *World
-	began   time.Time
-	names   []string // of the controllers
-	clients []string // their addresses for workers
-	network string
-	calls   http.Client
-	servers map[string]*http.Server // by address
-	ips     map[string]string       // of machines
-	failed  error
+	mu         sync.Mutex // held while the World is used
+	w          *World
+	startTime  time.Time
+	names      []string // of the controllers
+	clients    []string // addresses of the controllers for workers, as names
+	network    string   // prefix of the machines' addresses, see LiveSettings
+	httpClient http.Client
+	servers    map[string]*http.Server // by address
+	machineIPs map[string]string       // by machine
+	firstErr   error                   // the first address that could not be opened
 }
 
-// LiveSettings say where a Live is.
+// LiveSettings has the addresses, the platform's settings and the machine types of a Live.
 type LiveSettings struct {
-	State, Cloud string
-	Names        []string // of the controllers
-	Clients      []string // their addresses, as Names
-	Network      string   // two bytes of the machines' addresses, "127.77."
+	State, Cloud string   // addresses of the state service and the cloud
+	Names        []string // names of the controllers
+	Clients      []string // addresses of the controllers for workers, in the order of Names
+	Network      string   // first two bytes of the machines' addresses, such as "127.77."
 	Platform     protocol.Platform
 	Types        []*protocol.MachineType
 }
 
-// StartLive serves the stand-ins until the context ends. An address that can't be
-// bound is an error, and nothing is left listening.
+// StartLive serves the fakes until the context ends. If an address can't be bound, it returns an
+// error and closes all listeners.
 func StartLive(ctx context.Context, s LiveSettings) (*Live, error) {
-	l := &Live{w: NewWorld(0), began: time.Now(), names: s.Names, clients: s.Clients, network: s.Network, calls: http.Client{Timeout: 4 * time.Second}, servers: make(map[string]*http.Server), ips: make(map[string]string)}
+	l := &Live{w: NewWorld(0), startTime: time.Now(), names: s.Names, clients: s.Clients, network: s.Network, httpClient: http.Client{Timeout: 4 * time.Second}, servers: make(map[string]*http.Server), machineIPs: make(map[string]string)}
 	l.w.Platform, l.w.Types, l.w.quiet, l.w.live = s.Platform, s.Types, true, l
 	l.w.listLag = protocol.Second
 	context.AfterFunc(ctx, l.close)
@@ -62,22 +62,22 @@
 		}
 	}
 	l.w.Start()
-	go l.pump(ctx)
+	go l.advanceTime(ctx)
 	return l, nil
 }
 
-// pump lets the World's time pass as the clock's.
-func (l *Live) pump(ctx context.Context) {
+// advanceTime runs the World in step with the real clock until the context ends.
+func (l *Live) advanceTime(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		l.w.Run(micros(time.Since(l.began) / time.Microsecond))
-		l.workers()
+		l.w.Run(micros(time.Since(l.startTime) / time.Microsecond))
+		l.updateWorkers()
 		l.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// handler serves requests by a function of the World's.
+// handler answers HTTP requests with a function of the World.
 func (l *Live) handler(serve func(method, target string, body []byte, answer func(int, string))) http.HandlerFunc {
 	type result struct {
 		status int
@@ -134,19 +134,19 @@
 	}
 }
 
-// ipOf gives each machine an address of its own.
+// ipOf returns the machine's IP address. Each machine gets one of its own at the first call.
 func (l *Live) ipOf(m *machine) string {
-	ip := l.ips[m.name]
+	ip := l.machineIPs[m.name]
 	if ip == "" {
-		n := len(l.ips) + 1
+		n := len(l.machineIPs) + 1
 		ip = l.network + strconv.Itoa(n>>8) + "." + strconv.Itoa(n&255)
-		l.ips[m.name] = ip
+		l.machineIPs[m.name] = ip
 	}
 	return ip
 }
 
-// workers opens and closes the addresses of workers as machines come and go.
-func (l *Live) workers() {
+// updateWorkers opens the addresses of workers on running machines and closes those of others.
+func (l *Live) updateWorkers() {
 	up := make(map[string]bool)
 	for _, m := range l.w.sortedMachines() {
 		addr := l.w.workerAddr(m)
@@ -163,8 +163,8 @@
 	}
 }
 
-// openWorker opens a worker's address. It is open before the first report leaves, since
-// whoever reads that may call it at once.
+// openWorker opens a worker's address. This is done before the first report is sent, since a
+// controller that gets the report may call the worker at once.
 func (l *Live) openWorker(m *machine) {
 	addr := l.w.workerAddr(m)
 	if l.servers[addr] != nil {
@@ -173,17 +173,17 @@
 	err := l.listen(addr, l.handler(func(method, target string, body []byte, answer func(int, string)) {
 		l.w.callWorker(m, controller.Call{Path: target, Body: body}, answer)
 	}))
-	if err != nil && l.failed == nil {
-		l.failed = fmt.Errorf("stand-in of worker %s: %w", m.name, err)
+	if err != nil && l.firstErr == nil {
+		l.firstErr = fmt.Errorf("stand-in of worker %s: %w", m.name, err)
 	}
 }
 
-// hello carries a worker's report to a controller.
+// hello sends a worker's report to a controller. answer gets status 0 if there is no answer.
 func (l *Live) hello(node int, body string, answer func(int, []byte)) {
 	addr := l.clients[node%len(l.clients)]
 	go func() {
 		status, resp := 0, []byte(nil)
-		if got, err := l.calls.Post("http://"+addr+"/hello", "application/json", strings.NewReader(body)); err == nil {
+		if got, err := l.httpClient.Post("http://"+addr+"/hello", "application/json", strings.NewReader(body)); err == nil {
 			defer got.Body.Close()
 			if resp, err = io.ReadAll(got.Body); err == nil {
 				status = got.StatusCode
@@ -199,20 +199,20 @@
 	return l.ipOf(m) + ":" + strconv.Itoa(instancePort(t.job.spec.Ref, t.index))
 }
 
-// run has a service's instance answer its checks.
+// run opens the address at which a service's instance answers health checks.
 func (l *Live) run(m *machine, t *runningTask) {
 	err := l.listen(l.instance(m, t), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
-		status := l.w.answersCheck(t)
+		status := l.w.healthStatus(t)
 		l.mu.Unlock()
 		if status == 0 {
-			<-r.Context().Done() // it hangs
+			<-r.Context().Done() // the instance hangs: no answer
 			return
 		}
 		rw.WriteHeader(status)
 	}))
-	if err != nil && l.failed == nil {
-		l.failed = fmt.Errorf("stand-in of an instance: %w", err)
+	if err != nil && l.firstErr == nil {
+		l.firstErr = fmt.Errorf("stand-in of an instance: %w", err)
 	}
 }
 
@@ -222,17 +222,17 @@
 	}
 }
 
-// Err is what went wrong with the stand-ins themselves, or a rule that was broken.
+// Err returns the first error of the fakes themselves, or else the first broken rule, or nil.
 func (l *Live) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failed == nil && len(l.w.Broken) > 0 {
+	if l.firstErr == nil && len(l.w.Broken) > 0 {
 		return fmt.Errorf("rule broken: %s", l.w.Broken[0])
 	}
-	return l.failed
+	return l.firstErr
 }
 
-// Leader is the controller that the state service's record names, "": none.
+// Leader returns the name of the leader in the state service's record, or "" if there is none.
 func (l *Live) Leader() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,22 +247,22 @@
 	return lead.Controller
 }
 
-// Behave says what the instances of an image do from now on: passes, fails, hangs,
-// flaps or crashes, once they have run for so long.
+// Behave sets what the instances of an image do from now on, once they have run for the time
+// after: what is passes, fails, hangs, flaps or crashes.
 func (l *Live) Behave(image, what string, after protocol.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.w.behaviours[image] = behaviour{what, after}
 }
 
-// Healthy counts the instances of images that run and would pass a check now.
+// Healthy counts the running instances of the images that would pass a health check now.
 func (l *Live) Healthy(images ...string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.w.sortedMachines() {
 		for _, t := range m.sorted() {
 			for _, image := range images {
-				if t.on && t.state == "running" && t.job.spec.Image == image && l.w.answersCheck(t) == 200 {
+				if t.on && t.state == "running" && t.job.spec.Image == image && l.w.healthStatus(t) == 200 {
 					n++
 				}
 			}
@@ -271,7 +271,7 @@
 	return n
 }
 
-// Machines counts the machines that are rented.
+// Machines counts the rented machines.
 func (l *Live) Machines() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/lost_answers.go
+++ b/internal/simulation/lost_answers.go
@@ -14,36 +14,36 @@
 	"mapleslip/internal/records"
 )
 
-// Calls to the state service that are carried out at once and of which only the answer is
-// lost, or late: the writer does not know what everybody else can read already.
+// Calls to the state service that are carried out at once while their answer is lost or late:
+// the controller that made the call doesn't have the result, and all others can read it already.
 
-// answerLoss selects such calls and says what becomes of the controller that made them.
+// answerLoss selects such calls, and what happens to the controller that made them.
 type answerLoss struct {
-	with   string // text in the body of a transaction, "": other calls
-	method string
-	path   string // end of the path of other calls
-	every  int    // every so manyth of them
-	most   int    // at most so many
-	by     micros // so much later the answer comes, 0: never
-	then   string // stays, ends, or is away from the state service and the other controllers
-	back   micros // so long after that it is back, 0: not by itself
-	seen   int
+	text        string // text in the body of a transaction; "": selects other calls
+	method      string
+	path        string // end of the path, for other calls
+	every       int    // every N-th of these calls is selected
+	remaining   int    // calls that may still be selected
+	delay       micros // delay of the answer, 0: it never arrives
+	action      string // stays, ends, or away (cut off from the state service and other controllers)
+	returnAfter micros // time until the controller is back; 0: an ended one stays down
+	seen        int    // calls that matched so far
 }
 
-// lostAnswers is what a world knows of them.
+// lostAnswers has the rules of a world for such calls, and what they did so far.
 type lostAnswers struct {
 	rules []*answerLoss
-	count int
-	keys  map[string]uint64 // keys that were written so, and their stamps
+	count int               // answers lost or delayed
+	keys  map[string]uint64 // stamps of the keys written by these calls
 }
 
-// matches reports whether a call is one of those, and counts it.
+// matches counts a call that fits the rule and reports whether it is selected.
 func (l *answerLoss) matches(c controller.Call) bool {
 	commit := c.Path == "/commit"
 	switch {
-	case l.most == 0,
-		l.with != "" && (!commit || !strings.Contains(string(c.Body), l.with)),
-		l.with == "" && (commit || !strings.HasSuffix(c.Path, l.path)),
+	case l.remaining == 0,
+		l.text != "" && (!commit || !strings.Contains(string(c.Body), l.text)),
+		l.text == "" && (commit || !strings.HasSuffix(c.Path, l.path)),
 		l.method != "" && c.Method != l.method:
 		return false
 	}
@@ -51,9 +51,9 @@
 	return l.seen%l.every == 0
 }
 
-// loseAnswersOf does what a line of a trace says: lose-answers-of with=TEXT|path=END
-// [method=POST] [every=1] [most=1] [by=0] [then=stays|ends|away] [back=SECONDS];
-// lose-answers-of nothing: no more.
+// loseAnswersOf carries out lose-answers-of with=TEXT|path=END|method=POST [every=1] [most=1]
+// [by=0] [then=stays|ends|away] [back=SECONDS], which adds a rule, see answerLoss, and
+// lose-answers-of nothing, which removes all rules.
 func (w *World) loseAnswersOf(words []string) error {
 	if words[1] == "nothing" {
 		w.lost.rules = nil
@@ -65,18 +65,19 @@
 		o[k] = v
 	}
 	l := &answerLoss{
-		with: o["with"], method: o["method"], path: o["path"], every: int(number(o, "every", 1)), most: int(number(o, "most", 1)),
-		by: protocol.FromSeconds(number(o, "by", 0)), then: o["then"], back: protocol.FromSeconds(number(o, "back", 0)),
+		text: o["with"], method: o["method"], path: o["path"], every: int(number(o, "every", 1)), remaining: int(number(o, "most", 1)),
+		delay: protocol.FromSeconds(number(o, "by", 0)), action: o["then"], returnAfter: protocol.FromSeconds(number(o, "back", 0)),
 	}
-	if l.with == "" && l.path == "" && l.method == "" {
+	if l.text == "" && l.path == "" && l.method == "" {
 		return fmt.Errorf("lose-answers-of with=TEXT or path=END")
 	}
 	w.lost.rules = append(w.lost.rules, l)
 	return nil
 }
 
-// losesAnswer takes the answer to a call that was carried out, and reports whether it is
-// lost or late. Users then look closely.
+// losesAnswer is called with the answer to a call that was carried out, and reports whether a
+// rule makes it lost or late. If so, users then send all controllers repeated requests, see
+// pollAllUntil.
 func (w *World) losesAnswer(n *node, c controller.Call, status int, deliver func()) bool {
 	if status != 200 {
 		return false
@@ -86,23 +87,23 @@
 		return false
 	}
 	l := w.lost.rules[i]
-	l.most--
+	l.remaining--
 	w.lost.count++
 	w.note("the answer to %s %s of %s is lost", c.Method, c.Path, n.name)
 	if c.Path == "/commit" {
-		w.rememberWritten(c.Body)
+		w.recordWrittenKeys(c.Body)
 	}
-	if l.by > 0 {
-		w.after(l.by, deliver)
+	if l.delay > 0 {
+		w.after(l.delay, deliver)
 	}
-	w.askAllUntil(w.now + 3*protocol.Second)
-	switch life := n.life; l.then {
+	w.pollAllUntil(w.now + 3*protocol.Second)
+	switch life := n.life; l.action {
 	case "ends":
 		w.note("%s ends", n.name)
-		w.end(n, l.back)
+		w.end(n, l.returnAfter)
 	case "away":
 		n.away = true
-		w.after(l.back, func() {
+		w.after(l.returnAfter, func() {
 			if n.life == life {
 				w.comesBack(n)
 			}
@@ -111,8 +112,8 @@
 	return true
 }
 
-// rememberWritten notes which keys a transaction wrote.
-func (w *World) rememberWritten(body []byte) {
+// recordWrittenKeys keeps the keys that a transaction wrote, with their stamps.
+func (w *World) recordWrittenKeys(body []byte) {
 	if w.lost.keys == nil {
 		w.lost.keys = make(map[string]uint64)
 	}
@@ -123,17 +124,19 @@
 	}
 }
 
-// Users ask all controllers again and again, and repeat their submissions, while one of
-// the controllers does not know what it wrote.
+// While a controller lacks the result of its own write, users query all controllers at this
+// interval and repeat their submissions at every pollsPerSubmission-th query.
 const (
-	lookEvery   = 50 * protocol.Millisecond
-	submitEvery = 8 // looks
+	pollInterval       = 50 * protocol.Millisecond
+	pollsPerSubmission = 8
 )
 
-func (w *World) askAllUntil(until micros) {
-	looks := 0
-	var look func()
-	look = func() {
+// pollAllUntil has the users of all accepted jobs send repeated requests to every controller that
+// they reach, until an instant.
+func (w *World) pollAllUntil(until micros) {
+	polls := 0
+	var poll func()
+	poll = func() {
 		refs := make([]string, 0, len(w.jobs))
 		for ref := range w.jobs {
 			refs = append(refs, ref)
@@ -146,20 +149,20 @@
 			}
 			for _, n := range w.nodes {
 				if w.reachable(n) {
-					w.askAgain(n, j, looks%submitEvery == 0)
+					w.repeatRequests(n, j, polls%pollsPerSubmission == 0)
 				}
 			}
 		}
-		if looks++; w.now < until {
-			w.after(lookEvery, look)
+		if polls++; w.now < until {
+			w.after(pollInterval, poll)
 		}
 	}
-	w.after(lookEvery, look)
+	w.after(pollInterval, poll)
 }
 
-// askAgain asks one controller about a job that was accepted; what it says may not be older
-// than what was known when it was asked.
-func (w *World) askAgain(n *node, j *userJob, submits bool) {
+// repeatRequests queries an accepted job at one controller and, if resubmit is set, repeats the
+// submission. The answer must not be older than the answers that users had when it was requested.
+func (w *World) repeatRequests(n *node, j *userJob, resubmit bool) {
 	asked := w.now
 	w.request(n, "query", j.spec.Ref, func(status int, body []byte) {
 		switch {
@@ -169,7 +172,7 @@
 			w.heard(j, fastjson.GetString(body, "phase"))
 		}
 	})
-	if !submits {
+	if !resubmit {
 		return
 	}
 	w.request(n, "submit", string(j.body), func(status int, body []byte) {
@@ -184,10 +187,12 @@
 	})
 }
 
-// expectLost checks what became of the calls whose answers were lost: lost-answers N, so
-// many at least were; conflicts N, at most so many transactions were refused for their
-// conditions; written-again, each record has been written again or dropped since,
-// or is there and final.
+// expectLost checks the expectations about the calls whose answers were lost:
+//
+//	lost-answers N: at least N answers were lost or delayed
+//	conflicts N: at most N transactions were refused because a condition did not hold
+//	written-again: each record that such a call wrote was written again or dropped since; one
+//	    that is never rewritten (of a finished job, or the machine types) is still there
 func (w *World) expectLost(words []string) error {
 	switch words[0] {
 	case "lost-answers":
@@ -207,7 +212,7 @@
 		e := w.store.keys[key]
 		final := strings.HasPrefix(key, records.FinalPrefix) || key == records.KeyMachineTypes
 		if final && e == nil || !final && e != nil && e.stamp <= stamp {
-			return fmt.Errorf("%s is as it was when the answer was lost", key)
+			return fmt.Errorf("%s has not been written since the answer was lost", key)
 		}
 	}
 	return nil
--- a/internal/simulation/old_heartbeats.go
+++ b/internal/simulation/old_heartbeats.go
@@ -6,42 +6,45 @@
 	"strings"
 )
 
-// Old reports that reach every controller just as a new leader begins: of an earlier
-// session, attempt or term, some before it has read the records and some after.
+// Copies of old worker reports that reach every controller when a new leader begins. They are of
+// an earlier session, attempt or term; some arrive before the leader has read the records, some
+// after.
 
-// oldReports is what a world keeps of workers' reports, and when copies are delivered.
+// oldReports has the kept copies of workers' reports, and when they are delivered.
 type oldReports struct {
-	keeping   bool
-	with      string
-	bodies    []string
-	on        []string // roles of which a beginning delivers them
-	after     micros
-	newest    bool           // the last one comes first
-	delivered map[string]int // by the role of who got them
+	keeping     bool   // copies are kept of the reports that are sent now
+	text        string // only of those that contain this
+	bodies      []string
+	roles       []string       // they are delivered when a controller takes one of these roles
+	after       micros         // and this much time has passed
+	newestFirst bool           // the newest copy is delivered first
+	delivered   map[string]int // number of copies, by the role of the controller that got them
 }
 
-// keepReport keeps a report while that is asked for.
+// keepReport keeps a copy of a worker's report between old-reports keep and old-reports stop.
 func (w *World) keepReport(body string) {
-	if o := &w.oldReports; o.keeping && strings.Contains(body, o.with) {
+	if o := &w.oldReports; o.keeping && strings.Contains(body, o.text) {
 		o.bodies = append(o.bodies, body)
 	}
 }
 
-// actOldReports does what a line of a trace says: old-reports keep [with=TEXT]; old-reports
-// stop; old-reports deliver on=claiming,loading,leading [after=0] [order=newest]; on=none:
-// no more.
+// actOldReports carries out these lines of a trace:
+//
+//	old-reports keep [with=TEXT]
+//	old-reports stop
+//	old-reports deliver on=claiming,loading,leading [after=0] [order=newest]; on=none: no more
 func (w *World) actOldReports(words []string) error {
 	o := &w.oldReports
 	switch words[1] {
 	case "keep", "stop":
 		o.keeping = words[1] == "keep"
 		if o.keeping {
-			o.with = options(words[2:])["with"]
+			o.text = options(words[2:])["with"]
 		}
 	case "deliver":
-		given := options(words[2:])
-		o.on, o.newest = strings.Split(given["on"], ","), given["order"] == "newest"
-		o.after = micros(1e6 * number(given, "after", 0))
+		args := options(words[2:])
+		o.roles, o.newestFirst = strings.Split(args["on"], ","), args["order"] == "newest"
+		o.after = micros(1e6 * number(args, "after", 0))
 		if o.delivered == nil {
 			o.delivered = make(map[string]int)
 		}
@@ -51,17 +54,18 @@
 	return nil
 }
 
-// roleBegins delivers copies of the kept reports to all controllers if it is time for that.
+// roleBegins is called when a controller takes a role. If the kept reports are to be delivered at
+// that role, each controller gets copies of all of them.
 func (w *World) roleBegins(role string) {
 	o := &w.oldReports
-	for _, on := range o.on {
+	for _, on := range o.roles {
 		if on != role {
 			continue
 		}
 		w.note("%d old reports come", len(o.bodies))
 		for i := range o.bodies {
 			body := o.bodies[i]
-			if o.newest {
+			if o.newestFirst {
 				body = o.bodies[len(o.bodies)-1-i]
 			}
 			for _, n := range w.nodes {
@@ -76,8 +80,7 @@
 	}
 }
 
-// expectOldReports checks that so many copies at least came to controllers in a role:
-// old-reports ROLE N.
+// expectOldReports checks old-reports ROLE N: controllers in that role got at least N copies.
 func (w *World) expectOldReports(words []string) error {
 	least, err := strconv.Atoi(words[2])
 	if got := w.oldReports.delivered[words[1]]; err == nil && got < least {
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -10,11 +10,11 @@
 	"mapleslip/internal/records"
 )
 
-// Whatever may be on a machine is in a record before it leaves: the machine, and the launch
-// with its attempt. A successor that did not know of them could start the same task again,
-// or more than a team's limit.
+// A controller must write the machine and the launch, with its attempt, to records before it sends
+// the launch command. The next leader would otherwise not have them, and could start the same
+// task again or exceed a team's limit.
 
-// recordedPages is what the pages of the state service name, by their keys.
+// recordedPages has the machines and launches in the records of the state service, by key.
 type recordedPages struct {
 	hosts    map[string]map[string]bool
 	launches map[string]map[protocol.AttemptName]string
@@ -25,9 +25,9 @@
 	p.launches = make(map[string]map[protocol.AttemptName]string)
 }
 
-// took notes what a transaction wrote.
-func (p *recordedPages) took(then []*fastjson.Value) {
-	for _, change := range then {
+// update reads the machine and launch records that a transaction wrote.
+func (p *recordedPages) update(writes []*fastjson.Value) {
+	for _, change := range writes {
 		key := string(change.GetStringBytes("set"))
 		switch {
 		case strings.HasPrefix(key, records.HostShardPrefix):
@@ -46,7 +46,7 @@
 	}
 }
 
-func (p *recordedPages) namesHost(name string) bool {
+func (p *recordedPages) hasHost(name string) bool {
 	for _, page := range p.hosts {
 		if page[name] {
 			return true
@@ -55,7 +55,7 @@
 	return false
 }
 
-func (p *recordedPages) namesLaunch(name protocol.AttemptName, host string) bool {
+func (p *recordedPages) hasLaunch(name protocol.AttemptName, host string) bool {
 	for _, page := range p.launches {
 		if page[name] == host {
 			return true
@@ -64,7 +64,7 @@
 	return false
 }
 
-// checkRecorded looks at commands that leave for a machine.
+// checkRecorded checks that the launches among the commands sent to a machine are in records.
 func (w *World) checkRecorded(m *machine, body []byte) {
 	if !strings.Contains(string(body), `"launch"`) {
 		return
@@ -81,10 +81,10 @@
 		task := protocol.TaskName{Job: ref}
 		task.Index, _ = strconv.Atoi(index)
 		name := protocol.AttemptName{TaskName: task, Number: order.GetUint64("try")}
-		if !w.recorded.namesHost(m.name) && w.store.keys[records.LegacyHostPrefix+m.name] == nil {
+		if !w.recorded.hasHost(m.name) && w.store.keys[records.LegacyHostPrefix+m.name] == nil {
 			w.broken("not recorded: %s, on which %s is launched", m.name, task)
 		}
-		if !w.recorded.namesLaunch(name, m.name) {
+		if !w.recorded.hasLaunch(name, m.name) {
 			w.broken("not recorded: launch of %s on %s", task, m.name)
 		}
 	}
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -11,14 +11,15 @@
 	"mapleslip/internal/rollout"
 )
 
-// behaviour is what the instances of an image do.
+// behaviour is what the instances of an image do: how they answer health checks, or that they crash.
 type behaviour struct {
-	what  string // passes, fails, hangs, flaps, crashes; "" passes
-	after micros // once it has run for so long; before it passes
+	what  string // passes, fails, hangs, flaps, crashes; "" is passes
+	after micros // time that an instance runs before it does this; until then it passes
 }
 
-// behaviourOf is what the instances of an image do. On real connections, where nobody
-// writes a trace, its name may say so: picker-7-fails, picker-7-crashes-30 (after 30 s).
+// behaviourOf returns what the instances of an image do. With real connections there is no trace
+// that sets it, so it may be part of the image's name: picker-7-fails, or picker-7-crashes-30
+// (after 30 s).
 func (w *World) behaviourOf(image string) behaviour {
 	if b, ok := w.behaviours[image]; ok || w.live == nil {
 		return b
@@ -37,22 +38,23 @@
 	return behaviour{}
 }
 
+// rolloutOps are the operations of the verbs that name only a service.
 var rolloutOps = map[string]protocol.UserOp{
 	"rollout-show": protocol.OpRolloutShow, "rollout-pause": protocol.OpRolloutPause,
 	"rollout-resume": protocol.OpRolloutResume, "rollout-revert": protocol.OpRolloutRevert,
 }
 
-// InstanceAt is the template of the address at which a stand-in's instance answers:
-// one of its own for each, made of what the instance knows itself.
+// InstanceAt is the template of the addresses at which the fake instances of services answer. It
+// makes a different address for each instance, from the instance's own values only.
 const InstanceAt = "{{.IP}}:{{add 10000 (mod (add .Number .Index) 50000)}}"
 
-// instancePort is the port that InstanceAt makes.
+// instancePort returns the port that InstanceAt makes for an instance.
 func instancePort(ref string, index int) int {
 	return 10000 + int((rollout.Number(ref)+uint64(index))%50000)
 }
 
-// describe finds a job: users upload the descriptions of theirs; what a roll-out
-// submitted is read from the record.
+// describe returns a job that a user of the trace submitted. Other jobs, which a roll-out
+// submitted, are read from their record in the state service. It returns nil if there is none.
 func (w *World) describe(ref string) *userJob {
 	if j := w.jobs[ref]; j != nil {
 		return j
@@ -64,19 +66,19 @@
 	if e == nil {
 		return nil
 	}
-	k, err := records.DecodeJob([]byte(e.value))
+	record, err := records.DecodeJob([]byte(e.value))
 	if err != nil {
 		w.broken("damaged record of %s: %v", ref, err)
 		return nil
 	}
-	j := &userJob{spec: k.Spec, run: k.Spec.EstimatedRuntime, results: make([]bool, k.Spec.Tasks), accepted: true}
+	j := &userJob{spec: record.Spec, run: record.Spec.EstimatedRuntime, results: make([]bool, record.Spec.Tasks), accepted: true}
 	w.described[ref] = j
 	return j
 }
 
-// answersCheck says what an instance does now when it is checked: a status, or 0 for
-// nothing at all.
-func (w *World) answersCheck(t *runningTask) int {
+// healthStatus returns the status with which an instance answers a health check now, or 0 if it
+// doesn't answer.
+func (w *World) healthStatus(t *runningTask) int {
 	b := w.behaviourOf(t.job.spec.Image)
 	if w.now-t.started < b.after {
 		return 200
@@ -94,7 +96,8 @@
 	return 200
 }
 
-// checkInstance carries a check of an instance.
+// checkInstance carries a controller's health check to an instance, and the answer back. There is
+// no answer if the machine can't be reached or the instance doesn't run.
 func (w *World) checkInstance(n *node, c controller.Call, backFrom func(zone string) func(int, string)) {
 	host, port, _ := strings.Cut(c.Addr, ":")
 	m := w.machines[host]
@@ -104,7 +107,7 @@
 	w.cross(n.zone, m.zone, func() {
 		for _, t := range m.sorted() {
 			if t.on && t.state == "running" && port == strconv.Itoa(instancePort(t.job.spec.Ref, t.index)) {
-				if status := w.answersCheck(t); status > 0 {
+				if status := w.healthStatus(t); status > 0 {
 					backFrom(m.zone)(status, "")
 				}
 				return
@@ -113,10 +116,10 @@
 	})
 }
 
-// actRollout has an operator ask for something about a roll-out:
+// actRollout has an operator start a roll-out, or pause, resume or revert one:
 //
 //	rollout ID SERVICE image=img-2 count=4 floor=3 surge=1 stages=1,4 soak=5 adopt=req-000001
-//	rollout-pause SERVICE
+//	rollout-pause SERVICE, rollout-resume SERVICE, rollout-revert SERVICE
 func (w *World) actRollout(words []string) error {
 	what, service, body := words[0], words[1], words[1]
 	if what == "rollout" {
@@ -144,7 +147,7 @@
 			s.AdoptJobs = strings.Split(o["adopt"], ",")
 			for _, ref := range s.AdoptJobs {
 				if j := w.jobs[ref]; j != nil {
-					j.asked = true // to be cancelled, by the roll-out
+					j.asked = true // the roll-out cancels it
 				}
 			}
 		}
@@ -161,17 +164,18 @@
 	return nil
 }
 
-// expectRollout checks how a roll-out stands, as its leader tells.
+// expectRollout checks rollout SERVICE STATE [status=N] [reason=TEXT] [new=N] [old=N]
+// [healthy=N]: the state of a roll-out as the leader reports it, with "_" for spaces in TEXT.
 func (w *World) expectRollout(words []string) error {
 	o := options(words[2:])
-	if want, ok := o["status"]; ok { // of the last request
+	if want, ok := o["status"]; ok { // of the answer to the last request
 		if got := string(w.rolloutBy[words[0]][:3]); got != want {
 			return fmt.Errorf("got %s", w.rolloutBy[words[0]])
 		}
 	}
 	n := w.leader()
 	if n == nil {
-		return fmt.Errorf("nobody leads")
+		return fmt.Errorf("there is no leader")
 	}
 	var s *protocol.RolloutStatus
 	var err error
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -13,62 +13,69 @@
 	"mapleslip/internal/records"
 )
 
-// Controllers of two versions side by side. That in production is played by a controller
-// of this one that knows of no feature levels: it writes no entry in the roster, asks for
-// no level, and refuses records of the later form. All that it writes is byte for byte what
-// production writes (internal/featuregate/golden_test.go), and whatever else this version does
-// anew hangs on a level; so it is a fair stand-in for as long as that stays true.
+// Controllers of two versions side by side. A controller of the version in production is simulated
+// by one of this version with feature levels disabled: it writes no entry in the roster, requests
+// no level, and refuses records of the later format. This is valid as long as two conditions hold:
+// all that it writes is byte for byte what production writes (checked by
+// internal/featuregate/golden_test.go), and everything else that is new in this version depends on
+// a feature level.
 
-// versions judges what is done about feature levels.
+// versions checks how the controllers handle feature levels.
 type versions struct {
-	active featuregate.Level // as the state service has it
+	active featuregate.Level // the active level in the state service
 }
 
-// generation is which version a controller runs.
+// generation has the versions that a controller runs.
 type generation struct {
-	next version // of its next process
-	runs version // of the one that it has, or had last
+	nextVersion version // of its next process
+	running     version // of its current process, or of the last one
 }
 
-// version is what a controller's process knows of levels. The zero value is this version.
+// version describes which feature levels a controller's process supports. The zero value is this
+// version of the program.
 type version struct {
-	production bool
-	less       featuregate.Level // it serves so many levels less than this one
+	production  bool              // the version in production, without feature levels
+	fewerLevels featuregate.Level // how many levels less than this version it serves
 }
 
-// serves is the highest level that a version serves.
+// serves returns the highest feature level that a version serves.
 func (v version) serves() featuregate.Level {
 	if v.production {
 		return 0
 	}
-	return featuregate.Build.High - v.less
+	return featuregate.Build.High - v.fewerLevels
 }
 
-// configure prepares a controller's process for its version.
+// configure sets up a new process of a controller for its version.
 func (w *World) configure(n *node) {
-	if n.runs = n.next; n.runs.production {
+	if n.running = n.nextVersion; n.running.production {
 		n.ctl.DisableFeatureLevels()
 		return
 	}
-	n.ctl.SetFeatureRange(featuregate.Range{High: n.runs.serves()}, "rehearsal")
+	n.ctl.SetFeatureRange(featuregate.Range{High: n.running.serves()}, "rehearsal")
 }
 
-// sceneProduction has the first so many controllers run the version in production.
+// sceneProduction carries out production COUNT: the first COUNT controllers run the version in
+// production.
 func (w *World) sceneProduction(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil || count > len(w.nodes) {
 		return fmt.Errorf("production COUNT, after nodes")
 	}
 	for i, n := range w.nodes {
-		n.next.production = i < count
+		n.nextVersion.production = i < count
 	}
 	return nil
 }
 
-// actUpgrade gives a controller this version, or that in production: upgrade NODE [after=3],
-// downgrade NODE [after=3]; upgrade NODE less=1: a version that knows of levels and serves so
-// many fewer. Its process is killed, if there is one, and another one comes
-// after a while; one that is down comes back as the other.
+// actUpgrade changes the version of a controller, or of all:
+//
+//	upgrade NODE|all [after=3] [less=1]: to this version; with less=1, to one that serves one
+//	    feature level less
+//	downgrade NODE|all [after=3]: to the version in production
+//
+// A running process is killed, and the new one starts after that many seconds. A controller that
+// is down runs the new version when it is started.
 func (w *World) actUpgrade(words []string) error {
 	names := []string{words[1]}
 	if words[1] == "all" {
@@ -83,7 +90,7 @@
 			return fmt.Errorf("no such node")
 		}
 		o := options(words[2:])
-		n.next = version{production: words[0] == "downgrade", less: featuregate.Level(number(o, "less", 0))}
+		n.nextVersion = version{production: words[0] == "downgrade", fewerLevels: featuregate.Level(number(o, "less", 0))}
 		if n.alive {
 			w.end(n, protocol.FromSeconds(number(o, "after", 3)))
 		}
@@ -91,10 +98,11 @@
 	return nil
 }
 
-// committedLevels looks at what a transaction wrote about the levels.
-func (w *World) committedLevels(then []*fastjson.Value) {
+// committedLevels checks the changes of a committed transaction: the active level only rises,
+// each controller serves it, and the format of the records is that of the active level.
+func (w *World) committedLevels(writes []*fastjson.Value) {
 	v := &w.versions
-	for _, c := range then {
+	for _, c := range writes {
 		key := string(c.GetStringBytes("set"))
 		if key != featuregate.KeyLevel {
 			continue
@@ -106,12 +114,12 @@
 		v.active = level
 		w.note("feature level %d is active", level)
 		for _, n := range w.nodes {
-			if n.runs.serves() < level {
-				w.broken("feature level %d is active, and %s serves up to %d", level, n.name, n.runs.serves())
+			if n.running.serves() < level {
+				w.broken("feature level %d is active, and %s serves up to %d", level, n.name, n.running.serves())
 			}
 		}
 	}
-	for _, c := range then {
+	for _, c := range writes {
 		value := c.Get("data")
 		key := string(c.GetStringBytes("set"))
 		if strings.HasPrefix(key, records.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < featuregate.ChainedJobs.From {
@@ -123,48 +131,52 @@
 				w.broken("the epoch's record is %s at feature level %d", value, v.active)
 			}
 		case records.KeyMachineTypes:
-			if _, later, err := records.DecodeMachineTypes(value.MarshalTo(nil)); err != nil || later != (v.active > 0) {
+			if _, versioned, err := records.DecodeMachineTypes(value.MarshalTo(nil)); err != nil || versioned != (v.active > 0) {
 				w.broken("the machine types are %s at feature level %d", value, v.active)
 			}
 		}
 	}
 }
 
-// checkVersion holds that a version that does not serve the active level, as that in
-// production, does not lead.
+// checkVersion checks that a controller whose version does not serve the active level, such as
+// the one in production, does not lead.
 func (w *World) checkVersion(n *node) {
-	if n.runs.serves() >= w.versions.active {
+	if n.running.serves() >= w.versions.active {
 		return
 	}
 	switch n.ctl.Role() {
 	case controller.RoleRecovering, controller.RoleLeader, controller.RoleLeaseUncertain:
-		w.broken("%s serves up to %d and leads at feature level %d", n.name, n.runs.serves(), w.versions.active)
+		w.broken("%s serves up to %d and leads at feature level %d", n.name, n.running.serves(), w.versions.active)
 	case controller.RoleFollower, controller.RoleAcquiringLease, controller.RoleClaiming:
 	}
 }
 
-// checkSends holds that it neither goes to lead nor to accept by itself, and that nobody
-// sends a transaction that was refused for its size.
+// checkSends checks a call that a controller makes. A controller whose version does not serve the
+// active level must neither claim leadership nor accept jobs, and no controller may send a
+// transaction that was refused for its size.
 func (w *World) checkSends(n *node, c controller.Call) {
 	if fallen := w.store.fallen; fallen != nil && c.Target == controller.ToState && fallen.refused[string(c.Body)] {
 		w.broken("%s sends a transaction that was refused", n.name)
 	}
-	if n.runs.serves() < w.versions.active && c.Target == controller.ToState && c.Path == "/commit" &&
+	if n.running.serves() < w.versions.active && c.Target == controller.ToState && c.Path == "/commit" &&
 		(strings.Contains(string(c.Body), `"set":"`+records.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+records.KeyLeader)) {
-		w.broken("%s serves up to %d and writes at feature level %d: %s", n.name, n.runs.serves(), w.versions.active, c.Body)
+		w.broken("%s serves up to %d and writes at feature level %d: %s", n.name, n.running.serves(), w.versions.active, c.Body)
 	}
 }
 
-// expectLevel: level N, as the state service has it; level NODE N, as a controller knows it;
-// level-waits NODE,NODE|nobody, as the leader says.
+// expectLevel checks the expectations about feature levels:
+//
+//	level N: the active level in the state service
+//	level NODE N|none: the active level in the status of a controller
+//	level-waits NODE,NODE|nobody: the controllers that the leader reports as blocking a level
 func (w *World) expectLevel(words []string) error {
 	got := strconv.FormatUint(uint64(w.versions.active), 10)
 	switch {
 	case words[0] == "level-waits":
 		var names []string
-		waits := w.leader().ctl.Snapshot().Features.Blockers
+		blockers := w.leader().ctl.Snapshot().Features.Blockers
 		for _, n := range w.nodes {
-			if waits[n.name] != "" {
+			if blockers[n.name] != "" {
 				names = append(names, n.name)
 			}
 		}
--- a/internal/simulation/waiting_jobs.go
+++ b/internal/simulation/waiting_jobs.go
@@ -7,20 +7,20 @@
 	"mapleslip/internal/protocol"
 )
 
-// How long jobs wait while there is a place for them: a machine that fits has room, and
-// their team is under its limit. Users take a job that waits so for 90 s once all troubles
-// are over for one that was left behind.
+// How long jobs wait although there is room for them: a machine that fits has room, and their
+// team is below its limit. A job that waits like this for 90 s after all faults have ended is
+// regarded by its user as left behind.
 
-// waitBeside is how long a job has waited beside room.
+// waitBeside is how long a job has been waiting although there is room for it.
 type waitBeside struct {
-	since   micros // 0: it does not
-	longest micros
+	since   micros // start of the current wait, 0 if there is none
+	longest micros // the longest wait so far
 }
 
-// watchWaiting looks at all jobs; it comes once a second.
+// watchWaiting updates the waiting times of all jobs. It is called once a second.
 func (w *World) watchWaiting() {
 	for _, j := range w.jobs {
-		if !w.waitsBesideRoom(j) {
+		if !w.waitsDespiteRoom(j) {
 			j.waiting.since = 0
 			continue
 		}
@@ -31,38 +31,38 @@
 	}
 }
 
-// countWaiting begins anew: what was before does not count.
+// countWaiting resets the waiting times of all jobs.
 func (w *World) countWaiting() {
 	for _, j := range w.jobs {
 		j.waiting = waitBeside{}
 	}
 }
 
-// expectWaits checks that no job has waited beside room for longer than a time.
-func (w *World) expectWaits(most micros) error {
+// expectWaits checks that no job has waited for longer than limit while there was room for it.
+func (w *World) expectWaits(limit micros) error {
 	for ref, j := range w.jobs {
-		if j.waiting.longest > most {
-			return fmt.Errorf("%s waited for %.1f s beside room", ref, j.waiting.longest.Seconds())
+		if j.waiting.longest > limit {
+			return fmt.Errorf("%s waited for %.1f s while there was room for it", ref, j.waiting.longest.Seconds())
 		}
 	}
 	return nil
 }
 
-// waitsBesideRoom reports whether no task of a job is on a machine or on its way to one,
-// though what it needs to begin is free: a place for one task, of a gang for all.
-func (w *World) waitsBesideRoom(j *userJob) bool {
+// waitsDespiteRoom reports whether a job has no task that was launched and has not ended, although
+// there is room to begin: for one task, or for all tasks of a gang.
+func (w *World) waitsDespiteRoom(j *userJob) bool {
 	if !j.accepted || j.asked || j.toldDone || j.toldCancelled > 0 {
 		return false
 	}
 	s := j.spec
-	left := 0
+	unfinished := 0
 	for _, done := range j.results {
 		if !done {
-			left++
+			unfinished++
 		}
 	}
-	var used protocol.Resources // by the team
-	free := make(map[string]int)
+	var used protocol.Resources  // by the team's tasks
+	free := make(map[string]int) // tasks of the job that find room, by zone
 	for _, m := range w.sortedMachines() {
 		typ := w.typeOf(m)
 		room := typ.Capacity
@@ -85,13 +85,13 @@
 			free[m.zone]++
 		}
 	}
-	need := min(1, left)
+	need := min(1, unfinished)
 	if s.Kind == protocol.Gang {
 		need = s.Tasks
 	}
 	limit := w.Platform.Teams[s.Team].Limit
-	with := used.Add(s.TaskResources, int64(need))
-	if limit.GPU > 0 && with.GPU > limit.GPU || limit.CPU > 0 && with.CPU > limit.CPU {
+	total := used.Add(s.TaskResources, int64(need))
+	if limit.GPU > 0 && total.GPU > limit.GPU || limit.CPU > 0 && total.CPU > limit.CPU {
 		return false
 	}
 	places := make([]int, 0, len(free))
