--- a/internal/simulation/alarm.go
+++ b/internal/simulation/alarm.go
@@ -5,25 +5,28 @@
 	"log/slog"
 )
 
-// alarm takes an error in the log that must never be seen for a broken rule.
-type alarm struct {
+// logChecker is a log handler that reports a broken rule when a controller logs an error that must
+// never occur: a task on two hosts.
+type logChecker struct {
 	slog.Handler
 	w *World
 }
 
-// Enabled is part of slog.Handler.
-func (a alarm) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelError }
+// Enabled implements slog.Handler.
+func (c logChecker) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelError
+}
 
-// Handle is part of slog.Handler.
-func (a alarm) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "task is on two hosts" {
-		r.Attrs(func(at slog.Attr) bool {
-			a.w.broken("%s: %s", r.Message, at)
+// Handle implements slog.Handler.
+func (c logChecker) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == "task is on two hosts" {
+		record.Attrs(func(attr slog.Attr) bool {
+			c.w.broken("%s: %s", record.Message, attr)
 			return false
 		})
 	}
 	return nil
 }
 
-// WithAttrs is part of slog.Handler.
-func (a alarm) WithAttrs([]slog.Attr) slog.Handler { return a }
+// WithAttrs implements slog.Handler. It drops the attributes, which the check doesn't need.
+func (c logChecker) WithAttrs([]slog.Attr) slog.Handler { return c }
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -9,15 +9,16 @@
 	"mapleslip/internal/controller"
 )
 
-// effectDigest is a running hash of all that leaves the controllers of a World: their calls
-// and their replies, with who emitted them and when. Two programs that behave alike on a
+// effectDigest is a running hash of all calls, replies and other effects that the controllers of a
+// World emit, each with its controller and time. Two versions of the program that behave alike on a
 // trace have the same digest. It depends neither on log text nor on names of Go types.
 type effectDigest struct{ sum hash.Hash }
 
-// RecordDigest has the world keep a digest of what its controllers emit from now on.
+// RecordDigest starts a digest of the effects that the controllers emit from now on.
 func (w *World) RecordDigest() { w.digest = &effectDigest{sum: sha256.New()} }
 
-// Digest is the digest of what the controllers emitted since RecordDigest was called, or "".
+// Digest returns the digest of the effects that the controllers emitted since RecordDigest was
+// called, or "" if it was not.
 func (w *World) Digest() string {
 	if w.digest == nil {
 		return ""
@@ -25,7 +26,7 @@
 	return hex.EncodeToString(w.digest.sum.Sum(nil))
 }
 
-// add takes one effect of a controller into the digest.
+// add adds one effect of a controller to the digest. It does nothing if d is nil.
 func (d *effectDigest) add(now micros, node string, effect controller.Effect) {
 	if d == nil {
 		return
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -6,26 +6,29 @@
 	"strings"
 )
 
+// sortedMachines returns all machines, sorted by name.
 func (w *World) sortedMachines() []*machine {
-	if w.byName == nil {
+	if w.sortedByName == nil {
 		for _, m := range w.machines {
-			w.byName = append(w.byName, m)
+			w.sortedByName = append(w.sortedByName, m)
 		}
-		sort.Slice(w.byName, func(a, b int) bool { return w.byName[a].name < w.byName[b].name })
+		sort.Slice(w.sortedByName, func(a, b int) bool { return w.sortedByName[a].name < w.sortedByName[b].name })
 	}
-	return w.byName
+	return w.sortedByName
 }
 
+// addMachine adds a machine that has booted and whose worker holds a lease.
 func (w *World) addMachine(name, typ, zone string, spot bool) *machine {
 	m := &machine{
-		name: name, typ: typ, zone: zone, spot: spot, rented: w.now, phase: "running", session: 1, leaseFrom: w.now,
-		images: map[string]micros{}, tasks: map[string]*runningTask{}, node: len(w.machines),
+		name: name, typ: typ, zone: zone, spot: spot, rentedAt: w.now, phase: "running", session: 1, leaseStart: w.now,
+		images: map[string]micros{}, tasks: map[string]*runningTask{}, nodeIndex: len(w.machines),
 	}
-	w.machines[name], w.byName = m, nil
+	w.machines[name], w.sortedByName = m, nil
 	return m
 }
 
-// hostsOf names the machines that a task is on.
+// hostsOf returns the names of the machines that a task occupies, separated by commas, or
+// "nowhere".
 func (w *World) hostsOf(task string) string {
 	var list []string
 	for _, m := range w.sortedMachines() {
--- a/internal/simulation/late_messages.go
+++ b/internal/simulation/late_messages.go
@@ -2,34 +2,36 @@
 
 import "strings"
 
-// lateness is which messages come late: every so manyth of those that have a text in
-// them, most of them at all, by so much and up to half as much again.
+// lateness selects messages to delay or copy. Of the messages that contain a text, the field with,
+// it selects each n-th, n being the field every, until there were as many as the field most. The
+// delay is the time in the field by, plus up to 3/8 of it.
 type lateness struct {
-	every, most int
-	by          micros
-	with        string
-	anywhere    bool   // copies of reports come to whoever leads then
-	atOnce      bool   // transactions are carried out at once, only the answer is lost
-	forNext     bool   // copies of reports are kept for the next leader
-	on          string // the role at which it gets them, see actLate
-	seen, late  int
+	every, most      int
+	by               micros
+	with             string
+	anywhere         bool   // copies of heartbeats go to the node that leads when they are delivered
+	atOnce           bool   // transactions are carried out at once and only their answer is lost
+	forNext          bool   // copies of heartbeats are kept for the next leader
+	on               string // role at the entry of which they are delivered then, see actLate
+	matched, delayed int
 }
 
-// next counts a message and says whether it comes late, and by how much.
+// next counts a message and returns whether it is delayed, and by how much. Only messages for which
+// kind is true count.
 func (l *lateness) next(kind bool, body string) (bool, micros) {
-	if l.every == 0 || !kind || !strings.Contains(body, l.with) || l.late >= l.most {
+	if l.every == 0 || !kind || !strings.Contains(body, l.with) || l.delayed >= l.most {
 		return false, 0
 	}
-	l.seen++
-	if l.seen%l.every != 0 {
+	l.matched++
+	if l.matched%l.every != 0 {
 		return false, 0
 	}
-	l.late++
-	return true, l.by + l.by*micros(l.late%4)/8
+	l.delayed++
+	return true, l.by + l.by*micros(l.delayed%4)/8
 }
 
-// copyReport delivers a worker's report once more, whatever became of the machine.
-// Nobody waits for the answer.
+// copyReport delivers a copy of a worker's heartbeat, even if the machine is gone, and discards the
+// answer. The copy goes to the leader, if there is one, instead of n if anywhere is set.
 func (w *World) copyReport(n *node, anywhere bool, body string) {
 	if anywhere && w.leader() != nil {
 		n = w.leader()
@@ -39,24 +41,25 @@
 	}
 }
 
-// apart carries a message between controllers, or holds it while one of them is away.
-func apart(n, o *node, deliver func()) {
+// deliverOrHold delivers a message between the controllers n and other, or holds it while one of
+// them is away.
+func deliverOrHold(n, other *node, deliver func()) {
 	switch {
 	case n.away:
-		n.held = append(n.held, deliver)
-	case o.away:
-		o.held = append(o.held, deliver)
+		n.heldMessages = append(n.heldMessages, deliver)
+	case other.away:
+		other.heldMessages = append(other.heldMessages, deliver)
 	default:
 		deliver()
 	}
 }
 
-// comesBack ends what a node is away for; what was held is delivered.
+// comesBack reconnects a node that was away and delivers the messages that were held.
 func (w *World) comesBack(n *node) {
 	n.away = false
-	held := n.held
-	n.held = nil
-	for _, deliver := range held {
+	messages := n.heldMessages
+	n.heldMessages = nil
+	for _, deliver := range messages {
 		w.after(w.delay(), deliver)
 	}
 }
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -4,27 +4,28 @@
 	"mapleslip/internal/protocol"
 )
 
-// What the stand-ins know of messages that come late, and of users who keep to one
-// controller: on real machines rules broke where such troubles met others.
+// The load balancer between users and controllers, and users who keep their connection to one
+// controller. On real machines, rules were broken when these occurred together with other faults.
 
-// balanced is what the load balancer knows of a node: it takes it out after two checks
-// in a row that failed, and back in after two that did not and three seconds. Its users'
-// connections are closed after it was out for five.
-type balanced struct {
-	failed, passed int
+// balancerState is the state that the load balancer keeps for a node. It takes the node out after
+// two failed checks in a row, and puts it back after two passed ones in a row, at the earliest 3 s
+// after it took it out. Connections of users to the node are closed once it has been out for 5 s.
+type balancerState struct {
+	failed, passed int // latest checks in a row
 	out            bool
-	since          micros
+	outSince       micros
 }
 
-// balance has the load balancer check all nodes.
-func (w *World) balance() {
-	if !w.sticks {
+// checkNodeHealth carries out the load balancer's health check of each node, once a second if
+// stickyUsers is set.
+func (w *World) checkNodeHealth() {
+	if !w.stickyUsers {
 		return
 	}
 	for _, n := range w.nodes {
 		status := 0
 		if w.reachable(n) && !n.frozen {
-			w.request(n, "health", "", func(s int, _ []byte) { status = s })
+			w.request(n, "health", "", func(code int, _ []byte) { status = code })
 		}
 		if status == 200 {
 			n.passed, n.failed = n.passed+1, 0
@@ -33,22 +34,22 @@
 		}
 		switch {
 		case !n.out && n.failed >= 2:
-			n.out, n.since = true, w.now
-		case n.out && n.passed >= 2 && w.now-n.since >= 3*protocol.Second:
+			n.out, n.outSince = true, w.now
+		case n.out && n.passed >= 2 && w.now-n.outSince >= 3*protocol.Second:
 			n.out = false
 		}
 	}
 }
 
-// nodeOf is where a job's user asks: at one node after another, or where the connection
-// is.
-func (w *World) nodeOf(j *userJob) *node {
-	if !w.sticks {
+// nodeForUser returns the node for the next query of a job's user: by round-robin or, with
+// stickyUsers, the node that the user is connected to while the connection lasts.
+func (w *World) nodeForUser(j *userJob) *node {
+	if !w.stickyUsers {
 		return w.upNode()
 	}
-	if n := j.via; n != nil && w.reachable(n) && (!n.out || w.now-n.since < 5*protocol.Second) {
+	if n := j.connectedNode; n != nil && w.reachable(n) && (!n.out || w.now-n.outSince < 5*protocol.Second) {
 		return n
 	}
-	j.via = w.upNode()
-	return j.via
+	j.connectedNode = w.upNode()
+	return j.connectedNode
 }
--- a/internal/simulation/machine_verbs.go
+++ b/internal/simulation/machine_verbs.go
@@ -4,17 +4,19 @@
 	"errors"
 )
 
-// machineVerbs are what happens to machines and their workers.
+// machineVerbs returns the verbs for faults and changes of machines and their workers.
 func machineVerbs() map[string]verb {
 	table := map[string]verb{
-		"part":        (*World).actPart,
-		"rejoin":      (*World).actPart,
-		"if-here":     (*World).actIfHere,
-		"mute":        (*World).actMute,
-		"unmute":      (*World).actMute,
-		"evict":       (*World).actEvict,
-		"image":       (*World).actImage,
-		"boots":       func(w *World, words []string) error { w.boots = numberOf(words[1], 1); return nil }, // boots FACTOR: of machines rented from now on; 0: they never come up
+		"part":    (*World).actPart,
+		"rejoin":  (*World).actPart,
+		"if-here": (*World).actIfHere,
+		"mute":    (*World).actMute,
+		"unmute":  (*World).actMute,
+		"evict":   (*World).actEvict,
+		"image":   (*World).actImage,
+		// boots FACTOR: multiplies the boot times of machines rented from now on; with 0 they never
+		// finish booting.
+		"boots":       func(w *World, words []string) error { w.bootFactor = parseNumber(words[1], 1); return nil },
 		"old-reports": (*World).actOldReports,
 	}
 	for name := range machineChanges {
@@ -23,27 +25,29 @@
 	return table
 }
 
-// machineChanges are verbs that change one machine: VERB MACHINE.
+// machineChanges contains the verbs that change one machine: VERB MACHINE.
 var machineChanges = map[string]func(w *World, m *machine){
 	"hang":            func(_ *World, m *machine) { m.hung = true },
 	"wake":            (*World).deliverCalls,
-	"die":             (*World).die,
+	"die":             (*World).failMachine,
 	"spoil":           func(_ *World, m *machine) { m.spoilt = true },
-	"deaf":            func(_ *World, m *machine) { m.deaf = true },
-	"hears":           func(_ *World, m *machine) { m.deaf = false },
-	"lose-answers":    func(_ *World, m *machine) { m.slow = true },
-	"pass-answers":    func(_ *World, m *machine) { m.slow = false },
-	"hold-reports":    func(_ *World, m *machine) { m.held = true },
+	"deaf":            func(_ *World, m *machine) { m.inboundCut = true },
+	"hears":           func(_ *World, m *machine) { m.inboundCut = false },
+	"lose-answers":    func(_ *World, m *machine) { m.answersLost = true },
+	"pass-answers":    func(_ *World, m *machine) { m.answersLost = false },
+	"hold-reports":    func(_ *World, m *machine) { m.holdReports = true },
 	"deliver-reports": (*World).deliverReports,
 	"hold-calls":      func(_ *World, m *machine) { m.holdCalls = true },
 	"deliver-calls":   (*World).deliverCalls,
-	"cut-off":         func(_ *World, m *machine) { m.held, m.holdCalls, m.slow = true, true, true }, // what either side sends is held on the way
-	"reach":           (*World).reach,
-	"answer-behind":   func(_ *World, m *machine) { m.answered = true }, // a controller behind the cut goes on answering it
-	"answer-no-more":  func(_ *World, m *machine) { m.answered = false },
+	// cut-off holds heartbeats and direct commands on the way; answers are lost.
+	"cut-off": func(_ *World, m *machine) { m.holdReports, m.holdCalls, m.answersLost = true, true, true },
+	"reach":   (*World).restoreConnection,
+	// answer-behind: a controller outside the simulation continues to renew the worker's lease.
+	"answer-behind":  func(_ *World, m *machine) { m.leaseRenewed = true },
+	"answer-no-more": func(_ *World, m *machine) { m.leaseRenewed = false },
 }
 
-// actMachineNamed changes the machine that is named.
+// actMachineNamed: VERB MACHINE: applies a verb of machineChanges to a machine.
 func (w *World) actMachineNamed(words []string) error {
 	m := w.machines[words[1]]
 	if m == nil {
@@ -53,44 +57,50 @@
 	return nil
 }
 
-// actMachine changes a machine; "" changes nothing.
-func (w *World) actMachine(what string, m *machine) {
-	if change := machineChanges[what]; change != nil {
+// actMachine applies a verb of machineChanges to a machine. It does nothing for other words, such
+// as "".
+func (w *World) actMachine(name string, m *machine) {
+	if change := machineChanges[name]; change != nil {
 		change(w, m)
 	}
 }
 
+// deliverCalls resumes a machine that hangs and delivers the direct commands that were held.
 func (w *World) deliverCalls(m *machine) {
 	m.hung, m.holdCalls = false, false
-	for _, f := range m.heldCalls {
-		f()
+	for _, deliver := range m.heldCalls {
+		deliver()
 	}
 	m.heldCalls = nil
 }
 
+// deliverReports delivers the heartbeats that were held and holds no more.
 func (w *World) deliverReports(m *machine) {
-	m.held = false
-	for _, f := range m.heldReports {
-		w.after(w.delay(), f)
+	m.holdReports = false
+	for _, deliver := range m.heldReports {
+		w.after(w.delay(), deliver)
 	}
 	m.heldReports = nil
 }
 
-func (w *World) reach(m *machine) {
-	m.slow = false
+// restoreConnection ends cut-off.
+func (w *World) restoreConnection(m *machine) {
+	m.answersLost = false
 	w.deliverCalls(m)
 	w.deliverReports(m)
 }
 
-func (w *World) die(m *machine) {
+// failMachine ends a machine with its worker and tasks. The cloud lists it as failed.
+func (w *World) failMachine(m *machine) {
 	for _, t := range m.sorted() {
-		w.leave(m, t)
+		w.taskStopped(m, t)
 	}
-	m.tasks, m.inOrder = map[string]*runningTask{}, nil
+	m.tasks, m.sortedTasks = map[string]*runningTask{}, nil
 	m.phase = "failed"
 }
 
-// actPart: part MACHINE NODE: neither reaches the other, until rejoin.
+// actPart: part MACHINE NODE: messages between the worker and the controller are lost, until rejoin
+// MACHINE NODE.
 func (w *World) actPart(words []string) error {
 	m, n := w.machines[words[1]], w.nodeNamed(words[2])
 	if m == nil || n == nil {
@@ -103,7 +113,7 @@
 	return nil
 }
 
-// actIfHere: if-here MACHINE VERB: unless it is gone.
+// actIfHere: if-here MACHINE VERB: applies a verb of machineChanges unless the machine is gone.
 func (w *World) actIfHere(words []string) error {
 	if m := w.machines[words[1]]; m != nil {
 		w.actMachine(words[2], m)
@@ -111,7 +121,7 @@
 	return nil
 }
 
-// actEvict: evict IMAGE: no machine has it any more.
+// actEvict: evict IMAGE: removes an image from all machines.
 func (w *World) actEvict(words []string) error {
 	for _, m := range w.machines {
 		delete(m.images, words[1])
@@ -119,8 +129,8 @@
 	return nil
 }
 
-// actImage: image NAME passes|fails|hangs|flaps|crashes [after=SECONDS]: what its services do from
-// now on.
+// actImage: image NAME passes|fails|hangs|flaps|crashes [after=SECONDS]: sets the behaviour of the
+// services with that image from now on.
 func (w *World) actImage(words []string) error {
 	w.behaviours[words[1]] = behaviour{what: words[2], after: duration(options(words[3:]), "after", 0)}
 	return nil
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -14,48 +14,49 @@
 
 // machine is a rented machine with its worker.
 type machine struct {
-	name, typ, zone string
-	spot            bool
-	rented, up      micros
-	phase           string // booting, running, failed
-	slow            bool   // answers of the controllers come too late
-	answered        bool   // somebody that no test sees renews its lease
-	hung            bool
-	deaf            bool            // its reports arrive; answers to them and direct commands are lost
-	mute            bool            // it reaches no controller; direct commands reach it
-	spoilt          bool            // every task on it fails
-	apart           map[string]bool // controllers that it can't reach, nor they it
-	held            bool            // reports are held back on the way
-	heldReports     []func()
-	holdCalls       bool
-	heldCalls       []func() // direct commands that come once it goes on
-	node            int
-	session, tick   uint64
-	epoch           uint64
-	leaseFrom       micros
-	inFlight        bool
-	next            micros
-	changed         bool
-	images          map[string]micros
-	tasks           map[string]*runningTask
-	inOrder         []*runningTask // by key, nil: to be put in order
+	name, typ, zone    string
+	spot               bool
+	rentedAt, bootEnds micros
+	phase              string          // booting, running, failed, or gone once released
+	answersLost        bool            // answers to its heartbeats and to direct commands are lost
+	leaseRenewed       bool            // a controller outside the simulation renews the worker's lease
+	hung               bool            // the worker does nothing; direct commands wait until it resumes
+	inboundCut         bool            // heartbeats arrive; answers to them and direct commands are lost
+	outboundCut        bool            // the worker can't connect to controllers; direct commands reach it
+	spoilt             bool            // every task on the machine fails
+	apart              map[string]bool // controllers that can't exchange messages with the worker
+	holdReports        bool            // heartbeats are held on the way
+	heldReports        []func()
+	holdCalls          bool     // direct commands are held on the way
+	heldCalls          []func() // direct commands that are delivered later
+	nodeIndex          int      // controller that gets the next heartbeat
+	session, reportSeq uint64
+	epoch              uint64
+	leaseStart         micros
+	inFlight           bool // a heartbeat has been sent and is neither answered nor timed out
+	nextReport         micros
+	stateChanged       bool              // the next heartbeat is due early
+	images             map[string]micros // time from which each image is on the machine
+	tasks              map[string]*runningTask
+	sortedTasks        []*runningTask // tasks, sorted by key; nil if they have to be sorted again
 }
 
-// runningTask is an attempt on a machine.
+// runningTask is an attempt to run a task on a machine.
 type runningTask struct {
-	job           *userJob
-	index         int
-	try           uint64
-	state, reason string
-	saved         bool
-	ready, ends   micros
-	started       micros
-	on            bool
+	job               *userJob
+	index             int
+	attempt           uint64
+	state, exitReason string
+	checkpointed      bool
+	imageReady, ends  micros
+	started           micros
+	on                bool // the task occupies the machine: it has started and not exited
 }
 
+// sorted returns the tasks of a machine, sorted by key.
 func (m *machine) sorted() []*runningTask {
-	if len(m.inOrder) == len(m.tasks) {
-		return m.inOrder
+	if len(m.sortedTasks) == len(m.tasks) {
+		return m.sortedTasks
 	}
 	keys := make([]string, 0, len(m.tasks))
 	for k := range m.tasks {
@@ -66,7 +67,7 @@
 	for i, k := range keys {
 		list[i] = m.tasks[k]
 	}
-	m.inOrder = list
+	m.sortedTasks = list
 	return list
 }
 
@@ -79,8 +80,9 @@
 	return nil
 }
 
+// report returns the body of the next heartbeat of a worker.
 func (w *World) report(m *machine) string {
-	m.tick++
+	m.reportSeq++
 	b := make([]byte, 0, 200+90*len(m.tasks))
 	text := func(name, value string) { b = append(append(append(append(b, name...), '"'), value...), '"') }
 	text(`{"host":`, m.name)
@@ -89,7 +91,7 @@
 	text(`,"region":`, m.zone)
 	b = strconv.AppendBool(append(b, `,"reclaimable":`...), m.spot)
 	b = strconv.AppendUint(append(b, `,"tenure":`...), m.session, 10)
-	b = strconv.AppendUint(append(b, `,"tick":`...), m.tick, 10)
+	b = strconv.AppendUint(append(b, `,"tick":`...), m.reportSeq, 10)
 	b = strconv.AppendUint(append(b, `,"epoch":`...), m.epoch, 10)
 	b = append(b, `,"reclaimInS":null,"shards":[`...)
 	for i, t := range m.sorted() {
@@ -98,18 +100,18 @@
 		}
 		b = append(append(append(b, `{"shard":"`...), t.job.spec.Ref...), '/')
 		b = strconv.AppendInt(b, int64(t.index), 10)
-		b = strconv.AppendUint(append(b, `","try":`...), t.try, 10)
+		b = strconv.AppendUint(append(b, `","try":`...), t.attempt, 10)
 		text(`,"phase":`, t.state)
 		if t.state == "exited" {
-			text(`,"exitReason":`, t.reason)
-			b = strconv.AppendBool(append(b, `,"saved":`...), t.saved)
+			text(`,"exitReason":`, t.exitReason)
+			b = strconv.AppendBool(append(b, `,"saved":`...), t.checkpointed)
 		}
 		b = append(b, '}')
 	}
 	return string(append(b, "]}"...))
 }
 
-// workerAddr is where a machine's worker is reached.
+// workerAddr returns the address of a machine's worker.
 func (w *World) workerAddr(m *machine) string {
 	if w.live != nil {
 		return w.live.ipOf(m) + ":9000"
@@ -117,7 +119,7 @@
 	return m.name + ":9000"
 }
 
-// nodeNames lists the controllers that workers know.
+// nodeNames lists the controllers that workers are configured with.
 func (w *World) nodeNames() []string {
 	if w.live != nil {
 		return w.live.names
@@ -129,26 +131,27 @@
 	return names
 }
 
-// tickMachine does what is due on one machine.
+// tickMachine advances a machine to the current time: it finishes booting, its worker drops all
+// tasks once the lease has expired, the tasks proceed, and a heartbeat is sent if one is due.
 func (w *World) tickMachine(m *machine) {
-	if m.phase == "booting" && m.up <= w.now {
-		m.phase, m.session, m.leaseFrom = "running", 1, w.now
+	if m.phase == "booting" && m.bootEnds <= w.now {
+		m.phase, m.session, m.leaseStart = "running", 1, w.now
 	}
 	if m.phase != "running" {
 		return
 	}
 	lease := w.Platform.WorkerLease
-	if m.answered {
-		m.leaseFrom = w.now
+	if m.leaseRenewed {
+		m.leaseStart = w.now
 	}
-	if w.now > m.leaseFrom+lease { // a machine that hangs can't go on with its tasks after this
+	if w.now > m.leaseStart+lease { // also a machine that hangs loses its tasks
 		for _, t := range m.sorted() {
-			w.leave(m, t)
+			w.taskStopped(m, t)
 		}
-		m.tasks, m.inOrder = map[string]*runningTask{}, nil
+		m.tasks, m.sortedTasks = map[string]*runningTask{}, nil
 		m.session++
-		m.tick = 0
-		m.leaseFrom = w.now
+		m.reportSeq = 0
+		m.leaseStart = w.now
 	}
 	if m.hung {
 		return
@@ -156,31 +159,32 @@
 	for _, t := range m.sorted() {
 		w.tickTask(m, t)
 	}
-	if !m.inFlight && (w.now >= m.next || m.changed && w.now >= m.next-w.Platform.HeartbeatInterval+protocol.Second/2) {
+	if !m.inFlight && (w.now >= m.nextReport || m.stateChanged && w.now >= m.nextReport-w.Platform.HeartbeatInterval+protocol.Second/2) {
 		w.sendReport(m)
 	}
 }
 
+// tickTask advances a task to the current time.
 func (w *World) tickTask(m *machine, t *runningTask) {
 	switch t.state {
 	case "fetching":
-		if w.now < t.ready {
+		if w.now < t.imageReady {
 			return
 		}
 		m.images[t.job.spec.Image] = 0
-		w.enter(m, t)
-		m.changed = true
+		w.taskStarted(m, t)
+		m.stateChanged = true
 		if t.job.results[t.index] {
-			w.exit(m, t, "done")
+			w.exitTask(m, t, "done")
 			return
 		}
 		if t.job.fails || m.spoilt {
-			w.exit(m, t, "error")
+			w.exitTask(m, t, "error")
 			return
 		}
 		if t.job.spec.Kind == protocol.Gang {
 			t.state, t.started = "waiting", w.now
-			w.tryGang(t.job, t.try)
+			w.startGangIfComplete(t.job, t.attempt)
 			return
 		}
 		t.state, t.started, t.ends = "running", w.now, w.now+t.job.run
@@ -189,15 +193,15 @@
 		}
 	case "waiting":
 		if w.now > t.started+w.Platform.GangWaitTimeout {
-			w.exit(m, t, "incomplete")
+			w.exitTask(m, t, "incomplete")
 		}
 	case "running":
-		if t.job.spec.Kind == protocol.Gang && !w.gangWhole(t.job, t.try) {
-			w.exit(m, t, "peers")
+		if t.job.spec.Kind == protocol.Gang && !w.gangComplete(t.job, t.attempt) {
+			w.exitTask(m, t, "peers")
 			return
 		}
 		if b := w.behaviourOf(t.job.spec.Image); t.job.spec.Kind == protocol.Service && b.what == "crashes" && w.now-t.started >= b.after {
-			w.exit(m, t, "error")
+			w.exitTask(m, t, "error")
 			return
 		}
 		if t.job.spec.Kind != protocol.Service && w.now >= t.ends {
@@ -207,15 +211,16 @@
 				}
 			}
 			t.job.results[t.index] = true
-			w.exit(m, t, "done")
+			w.exitTask(m, t, "done")
 		}
 	}
 }
 
-func (w *World) attemptsOf(j *userJob, try uint64) (list []*runningTask, hosts []*machine) {
+// tasksOfAttempt returns the tasks of an attempt that occupy a machine, and their machines.
+func (w *World) tasksOfAttempt(j *userJob, attempt uint64) (list []*runningTask, hosts []*machine) {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.tasks {
-			if t.job == j && t.try == try && t.on {
+			if t.job == j && t.attempt == attempt && t.on {
 				list, hosts = append(list, t), append(hosts, m)
 			}
 		}
@@ -223,8 +228,9 @@
 	return list, hosts
 }
 
-func (w *World) tryGang(j *userJob, try uint64) {
-	list, hosts := w.attemptsOf(j, try)
+// startGangIfComplete starts the tasks of a gang once all of them wait on their machines.
+func (w *World) startGangIfComplete(j *userJob, attempt uint64) {
+	list, hosts := w.tasksOfAttempt(j, attempt)
 	waiting := 0
 	for _, t := range list {
 		if t.state == "waiting" {
@@ -236,12 +242,13 @@
 	}
 	for i, t := range list {
 		t.state, t.ends = "running", w.now+j.run
-		hosts[i].changed = true
+		hosts[i].stateChanged = true
 	}
 }
 
-func (w *World) gangWhole(j *userJob, try uint64) bool {
-	list, _ := w.attemptsOf(j, try)
+// gangComplete reports whether all tasks of a gang are on their machines, or one has completed.
+func (w *World) gangComplete(j *userJob, attempt uint64) bool {
+	list, _ := w.tasksOfAttempt(j, attempt)
 	for i := range j.results {
 		if j.results[i] {
 			return true
@@ -250,45 +257,46 @@
 	return len(list) == j.spec.Tasks
 }
 
-// enter notes that a task is on its machine, and checks the rules for it.
-func (w *World) enter(m *machine, t *runningTask) {
+// taskStarted records that a task occupies its machine and checks the rules for its start:
+// placement, that it runs nowhere else, the limit of its team, and that its job is not cancelled.
+func (w *World) taskStarted(m *machine, t *runningTask) {
 	t.on = true
 	w.started++
-	s := t.job.spec
-	name := fmt.Sprintf("%s/%d", s.Ref, t.index)
+	spec := t.job.spec
+	name := fmt.Sprintf("%s/%d", spec.Ref, t.index)
 	w.note("%s starts on %s", name, m.name)
 	w.checkEarly(t.job, name)
 	typ := w.typeOf(m)
-	if !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot || !typ.Capacity.Covers(s.TaskResources) {
+	if !spec.AllowsType(m.typ) || spec.Zone != "" && spec.Zone != m.zone || m.spot && !spec.AllowSpot || !typ.Capacity.Covers(spec.TaskResources) {
 		w.broken("wrong_place: %s on %s", name, m.name)
 	}
 	zones := map[string]int{}
 	var used protocol.Resources
-	for _, o := range w.sortedMachines() {
-		for _, x := range o.tasks {
-			if !x.on {
+	for _, other := range w.sortedMachines() {
+		for _, running := range other.tasks {
+			if !running.on {
 				continue
 			}
-			if x != t && x.job == t.job && x.index == t.index {
-				w.broken("ran_twice: %s on %s and %s", name, m.name, o.name)
+			if running != t && running.job == t.job && running.index == t.index {
+				w.broken("ran_twice: %s on %s and %s", name, m.name, other.name)
 			}
-			if x.job == t.job {
-				zones[o.zone]++
+			if running.job == t.job {
+				zones[other.zone]++
 			}
-			if x.job.spec.Team == s.Team {
-				used = used.Add(x.job.spec.TaskResources, 1)
+			if running.job.spec.Team == spec.Team {
+				used = used.Add(running.job.spec.TaskResources, 1)
 			}
 		}
 	}
-	if s.SingleZone && len(zones) > 1 {
+	if spec.SingleZone && len(zones) > 1 {
 		w.broken("wrong_place: %s is not with the others", name)
 	}
-	if s.SpreadZones && zones[m.zone] > (s.Tasks+1)/2 {
+	if spec.SpreadZones && zones[m.zone] > (spec.Tasks+1)/2 {
 		w.broken("wrong_place: %s, too many in zone %s", name, m.zone)
 	}
-	limit := w.Platform.Teams[s.Team].Limit
+	limit := w.Platform.Teams[spec.Team].Limit
 	if limit.GPU > 0 && used.GPU > limit.GPU || limit.CPU > 0 && used.CPU > limit.CPU {
-		w.broken("quota: %s with %s", s.Team, name)
+		w.broken("quota: %s with %s", spec.Team, name)
 	}
 	w.startsCancelled(t)
 	if t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
@@ -297,7 +305,8 @@
 	w.checkStart("starts", m, t)
 }
 
-func (w *World) leave(m *machine, t *runningTask) {
+// taskStopped records that a task no longer occupies its machine.
+func (w *World) taskStopped(m *machine, t *runningTask) {
 	if t.on {
 		t.on = false
 		if w.live != nil {
@@ -307,19 +316,22 @@
 	}
 }
 
-func (w *World) exit(m *machine, t *runningTask, why string) {
-	w.leave(m, t)
-	if why == "done" {
+// exitTask ends a task with an exit reason.
+func (w *World) exitTask(m *machine, t *runningTask, reason string) {
+	w.taskStopped(m, t)
+	if reason == "done" {
 		w.jobEnded(t.job)
 	}
-	t.state, t.reason = "exited", why
-	m.changed = true
+	t.state, t.exitReason = "exited", reason
+	m.stateChanged = true
 }
 
+// sendReport sends a heartbeat to the controller at nodeIndex. If no answer arrives within 4 s, the
+// worker tries the next controller a second later.
 func (w *World) sendReport(m *machine) {
-	m.inFlight, m.changed = true, false
+	m.inFlight, m.stateChanged = true, false
 	sent := w.now
-	m.next = w.now + w.Platform.HeartbeatInterval
+	m.nextReport = w.now + w.Platform.HeartbeatInterval
 	body := w.report(m)
 	w.keepReport(body)
 	session := m.session
@@ -328,28 +340,28 @@
 		if !answered {
 			answered = true
 			m.inFlight = false
-			m.node++
-			m.next = w.now + protocol.Second
+			m.nodeIndex++
+			m.nextReport = w.now + protocol.Second
 		}
 	}
-	if w.live != nil { // controllers are processes
+	if w.live != nil { // the controllers are real processes
 		w.live.openWorker(m)
-		w.live.hello(m.node, body, func(status int, resp []byte) {
-			if m.slow || m.hung || answered || m.phase != "running" {
+		w.live.hello(m.nodeIndex, body, func(status int, resp []byte) {
+			if m.answersLost || m.hung || answered || m.phase != "running" {
 				return
 			}
 			answered = true
 			m.inFlight = false
-			w.tookAnswer(m, session, sent, status, resp)
+			w.handleHeartbeatReply(m, session, sent, status, resp)
 		})
 		w.after(4*protocol.Second, fail)
 		return
 	}
-	if m.mute {
-		w.tryInVain(m)
+	if m.outboundCut {
+		w.failToConnect(m)
 		return
 	}
-	node := w.nodes[m.node%len(w.nodes)]
+	node := w.nodes[m.nodeIndex%len(w.nodes)]
 	deliver := func() {
 		if node.deaf || m.apart[node.name] {
 			return
@@ -359,11 +371,12 @@
 			return
 		}
 		w.request(node, "hello", body, func(status int, resp []byte) {
-			if node.ctl.Role() == controller.RoleLeader { // passed on, it is looked at where it is made
+			// An answer that another node passes on is checked at the leader that made it.
+			if node.ctl.Role() == controller.RoleLeader {
 				w.sends(m, resp)
 			}
-			if m.slow || m.hung || m.deaf {
-				return // lost on the way
+			if m.answersLost || m.hung || m.inboundCut {
+				return // the answer is lost
 			}
 			w.after(w.delay(), func() {
 				w.cross(node.zone, m.zone, func() {
@@ -372,41 +385,43 @@
 					}
 					answered = true
 					m.inFlight = false
-					w.tookAnswer(m, session, sent, status, resp)
+					w.handleHeartbeatReply(m, session, sent, status, resp)
 				})
 			})
 		})
 	}
-	reach := func() { w.cross(m.zone, node.zone, deliver) }
-	if late, by := w.lateReports.next(true, body); late && w.lateReports.forNext {
+	send := func() { w.cross(m.zone, node.zone, deliver) }
+	if copied, delay := w.lateReports.next(true, body); copied && w.lateReports.forNext {
 		w.keepForNext(body)
-	} else if late {
+	} else if copied {
 		anywhere := w.lateReports.anywhere
-		w.after(by, func() { w.copyReport(node, anywhere, body) })
+		w.after(delay, func() { w.copyReport(node, anywhere, body) })
 	}
-	if m.held {
-		m.heldReports = append(m.heldReports, reach)
+	if m.holdReports {
+		m.heldReports = append(m.heldReports, send)
 	} else {
-		w.after(w.delay(), reach)
+		w.after(w.delay(), send)
 	}
 	w.after(4*protocol.Second, fail)
 }
 
-func (w *World) tookAnswer(m *machine, session uint64, sent micros, status int, resp []byte) {
+// handleHeartbeatReply handles the answer to a heartbeat: it turns to the leader that a redirect
+// names, or to the next controller on failure, or renews the lease and executes the commands.
+func (w *World) handleHeartbeatReply(m *machine, session uint64, sent micros, status int, resp []byte) {
 	if status == 421 {
 		leader := fastjson.GetString(resp, "leader")
 		names := w.nodeNames()
 		for i, name := range names {
-			if name == leader && i != m.node%len(names) {
-				m.node = i
-				m.next = w.now + 100*protocol.Millisecond
+			if name == leader && i != m.nodeIndex%len(names) {
+				m.nodeIndex = i
+				m.nextReport = w.now + 100*protocol.Millisecond
 				return
 			}
 		}
 	}
 	if status != 200 {
-		m.node++
-		m.next = w.now + protocol.Second
+		m.nodeIndex++
+		m.nextReport = w.now + protocol.Second
 		return
 	}
 	epoch := uint64(fastjson.GetInt(resp, "epoch"))
@@ -415,24 +430,24 @@
 	}
 	if epoch > m.epoch {
 		m.epoch = epoch
-		m.changed = true
+		m.stateChanged = true
 	}
-	m.leaseFrom = sent
-	w.execute(m, resp)
+	m.leaseStart = sent
+	w.executeCommands(m, resp)
 }
 
-// callWorker hands a direct command to a worker. A machine that hangs executes
-// it when it goes on, if token and session still match.
-func (w *World) callWorker(m *machine, c controller.Call, back func(int, string)) {
+// callWorker delivers a direct command to a worker. A machine that hangs executes it when it
+// resumes, if the epoch is not older than the worker's and the tenure is still that of its session.
+func (w *World) callWorker(m *machine, c controller.Call, reply func(int, string)) {
 	if m.phase != "running" {
 		return
 	}
 	serve := func() {
 		if m.phase != "running" {
-			return // it was released while the call was held
+			return // the machine failed or was released while the call was held
 		}
 		if c.Path == "/status" {
-			back(200, w.report(m))
+			reply(200, w.report(m))
 			return
 		}
 		p := protocol.Parsers.Get()
@@ -445,11 +460,11 @@
 		status := 409
 		if v.GetUint64("epoch") >= m.epoch && v.GetUint64("tenure") == m.session {
 			status, m.epoch = 200, v.GetUint64("epoch")
-			w.execute(m, c.Body)
+			w.executeCommands(m, c.Body)
 		}
 		report := w.report(m)
-		if !m.slow {
-			back(status, report)
+		if !m.answersLost {
+			reply(status, report)
 		}
 	}
 	if m.hung || m.holdCalls {
@@ -459,8 +474,9 @@
 	serve()
 }
 
-// execute carries out commands.
-func (w *World) execute(m *machine, body []byte) {
+// executeCommands carries out the commands of a heartbeat answer or of a direct command. Launch,
+// stop and forget are idempotent.
+func (w *World) executeCommands(m *machine, body []byte) {
 	p := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(body)
@@ -469,63 +485,65 @@
 		return
 	}
 	for _, c := range v.GetArray("orders") {
-		ref, idx, _ := strings.Cut(string(c.GetStringBytes("shard")), "/")
-		index, _ := strconv.Atoi(idx)
-		try := c.GetUint64("try")
+		ref, indexText, _ := strings.Cut(string(c.GetStringBytes("shard")), "/")
+		index, _ := strconv.Atoi(indexText)
+		attempt := c.GetUint64("try")
 		j := w.describe(ref)
-		key := fmt.Sprintf("%s/%d#%d", ref, index, try)
+		key := fmt.Sprintf("%s/%d#%d", ref, index, attempt)
 		t := m.tasks[key]
 		switch string(c.GetStringBytes("verb")) {
 		case "launch":
 			if t != nil || j == nil {
 				continue
 			}
-			w.launch(m, j, index, try, key)
+			w.launchTask(m, j, index, attempt, key)
 		case "stop":
 			if t != nil && t.state != "exited" {
-				t.saved = j.spec.CanCheckpoint()
-				w.exit(m, t, "stopped")
+				t.checkpointed = j.spec.CanCheckpoint()
+				w.exitTask(m, t, "stopped")
 			}
 		case "forget":
 			if t != nil && t.state == "exited" {
 				delete(m.tasks, key)
-				m.inOrder = nil
-				m.changed = true
+				m.sortedTasks = nil
+				m.stateChanged = true
 			}
 		}
 	}
 }
 
-func (w *World) launch(m *machine, j *userJob, index int, try uint64, key string) {
-	t := &runningTask{job: j, index: index, try: try, state: "fetching"}
+// launchTask adds a task to a machine. It exits at once as busy if another attempt of it is there,
+// or as full if the machine has no room; else it first fetches the image.
+func (w *World) launchTask(m *machine, j *userJob, index int, attempt uint64, key string) {
+	t := &runningTask{job: j, index: index, attempt: attempt, state: "fetching"}
 	w.checkStart("is launched", m, t)
 	j.tries++
-	m.tasks[key], m.inOrder = t, nil
-	m.changed = true
+	m.tasks[key], m.sortedTasks = t, nil
+	m.stateChanged = true
 	var used protocol.Resources
-	for _, x := range m.tasks {
-		if x.state != "exited" {
-			used = used.Add(x.job.spec.TaskResources, 1)
+	for _, other := range m.tasks {
+		if other.state != "exited" {
+			used = used.Add(other.job.spec.TaskResources, 1)
 		}
-		if x != t && x.job == j && x.index == index && x.state != "exited" {
-			t.state, t.reason = "exited", "busy"
+		if other != t && other.job == j && other.index == index && other.state != "exited" {
+			t.state, t.exitReason = "exited", "busy"
 			return
 		}
 	}
 	if !w.typeOf(m).Capacity.Covers(used) {
-		t.state, t.reason = "exited", "full"
+		t.state, t.exitReason = "exited", "full"
 		return
 	}
-	t.ready = w.now
+	t.imageReady = w.now
 	if ready, ok := m.images[j.spec.Image]; ok {
-		t.ready = max(t.ready, ready)
+		t.imageReady = max(t.imageReady, ready)
 	} else {
-		t.ready += w.typeOf(m).FetchTime(j.spec.ImageSize)
-		m.images[j.spec.Image] = t.ready
+		t.imageReady += w.typeOf(m).FetchTime(j.spec.ImageSize)
+		m.images[j.spec.Image] = t.imageReady
 	}
 }
 
-// serveCloud answers one request to the cloud.
+// serveCloud carries out one request to the cloud.
 func (w *World) serveCloud(method, target string, body []byte) (int, string) {
 	if w.cloudDown {
 		return 503, `{"error":"trouble"}`
@@ -538,14 +556,14 @@
 		var b strings.Builder
 		b.WriteString(`{"hosts":[`)
 		for _, m := range w.sortedMachines() {
-			if w.now-m.rented < w.listLag {
+			if w.now-m.rentedAt < w.listLag {
 				continue
 			}
 			if b.Len() > len(`{"hosts":[`) {
 				b.WriteByte(',')
 			}
 			fmt.Fprintf(&b, `{"ref":%q,"addr":%q,"flavor":%q,"region":%q,"reclaimable":%t,"phase":%q,"heldS":%g}`,
-				m.name, w.workerAddr(m), m.typ, m.zone, m.spot, m.phase, (w.now - m.rented).Seconds())
+				m.name, w.workerAddr(m), m.typ, m.zone, m.spot, m.phase, (w.now - m.rentedAt).Seconds())
 		}
 		b.WriteString(`],"truncated":false}`)
 		return 200, b.String()
@@ -574,11 +592,11 @@
 			w.capacity[kind] -= count
 		}
 		for range count {
-			m := w.addMachine(fmt.Sprintf("n-%06d", 500000+len(w.machines)+w.removed), fastjson.GetString(body, "flavor"), fastjson.GetString(body, "region"),
+			m := w.addMachine(fmt.Sprintf("n-%06d", 500000+len(w.machines)+w.released), fastjson.GetString(body, "flavor"), fastjson.GetString(body, "region"),
 				fastjson.GetBool(body, "reclaimable"))
-			m.phase, m.up = "booting", w.now+micros(float64(w.typeOf(m).BootTime)*w.boots)
-			if w.boots == 0 {
-				m.up = protocol.Forever
+			m.phase, m.bootEnds = "booting", w.now+micros(float64(w.typeOf(m).BootTime)*w.bootFactor)
+			if w.bootFactor == 0 {
+				m.bootEnds = protocol.Forever
 			}
 			names = append(names, fmt.Sprintf("%q", m.name))
 		}
@@ -590,12 +608,12 @@
 			name := string(n.GetStringBytes())
 			if m := w.machines[name]; m != nil {
 				for _, t := range m.sorted() {
-					w.leave(m, t)
+					w.taskStopped(m, t)
 				}
 				m.phase = "gone"
 				delete(w.machines, name)
-				w.byName = nil
-				w.removed++
+				w.sortedByName = nil
+				w.released++
 				w.note("%s is released", name)
 			}
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -10,26 +10,28 @@
 	"mapleslip/internal/protocol"
 )
 
-// cross carries a message between zones ("": outside of all), or holds it.
+// cross delivers a message from zone a to zone b, or holds it while one of them is cut off and the
+// other isn't. The zone of components that are in none is "".
 func (w *World) cross(a, b string, deliver func()) {
 	if slices.Contains(w.cutZones, a) != slices.Contains(w.cutZones, b) {
-		w.mail = append(w.mail, deliver)
+		w.heldMessages = append(w.heldMessages, deliver)
 		return
 	}
 	deliver()
 }
 
-// heal ends the cut; what was held is delivered.
+// heal reconnects the zones that were cut off and delivers the messages held at the boundary.
 func (w *World) heal() {
 	w.cutZones = nil
-	mail := w.mail
-	w.mail = nil
-	for _, deliver := range mail {
+	messages := w.heldMessages
+	w.heldMessages = nil
+	for _, deliver := range messages {
 		w.after(w.delay(), deliver)
 	}
 }
 
-// call carries an outbound call of a controller.
+// call delivers an outbound call of a controller to its target, subject to the faults that are set,
+// and returns the answer, or none after the call's timeout, to the controller.
 func (w *World) call(n *node, c controller.Call) {
 	w.checkSends(n, c)
 	if c.Target == controller.ToWorker {
@@ -52,7 +54,7 @@
 			w.step(n, d)
 		}
 	}
-	backFrom := func(zone string) func(int, string) {
+	replyFrom := func(zone string) func(int, string) {
 		return func(status int, body string) {
 			w.after(w.delay(), func() {
 				w.cross(zone, n.zone, func() {
@@ -63,50 +65,51 @@
 			})
 		}
 	}
-	if c.Target == controller.ToPeer && w.peerCalls > 0 {
-		if n.calls >= w.peerCalls {
+	if c.Target == controller.ToPeer && w.maxPeerCalls > 0 {
+		if n.peerCalls >= w.maxPeerCalls {
 			w.after(0, func() { finish(controller.CallResult{NotSent: true}) })
 			return
 		}
-		n.calls++
-		inner := finish
+		n.peerCalls++
+		finishCall := finish
 		finish = func(d controller.CallResult) {
 			if !answered && n.life == life {
-				n.calls--
+				n.peerCalls--
 			}
-			inner(d)
+			finishCall(d)
 		}
 	}
 	w.after(c.Timeout, func() { finish(controller.CallResult{}) })
 	if n.cut {
 		return
 	}
-	if w.copies > 0 && c.Method != "GET" {
-		// A copy of it comes late, whatever became of who sent it, and changes nothing
-		// that was said since. Of commands to workers that holds for empty ones only:
-		// the protocol has a worker begin anew what it was told to forget.
-		late := func() { w.copyOf(c) }
+	if w.copyDelay > 0 && c.Method != "GET" {
+		// A copy of the request arrives later, even if the sender has ended, and must change
+		// nothing that was decided since. Among commands to workers only those without an
+		// order are copied: after an order to forget an attempt, the protocol has the worker
+		// start it again if the launch is repeated.
+		deliverLate := func() { w.deliverCopy(c) }
 		if c.Target != controller.ToWorker || strings.Contains(string(c.Body), `"orders":[]`) {
-			w.after(w.copies, late)
+			w.after(w.copyDelay, deliverLate)
 		}
 	}
 	w.after(w.delay(), func() {
 		switch c.Target {
 		case controller.ToState:
 			if n.away {
-				n.held = append(n.held, func() { w.store.serve(c.Method, c.Path, c.Body, func(int, string) {}) })
+				n.heldMessages = append(n.heldMessages, func() { w.store.serve(c.Method, c.Path, c.Body, func(int, string) {}) })
 				return
 			}
 			if n.denied {
-				backFrom("")(503, `{"error":"trouble"}`)
+				replyFrom("")(503, `{"error":"trouble"}`)
 				return
 			}
-			if late, by := w.lateWrites.next(c.Path == "/commit", string(c.Body)); late {
+			if delayed, delay := w.lateWrites.next(c.Path == "/commit", string(c.Body)); delayed {
 				if w.lateWrites.atOnce {
-					by = 0
+					delay = 0
 				}
 				w.note("a transaction of %s is held up", n.name)
-				w.after(by, func() {
+				w.after(delay, func() {
 					w.cross(n.zone, "", func() { w.store.serveCopy(c.Method, c.Path, c.Body) })
 				})
 				return
@@ -114,82 +117,84 @@
 			w.cross(n.zone, "", func() {
 				answeredLater := w.answeredLater(c.Path, c.Body)
 				w.store.serve(c.Method, c.Path, c.Body, func(status int, body string) {
-					back := func() { backFrom("")(status, body) }
-					if w.losesAnswer(n, c, status, back) {
+					reply := func() { replyFrom("")(status, body) }
+					if w.losesAnswer(n, c, status, reply) {
 						return
 					}
 					switch {
 					case answeredLater > 0:
-						w.after(answeredLater, back)
-					case n.away: // an open watch, for one
-						n.held = append(n.held, back)
-					case w.stateSlow == 0:
-						back()
+						w.after(answeredLater, reply)
+					case n.away: // the answer to an open watch, for example
+						n.heldMessages = append(n.heldMessages, reply)
+					case w.stateDelay == 0:
+						reply()
 					default:
-						w.after(w.stateSlow, back)
+						w.after(w.stateDelay, reply)
 					}
 				})
 			})
 		case controller.ToCloud:
 			w.cross(n.zone, "", func() {
 				status, body := w.serveCloud(c.Method, c.Path, c.Body)
-				slow := micros(0)
+				extra := micros(0)
 				if c.Path == "/machines" {
-					slow = w.cloudSlow
+					extra = w.cloudDelay
 				}
-				w.after(slow, func() { backFrom("")(status, body) })
+				w.after(extra, func() { replyFrom("")(status, body) })
 			})
 		case controller.ToPeer:
-			for _, o := range w.nodes {
-				if o.name != c.Addr || n.unlinked || o.unlinked {
+			for _, other := range w.nodes {
+				if other.name != c.Addr || n.unlinked || other.unlinked {
 					continue
 				}
-				apart(n, o, func() {
-					w.cross(n.zone, o.zone, func() {
-						w.carryPeer(o, c, func(status int, body string) {
-							apart(n, o, func() { backFrom(o.zone)(status, body) })
+				deliverOrHold(n, other, func() {
+					w.cross(n.zone, other.zone, func() {
+						w.deliverPeerCall(other, c, func(status int, body string) {
+							deliverOrHold(n, other, func() { replyFrom(other.zone)(status, body) })
 						}, finish)
 					})
 				})
 			}
 		case controller.ToInstance:
-			w.checkInstance(n, c, backFrom)
+			w.checkInstance(n, c, replyFrom)
 		case controller.ToWorker:
-			if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil && !n.deaf && !m.deaf && !m.apart[n.name] && !w.holdCommand(n, m, c) {
-				w.cross(n.zone, m.zone, func() { w.callWorker(m, c, backFrom(m.zone)) })
+			if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil && !n.deaf && !m.inboundCut && !m.apart[n.name] && !w.holdCommand(n, m, c) {
+				w.cross(n.zone, m.zone, func() { w.callWorker(m, c, replyFrom(m.zone)) })
 			}
 		}
 	})
 }
 
-// copyOf delivers a call once more. Nobody waits for the answer.
-func (w *World) copyOf(c controller.Call) {
-	nobody := func(int, string) {}
+// deliverCopy delivers a call once more and discards the answer.
+func (w *World) deliverCopy(c controller.Call) {
+	discard := func(int, string) {}
 	switch c.Target {
 	case controller.ToState:
 		w.store.serveCopy(c.Method, c.Path, c.Body)
 	case controller.ToCloud:
 		w.serveCloud(c.Method, c.Path, c.Body)
 	case controller.ToPeer:
-		for _, o := range w.nodes {
-			if o.name == c.Addr && o.alive {
-				w.carryPeer(o, c, nobody, func(controller.CallResult) {})
+		for _, other := range w.nodes {
+			if other.name == c.Addr && other.alive {
+				w.deliverPeerCall(other, c, discard, func(controller.CallResult) {})
 			}
 		}
 	case controller.ToWorker:
 		if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil {
-			w.callWorker(m, c, nobody)
+			w.callWorker(m, c, discard)
 		}
 	case controller.ToInstance:
 	}
 }
 
-func (w *World) carryPeer(o *node, c controller.Call, back func(int, string), finish func(controller.CallResult)) {
-	if !o.alive {
+// deliverPeerCall delivers a call from one controller to the controller target. A call to a stopped
+// node ends as a refused connection.
+func (w *World) deliverPeerCall(target *node, c controller.Call, reply func(int, string), finish func(controller.CallResult)) {
+	if !target.alive {
 		finish(controller.CallResult{NotSent: true, ConnectionRefused: true})
 		return
 	}
-	if o.cut {
+	if target.cut {
 		return
 	}
 	frame, _, err := protocol.SplitPeer(c.Body)
@@ -204,8 +209,8 @@
 	}
 	w.nextConn++
 	w.answers[w.nextConn] = func(status int, body []byte) {
-		if status < 0 { // a whole frame
-			back(200, string(body))
+		if status < 0 { // the body is a complete frame
+			reply(200, string(body))
 			return
 		}
 		if m := w.machines[fastjson.GetString(msg.Body, "host")]; msg.Kind == protocol.PeerHeartbeat && m != nil {
@@ -213,8 +218,8 @@
 		}
 		out := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerResponse, Status: uint16(status), Body: body})
 		frame, _, _ := protocol.SplitPeer(out)
-		back(200, string(frame))
+		reply(200, string(frame))
 	}
 	to := controller.ReplyAddress{Conn: w.nextConn, Peer: true}
-	w.step(o, controller.PeerEvent(to, msg))
+	w.step(target, controller.PeerEvent(to, msg))
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,43 +13,45 @@
 	name  string
 	zone  string
 	alive bool
-	cut   bool // from everything
-	// deaf: it and the workers can't reach each other.
+	cut   bool // all messages from and to the node are lost
+	// deaf: heartbeats and commands between the node and the workers are lost.
 	deaf bool
-	// denied: the state service answers this node alone with 503.
+	// denied: the state service answers this node, and no other, with 503.
 	denied bool
-	// unlinked: it and the other controllers can't reach each other.
+	// unlinked: calls between the node and the other controllers are lost.
 	unlinked bool
-	// frozen: it does nothing, and what comes waits until it goes on.
-	frozen  bool
-	waiting []controller.Event
-	// away: it hears neither the state service nor the other controllers; workers and
-	// users it does. What was sent is held until it is back.
-	away bool
-	held []func()
-	balanced
+	// frozen: the node handles no event. Ticks are dropped, other events go to heldEvents and
+	// are handled when it thaws.
+	frozen     bool
+	heldEvents []controller.Event
+	// away: the node is cut off from the state service and the other controllers, but not from
+	// workers, users and the cloud. Messages are held until it is back.
+	away         bool
+	heldMessages []func()
+	balancerState
 	generation
-	born  micros
-	life  int
-	calls int              // to other controllers, on their way
-	meter *transport.Meter // of its calls to the state service
-	ctl   *controller.Controller
-	seed  uint64
+	startedAt micros
+	life      int              // number of starts; callbacks of an earlier start are ignored
+	peerCalls int              // calls to other controllers in flight
+	meter     *transport.Meter // meter of the node's calls to the state service
+	ctl       *controller.Controller
+	seed      uint64
 }
 
+// startNode starts a node with a new controller, unless it is alive.
 func (w *World) startNode(n *node) {
 	if n.alive {
 		return
 	}
-	n.alive, n.born, n.calls = true, w.now, 0
+	n.alive, n.startedAt, n.peerCalls = true, w.now, 0
 	n.life++
 	n.seed += 100
 	p := w.Platform
 	p.ControllerName, p.Zone = n.name, n.zone
 	p.Peers = nil
-	for _, o := range w.nodes {
-		if o != n {
-			p.Peers = append(p.Peers, protocol.Peer{Name: o.name, Zone: o.zone, Address: o.name})
+	for _, other := range w.nodes {
+		if other != n {
+			p.Peers = append(p.Peers, protocol.Peer{Name: other.name, Zone: other.zone, Address: other.name})
 		}
 	}
 	n.meter = transport.NewMeter(p.StateRequestRate, p.StateWriteRate, 1, p.MaxTxnChanges)
@@ -76,12 +78,12 @@
 	tick()
 }
 
-// end ends a node; it is there again after a while, 0: when the trace says so. What it
-// has sent is still on its way.
-func (w *World) end(n *node, back micros) {
-	n.alive, n.frozen, n.waiting = false, false, nil
-	if life := n.life; back > 0 {
-		w.after(back, func() {
+// end stops a node. It starts again after restartDelay or, if that is 0, when the trace starts
+// it. Messages that it has sent are still delivered.
+func (w *World) end(n *node, restartDelay micros) {
+	n.alive, n.frozen, n.heldEvents = false, false, nil
+	if life := n.life; restartDelay > 0 {
+		w.after(restartDelay, func() {
 			if n.life == life {
 				w.startNode(n)
 			}
@@ -89,34 +91,36 @@
 	}
 }
 
-// share sets the parts of the state service's rates that a node keeps to.
+// share sets the node's part of the rates and sizes that the state service allows all controllers.
 func (w *World) share(n *node, leads bool) {
 	nodes := len(w.nodes)
 	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.MaxTxnChanges, leads))
 }
 
+// timeOf returns the clocks of a node. The steady clock is at 1 s when the node starts.
 func (w *World) timeOf(n *node) protocol.Now {
-	return protocol.Now{Steady: w.now - n.born + protocol.Second, Wall: w.now + 1_700_000_000*protocol.Second}
+	return protocol.Now{Steady: w.now - n.startedAt + protocol.Second, Wall: w.now + 1_700_000_000*protocol.Second}
 }
 
+// step delivers an event to a node, carries out the effects, and checks the rules for controllers.
 func (w *World) step(n *node, ev controller.Event) {
 	if n.frozen {
 		if _, tick := ev.(controller.Tick); !tick {
-			n.waiting = append(n.waiting, ev)
+			n.heldEvents = append(n.heldEvents, ev)
 		}
 		return
 	}
-	was := n.ctl.Role()
+	previous := n.ctl.Role()
 	defer func() {
 		w.decides(n)
-		if role := n.ctl.Role(); role != was {
+		if role := n.ctl.Role(); role != previous {
 			w.roleChanged(role)
 			if n.alive {
 				w.roleBegins(role.String())
 			}
 		}
 		w.checkVersion(n)
-		if was == controller.RoleRecovering && n.alive && n.ctl.Role() == controller.RoleLeader {
+		if previous == controller.RoleRecovering && n.alive && n.ctl.Role() == controller.RoleLeader {
 			w.leaders++
 			w.note("%s leads", n.name)
 		}
@@ -124,34 +128,35 @@
 	if w.stepped == nil {
 		w.perform(n, n.ctl.Step(w.timeOf(n), ev))
 	} else {
-		began := time.Now()
+		start := time.Now()
 		effects := n.ctl.Step(w.timeOf(n), ev)
-		w.stepped(n, time.Since(began))
+		w.stepped(n, time.Since(start))
 		w.perform(n, effects)
 	}
-	if role := w.endsRole; w.endsLoading > 0 && was != role && n.ctl.Role() == role {
-		w.endsLoading--
+	if role := w.nodeEndsRole; w.nodeEndsLeft > 0 && previous != role && n.ctl.Role() == role {
+		w.nodeEndsLeft--
 		life := n.life
-		w.after(w.endsAfter, func() {
+		w.after(w.nodeEndsDelay, func() {
 			if n.life == life && n.alive && n.ctl.Role() == role {
 				w.note("%s ends while it is %s", n.name, role)
-				w.end(n, w.endsBack)
+				w.end(n, w.nodeEndsRestart)
 				w.endedLoading++
 			}
 		})
 	}
 }
 
-// thaw lets a frozen node go on with what came meanwhile.
+// thaw resumes a frozen node, which handles the events that arrived meanwhile.
 func (w *World) thaw(n *node) {
 	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
-	for _, ev := range waiting {
+	events := n.heldEvents
+	n.heldEvents = nil
+	for _, ev := range events {
 		w.step(n, ev)
 	}
 }
 
+// perform carries out the effects that a node's controller returned.
 func (w *World) perform(n *node, effects []controller.Effect) {
 	for _, e := range effects {
 		w.digest.add(w.now, n.name, e)
@@ -185,6 +190,7 @@
 	}
 }
 
+// leader returns the node that leads, also while it is uncertain of its lease, or nil.
 func (w *World) leader() *node {
 	for _, n := range w.nodes {
 		if r := n.ctl.Role().String(); n.alive && (r == "leading" || r == "doubtful") {
@@ -194,6 +200,7 @@
 	return nil
 }
 
+// nodeNamed returns the node with a name, or the leader for "leader", or nil.
 func (w *World) nodeNamed(name string) *node {
 	if name == "leader" {
 		return w.leader()
--- a/internal/simulation/node_verbs.go
+++ b/internal/simulation/node_verbs.go
@@ -7,7 +7,7 @@
 	"mapleslip/internal/controller"
 )
 
-// nodeVerbs are what happens to controllers.
+// nodeVerbs returns the verbs for faults and changes of controllers.
 func nodeVerbs() map[string]verb {
 	table := map[string]verb{
 		"upgrade":      (*World).actUpgrade,
@@ -24,12 +24,13 @@
 	return table
 }
 
-// nodeChanges are verbs that change one node: VERB NODE, VERB leader, or VERB all.
+// nodeChanges contains the verbs that change one node, the leader or all nodes: VERB NODE, VERB
+// leader, VERB all.
 var nodeChanges = map[string]func(w *World, n *node, o map[string]string){
 	"kill":     func(w *World, n *node, _ map[string]string) { w.end(n, 0) },
 	"start":    func(w *World, n *node, _ map[string]string) { w.startNode(n) },
 	"restart":  (*World).restart,
-	"deafen":   func(_ *World, n *node, _ map[string]string) { n.deaf = true }, // it and the workers can't reach each other
+	"deafen":   func(_ *World, n *node, _ map[string]string) { n.deaf = true }, // loses messages from and to workers
 	"undeafen": func(_ *World, n *node, _ map[string]string) { n.deaf = false },
 	"deny":     func(_ *World, n *node, _ map[string]string) { n.denied = true },
 	"admit":    func(_ *World, n *node, _ map[string]string) { n.denied = false },
@@ -41,7 +42,8 @@
 	"back":     func(w *World, n *node, _ map[string]string) { w.comesBack(n) },
 }
 
-// actNode changes nodes.
+// actNode: VERB NODE|leader|all [OPTION=VALUE ...]: applies a verb of nodeChanges. Without a
+// leader, restart leader does nothing.
 func (w *World) actNode(words []string) error {
 	names := []string{words[1]}
 	if words[1] == "all" {
@@ -53,7 +55,7 @@
 	for _, name := range names {
 		n := w.nodeNamed(name)
 		if n == nil && name == "leader" && words[0] == "restart" {
-			continue // nobody leads just then
+			continue // there is no leader at the moment
 		}
 		if n == nil {
 			return errNoSuchNode
@@ -63,33 +65,34 @@
 	return nil
 }
 
-// restart: restart NODE [after=0.05]: it ends, and is there again that soon.
+// restart: restart NODE [after=0.05]: stops a node, which starts again after that many seconds.
 func (w *World) restart(n *node, o map[string]string) {
 	if n.alive {
 		w.end(n, duration(o, "after", 0.05))
 	}
 }
 
-// actBacklog: backlog N: so many events wait at every node.
+// actBacklog: backlog N: reports N waiting events to every node at each tick.
 func (w *World) actBacklog(words []string) (err error) {
 	w.backlog, err = strconv.Atoi(words[1])
 	return err
 }
 
-// actEndsLoading: ends-loading COUNT SECONDS: so many nodes that come to lead end that long after
-// they began to read the records.
+// actEndsLoading: ends-loading COUNT SECONDS: the next COUNT nodes that start to recover the
+// records as a new leader stop that long afterwards, if they still recover them, without a restart.
 func (w *World) actEndsLoading(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil {
 		return err
 	}
-	w.endsRole, w.endsBack = controller.RoleRecovering, 0
-	w.endsLoading, w.endsAfter = count, seconds(words[2])
+	w.nodeEndsRole, w.nodeEndsRestart = controller.RoleRecovering, 0
+	w.nodeEndsLeft, w.nodeEndsDelay = count, seconds(words[2])
 	return nil
 }
 
-// actEndsIn: ends-in ROLE COUNT [after=0] [back=0.05]: so many nodes that come into a role end that
-// long after, and are back.
+// actEndsIn: ends-in ROLE COUNT [after=SECONDS] [back=SECONDS]: the next COUNT nodes that enter a
+// role stop once the time in after has passed (default 0), if they are still in the role, and start
+// again once the time in back has passed (default 0.05).
 func (w *World) actEndsIn(words []string) error {
 	count, err := strconv.Atoi(words[2])
 	if err != nil {
@@ -98,18 +101,18 @@
 	known := false
 	for r := controller.RoleFollower; r <= controller.RoleLeaseUncertain; r++ {
 		if r.String() == words[1] {
-			w.endsRole, known = r, true
+			w.nodeEndsRole, known = r, true
 		}
 	}
 	if !known {
 		return errors.New("unknown role")
 	}
-	o := options(words[3:])
-	w.endsLoading, w.endsAfter, w.endsBack = count, duration(o, "after", 0), duration(o, "back", 0.05)
+	opts := options(words[3:])
+	w.nodeEndsLeft, w.nodeEndsDelay, w.nodeEndsRestart = count, duration(opts, "after", 0), duration(opts, "back", 0.05)
 	return nil
 }
 
-// actIfLeads: if-leads VERB: on the leader, if there is one just then.
+// actIfLeads: if-leads VERB: carries out VERB LEADER, with the name of the leader, if there is one.
 func (w *World) actIfLeads(words []string) error {
 	if n := w.leader(); n != nil {
 		return w.act([]string{words[1], n.name})
--- a/internal/simulation/scene.go
+++ b/internal/simulation/scene.go
@@ -9,7 +9,8 @@
 	"mapleslip/internal/rollout"
 )
 
-// sceneWords are the first words of lines that set the scene.
+// sceneWords contains the verbs of lines without a time, which set up the scene: the deployment at
+// the start of a trace.
 var sceneWords = map[string]verb{
 	"nodes":       (*World).sceneNodes,
 	"team":        (*World).sceneTeam,
@@ -23,16 +24,20 @@
 	"limits":      (*World).sceneLimits,
 	"connections": (*World).sceneConnections,
 	"capacity":    (*World).sceneCapacity,
-	"value-bytes": func(w *World, words []string) error { return setInt(&w.Platform.MaxValueBytes, words[1]) }, // that a value of the state service may take
-	"txn-changes": func(w *World, words []string) error { return setInt(&w.Platform.MaxTxnChanges, words[1]) }, // that a transaction of the state service may carry
+	// value-bytes N: largest size of a value in the state service.
+	"value-bytes": func(w *World, words []string) error { return setInt(&w.Platform.MaxValueBytes, words[1]) },
+	// txn-changes N: largest number of changes in a transaction of the state service.
+	"txn-changes": func(w *World, words []string) error { return setInt(&w.Platform.MaxTxnChanges, words[1]) },
 	"next":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
 	"no-capacity": func(w *World, _ []string) error { w.noCapacity = true; return nil },
-	"changes":     func(w *World, _ []string) error { w.judgeChanges(); return nil }, // of the configuration are on
-	"production":  (*World).sceneProduction,                                          // production N: so many controllers run the version in production
-	"rollouts":    (*World).sceneRollouts,
+	// changes: turns on changes of the configuration.
+	"changes": func(w *World, _ []string) error { w.judgeChanges(); return nil },
+	// production N: the first N controllers run the version that is in production.
+	"production": (*World).sceneProduction,
+	"rollouts":   (*World).sceneRollouts,
 }
 
-// scene does what a line without an instant says.
+// scene carries out a line without a time.
 func (w *World) scene(words []string) error {
 	set := sceneWords[words[0]]
 	if set == nil {
@@ -49,7 +54,7 @@
 	return err
 }
 
-// sceneNodes: nodes 2 a b: so many controllers, and their zones.
+// sceneNodes: nodes 2 a b: sets the number of controllers and their zones.
 func (w *World) sceneNodes(words []string) error {
 	n, err := strconv.Atoi(words[1])
 	if err != nil || n < 1 || n > cap(w.nodes) {
@@ -64,7 +69,7 @@
 	return nil
 }
 
-// sceneTeam: team red gpus=4 max=6.
+// sceneTeam: team red gpus=4 max=6: adds a team with its guarantee and limit of GPUs.
 func (w *World) sceneTeam(words []string) error {
 	o := options(words[2:])
 	w.Platform.Teams[words[1]] = protocol.Team{
@@ -75,7 +80,7 @@
 	return nil
 }
 
-// sceneType: type small cpus=8 gpus=2 mem=64 boot=10 fetch=1 zones=a,b.
+// sceneType: type small cpus=8 gpus=2 mem=64 boot=10 fetch=1 zones=a,b: adds a machine type.
 func (w *World) sceneType(words []string) error {
 	o := options(words[2:])
 	w.Types = append(w.Types, &protocol.MachineType{
@@ -90,7 +95,7 @@
 	return nil
 }
 
-// sceneMachine: machine n-000001 small a [spot].
+// sceneMachine: machine n-000001 small a [spot]: adds a machine of a type in a zone.
 func (w *World) sceneMachine(words []string) error {
 	m := w.addMachine(words[1], words[2], words[3], len(words) > 4 && words[4] == "spot")
 	if w.typeOf(m) == nil {
@@ -99,7 +104,7 @@
 	return nil
 }
 
-// sceneFleet: fleet 400 big a: so many machines.
+// sceneFleet: fleet 400 big a: adds that many machines of a type in a zone.
 func (w *World) sceneFleet(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil {
@@ -111,21 +116,23 @@
 	return nil
 }
 
-// sceneObjective: aim wait CLASS within=15.
+// sceneObjective: aim KIND CLASS within=15: adds an objective for a class of jobs, such as aim
+// wait.
 func (w *World) sceneObjective(words []string) error {
 	o := options(words[3:])
 	w.Platform.Objectives = append(w.Platform.Objectives, protocol.Objective{Kind: words[1], Class: words[2], Within: duration(o, "within", 10)})
 	return nil
 }
 
-// sceneRecord: record KEY VALUE: is in the state service from the start.
+// sceneRecord: record KEY VALUE: adds a key to the state service.
 func (w *World) sceneRecord(words []string) error {
 	w.store.revision++
 	w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
 	return nil
 }
 
-// sceneWorkers: workers report=2.5 lease=16 cancel=46.
+// sceneWorkers: workers report=2.5 lease=16 cancel=46: sets the heartbeat interval and the lease of
+// the workers and the time-out of cancellations, in seconds.
 func (w *World) sceneWorkers(words []string) error {
 	o, p := options(words[1:]), &w.Platform
 	p.HeartbeatInterval = duration(o, "report", p.HeartbeatInterval.Seconds())
@@ -134,25 +141,29 @@
 	return nil
 }
 
-// sceneOperator: operator cut-keep=600: the operators' settings.
+// sceneOperator: operator cut-keep=600: sets the operators' setting for how long the machines of a
+// zone that is cut off are kept, in seconds.
 func (w *World) sceneOperator(words []string) error {
 	w.Operator.PartitionRetention = duration(options(words[1:]), "cut-keep", 0)
 	return nil
 }
 
-// sceneLimits: limits changes=35: those of the state service are held.
+// sceneLimits: limits changes=35: turns on the metering of calls and the state service's limit on
+// the rate of changes, which it sets, in changes per second.
 func (w *World) sceneLimits(words []string) error {
 	w.limited, w.Platform.StateWriteRate = true, number(options(words[1:]), "changes", 35)
 	return nil
 }
 
-// sceneConnections: connections peers=24: to other controllers are bounded.
+// sceneConnections: connections peers=24: limits the calls that a node has in flight to other
+// controllers.
 func (w *World) sceneConnections(words []string) error {
-	w.peerCalls = int(number(options(words[1:]), "peers", 24))
+	w.maxPeerCalls = int(number(options(words[1:]), "peers", 24))
 	return nil
 }
 
-// sceneCapacity: capacity big/a=3 big/a/spot=1: the cloud has no more than this.
+// sceneCapacity: capacity big/a=3 big/a/spot=1: limits the machines that the cloud has left, by
+// type, zone and price.
 func (w *World) sceneCapacity(words []string) error {
 	w.capacity = make(map[string]int)
 	o := options(words[1:])
@@ -162,7 +173,7 @@
 	return nil
 }
 
-// sceneRollouts: rollouts: are on.
+// sceneRollouts: rollouts: turns on roll-outs.
 func (w *World) sceneRollouts([]string) error {
 	w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 20, MaxServices: 4}
 	return nil
--- a/internal/simulation/service_verbs.go
+++ b/internal/simulation/service_verbs.go
@@ -9,15 +9,19 @@
 	"mapleslip/internal/records"
 )
 
-// serviceVerbs are what happens to the state service and the cloud.
+// serviceVerbs returns the verbs for faults and changes of the state service and the cloud.
 func serviceVerbs() map[string]verb {
 	return map[string]verb{
-		"state":           func(w *World, words []string) error { w.store.setDown(words[1] == "down"); return nil },
-		"cloud":           func(w *World, words []string) error { w.cloudDown = words[1] == "down"; return nil },
-		"cloud-slow":      func(w *World, words []string) error { w.cloudSlow = seconds(words[1]); return nil }, // rental requests are answered so many seconds later
-		"state-slow":      func(w *World, words []string) error { w.stateSlow = seconds(words[1]); return nil }, // the state service answers so many seconds later
-		"list-lag":        func(w *World, words []string) error { w.listLag = seconds(words[1]); return nil },
-		"announce":        func(w *World, words []string) error { return w.sceneNext(words[1:]) }, // to controllers that start from now on: announce value=2048 ops=4 changes=24
+		"state": func(w *World, words []string) error { w.store.setDown(words[1] == "down"); return nil },
+		"cloud": func(w *World, words []string) error { w.cloudDown = words[1] == "down"; return nil },
+		// cloud-slow SECONDS: delays the answers to rental requests.
+		"cloud-slow": func(w *World, words []string) error { w.cloudDelay = seconds(words[1]); return nil },
+		// state-slow SECONDS: delays the answers of the state service.
+		"state-slow": func(w *World, words []string) error { w.stateDelay = seconds(words[1]); return nil },
+		"list-lag":   func(w *World, words []string) error { w.listLag = seconds(words[1]); return nil },
+		// announce value=2048 ops=4 changes=24: sets the announced next limits for controllers that
+		// start from now on.
+		"announce":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
 		"limits-fall":     func(w *World, words []string) error { return w.actLimitsFall(words[1:]) },
 		"spoil-record":    (*World).actSpoilRecord,
 		"forget-launches": (*World).actForgetLaunches,
@@ -26,21 +30,23 @@
 	}
 }
 
-// actSpoilRecord: spoil-record KEY VALUE: somebody else writes it; without a value, drops it.
+// actSpoilRecord: spoil-record KEY [VALUE]: a client that is no controller writes a key, or deletes
+// it if there is no value.
 func (w *World) actSpoilRecord(words []string) error {
 	if w.changes != nil {
 		w.changes.spoilt = true
 	}
 	w.store.revision++
 	if len(words) == 2 {
-		w.store.drop(words[1])
+		w.store.remove(words[1])
 		return nil
 	}
 	w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
 	return nil
 }
 
-// actForgetLaunches: the records become those of format 1: an epoch that is a number, no launches.
+// actForgetLaunches: forget-launches: changes the records to those of format 1, with an epoch that
+// is a plain number and without launches and the feature level.
 func (w *World) actForgetLaunches([]string) error {
 	epoch, err := records.DecodeEpoch([]byte(w.store.keys[records.KeyEpoch].value))
 	if err != nil {
@@ -50,13 +56,14 @@
 	w.versions.active = 0
 	for _, key := range slices.Clone(w.store.order) {
 		if strings.HasPrefix(key, records.LaunchShardPrefix) || key == featuregate.KeyLevel {
-			w.store.drop(key)
+			w.store.remove(key)
 		}
 	}
 	return nil
 }
 
-// networkVerbs are what happens to messages on their way.
+// networkVerbs returns the verbs for faults of the network: messages that are delayed, copied, held
+// or lost.
 func networkVerbs() map[string]verb {
 	return map[string]verb{
 		"late-writes":   (*World).actLate,
@@ -65,16 +72,19 @@
 		"in-zone":       (*World).actTrouble,
 		"link":          (*World).actLink,
 		"unlink":        (*World).actLink,
-		"copies":        func(w *World, words []string) error { w.copies = seconds(words[1]); return nil }, // copies SECONDS: so long after a request was carried out a copy of it comes; 0: no more
-		"cut-zone":      func(w *World, words []string) error { w.cutZones = words[1:]; return nil },       // cut-zone a b: zones, together, from everything outside; messages are held
-		"heal-zone":     func(w *World, _ []string) error { w.heal(); return nil },
+		// copies SECONDS: a copy of each request arrives that long after it; 0 ends this.
+		"copies": func(w *World, words []string) error { w.copyDelay = seconds(words[1]); return nil },
+		// cut-zone a b: cuts zones off from all others, but not from each other; messages are held.
+		"cut-zone":  func(w *World, words []string) error { w.cutZones = words[1:]; return nil },
+		"heal-zone": func(w *World, _ []string) error { w.heal(); return nil },
 	}
 }
 
-// operatorVerbs are what operators do.
+// operatorVerbs returns the verbs for the requests of operators.
 func operatorVerbs() map[string]verb {
 	return map[string]verb{
-		"config":         (*World).actConfig, // config KEY=VALUE ... [via=NODE] [expect=N], config-back REVISION
+		// config KEY=VALUE ... [via=NODE] [expect=N], config-back REVISION
+		"config":         (*World).actConfig,
 		"config-back":    (*World).actConfig,
 		"rollout":        (*World).actRollout,
 		"rollout-pause":  (*World).actRollout,
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -2,49 +2,51 @@
 
 import "mapleslip/internal/protocol"
 
-// StateService is the stand-in of the state service by itself, with all its published
-// limits, for whoever serves it on real connections. It isn't safe for concurrent use.
-type StateService struct{ s *store }
+// StateService is the fake state service without the rest of the simulation, for programs that
+// serve it on real connections. It enforces all published limits of the state service. It isn't
+// safe for concurrent use.
+type StateService struct{ store *store }
 
-// StateSize says how much a state service holds.
+// StateSize contains the sizes and counters of a state service.
 type StateSize struct {
-	Keys, Bytes     int // Bytes: of keys and values
+	Keys, Bytes     int // number of keys, and bytes of all keys and values
 	Leases, Watches int
-	Written         int // puts and deletes so far
-	Refused         int // transactions beyond the rate of changes so far
+	Written         int // puts and deletes so far, of all transactions within the rate of changes
+	Refused         int // transactions refused so far because of the rate of changes
 	Revision        uint64
 }
 
-// NewStateService makes one with a platform's limits. now is the clock; alarm is told of
-// requests beyond what the service takes at all.
-func NewStateService(p *protocol.Platform, now func() protocol.Micros, alarm func(format string, args ...any)) *StateService {
+// NewStateService returns a state service with the limits of a platform. now is its clock. It calls
+// reportViolation for transactions that it refuses at any rate: with too many changes or
+// conditions, an invalid key, or a missing or too large value.
+func NewStateService(p *protocol.Platform, now func() protocol.Micros, reportViolation func(format string, args ...any)) *StateService {
 	s := &store{
-		now: now, platform: p, metered: func() bool { return true }, strict: true, alarm: alarm,
+		now: now, platform: p, writesLimited: func() bool { return true }, strict: true, reportViolation: reportViolation,
 		keys: make(map[string]*entry), leases: make(map[uint64]*lease),
 	}
-	s.requests = allowance{p.StateRequestRate, now()}
-	s.writes = allowance{p.StateWriteRate, now()}
+	s.requests = tokenBucket{p.StateRequestRate, now()}
+	s.writes = tokenBucket{p.StateWriteRate, now()}
 	return &StateService{s}
 }
 
-// Serve carries out a request. Watches are answered later, from Serve or Tick.
+// Serve carries out a request. A watch is answered by a later call to Serve or Tick.
 func (s *StateService) Serve(method, target string, body []byte, answer func(status int, body string)) {
-	s.s.serve(method, target, body, answer)
-	if !s.s.down {
-		s.s.wake()
+	s.store.serve(method, target, body, answer)
+	if !s.store.down {
+		s.store.answerWatches()
 	}
 }
 
-// Tick ends leases and watches whose time has come; it is due every 50 ms.
-func (s *StateService) Tick() { s.s.tick() }
+// Tick ends expired leases and watches. It has to be called every 50 ms.
+func (s *StateService) Tick() { s.store.tick() }
 
-// SetDown begins or ends an outage.
-func (s *StateService) SetDown(down bool) { s.s.setDown(down) }
+// SetDown begins or ends an outage. At the end of an outage, all leases get their full time again.
+func (s *StateService) SetDown(down bool) { s.store.setDown(down) }
 
-// Size says how much there is.
+// Size returns the current sizes and counters.
 func (s *StateService) Size() StateSize {
 	return StateSize{
-		Keys: len(s.s.keys), Bytes: s.s.bytes, Leases: len(s.s.leases), Watches: len(s.s.watches), Written: s.s.written, Refused: s.s.refused,
-		Revision: s.s.revision,
+		Keys: len(s.store.keys), Bytes: s.store.bytes, Leases: len(s.store.leases), Watches: len(s.store.watches), Written: s.store.written, Refused: s.store.refused,
+		Revision: s.store.revision,
 	}
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,5 +1,5 @@
-// Package simulation has fakes for the state service, the cloud, workers
-// and users, in simulated time, for tests.
+// Package simulation contains fakes for the state service, the cloud, workers and users, in
+// simulated time, for tests of the controllers.
 package simulation
 
 import (
@@ -17,82 +17,86 @@
 
 type micros = protocol.Micros
 
-// store stands in for the state service.
+// store is the fake state service.
 type store struct {
-	now      func() micros
-	platform *protocol.Platform // its limits
-	metered  func() bool        // the rate of changes is held
-	strict   bool               // all published limits are held
-	alarm    func(format string, args ...any)
-	applied  func(changes []*fastjson.Value) // of a transaction; nil: nobody looks
+	now             func() micros
+	platform        *protocol.Platform // its limits are enforced
+	writesLimited   func() bool        // whether the rate of changes is enforced
+	strict          bool               // all published limits are enforced
+	reportViolation func(format string, args ...any)
+	applied         func(changes []*fastjson.Value) // gets the changes of each transaction, may be nil
 
-	down     bool
-	keys     map[string]*entry
-	order    []string // the keys, sorted
-	bytes    int      // of keys and values
-	revision uint64
-	leases   map[uint64]*lease
-	nextID   uint64
-	watches  []*follower
-	changes  []change // by stamp
-	forgot   uint64   // the last change that is not among them any more
-	written  int      // puts and deletes
-	commits  int      // transactions
-	refused  int      // transactions beyond the rate
-	conflict int      // transactions of which a condition did not hold
-	served   int      // requests
-	writes   allowance
-	requests allowance
-	fallen   *fallenLimits // nil: the limits are those of the platform's settings
+	down              bool
+	keys              map[string]*entry
+	order             []string // the keys, sorted
+	bytes             int      // size of all keys and values
+	revision          uint64
+	leases            map[uint64]*lease
+	lastLeaseID       uint64
+	watches           []*watch
+	changes           []change // the latest changes, sorted by stamp, see maxKeptChanges
+	compactedRevision uint64   // stamp of the last change that was removed from changes
+	written           int      // puts and deletes of the transactions in commits
+	commits           int      // transactions that no rate or lowered limit refused
+	refused           int      // transactions refused because of the rate of changes
+	conflict          int      // transactions of which a condition was not met
+	served            int      // requests
+	writes            tokenBucket
+	requests          tokenBucket
+	fallen            *fallenLimits // lowered limits, nil if those of platform apply
 }
 
 type entry struct {
 	value string
-	stamp uint64
-	lease uint64
+	stamp uint64 // revision of the last change
+	lease uint64 // ID of the lease that the key is bound to, 0 for none
 }
 
 type lease struct {
-	ttl, ends micros
+	ttl, expires micros
 }
 
 type change struct {
-	key, value string // value "": dropped
+	key, value string // value is "" if the key was deleted
 	stamp      uint64
 }
 
-type follower struct {
-	prefix string
-	since  uint64
-	ends   micros
-	news   bool // a key with the prefix has changed since
-	answer func(int, string)
+type watch struct {
+	prefix  string
+	since   uint64 // stamp after which changes are reported
+	expires micros
+	changed bool // a key with the prefix has changed since
+	answer  func(int, string)
 }
 
-// allowance is a bucket of some seconds' worth of a rate.
-type allowance struct {
-	room float64
-	at   micros
+// tokenBucket limits a rate. It holds at most the tokens of some seconds.
+type tokenBucket struct {
+	room       float64
+	refilledAt micros
 }
 
-func (a *allowance) take(now micros, rate, seconds, n float64) bool {
-	a.room = min(rate*seconds, a.room+rate*(now-a.at).Seconds())
-	a.at = now
-	if a.room < n {
+// take adds the tokens for the time since the last call, up to those of the given seconds, and
+// removes n tokens if there are that many.
+func (b *tokenBucket) take(now micros, rate, seconds, n float64) bool {
+	b.room = min(rate*seconds, b.room+rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
+	if b.room < n {
 		return false
 	}
-	a.room -= n
+	b.room -= n
 	return true
 }
 
+// newStore returns the state service of a simulation. The bucket of its rate of changes starts
+// full, as after a while without changes.
 func newStore(w *World) *store {
 	return &store{
-		now: func() micros { return w.now }, platform: &w.Platform, metered: func() bool { return w.limited }, alarm: w.broken, applied: w.committed,
-		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: allowance{room: math.Inf(1)},
-	} // as after a while without any
+		now: func() micros { return w.now }, platform: &w.Platform, writesLimited: func() bool { return w.limited }, reportViolation: w.broken, applied: w.committed,
+		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: tokenBucket{room: math.Inf(1)},
+	}
 }
 
-// set puts a key.
+// set stores an entry under a key.
 func (s *store) set(key string, e *entry) {
 	old := s.keys[key]
 	if old == nil {
@@ -106,35 +110,36 @@
 	s.keys[key] = e
 }
 
-// drop deletes a key that is there.
-func (s *store) drop(key string) {
+// remove deletes a key, which must exist.
+func (s *store) remove(key string) {
 	i, _ := slices.BinarySearch(s.order, key)
 	s.order = slices.Delete(s.order, i, i+1)
 	s.bytes -= len(key) + len(s.keys[key].value)
 	delete(s.keys, key)
 }
 
-// note keeps a change, and marks whom it wakes.
-func (s *store) note(c change) {
+// recordChange appends a change to the latest changes and marks the watches that it concerns.
+func (s *store) recordChange(c change) {
 	s.changes = append(s.changes, c)
-	for _, f := range s.watches {
-		if !f.news && strings.HasPrefix(c.key, f.prefix) {
-			f.news = true
+	for _, watch := range s.watches {
+		if !watch.changed && strings.HasPrefix(c.key, watch.prefix) {
+			watch.changed = true
 		}
 	}
 }
 
-// setDown begins or ends an outage. After one, leases get their full time.
+// setDown begins or ends an outage. At the end of an outage, all leases get their full time again.
 func (s *store) setDown(down bool) {
 	if s.down && !down {
 		for _, l := range s.leases {
-			l.ends = s.now() + l.ttl
+			l.expires = s.now() + l.ttl
 		}
 	}
 	s.down = down
 }
 
-// tick ends leases and watches whose time has come.
+// tick ends expired leases, answers watches and removes the oldest changes. It does nothing during
+// an outage.
 func (s *store) tick() {
 	if s.down {
 		return
@@ -145,43 +150,45 @@
 	}
 	sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
 	for _, id := range ids {
-		if s.leases[id].ends <= s.now() {
+		if s.leases[id].expires <= s.now() {
 			s.endLease(id)
 		}
 	}
-	s.wake()
-	if n := len(s.changes) - keptChanges; n > keptChanges/10 {
-		s.forgot = s.changes[n-1].stamp
+	s.answerWatches()
+	if n := len(s.changes) - maxKeptChanges; n > maxKeptChanges/10 {
+		s.compactedRevision = s.changes[n-1].stamp
 		s.changes = append([]change(nil), s.changes[n:]...)
 	}
 }
 
-// wake answers watches that have news or whose time is over.
-func (s *store) wake() {
+// answerWatches answers watches that have changes to report or have expired.
+func (s *store) answerWatches() {
 	rest := s.watches[:0]
-	for _, f := range s.watches {
-		if f.news || f.ends <= s.now() {
-			f.answer(200, fmt.Sprintf(`{"generation":%d,"news":[%s]}`, s.revision, strings.Join(s.news(f), ",")))
+	for _, watch := range s.watches {
+		if watch.changed || watch.expires <= s.now() {
+			watch.answer(200, fmt.Sprintf(`{"generation":%d,"news":[%s]}`, s.revision, strings.Join(s.watchEvents(watch), ",")))
 			continue
 		}
-		rest = append(rest, f)
+		rest = append(rest, watch)
 	}
 	clear(s.watches[len(rest):])
 	s.watches = rest
 }
 
-// keptChanges is how many changes can be followed later.
-const keptChanges = 10_000
+// maxKeptChanges is the number of latest changes that a watch can start from. tick removes older
+// changes once there are a tenth more.
+const maxKeptChanges = 10_000
 
-// since is the first kept change after a revision.
-func (s *store) since(revision uint64) int {
+// firstChangeAfter returns the index in changes of the first change after a revision.
+func (s *store) firstChangeAfter(revision uint64) int {
 	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].stamp > revision })
 }
 
-func (s *store) news(f *follower) []string {
+// watchEvents returns the changes that a watch has to report.
+func (s *store) watchEvents(watch *watch) []string {
 	var list []string
-	for _, c := range s.changes[s.since(f.since):] {
-		if !strings.HasPrefix(c.key, f.prefix) {
+	for _, c := range s.changes[s.firstChangeAfter(watch.since):] {
+		if !strings.HasPrefix(c.key, watch.prefix) {
 			continue
 		}
 		if c.value == "" {
@@ -193,6 +200,7 @@
 	return list
 }
 
+// endLease removes a lease and deletes the keys that are bound to it.
 func (s *store) endLease(id uint64) {
 	delete(s.leases, id)
 	keys := make([]string, 0)
@@ -204,12 +212,12 @@
 	sort.Strings(keys)
 	for _, k := range keys {
 		s.revision++
-		s.drop(k)
-		s.note(change{k, "", s.revision})
+		s.remove(k)
+		s.recordChange(change{k, "", s.revision})
 	}
 }
 
-// serve answers one request.
+// serve carries out one request.
 func (s *store) serve(method, target string, body []byte, answer func(int, string)) {
 	s.served++
 	if s.down {
@@ -240,14 +248,14 @@
 		page, _ := strconv.Atoi(args["page"])
 		answer(200, s.list(args["under"], args["since"], page))
 	case method == "GET" && path == "/follow":
-		if since < s.forgot {
+		if since < s.compactedRevision {
 			answer(410, `{"error":"too old"}`)
 			return
 		}
 		block, _ := strconv.ParseInt(args["blockMs"], 10, 64)
-		f := &follower{prefix: args["under"], since: since, ends: s.now() + micros(min(block, 60_000))*protocol.Millisecond, answer: answer}
-		f.news = slices.ContainsFunc(s.changes[s.since(since):], func(c change) bool { return strings.HasPrefix(c.key, f.prefix) })
-		s.watches = append(s.watches, f)
+		added := &watch{prefix: args["under"], since: since, expires: s.now() + micros(min(block, 60_000))*protocol.Millisecond, answer: answer}
+		added.changed = slices.ContainsFunc(s.changes[s.firstChangeAfter(since):], func(c change) bool { return strings.HasPrefix(c.key, added.prefix) })
+		s.watches = append(s.watches, added)
 	case path == "/commit":
 		s.commit(body, answer)
 	case path == "/leases":
@@ -256,9 +264,9 @@
 			answer(400, `{"error":"ttlMs"}`)
 			return
 		}
-		s.nextID++
-		s.leases[s.nextID] = &lease{ttl, s.now() + ttl}
-		answer(200, fmt.Sprintf(`{"hold":%d}`, s.nextID))
+		s.lastLeaseID++
+		s.leases[s.lastLeaseID] = &lease{ttl, s.now() + ttl}
+		answer(200, fmt.Sprintf(`{"hold":%d}`, s.lastLeaseID))
 	case method == "DELETE" && strings.HasPrefix(path, "/leases/"):
 		id, _ := strconv.ParseUint(path[len("/leases/"):], 10, 64)
 		if s.leases[id] != nil {
@@ -272,13 +280,14 @@
 			answer(404, `{}`)
 			return
 		}
-		l.ends = s.now() + l.ttl
+		l.expires = s.now() + l.ttl
 		answer(200, `{}`)
 	default:
 		answer(400, `{"error":"unknown"}`)
 	}
 }
 
+// commit carries out a transaction if all its conditions are met.
 func (s *store) commit(body []byte, answer func(int, string)) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
@@ -286,7 +295,7 @@
 		return
 	}
 	then := v.GetArray("then")
-	if s.metered() && !s.writes.take(s.now(), s.writeRate(), 1, float64(len(then))) {
+	if s.writesLimited() && !s.writes.take(s.now(), s.writeRate(), 1, float64(len(then))) {
 		s.refused++
 		answer(429, `{}`)
 		return
@@ -300,12 +309,12 @@
 	s.written += len(then)
 	s.commits++
 	if len(then) > s.platform.MaxTxnChanges || len(v.GetArray("when")) > 4*s.platform.MaxTxnChanges {
-		s.alarm("transaction too large: %d changes", len(then))
+		s.reportViolation("transaction too large: %d changes", len(then))
 		answer(400, `{}`)
 		return
 	}
-	if problem := s.malformed(then); s.strict && problem != "" {
-		s.alarm("transaction: %s", problem)
+	if problem := s.findInvalidChange(then); s.strict && problem != "" {
+		s.reportViolation("transaction: %s", problem)
 		answer(400, fmt.Sprintf(`{"error":%q}`, problem))
 		return
 	}
@@ -336,15 +345,15 @@
 		if c.Exists("drop") {
 			key := string(c.GetStringBytes("drop"))
 			if s.keys[key] != nil {
-				s.drop(key)
-				s.note(change{key, "", s.revision})
+				s.remove(key)
+				s.recordChange(change{key, "", s.revision})
 			}
 			continue
 		}
 		key := string(c.GetStringBytes("set"))
 		value := string(c.Get("data").MarshalTo(nil))
 		s.set(key, &entry{value, s.revision, c.GetUint64("hold")})
-		s.note(change{key, value, s.revision})
+		s.recordChange(change{key, value, s.revision})
 	}
 	if s.applied != nil {
 		s.applied(then)
@@ -352,21 +361,22 @@
 	answer(200, fmt.Sprintf(`{"generation":%d}`, s.revision))
 }
 
-// Most of a page of keys.
+// Limits of a page of keys.
 const (
-	maxPage      = 1000
+	maxPageKeys  = 1000
 	maxPageBytes = 512 << 10
 )
 
-// list is a page of the keys with a prefix, after one of them; page 0: as many as can be.
+// list returns a page of the keys with a prefix that follow the key after, at most page of them, or
+// maxPageKeys if page is 0.
 func (s *store) list(prefix, after string, page int) string {
-	if page <= 0 || page > maxPage {
-		page = maxPage
+	if page <= 0 || page > maxPageKeys {
+		page = maxPageKeys
 	}
 	i, _ := slices.BinarySearch(s.order, prefix)
 	if after >= prefix {
-		var there bool
-		if i, there = slices.BinarySearch(s.order, after); there {
+		var found bool
+		if i, found = slices.BinarySearch(s.order, after); found {
 			i++
 		}
 	}
@@ -386,8 +396,8 @@
 	return fmt.Sprintf(`{"entries":[%s],"truncated":%t,"generation":%d}`, items.String(), more, s.revision)
 }
 
-// malformed says what is wrong with changes.
-func (s *store) malformed(then []*fastjson.Value) string {
+// findInvalidChange returns what is wrong with the first invalid change, "" if all are valid.
+func (s *store) findInvalidChange(then []*fastjson.Value) string {
 	for _, c := range then {
 		key, put := c.GetStringBytes("drop"), false
 		if key == nil {
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -9,9 +9,9 @@
 	"mapleslip/internal/protocol"
 )
 
-// A trace is a text that people read: what a deployment has, what happens to it and when, and what
-// is expected. Lines that start with "at" carry an instant in seconds; the others set the scene.
-// "#" begins a comment.
+// A trace is a script for one run of the simulation: it lists what a deployment contains, the
+// events and their times, and what is expected. Lines that start with "at" have a time in seconds;
+// the others set up the deployment at the start, which is called the scene. "#" begins a comment.
 //
 //	nodes 2
 //	team red gpus=4 max=6
@@ -21,12 +21,15 @@
 //	at 9 kill leader
 //	at 9 expect req-000001 running
 //
-// Whatever a trace expects, the rules of the protocol are checked throughout.
+// Independently of what a trace expects, the simulation checks the rules of the protocol
+// throughout.
 
-// RunTrace plays a trace and returns the world as it was at its end.
+// RunTrace runs a trace and returns the world in its final state. It calls prepare, if not nil,
+// before the first line. It returns an error if a rule of the protocol was broken, or an
+// expectation or a line failed.
 func RunTrace(text string, prepare func(*World)) (*World, error) {
-	w := NewWorld(mostNodes)
-	w.nodes = w.nodes[:3] // unless the trace says otherwise
+	w := NewWorld(maxNodes)
+	w.nodes = w.nodes[:3] // the default, which the nodes line of a trace changes
 	if prepare != nil {
 		prepare(w)
 	}
@@ -37,21 +40,21 @@
 	return w, err
 }
 
-// mostNodes is how many controllers a trace may have.
-const mostNodes = 7
+// maxNodes is the largest number of controllers in a trace.
+const maxNodes = 7
 
-// play does what the lines of a trace say.
+// play carries out the lines of a trace.
 func (w *World) play(text string) error {
 	started := false
-	sc := bufio.NewScanner(strings.NewReader(text))
-	for no := 1; sc.Scan(); no++ {
-		line, _, _ := strings.Cut(sc.Text(), "#")
+	scanner := bufio.NewScanner(strings.NewReader(text))
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		line, _, _ := strings.Cut(scanner.Text(), "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
 		fail := func(format string, args ...any) error {
-			return fmt.Errorf("line %d (%s): %s", no, strings.TrimSpace(line), fmt.Sprintf(format, args...))
+			return fmt.Errorf("line %d (%s): %s", lineNumber, strings.TrimSpace(line), fmt.Sprintf(format, args...))
 		}
 		if words[0] != "at" {
 			if err := w.scene(words); err != nil {
@@ -78,17 +81,17 @@
 	return nil
 }
 
-// options reads words of the form name=value.
+// options parses words of the form name=value.
 func options(words []string) map[string]string {
-	o := map[string]string{}
+	opts := map[string]string{}
 	for _, word := range words {
 		k, v, _ := strings.Cut(word, "=")
-		o[k] = v
+		opts[k] = v
 	}
-	return o
+	return opts
 }
 
-// number is the value of an option, or a default.
+// number returns the value of an option, or a default if it is missing or not a number.
 func number(o map[string]string, name string, def float64) float64 {
 	if v, err := strconv.ParseFloat(o[name], 64); err == nil {
 		return v
@@ -96,16 +99,16 @@
 	return def
 }
 
-// duration is the value of an option in seconds, or a default.
+// duration returns the value of an option in seconds, or a default of def seconds.
 func duration(o map[string]string, name string, def float64) micros {
 	return protocol.FromSeconds(number(o, name, def))
 }
 
-// seconds reads a word that is a number of seconds.
-func seconds(word string) micros { return protocol.FromSeconds(numberOf(word, 0)) }
+// seconds parses a word that is a number of seconds, 0 if it is not a number.
+func seconds(word string) micros { return protocol.FromSeconds(parseNumber(word, 0)) }
 
-// numberOf reads a word that is a number, or a default.
-func numberOf(word string, def float64) float64 {
+// parseNumber parses a word that is a number, or returns a default if it is not.
+func parseNumber(word string, def float64) float64 {
 	if v, err := strconv.ParseFloat(word, 64); err == nil {
 		return v
 	}
--- a/internal/simulation/unreachable_controllers.go
+++ b/internal/simulation/unreachable_controllers.go
@@ -2,27 +2,28 @@
 
 import "mapleslip/internal/protocol"
 
-// A mute machine can't open connections to any controller, while direct commands and
-// questions still reach it and are answered. Its reports get no answer, so its lease runs
-// out although each controller can see what is on it.
+// Machines whose worker can't open connections to any controller (outboundCut), while direct
+// commands and status requests still reach it and are answered. Heartbeats don't arrive, so the
+// worker's lease expires although each controller can query which tasks are on the machine.
 
-// actMute begins or ends that for one machine, "all" of them, or those of a zone:
-// mute n-000001, mute zone=a, mute all. A machine that is gone is left out.
+// actMute: mute MACHINE|zone=ZONE|all, unmute MACHINE|zone=ZONE|all: sets or clears outboundCut on
+// one machine, those of a zone or all. It ignores a machine that is gone.
 func (w *World) actMute(words []string) error {
 	zone := options(words[1:])["zone"]
 	for _, m := range w.sortedMachines() {
 		if words[1] == "all" || m.name == words[1] || zone != "" && m.zone == zone {
-			m.mute = words[0] == "mute"
+			m.outboundCut = words[0] == "mute"
 		}
 	}
 	return nil
 }
 
-// tryInVain is a report for which no connection can be opened.
-func (w *World) tryInVain(m *machine) {
+// failToConnect handles a heartbeat for which the worker can't open a connection: it tries the next
+// controller a second later.
+func (w *World) failToConnect(m *machine) {
 	w.after(w.delay(), func() {
 		m.inFlight = false
-		m.node++
-		m.next = w.now + protocol.Second
+		m.nodeIndex++
+		m.nextReport = w.now + protocol.Second
 	})
 }
--- a/internal/simulation/user_verbs.go
+++ b/internal/simulation/user_verbs.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// userVerbs are what users do.
+// userVerbs returns the verbs for the actions of users.
 func userVerbs() map[string]verb {
 	return map[string]verb{
 		"submit":            (*World).actSubmit,
@@ -34,13 +34,13 @@
 		"close-looks":       (*World).actCloseLooks,
 		"look":              (*World).actLook,
 		"storm":             (*World).actStorm,
-		"balance":           func(w *World, _ []string) error { w.sticks = true; return nil },
+		"balance":           func(w *World, _ []string) error { w.stickyUsers = true; return nil },
 		"count":             (*World).actCount,
 		"when":              (*World).actWhen,
 	}
 }
 
-// actBurst: burst COUNT FIRST KIND ...: as many jobs, numbered on from FIRST.
+// actBurst: burst COUNT FIRST KIND ...: submits COUNT jobs, numbered from FIRST on.
 func (w *World) actBurst(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	first, err2 := strconv.Atoi(strings.TrimPrefix(words[2], "req-"))
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// actSubmitAt: submit-at NODE REF KIND ...: the user's connection is to that node.
+// actSubmitAt: submit-at NODE REF KIND ...: submits a job to that node.
 func (w *World) actSubmitAt(words []string) error {
 	w.userNode = w.nodeNamed(words[1])
 	if w.userNode == nil {
@@ -65,7 +65,7 @@
 	return w.actSubmit(words[1:])
 }
 
-// actCancel: cancel REF.
+// actCancel: cancel REF: requests the cancellation of a job until a controller confirms it.
 func (w *World) actCancel(words []string) error {
 	j := w.jobs[words[1]]
 	if j == nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// actAskAt: ask-at NODE REF: one question.
+// actAskAt: ask-at NODE REF: sends one query about a job to that node.
 func (w *World) actAskAt(words []string) error {
 	n := w.nodeNamed(words[1])
 	if n == nil {
@@ -85,18 +85,20 @@
 	return nil
 }
 
-// actStorm: storm COUNT: so many questions at once, to one node after another, about all jobs and
-// as many that nobody submitted.
+// actStorm: storm COUNT: sends COUNT queries at once, to one node after another, half of them about
+// submitted jobs and half about jobs that no user submitted.
 func (w *World) actStorm(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil {
 		return err
 	}
-	w.storm(count)
+	w.queryStorm(count)
 	return nil
 }
 
-// actCount: from here on changes written, workers asked and users without an answer are counted.
+// actCount: count: starts the counts of written changes, of direct calls to workers without a
+// command and of changes of leader, and the longest times for which queries stay unanswered and
+// jobs wait beside room.
 func (w *World) actCount([]string) error {
 	w.written, w.asked, w.led = w.store.written, w.questions, w.leaders
 	w.unanswered = 0
@@ -107,9 +109,9 @@
 	return nil
 }
 
-// askEverywhere has a job's user ask about it and repeat its submission at all controllers
-// at once: ask-everywhere REF. Nobody may then be told anything older than what was told
-// before the question left, nor that there is no such job.
+// askEverywhere: ask-everywhere REF: the user of a job queries it and repeats its submission at all
+// controllers at once. No answer may report a phase older than one that was reported before the
+// requests were sent, nor that an accepted job doesn't exist.
 func (w *World) askEverywhere(ref string) error {
 	j := w.jobs[ref]
 	if j == nil {
@@ -119,22 +121,22 @@
 		if !w.reachable(n) {
 			continue
 		}
-		asked := w.now
-		take := func(status int, body []byte) {
+		sentAt := w.now
+		check := func(status int, body []byte) {
 			switch {
 			case j.accepted && (status == 404 || status == 400 || status == 422):
 				w.broken("forgotten: %s got %d", ref, status)
-			case (status == 200 || status == 201) && (j.toldAt == 0 || j.toldAt <= asked):
+			case (status == 200 || status == 201) && (j.toldAt == 0 || j.toldAt <= sentAt):
 				w.heard(j, fastjson.GetString(body, "phase"))
 			}
 		}
-		w.request(n, "query", ref, take)
-		w.request(n, "submit", string(j.body), take)
+		w.request(n, "query", ref, check)
+		w.request(n, "submit", string(j.body), check)
 	}
 	return nil
 }
 
-// cancelOnce is a user who asks to cancel and gives up at once: cancel-once REF.
+// cancelOnce: cancel-once REF: the user of a job requests its cancellation once, without a retry.
 func (w *World) cancelOnce(ref string) error {
 	j, n := w.jobs[ref], w.upNode()
 	if j == nil || n == nil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,47 +11,49 @@
 	"mapleslip/internal/protocol"
 )
 
-// userJob is what a job's user knows and expects.
+// userJob is a submitted job: the submission, how its tasks run, and what controllers reported
+// about it to its user.
 type userJob struct {
 	spec          *protocol.JobSpec
-	body          []byte
-	run           micros
-	fails         bool
-	tries         int // launches of its tasks that a machine took
-	results       []bool
+	body          []byte // body of the submission
+	run           micros // actual run time of a task
+	fails         bool   // every task fails
+	tries         int    // launches of its tasks that machines carried out
+	results       []bool // by task: whether it completed
 	accepted      bool
-	status        int // of the last submission
-	phase         string
-	done, running int
-	asked         bool // to cancel
-	askedAt       micros
-	toldDone      bool
-	toldAt        micros // when it was first told that the job is over
-	toldCancelled micros
-	via           *node  // where its user's connection is, see sticks
-	answeredAt    micros // when a question about it was last answered
+	status        int    // status of the last answer to a submission, 0 if none came in time
+	phase         string // last phase that a controller reported to the user
+	done, running int    // numbers of tasks in the last answer to a query
+	asked         bool   // the user requested cancellation
+	askedAt       micros // time of the cancellation request of cancel-at
+	toldDone      bool   // a controller reported that the job is done
+	toldAt        micros // time of the first report that it is done or cancelled
+	toldCancelled micros // time of the first report that it is cancelled, 0 if none
+	connectedNode *node  // node that the user is connected to, see stickyUsers
+	answeredAt    micros // time when a query about the job was last answered
 	waiting       waitBeside
 }
 
-// userPatience is how long users wait for an answer.
-var userPatience = map[string]micros{"submit": 5 * protocol.Second, "query": 2 * protocol.Second, "cancel": 5 * protocol.Second}
+// userTimeouts contains the time for which users wait for an answer, by kind of request.
+var userTimeouts = map[string]micros{"submit": 5 * protocol.Second, "query": 2 * protocol.Second, "cancel": 5 * protocol.Second}
 
-// request hands a request to a controller. Status 0: no answer came in time.
-func (w *World) request(n *node, what, body string, answer func(int, []byte)) {
-	answer = w.compared(n, what, body, answer)
+// request sends a request of a kind to a controller and passes the answer to answer, with status 0
+// if none comes in time.
+func (w *World) request(n *node, kind, body string, answer func(int, []byte)) {
+	answer = w.compared(n, kind, body, answer)
 	w.nextConn++
 	conn := w.nextConn
 	w.answers[conn] = answer
-	if patience := userPatience[what]; patience > 0 && w.live == nil {
-		w.after(patience, func() {
-			if _, waits := w.answers[conn]; waits {
-				delete(w.answers, conn) // what comes later is dropped
+	if timeout := userTimeouts[kind]; timeout > 0 && w.live == nil {
+		w.after(timeout, func() {
+			if _, pending := w.answers[conn]; pending {
+				delete(w.answers, conn) // a later answer is dropped
 				answer(0, nil)
 			}
 		})
 	}
 	to := controller.ReplyAddress{Conn: conn}
-	switch what {
+	switch kind {
 	case "hello":
 		w.step(n, controller.WorkerHeartbeat{Reply: to, Body: []byte(body)})
 	case "submit":
@@ -64,53 +66,58 @@
 		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpCancel, Ref: body})
 	case "rollout":
 		w.step(n, controller.UserRequest{Reply: to, Op: protocol.OpRollout, Body: []byte(body)})
-	default: // about the roll-out of a service
-		w.step(n, controller.UserRequest{Reply: to, Op: rolloutOps[what], Ref: body})
+	default: // a request about the roll-out of a service
+		w.step(n, controller.UserRequest{Reply: to, Op: rolloutOps[kind], Ref: body})
 	}
 }
 
+// upNode returns the node for a user's next request: userNode or else, by round-robin, the next
+// node that is reachable and in the load balancer's rotation, nil if there is none.
 func (w *World) upNode() *node {
 	if w.userNode != nil {
 		return w.userNode
 	}
 	for range w.nodes {
-		w.poller++
-		if n := w.nodes[w.poller%len(w.nodes)]; w.reachable(n) && !n.out {
+		w.nodeCursor++
+		if n := w.nodes[w.nodeCursor%len(w.nodes)]; w.reachable(n) && !n.out {
 			return n
 		}
 	}
 	return nil
 }
 
-// reachable reports whether users, who are in no zone, reach a node.
+// reachable reports whether users can reach a node. They are in no zone, so they can't reach one
+// in a zone that is cut off.
 func (w *World) reachable(n *node) bool {
 	return n.alive && !n.cut && !slices.Contains(w.cutZones, n.zone)
 }
 
-// insist sends a request as a user would, to one node after another until
-// taken says that the answer is final.
-func (w *World) insist(what, body string, taken func(status int, body []byte) bool) {
+// insist sends a request as a user would: to one node after another, until final reports that the
+// answer is final. It retries up to 60 times, a second after each failure.
+func (w *World) insist(kind, body string, final func(status int, body []byte) bool) {
 	var try func(left int)
 	try = func(left int) {
-		again := func() {
+		retry := func() {
 			if left > 0 {
 				w.after(protocol.Second, func() { try(left - 1) })
 			}
 		}
 		n := w.upNode()
 		if n == nil {
-			again()
+			retry()
 			return
 		}
-		w.request(n, what, body, func(status int, answer []byte) {
-			if !taken(status, answer) {
-				again()
+		w.request(n, kind, body, func(status int, answer []byte) {
+			if !final(status, answer) {
+				retry()
 			}
 		})
 	}
 	try(60)
 }
 
+// submit sends a job's submission until it is accepted or rejected. A controller must not reject a
+// job that was accepted before.
 func (w *World) submit(j *userJob) {
 	w.jobs[j.spec.Ref] = j
 	nameable := w.nameable(j)
@@ -119,8 +126,8 @@
 		w.checkChained(j, nameable, status, body)
 		switch status {
 		case 200, 201:
-			if w.copies > 0 && !j.accepted {
-				w.after(w.copies, func() { w.submit(j) }) // the request comes once more
+			if w.copyDelay > 0 && !j.accepted {
+				w.after(w.copyDelay, func() { w.submit(j) }) // a copy of the request arrives
 			}
 			w.checkAccepted(j)
 			j.accepted = true
@@ -135,6 +142,7 @@
 	})
 }
 
+// cancel requests the cancellation of a job until a controller confirms it.
 func (w *World) cancel(j *userJob) {
 	j.asked = true
 	w.insist("cancel", j.spec.Ref, func(status int, body []byte) bool {
@@ -146,8 +154,9 @@
 	})
 }
 
-// poll asks for every job, from a node that differs from time to time.
-func (w *World) poll() {
+// pollJobs queries every accepted job, each at the node that its user is connected to or else at
+// the next node of the round-robin, and updates unanswered.
+func (w *World) pollJobs() {
 	refs := make([]string, 0, len(w.jobs))
 	for r := range w.jobs {
 		refs = append(refs, r)
@@ -162,11 +171,11 @@
 			j.answeredAt = w.now
 		}
 		w.unanswered = max(w.unanswered, w.now-j.answeredAt)
-		n := w.nodeOf(j)
+		n := w.nodeForUser(j)
 		if n == nil {
 			continue
 		}
-		asked := w.now
+		sentAt := w.now
 		w.request(n, "query", r, func(status int, body []byte) {
 			if status == 200 {
 				j.answeredAt = w.now
@@ -174,7 +183,7 @@
 			if status == 404 {
 				w.broken("forgotten: %s", r)
 			}
-			if status == 200 && j.toldAt <= asked { // otherwise the two answers crossed
+			if status == 200 && j.toldAt <= sentAt { // else it may be older than the report of the end
 				j.done, j.running = fastjson.GetInt(body, "done"), fastjson.GetInt(body, "running")
 				w.heard(j, fastjson.GetString(body, "phase"))
 			}
@@ -182,8 +191,9 @@
 	}
 }
 
-// storm asks many questions at once.
-func (w *World) storm(count int) {
+// queryStorm sends count queries at the same instant: half of them about submitted jobs, the others
+// about references that no user submitted.
+func (w *World) queryStorm(count int) {
 	refs := make([]string, 0, len(w.jobs))
 	for r := range w.jobs {
 		refs = append(refs, r)
@@ -199,10 +209,10 @@
 		if known {
 			ref = refs[i/2%len(refs)]
 		}
-		asked := w.now
+		sentAt := w.now
 		w.request(n, "query", ref, func(status int, body []byte) {
 			switch {
-			case status == 200 && known && w.jobs[ref].toldAt > asked: // the two answers crossed
+			case status == 200 && known && w.jobs[ref].toldAt > sentAt: // may be older than the report of the end
 			case status == 200 && known:
 				w.heard(w.jobs[ref], fastjson.GetString(body, "phase"))
 			case status == 200:
@@ -216,7 +226,9 @@
 	}
 }
 
-// heard checks what a user is told.
+// heard checks and stores the phase of a job that an answer reports to its user: a finished job
+// must keep its phase, a job is done only if all its tasks completed, and cancelled only if its
+// user, or that of a job that it needs, requested it.
 func (w *World) heard(j *userJob, phase string) {
 	ref := j.spec.Ref
 	if j.toldDone && phase != "done" || j.toldCancelled > 0 && phase != "cancelled" {
@@ -248,11 +260,13 @@
 	}
 }
 
+// checkCancelled checks that no task still runs when the cancel timeout has passed since a
+// controller reported to its user that the job is cancelled.
 func (w *World) checkCancelled() {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
 			if t.on && t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
-				t.job.toldCancelled = w.now // once
+				t.job.toldCancelled = w.now // not to report it again at every tick
 				w.broken("ran_cancelled: %s/%d", t.job.spec.Ref, t.index)
 			}
 		}
--- a/internal/simulation/verbs.go
+++ b/internal/simulation/verbs.go
@@ -6,13 +6,15 @@
 	"strings"
 )
 
-// verb does what a line of a trace says. The first word names it.
+// verb carries out a line of a trace. words contains the words of the line, starting with the name
+// of the verb.
 type verb func(w *World, words []string) error
 
-// verbs are those of lines with an instant.
+// verbs contains the verbs of lines with a time, by name.
 var verbs map[string]verb
 
-// init fills the table: some verbs carry out others.
+// init fills verbs. A composite literal would be an initialization cycle, since some verbs carry
+// out others by way of the table.
 func init() {
 	verbs = make(map[string]verb)
 	for _, group := range []map[string]verb{userVerbs(), nodeVerbs(), machineVerbs(), serviceVerbs(), networkVerbs(), operatorVerbs()} {
@@ -32,7 +34,7 @@
 	errNoSuchMachine = errors.New("no such machine")
 )
 
-// act does what a line of a trace says.
+// act carries out a line of a trace, without its time.
 func (w *World) act(words []string) error {
 	w.note("-- %s", strings.Join(words, " "))
 	v := verbs[words[0]]
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -12,82 +12,88 @@
 	"mapleslip/internal/rollout"
 )
 
-// World is a whole deployment in simulated time: nothing in it depends on the
-// clock or on luck.
+// World is a whole deployment in simulated time. It is deterministic: nothing in it depends on
+// the system clock or on unseeded random numbers.
 type World struct {
 	Platform protocol.Platform
 	Operator protocol.OperatorSettings
 	Types    []*protocol.MachineType
-	Log      []string // what happened, for people
-	Broken   []string // rules that were broken
+	Log      []string // events, as lines that people read
+	Broken   []string // violations of the protocol's rules
 	Logger   *slog.Logger
 
-	now            micros
-	seq            int
-	events         eventHeap
-	nodes          []*node
-	store          *store
-	machines       map[string]*machine
-	byName         []*machine // in order, nil: to be made anew
-	jobs           map[string]*userJob
-	claims         map[string]string
-	cloudDown      bool
-	cloudSlow      micros // how much later the cloud answers rental requests
-	stateSlow      micros // how much later the state service answers
-	endsLoading    int    // nodes that are to end in a role, Loading if nothing else was said
-	endsRole       controller.Role
-	endsAfter      micros         // how long after they came into it
-	endsBack       micros         // how long after that they are there again, 0: not by themselves
-	endedLoading   int            // that did
-	copies         micros         // how long after a request was carried out a copy of it comes, 0: never
-	boots          float64        // boot times are so many times as long, 0: machines never come up
-	listLag        micros         // machines younger than that are not listed
-	inVain         int            // questions of a storm that got neither 200 nor 404
-	cutZones       []string       // are cut off together from everything outside; inside, all goes on
-	mail           []func()       // messages held at the cut, in order
-	quiet          bool           // no log is kept
-	limited        bool           // calls are metered as the program does, and the limits are held
-	peerCalls      int            // to other controllers that a node may have on their way, 0: any number
-	capacity       map[string]int // machines that the cloud still has, by kind; nil: any number
+	now          micros
+	seq          int
+	events       eventHeap
+	nodes        []*node
+	store        *store
+	machines     map[string]*machine
+	sortedByName []*machine // machines, sorted by name; nil if it has to be built again
+	jobs         map[string]*userJob
+	claims       map[string]string
+	cloudDown    bool
+	cloudDelay   micros // additional delay of the cloud's answers to rental requests
+	stateDelay   micros // additional delay of the state service's answers
+
+	// nodeEndsLeft is the number of nodes that still have to end after entering the role
+	// nodeEndsRole, which is RoleRecovering by default.
+	nodeEndsLeft    int
+	nodeEndsRole    controller.Role
+	nodeEndsDelay   micros   // time from entering the role to the end
+	nodeEndsRestart micros   // time from the end to the restart, 0 for no automatic restart
+	endedLoading    int      // number of nodes that ended in this way
+	copyDelay       micros   // time after a request at which a copy of it arrives, 0 for no copies
+	bootFactor      float64  // factor on boot times; 0 if machines never finish booting
+	listLag         micros   // age below which the cloud doesn't list a machine
+	inVain          int      // queries of a storm that got neither 200 nor 404
+	cutZones        []string // zones cut off from all others, but not from each other
+	heldMessages    []func() // messages held at the boundary of cutZones, in order
+	quiet           bool     // Log is not written
+	// limited: controllers meter their calls as the program does, and the state service enforces
+	// its rate of changes.
+	limited        bool
+	maxPeerCalls   int            // calls in flight from a node to other controllers, 0 for any number
+	capacity       map[string]int // machines that the cloud has left, by kind; nil for any number
 	questions      int            // direct calls to workers that carry no command
-	written, asked int            // when a trace began to count
-	leaders, led   int            // how often a node came to lead, and when a trace began to count
-	backlog        int            // events that wait at every node
+	written, asked int            // store.written and questions when the trace began to count
+	leaders, led   int            // how often a node became leader, and that when counting began
+	backlog        int            // waiting events that every tick reports to its node
 	noCapacity     bool
-	removed        int
+	released       int
 	rented         int
 	started        int
-	poller         int
-	userNode       *node // where users' requests go, nil: to one after another
+	nodeCursor     int   // position in the round-robin choice of nodes for users' requests
+	userNode       *node // node that gets all users' requests, nil for round-robin
 	nextConn       uint64
 	answers        map[uint64]func(int, []byte)
 
 	troubles
 	endsOn      endsOn
-	lateWrites  lateness // transactions that get no answer and are carried out later
-	lateReports lateness // copies of workers' reports that arrive again
-	sticks      bool     // users keep to a node for as long as the balancer has it
-	unanswered  micros   // the longest time for which no question about one job was answered
-	looks       closeLooks
-	lateAnswers []lateAnswers // of the state service
-	whenChanged []whenChanged
-	// cancelLongest is the longest that a user of cancel-at waited for the answer.
+	lateWrites  lateness      // transactions that get no answer and are carried out later
+	lateReports lateness      // workers' heartbeats of which a copy arrives later
+	stickyUsers bool          // users keep their connection to a node, see nodeForUser
+	unanswered  micros        // longest time for which no query about one job was answered
+	looks       closeLooks    // queries to all controllers after each change that a user sees
+	lateAnswers []lateAnswers // requests that the state service carries out at once and answers late
+	whenChanged []whenChanged // lines of the trace that run once a key has changed
+	// cancelLongest is the longest time that a user of cancel-at waited for the answer.
 	cancelLongest micros
 	lost          lostAnswers
 	recorded      recordedPages
 	oldReports    oldReports
 
-	described  map[string]*userJob        // jobs that no user of the trace submitted, by the state service
-	behaviours map[string]behaviour       // of services, by image
-	rollouts   *rollout.Settings          // nil: they are off
-	rolloutBy  map[string][]byte          // the last answer about a service's roll-out
-	versions   versions                   // of controllers, side by side
-	changes    *changes                   // of the configuration, nil: they are off
-	live       *Live                      // real connections, nil: all is simulated
-	stepped    func(*node, time.Duration) // what a controller's step took, for measurements
-	digest     *effectDigest              // of what the controllers emit, nil: none is kept
+	described  map[string]*userJob        // jobs from the state service that no user submitted
+	behaviours map[string]behaviour       // behaviour of services, by image
+	rollouts   *rollout.Settings          // nil if roll-outs are off
+	rolloutBy  map[string][]byte          // last answer about a service's roll-out, by service
+	versions   versions                   // versions of the controllers that run side by side
+	changes    *changes                   // checks of configuration changes, nil if these are off
+	live       *Live                      // real connections, nil if all is simulated
+	stepped    func(*node, time.Duration) // gets each step's duration, for measurements
+	digest     *effectDigest              // digest of the controllers' effects, nil for none
 }
 
+// event is a function that runs at a time. Events at the same time run in the order of their seq.
 type event struct {
 	at  micros
 	seq int
@@ -104,10 +110,10 @@
 
 func (h eventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -115,15 +121,15 @@
 	return e
 }
 
-// NewWorld makes a deployment of n controllers.
+// NewWorld returns a deployment of n controllers, which Start starts.
 func NewWorld(n int) *World {
 	w := &World{
 		Operator: protocol.DefaultOperatorSettings(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
-		looks: closeLooks{jobs: make(map[string]*told)}, boots: 1, endsRole: controller.RoleRecovering,
+		looks: closeLooks{jobs: make(map[string]*told)}, bootFactor: 1, nodeEndsRole: controller.RoleRecovering,
 	}
-	w.Logger = slog.New(alarm{slog.NewTextHandler(io.Discard, nil), w})
+	w.Logger = slog.New(logChecker{slog.NewTextHandler(io.Discard, nil), w})
 	w.Platform = protocol.Platform{
 		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
 		HeartbeatInterval: 3 * protocol.Second, WorkerLease: 20 * protocol.Second, GangWaitTimeout: 40 * protocol.Second, GangPeerTimeout: 6 * protocol.Second,
@@ -140,6 +146,7 @@
 	return w
 }
 
+// note adds a line to Log, unless quiet is set.
 func (w *World) note(format string, args ...any) {
 	if w.quiet {
 		return
@@ -147,39 +154,42 @@
 	w.Log = append(w.Log, fmt.Sprintf("%8.2f ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
+// broken reports a violation of a rule of the protocol.
 func (w *World) broken(format string, args ...any) {
 	w.note("BROKEN "+format, args...)
 	w.Broken = append(w.Broken, fmt.Sprintf("%.2f: ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
+// after schedules fn to run when the time d has passed.
 func (w *World) after(d micros, fn func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now + d, w.seq, fn})
 }
 
-// delay is how long a message travels; it differs from message to message,
-// the same way in every run.
+// delay returns the transit time of the next message, from 2.0 to 3.5 ms. It varies with the
+// number of events scheduled so far, so it is the same in every run.
 func (w *World) delay() micros { return micros(2000 + (w.seq*37)%1500) }
 
-// Start brings all controllers up.
+// Start starts all controllers, the 50 ms tick of the state service and the machines, and the
+// users' requests once a second.
 func (w *World) Start() {
 	for _, n := range w.nodes {
 		w.startNode(n)
 	}
-	var beat func()
-	beat = func() {
+	var tick func()
+	tick = func() {
 		w.store.tick()
 		for _, m := range w.sortedMachines() {
 			w.tickMachine(m)
 		}
 		w.checkCancelled()
-		w.after(50*protocol.Millisecond, beat)
+		w.after(50*protocol.Millisecond, tick)
 	}
-	beat()
+	tick()
 	var poll func()
 	poll = func() {
-		w.balance()
-		w.poll()
+		w.checkNodeHealth()
+		w.pollJobs()
 		w.watchWaiting()
 		w.beOdd()
 		w.after(protocol.Second, poll)
@@ -187,7 +197,7 @@
 	poll()
 }
 
-// Run lets time pass until the given instant.
+// Run carries out all events up to the given time, in order, and sets the clock to that time.
 func (w *World) Run(until micros) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
