--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -26,7 +26,9 @@
 	return Settings{Ratio: 0.1, Queue: 512, Classes: 16, SnapshotEvery: 2 * protocol.Second}
 }
 
-type settingsFile struct {
+// file is the decoded operators' file. The TOML library prints the name of this type in errors that
+// operators see.
+type file struct {
 	Listen    *string  `toml:"listen"`
 	Traces    *string  `toml:"traces"`
 	Ratio     *float64 `toml:"trace_ratio"`
@@ -41,7 +43,7 @@
 // Parse parses and checks the text of the operators' file.
 func Parse(text []byte) (Settings, error) {
 	s := Defaults()
-	var f settingsFile
+	var f file
 	if err := protocol.DecodeStrict(text, &f); err != nil {
 		return s, err
 	}
