--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -136,7 +136,7 @@
 func (d *driver) share(leads bool) {
 	nodes := len(d.platform.Peers) + 1
 	writes := controller.WriteShare(nodes, leads)
-	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.LargestChange(d.platform.MaxTxnChanges, leads))
+	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.MaxTxnChanges(d.platform.MaxTxnChanges, leads))
 	d.meters[controller.ToCloud].SetShare(writes, 0, 0)
 }
 
--- a/cmd/mapleslip/user.go
+++ b/cmd/mapleslip/user.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Retried = func(why string, wait time.Duration) {
+	c.OnRetry = func(why string, wait time.Duration) {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%s; again in %.1f s\n", why, wait.Seconds())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -306,7 +306,7 @@
 
 func rolloutLine(s *protocol.RolloutStatus) string {
 	line := fmt.Sprintf("%s %s: %s, stage %d of %d, new %d of %d healthy, old %d of %d healthy, floor %d", s.Service, s.ID, s.State, s.Stage, len(s.Stages),
-		s.New.Healthy, s.New.Instances, s.Old.Healthy, s.Old.Instances, s.Floor)
+		s.New.Healthy, s.New.Instances, s.Old.Healthy, s.Old.Instances, s.MinHealthy)
 	if s.Ended() {
 		line = fmt.Sprintf("%s %s: %s, %d new instances, %d old ones", s.Service, s.ID, s.State, s.New.Instances, s.Old.Instances)
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -22,8 +22,8 @@
 type Client struct {
 	Servers []string      // IP:port of each controller; the next one is tried after a failure
 	Timeout time.Duration // for all attempts of a request; 60 s if 0
-	// Retried is called before each retry with the reason and the delay; it may be nil.
-	Retried func(why string, wait time.Duration)
+	// OnRetry is called before each retry with the reason and the delay; it may be nil.
+	OnRetry func(why string, wait time.Duration)
 
 	http       http.Client
 	nextServer int
@@ -97,8 +97,8 @@
 		delay := min(max(retryAfter, minRetryDelay), maxRetryDelay)
 		// Jitter: many clients that were refused at the same time do not retry at the same time.
 		delay += time.Duration(rand.Int64N(int64(delay) / 4))
-		if c.Retried != nil && ctx.Err() == nil {
-			c.Retried(reason, delay)
+		if c.OnRetry != nil && ctx.Err() == nil {
+			c.OnRetry(reason, delay)
 		}
 		if c.sleep(ctx, delay); ctx.Err() != nil {
 			return 0, nil, fmt.Errorf("no answer of %s: %s", strings.Join(c.Servers, ", "), reason)
--- a/internal/configuration/lease.go
+++ b/internal/configuration/lease.go
@@ -27,10 +27,11 @@
 type Grant struct {
 	Epoch    uint64
 	Revision uint64
-	// Incarnation and HeardAt identify the last acknowledgement that the leader received: which
-	// incarnation of the follower's process sent it, and when by the follower's steady clock.
-	Incarnation uint64
-	HeardAt     micros
+	// Incarnation and AcknowledgedAt identify the last acknowledgement that the leader received:
+	// which incarnation of the follower's process sent it, and when by the follower's steady
+	// clock.
+	Incarnation    uint64
+	AcknowledgedAt micros
 }
 
 // Holder is a follower's state of its lease.
@@ -67,7 +68,7 @@
 		h.Revision = g.Revision
 	}
 	if g.Incarnation == h.Incarnation {
-		h.expiresAt = max(h.expiresAt, min(g.HeardAt, now)+Lease)
+		h.expiresAt = max(h.expiresAt, min(g.AcknowledgedAt, now)+Lease)
 	}
 	return result
 }
@@ -118,7 +119,7 @@
 // it.
 func (g *Granter) NextGrant(name string, epoch uint64) (grant Grant, needsDocument bool) {
 	ack := g.acks[name]
-	grant = Grant{Epoch: epoch, Revision: g.revision(), Incarnation: ack.incarnation, HeardAt: ack.at}
+	grant = Grant{Epoch: epoch, Revision: g.revision(), Incarnation: ack.incarnation, AcknowledgedAt: ack.at}
 	return grant, ack.revision < g.revision()
 }
 
--- a/internal/configuration/lease_test.go
+++ b/internal/configuration/lease_test.go
@@ -141,7 +141,7 @@
 		t.Errorf("%d revisions are remembered", len(g.revisions))
 	}
 	g.OnAck("b", 3, 1, 0, at) // restarted, without a document and a lease
-	if grant, needsDocument := g.NextGrant("b", 9); !needsDocument || grant.Incarnation != 3 || grant.HeardAt != 1 || grant.Revision != 29 {
+	if grant, needsDocument := g.NextGrant("b", 9); !needsDocument || grant.Incarnation != 3 || grant.AcknowledgedAt != 1 || grant.Revision != 29 {
 		t.Errorf("got grant %+v, needs document: %t", grant, needsDocument)
 	}
 }
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -26,7 +26,7 @@
 
 // onHeartbeat handles a worker's heartbeat and replies with the commands for its host.
 func (ag *agents) onHeartbeat(e WorkerHeartbeat, hb *protocol.Heartbeat) {
-	if hb.Token > ag.epoch {
+	if hb.SeenEpoch > ag.epoch {
 		ag.election.stepDownSuperseded("a worker has seen a newer epoch")
 		ag.reply(e.Reply, http.StatusMisdirectedRequest, protocol.LeaderBody(""))
 		return
@@ -39,7 +39,7 @@
 	if h == nil {
 		h = ag.addReportingHost(hb)
 	}
-	if h.IsStale(hb) {
+	if h.IsStaleHeartbeat(hb) {
 		// The heartbeat was delayed, or it crossed the response to a direct command. In the second
 		// case the worker still waits for a reply, so the leader sends one, but the cluster state
 		// does not change. A worker's lease runs from the time at which it sent the heartbeat that
@@ -63,7 +63,7 @@
 func (ag *agents) addReportingHost(hb *protocol.Heartbeat) *state.Host {
 	h := state.NewHost(ag.now.Steady, hb.Host, hb.Type, hb.Zone, hb.Spot)
 	h.Type = ag.catalog.byName[hb.Type]
-	h.Unverified, h.Addr = hb.Token != ag.epoch, hb.Addr
+	h.Unverified, h.Addr = hb.SeenEpoch != ag.epoch, hb.Addr
 	ag.cluster.AddHost(h)
 	ag.prober.queueProbe(h)
 	ag.log.Debug("heartbeat from a host that was not rented in this term", "host", hb.Host)
@@ -112,7 +112,7 @@
 		return
 	}
 	h.Agent.HeartbeatAt = now
-	if hb.Token < ag.epoch && h.Agent.RepliedAt > 0 {
+	if hb.SeenEpoch < ag.epoch && h.Agent.RepliedAt > 0 {
 		// The leader has replied under this epoch, but the worker has not seen it.
 		h.Commands.Ineffective++
 	}
@@ -128,7 +128,7 @@
 		// as well.
 		h.Agent.LeaseRenewedAt = max(h.Agent.LeaseRenewedAt, now)
 	}
-	if hb.Token == ag.epoch {
+	if hb.SeenEpoch == ag.epoch {
 		// The worker now ignores the replies of earlier leaders. Without this bound, a host that
 		// falls silent after a failover would hold its resources until the earlier leader has
 		// certainly stopped replying.
@@ -161,7 +161,7 @@
 	// cloud's machine list is probed first: the heartbeat may be a delayed copy from a machine
 	// that is gone.
 	hasNoTasks := !h.Record.FromEarlierEpoch && !h.Unverified
-	if !h.Reconciled && (hb.Token == ag.epoch || hasNoTasks) {
+	if !h.Reconciled && (hb.SeenEpoch == ag.epoch || hasNoTasks) {
 		h.Reconciled = true
 		ag.cycleNeeded = true
 	}
@@ -181,7 +181,7 @@
 
 // applyTasks updates the attempts on a host from the tasks that a heartbeat lists.
 func (ag *agents) applyTasks(h *state.Host, hb *protocol.Heartbeat) {
-	seenThisEpoch := hb.Token == ag.epoch
+	seenThisEpoch := hb.SeenEpoch == ag.epoch
 	for i := range hb.Tasks {
 		task := &hb.Tasks[i]
 		a := h.Find(task.AttemptName)
@@ -209,7 +209,7 @@
 // loseMissingAttempts handles the attempts that a heartbeat proves to be gone: it does not list
 // them, although it is newer than their launches.
 func (ag *agents) loseMissingAttempts(h *state.Host, hb *protocol.Heartbeat, direct bool) {
-	seenThisEpoch := hb.Token == ag.epoch
+	seenThisEpoch := hb.SeenEpoch == ag.epoch
 	launchMissed := false
 	for _, a := range h.Attempts() {
 		if a.LastHeartbeat == h.Agent.HeartbeatCount || a.State == state.AttemptAssigned {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -115,18 +115,18 @@
 // planForQueue returns how many machines of each offer to rent for the queued jobs.
 func (as *autoscaler) planForQueue(pending []*pendingJob, offers []*slottable.Offer) map[int]int {
 	var requests []*slottable.Request
-	for _, w := range pending {
-		if w.request == nil || w.job.State != state.JobActive || w.job.Failures.Suspect {
+	for _, pj := range pending {
+		if pj.request == nil || pj.job.State != state.JobActive || pj.job.Failures.Suspect {
 			continue
 		}
-		if r := as.unservedRequest(w, offers); r.Tasks > 0 && r.Limit > 0 {
+		if r := as.unservedRequest(pj, offers); r.Tasks > 0 && r.Limit > 0 {
 			requests = append(requests, r)
 		}
 	}
 	// A machine with a booking is not idle, however long it waits for the other machines of the
 	// gang: if it were released, the booking would be lost.
-	for _, w := range pending {
-		for _, b := range w.result.Booked {
+	for _, pj := range pending {
+		for _, b := range pj.result.Booked {
 			as.neededMachines[b.Machine] = true
 		}
 	}
@@ -147,17 +147,17 @@
 
 // unservedRequest returns a request for the tasks of a job that the last scheduling cycle did not
 // place.
-func (as *autoscaler) unservedRequest(w *pendingJob, offers []*slottable.Offer) *slottable.Request {
+func (as *autoscaler) unservedRequest(pj *pendingJob, offers []*slottable.Offer) *slottable.Request {
 	now := as.now.Steady
-	r := *w.request
+	r := *pj.request
 	r.Booking = nil
 	// If a job has waited, the planned times are too early: other work arrives before its turn,
 	// tasks are lost, and estimates are wrong. Half of the time that the job has waited is
 	// subtracted from the time at which a machine rented now would be ready. Without this, when
 	// the queue was never empty in a burst, every plan found a place within a boot time, and
 	// nothing was rented for 100 s while 99 jobs waited and 300 machines were available.
-	r.Waited = (now - w.job.EligibleAt) / 2
-	r.Tasks -= len(w.result.Start) + len(w.result.Booked)
+	r.ReadyTimeMargin = (now - pj.job.EligibleAt) / 2
+	r.Tasks -= len(pj.result.Start) + len(pj.result.Booked)
 	// A task with a booking that is far away counts as unplaced if a machine that is rented now
 	// could be ready sooner.
 	soonest := protocol.Forever
@@ -166,11 +166,11 @@
 			soonest = min(soonest, now+o.BootTime+o.FetchTime(r.ImageSize)+minRentalGain)
 		}
 	}
-	for _, b := range w.result.Booked {
-		if b.Begin > now+farBookingThreshold && b.Ready > soonest-r.WaitedFor(b, now) {
+	for _, b := range pj.result.Booked {
+		if b.Begin > now+farBookingThreshold && b.Ready > soonest-r.ReadyTimeMarginOn(b, now) {
 			r.Tasks++
 		}
 	}
-	r.Limit = min(r.Tasks, as.scheduler.quotaAllowance(as.scheduler.cycle, w.job, protocol.Resources{}))
+	r.Limit = min(r.Tasks, as.scheduler.quotaAllowance(as.scheduler.cycle, pj.job, protocol.Resources{}))
 	return &r
 }
--- a/internal/controller/command_sender.go
+++ b/internal/controller/command_sender.go
@@ -138,7 +138,7 @@
 func (cs *commandSender) cancellationStops(h *state.Host) []protocol.Command {
 	var commands []protocol.Command
 	for _, a := range h.Attempts() {
-		if a.State.MayRun() && a.StopRequested && isCancelled(a) && len(commands) < protocol.MaxCommands {
+		if a.State.MayRun() && a.StopRequested && isJobCancelled(a) && len(commands) < protocol.MaxCommands {
 			commands = append(commands, cs.stopCommand(a, 0))
 		}
 	}
--- a/internal/controller/config_changes.go
+++ b/internal/controller/config_changes.go
@@ -30,7 +30,7 @@
 		}
 	}
 	switch {
-	case c.term.config.writing || !s.known:
+	case c.term.config.writing || !s.headKnown:
 		reply.unavailable()
 	case s.damaged && !r.Repair:
 		c.reject(http.StatusConflict, "the record of the configuration can't be read, see the leader's log: "+
@@ -115,7 +115,7 @@
 		c.replyMade(s.revision, false)
 		return
 	}
-	if c.term.config.writing || !s.known {
+	if c.term.config.writing || !s.headKnown {
 		c.reply.unavailable()
 		return
 	}
@@ -171,7 +171,7 @@
 // onWritten applies a revision that has been written.
 func (c configChange) onWritten(head *configuration.Head, headRevision uint64) {
 	s := c.state
-	s.head, s.headRevision, s.known, s.damaged = head, headRevision, true, false
+	s.head, s.headRevision, s.headKnown, s.damaged = head, headRevision, true, false
 	s.headChanges++
 	c.stats.ConfigChanges++
 	c.applyRevision(head.Revision, head.Document)
--- a/internal/controller/config_grants.go
+++ b/internal/controller/config_grants.go
@@ -16,7 +16,7 @@
 		grant, needsDocument := t.config.granter.NextGrant(p.Name, t.epoch)
 		m := &protocol.PeerMessage{
 			Kind: protocol.PeerConfigGrant, Epoch: grant.Epoch, From: cm.platform.ControllerName,
-			Revision: grant.Revision, Incarnation: grant.Incarnation, At: grant.HeardAt,
+			Revision: grant.Revision, Incarnation: grant.Incarnation, At: grant.AcknowledgedAt,
 		}
 		if needsDocument {
 			if document == nil {
@@ -43,7 +43,7 @@
 	if ack.Revision > cm.state.revision && len(ack.Body) > 0 {
 		if d, err := configuration.DecodeDocument(ack.Body); err == nil {
 			cm.applyRevision(ack.Revision, d)
-			cm.state.known = false
+			cm.state.headKnown = false
 			cm.refreshHead()
 		}
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	if s.holder.ApplyGrant(cm.now.Steady, e.Grant, document != nil) == configuration.GrantAdopted {
-		s.known = false // a grant does not contain the revision of the head's record
+		s.headKnown = false // a grant does not contain the revision of the head's record
 		cm.applyRevision(e.Grant.Revision, document)
 	}
 	cm.updateLogLevel()
--- a/internal/controller/config_manager.go
+++ b/internal/controller/config_manager.go
@@ -47,7 +47,7 @@
 	// headRevision is the revision of the head's record in the state service. Transactions that
 	// accept or launch jobs depend on it.
 	headRevision uint64
-	known        bool // headRevision is up to date as far as this controller can tell
+	headKnown    bool // headRevision is up to date as far as this controller can tell
 	damaged      bool // the head can't be read: the last good revision stays in force
 
 	headChanges int // number of times that a head was read or written
@@ -139,7 +139,7 @@
 		return false
 	}
 	cm.stats.ConfigOutdated++
-	cm.state.known = false
+	cm.state.headKnown = false
 	cm.refreshHead()
 	return true
 }
@@ -158,7 +158,7 @@
 			return
 		}
 		cm.after(configRefreshRetry, func() {
-			if !s.known || s.refreshAgain {
+			if !s.headKnown || s.refreshAgain {
 				cm.refreshHead()
 			}
 		})
@@ -187,11 +187,11 @@
 // longer exists, the last good revision stays in force.
 func (cm *configManager) applyHead(e protocol.Entry, found bool) {
 	s := cm.state
-	if s.known && e.Revision < s.headRevision && found {
+	if s.headKnown && e.Revision < s.headRevision && found {
 		return // the record was read before the known one
 	}
 	head, err := cm.decodeHead(e, found)
-	s.headRevision, s.known = e.Revision, true
+	s.headRevision, s.headKnown = e.Revision, true
 	s.headChanges++
 	s.damaged = err != nil
 	if err != nil {
@@ -255,7 +255,7 @@
 func (cm *configManager) readHeadRecord(e protocol.Entry) {
 	if e.Key == configuration.KeyHead {
 		cm.term.config.headFound = true
-		cm.state.known = false
+		cm.state.headKnown = false
 		cm.applyHead(e, true)
 	}
 }
@@ -266,7 +266,7 @@
 		return
 	}
 	if !t.config.headFound {
-		cm.state.known = false
+		cm.state.headKnown = false
 		cm.applyHead(protocol.Entry{}, false)
 	}
 	cm.updateLogLevel()
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -34,7 +34,7 @@
 			waiting = append(waiting, cs.queue[i:]...)
 			break
 		}
-		awaitsLease := cs.election.role == RoleLeaseUncertain && !slices.ContainsFunc(h.Attempts(), isCancelled)
+		awaitsLease := cs.election.role == RoleLeaseUncertain && !slices.ContainsFunc(h.Attempts(), isJobCancelled)
 		if h.Commands.InFlight || awaitsLease {
 			waiting = append(waiting, h)
 			continue
@@ -61,7 +61,7 @@
 	var commands []protocol.Command
 	for _, a := range h.Attempts() {
 		unsent := a.StopRequested && a.StopSentAt == 0 && a.State.MayRun() && a.State != state.AttemptLaunched
-		if unsent && len(commands) < protocol.MaxCommands && (cs.election.role == RoleLeader || isCancelled(a)) {
+		if unsent && len(commands) < protocol.MaxCommands && (cs.election.role == RoleLeader || isJobCancelled(a)) {
 			commands = append(commands, cs.stopCommand(a, a.StopGrace))
 		}
 	}
@@ -148,11 +148,11 @@
 // applyCommandResponse applies the heartbeat in the response to a direct command, unless a newer
 // one has been applied. It reports whether this controller is still the leader.
 func (cs *commandSender) applyCommandResponse(h *state.Host, heartbeat *protocol.Heartbeat) bool {
-	if heartbeat.Token > cs.epoch {
+	if heartbeat.SeenEpoch > cs.epoch {
 		cs.election.stepDownSuperseded("a worker has seen a newer epoch")
 		return false
 	}
-	if cs.cluster.Host(h.Name) == h && !h.IsStale(heartbeat) {
+	if cs.cluster.Host(h.Name) == h && !h.IsStaleHeartbeat(heartbeat) {
 		cs.agents.applyHeartbeat(h, heartbeat, true)
 	}
 	return true
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -117,7 +117,7 @@
 	case protocol.PeerWorkerProbe:
 		return WorkerProbe{Reply: to, Addr: m.Addr, Body: m.Body}
 	case protocol.PeerConfigGrant:
-		grant := configuration.Grant{Epoch: m.Epoch, Revision: m.Revision, Incarnation: m.Incarnation, HeardAt: m.At}
+		grant := configuration.Grant{Epoch: m.Epoch, Revision: m.Revision, Incarnation: m.Incarnation, AcknowledgedAt: m.At}
 		return ConfigGrantRequest{Reply: to, Grant: grant, Document: m.Body}
 	case protocol.PeerFeatureRequest:
 		return FeatureRangeRequest{Reply: to}
--- a/internal/controller/feature_activation.go
+++ b/internal/controller/feature_activation.go
@@ -71,7 +71,7 @@
 		oldVersionFound := false
 		for _, name := range names {
 			if revision, old := t.features.withoutFeatures[name]; old && revision == registry[name].Revision {
-				t.features.blockers = append(t.features.blockers, featuregate.Blocker{Controller: name, Reason: featuregate.RunsOld})
+				t.features.blockers = append(t.features.blockers, featuregate.Blocker{Controller: name, Reason: featuregate.RespondsAsOldVersion})
 				oldVersionFound = true
 			}
 		}
--- a/internal/controller/host_monitor.go
+++ b/internal/controller/host_monitor.go
@@ -270,7 +270,7 @@
 // host, because the cloud may be slow or unavailable as well.
 func (hm *hostMonitor) mayRunCancelledTask(h *state.Host) bool {
 	for _, a := range h.Attempts() {
-		if a.State.MayRun() && isCancelled(a) && hm.now.Wall-a.Job.Cancellation.RequestedWall > hm.platform.CancelTimeout/2 {
+		if a.State.MayRun() && isJobCancelled(a) && hm.now.Wall-a.Job.Cancellation.RequestedWall > hm.platform.CancelTimeout/2 {
 			return true
 		}
 	}
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -26,16 +26,16 @@
 }
 
 const (
-	// latencyCriticalWithin is the start objective below which a class is latency-critical.
-	latencyCriticalWithin = 10 * protocol.Second
-	limitLogInterval      = 5 * protocol.Second
+	// latencyCriticalObjective is the start objective below which a class is latency-critical.
+	latencyCriticalObjective = 10 * protocol.Second
+	limitLogInterval         = 5 * protocol.Second
 )
 
 // isLatencyCritical reports whether the start objective of a job's class is so short that the
 // job's records are not queued behind those of other jobs.
 func (sb *submissions) isLatencyCritical(s *protocol.JobSpec) bool {
 	within := sb.startObjective(s.Class)
-	return within > 0 && within < latencyCriticalWithin
+	return within > 0 && within < latencyCriticalObjective
 }
 
 // submit accepts or rejects a job as the leader.
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -171,11 +171,11 @@
 	jm.cycleNeeded = true
 }
 
-// isCancelled reports whether an attempt belongs to a job that its user asked to cancel. Stopping
-// such an attempt needs no valid lease: the worker accepts the stop only while it has seen no
-// newer epoch, and until then no newer leader has reported to the user that the job continues. So
-// the tasks of a cancelled job end even while no controller can reach the state service, and the
+// isJobCancelled reports whether an attempt belongs to a job that its user asked to cancel.
+// Stopping such an attempt needs no valid lease: the worker accepts the stop only while it has seen
+// no newer epoch, and until then no newer leader has reported to the user that the job continues.
+// So the tasks of a cancelled job end even while no controller can reach the state service, and the
 // user gets the confirmation as soon as it is available again.
-func isCancelled(a *state.Attempt) bool {
+func isJobCancelled(a *state.Attempt) bool {
 	return a.Job != nil && (a.Job.State == state.JobCancelling || a.Job.State == state.JobCancelledLegacy)
 }
--- a/internal/controller/objectives.go
+++ b/internal/controller/objectives.go
@@ -125,8 +125,8 @@
 	if !ot.window.Add(k, name, ot.now.Steady, inTime) {
 		return
 	}
-	count := ot.window.Lately(k, name, ot.now.Steady)
-	ot.log.Info("service-level objective state changed", k.String(), name, "state", ot.window.Is(k, name).String(), "served", count.Served, "of", count.Of())
+	count := ot.window.Recent(k, name, ot.now.Steady)
+	ot.log.Info("service-level objective state changed", k.String(), name, "state", ot.window.State(k, name).String(), "served", count.Served, "of", count.Total())
 }
 
 // countLargeJobStart counts whether one of the largest jobs of a class started in time, once it has
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -72,7 +72,7 @@
 		// available, one task at a time, and the gang would wait until those jobs have ended.
 		c.heldForTeam[team] = c.heldForTeam[team].Add(j.Spec.TaskResources, int64(r.Tasks))
 	}
-	pj.result = sc.slotTable.Next(r)
+	pj.result = sc.slotTable.Schedule(r)
 	sc.bookPlaces(pj)
 	for i, place := range pj.result.Start {
 		sc.assignTask(pj, pj.tasks[i], place)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -80,7 +80,7 @@
 		p.startObjective = protocol.Forever
 	}
 	// A class with such a short start objective can't wait for the checkpoints of victims.
-	p.skipCheckpoints = p.startObjective < latencyCriticalWithin
+	p.skipCheckpoints = p.startObjective < latencyCriticalObjective
 	p.readyWithoutPreemption = sc.now.Steady + noPlaceDelay + sc.workload.classStats(s.Class).estimatedRuntime(s)
 	if n := len(pj.result.Booked); n > 0 {
 		p.readyWithoutPreemption = pj.result.Booked[n-1].Ready
--- a/internal/controller/rate_shares.go
+++ b/internal/controller/rate_shares.go
@@ -25,8 +25,8 @@
 	return shareOf(leaderReadShare, followersReadShare, controllers, isLeader)
 }
 
-// LargestChange is the largest number of changes in a transaction of a controller.
-func LargestChange(maxTxnChanges int, isLeader bool) int {
+// MaxTxnChanges returns the largest number of changes in a transaction of a controller.
+func MaxTxnChanges(maxTxnChanges int, isLeader bool) int {
 	if isLeader {
 		return maxTxnChanges
 	}
--- a/internal/controller/slottable/property_test.go
+++ b/internal/controller/slottable/property_test.go
@@ -167,7 +167,7 @@
 			for i := range rapid.IntRange(1, 12).Draw(rt, "requests") {
 				request := drawRequest(rt)
 				referenceRequest := request
-				res, referenceRes := table.Next(&request), reference.Next(&referenceRequest)
+				res, referenceRes := table.Schedule(&request), reference.Schedule(&referenceRequest)
 				if res.Late && !referenceRes.Late && len(referenceRes.Start)+len(referenceRes.Booked) < referenceRequest.Tasks {
 					// The only permitted difference: the reference finds that not all tasks can be
 					// placed at any time, and keeps the places it has found; the table's search
--- a/internal/controller/slottable/reference_test.go
+++ b/internal/controller/slottable/reference_test.go
@@ -313,10 +313,10 @@
 	return names
 }
 
-// Next plans the next request of the queue. It books the first job that can't start now, and each
-// deadline job whose booking meets the deadline. The others start only where they fit without
+// Schedule plans the next request of the queue. It books the first job that can't start now, and
+// each deadline job whose booking meets the deadline. The others start only where they fit without
 // moving a booking (aggressive backfilling).
-func (t *referenceTable) Next(r *Request) Result {
+func (t *referenceTable) Schedule(r *Request) Result {
 	if r.Limit <= 0 {
 		// A team at its limit gets no booking in this cycle.
 		return Result{Request: r}
--- a/internal/controller/slottable/rental.go
+++ b/internal/controller/slottable/rental.go
@@ -107,7 +107,7 @@
 		c, found := s.top()
 		place := c.place
 		best := p.cheapestOffer(r, z, place, found, tasks-i)
-		if best >= 0 && found && r.WaitedFor(place, t.Now) > 0 {
+		if best >= 0 && found && r.ReadyTimeMarginOn(place, t.Now) > 0 {
 			// The offer may be sooner only because the place is on a running machine and counts as
 			// later than estimated. Booting machines are not adjusted like that, so they are tried
 			// before another one is rented for the task: while tasks end on all machines, the best
@@ -166,7 +166,7 @@
 	if r.Spare {
 		return place.Begin > now+p.minGain && place.Ready > r.ReadyBy
 	}
-	return place.Ready > max(o.readyAt(now, r)+p.minGain-r.WaitedFor(place, now), r.ReadyBy)
+	return place.Ready > max(o.readyAt(now, r)+p.minGain-r.ReadyTimeMarginOn(place, now), r.ReadyBy)
 }
 
 // rent adds a machine of an offer to the plan, and returns a task's place on it.
@@ -207,12 +207,13 @@
 	return Place{}, fullCount, false
 }
 
-// WaitedFor returns how much later than estimated a place is assumed to be ready when rental is
-// planned, because the request has already waited. It is 0 for a place on a booting machine:
-// otherwise more machines would be rented in its place in each second that the machine is late.
-func (r *Request) WaitedFor(p Place, now micros) protocol.Micros {
+// ReadyTimeMarginOn returns how much later than estimated a place is assumed to be ready when
+// rental is planned, because the request has already waited. It is 0 for a place on a booting
+// machine: otherwise more machines would be rented in its place in each second that the machine is
+// late.
+func (r *Request) ReadyTimeMarginOn(p Place, now micros) protocol.Micros {
 	if p.Machine.AvailableFrom > now {
 		return 0
 	}
-	return r.Waited
+	return r.ReadyTimeMargin
 }
--- a/internal/controller/slottable/request.go
+++ b/internal/controller/slottable/request.go
@@ -29,7 +29,7 @@
 	Opportunistic     bool       // uses only what all other requests leave
 	SpareCapacityOnly bool       // no machine is kept or rented for it at the full price
 	ReadyBy           micros     // no machine is rented for a task that is ready by then
-	Waited            micros     // added to ready times on running machines when rental is planned
+	ReadyTimeMargin   micros     // added to ready times on running machines when rental is planned
 	Booking           []Place    // places that the last cycle booked
 	PreferredZone     string     // zone of a gang's last booking, see zoneChangeGain
 	KeepBooking       bool       // preemption made room for Booking: kept whatever was booked before
--- a/internal/controller/slottable/table_test.go
+++ b/internal/controller/slottable/table_test.go
@@ -42,7 +42,7 @@
 	t.Begin()
 	for _, r := range rs {
 		r.Limit = r.Tasks
-		out = append(out, t.Next(r))
+		out = append(out, t.Schedule(r))
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 	if len(res[0].Start) != 2 || res[0].Start[0].Machine.Zone != "b" || res[0].Start[1].Machine.Zone != "b" {
 		t.Fatalf("got %+v, want two starts in zone b", res[0])
 	}
-	if again := table.Next(r); len(again.Start) != 0 {
+	if again := table.Schedule(r); len(again.Start) != 0 {
 		t.Fatalf("got %+v, want no start: no room is left", again)
 	}
 }
@@ -154,7 +154,7 @@
 		r := &Request{Tasks: 8, Limit: 8, Resources: gpus(1), Image: "img", Runtime: 20 * sec, Deadline: 500 * sec, Booking: booking}
 		table.Work = 0
 		table.Begin()
-		res := table.Next(r)
+		res := table.Schedule(r)
 		return res, table.Work
 	}
 	first, searchWork := schedule(nil)
@@ -180,15 +180,15 @@
 	long := &Request{Tasks: 1, Limit: 1, Resources: gpus(2), Image: "img", Runtime: 60 * sec}
 	table := tableOf([]*Machine{m}, m)
 	table.Begin()
-	if res := table.Next(blocked); len(res.Booked) != 1 {
+	if res := table.Schedule(blocked); len(res.Booked) != 1 {
 		t.Fatalf("blocked job: got %+v, want one booking", res)
 	}
 	table.Resume()
-	if res := table.Next(long); len(res.Start) != 0 || len(res.Booked) != 0 {
+	if res := table.Schedule(long); len(res.Start) != 0 || len(res.Booked) != 0 {
 		t.Fatalf("long job after the interruption: got %+v, want no place, since it would move the booking", res)
 	}
 	table.Begin()
-	if res := table.Next(long); len(res.Start) != 1 {
+	if res := table.Schedule(long); len(res.Start) != 1 {
 		t.Fatalf("long job in a cycle without the booking: got %+v, want one start", res)
 	}
 }
@@ -220,7 +220,7 @@
 			Tasks: 1, Limit: 1, Resources: gpus(1), Image: "img", ImageSize: 20000, Runtime: 10 * sec, Deadline: 100 * sec,
 			Booking: []Place{{busy, 5 * sec, ready}},
 		}
-		return table.Next(r)
+		return table.Schedule(r)
 	}
 	if res := schedule(5 * sec); len(res.Booked) != 1 || res.Booked[0].Machine != busy {
 		t.Errorf("booking ready sooner: got %+v, want a booking on the busy machine", res)
--- a/internal/controller/slottable/tasks.go
+++ b/internal/controller/slottable/tasks.go
@@ -8,10 +8,10 @@
 	maxBookedTasks  = 64
 )
 
-// Next plans the next request of the queue. It books the first job that can't start now, and each
-// deadline job whose booking meets the deadline. The others start only where they fit without
+// Schedule plans the next request of the queue. It books the first job that can't start now, and
+// each deadline job whose booking meets the deadline. The others start only where they fit without
 // moving a booking (aggressive backfilling).
-func (t *Table) Next(r *Request) Result {
+func (t *Table) Schedule(r *Request) Result {
 	if r.Limit <= 0 {
 		// A team at its limit gets no booking in this cycle.
 		return Result{Request: r}
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -97,7 +97,7 @@
 			}
 			resume(len(sb.catalog.types) > 0, refusalMachineTypes)
 		})
-	case config != nil && !config.known:
+	case config != nil && !config.headKnown:
 		sb.config.readHead(priorityUser, func(err error) { resume(err == nil, refusalStateService) })
 	case features != nil && !features.known:
 		sb.features.readLevel(priorityUser, func(err error) { resume(err == nil && features.known, refusalStateService) })
--- a/internal/controller/transfer_controller.go
+++ b/internal/controller/transfer_controller.go
@@ -51,7 +51,7 @@
 	case leadership.Transfer:
 		tr.transferLeadership(to, leadership.ReachableByZone(zones))
 		return true
-	case leadership.KeepHearsMost, leadership.KeepNobodyHearsMore:
+	case leadership.KeepReachesMost, leadership.KeepNoPeerReachesMore:
 	case leadership.KeepNoImprovement, leadership.KeepTransferLimit, leadership.KeepNoSuccessor:
 		tr.markPartitions(zones, peers)
 	}
--- a/internal/controller/worker_router.go
+++ b/internal/controller/worker_router.go
@@ -70,7 +70,7 @@
 		case wr.mayKeepAlive(r):
 			// The worker's tasks continue under its current fencing token. It gets no commands.
 			wr.membership.workerAnsweredAt = wr.now.Steady
-			wr.replyCommands(e.Reply, r.Token, nil)
+			wr.replyCommands(e.Reply, r.SeenEpoch, nil)
 		default:
 			wr.redirectOrForward(e, r)
 		}
@@ -81,7 +81,7 @@
 // answer contains no commands; it renews the worker's lease, and the worker's next heartbeat
 // carries the new epoch.
 func (wr *workerRouter) answerWhileRecovering(e WorkerHeartbeat, r *protocol.Heartbeat) {
-	if r.Token <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
+	if r.SeenEpoch <= wr.election.lease.epoch && wr.now.Steady < wr.election.lease.validUntil {
 		wr.replyCommands(e.Reply, wr.election.lease.epoch, nil)
 		return
 	}
@@ -91,7 +91,7 @@
 // mayKeepAlive reports whether this controller may renew a worker's lease because both are isolated
 // from the quorum together.
 func (wr *workerRouter) mayKeepAlive(r *protocol.Heartbeat) bool {
-	if !wr.membership.isIsolatedFromQuorum() || r.Token == 0 {
+	if !wr.membership.isIsolatedFromQuorum() || r.SeenEpoch == 0 {
 		return false
 	}
 	ownZone := wr.platform.Zone
@@ -109,14 +109,14 @@
 		// The worker was redirected to an earlier leader, but not to the current one yet. If this
 		// counted as a return, workers that were redirected to a failed leader would make the
 		// next leader transfer leadership.
-	case w.redirectedAt > 0 && now-w.redirectedAt < redirectReturnWindow && r.Token <= epoch:
+	case w.redirectedAt > 0 && now-w.redirectedAt < redirectReturnWindow && r.SeenEpoch <= epoch:
 		returned = true
 		w.forwardUntil = now + forwardLeases*wr.platform.WorkerLease
 	case now < w.forwardUntil:
 		returned = true
 	}
 	first := !known || now-w.lastSeen >= redirectReturnWindow
-	unreachable = returned || first && r.Token > 0 && r.Token == epoch
+	unreachable = returned || first && r.SeenEpoch > 0 && r.SeenEpoch == epoch
 	w.lastSeen, w.redirectedAt, w.zone, w.agentEpoch, w.sequence = now, 0, r.Zone, r.AgentEpoch, r.Sequence
 	if unreachable {
 		w.leaderUnreachableAt, w.unreachableEpoch = now, epoch
--- a/internal/featuregate/decide.go
+++ b/internal/featuregate/decide.go
@@ -17,11 +17,11 @@
 
 // Reasons why a controller blocks a feature level.
 const (
-	NoEntry         Reason = iota // its version has no levels, or it could not write its entry yet
-	Unreadable                    // its entry can't be read
-	MaxLevelTooLow                // its version does not serve the level
-	MinLevelTooHigh               // its version serves only higher levels
-	RunsOld                       // it responds like a version without levels, despite its entry
+	NoEntry              Reason = iota // its version has no levels, or it could not write its entry yet
+	Unreadable                         // its entry can't be read
+	MaxLevelTooLow                     // its version does not serve the level
+	MinLevelTooHigh                    // its version serves only higher levels
+	RespondsAsOldVersion               // it responds like a version without levels, despite its entry
 )
 
 func (r Reason) String() string {
--- a/internal/leadership/transfer.go
+++ b/internal/leadership/transfer.go
@@ -42,11 +42,11 @@
 
 // Decisions, in the order in which Decide checks them.
 const (
-	// KeepHearsMost: less than half of the workers, or fewer than minUnreachableWorkers, fail to
+	// KeepReachesMost: less than half of the workers, or fewer than minUnreachableWorkers, fail to
 	// reach the leader directly.
-	KeepHearsMost Decision = iota
-	// KeepNobodyHearsMore: most workers that fail to reach the leader reach no other controller.
-	KeepNobodyHearsMore
+	KeepReachesMost Decision = iota
+	// KeepNoPeerReachesMore: most workers that fail to reach the leader reach no other controller.
+	KeepNoPeerReachesMore
 	// KeepNoImprovement: the previous leader, which transferred leadership, was reached by as many
 	// workers, so the leader is not the cause.
 	KeepNoImprovement
@@ -100,7 +100,7 @@
 		reachable += z.All - z.Silent - z.Relayed
 	}
 	if unreachable < minUnreachableWorkers || 2*unreachable < expected {
-		return "", KeepHearsMost
+		return "", KeepReachesMost
 	}
 	reachableElsewhere, unzoned := 0, 0
 	peerTotals := make(Reachability)
@@ -117,7 +117,7 @@
 		}
 	}
 	if reachableElsewhere = min(unreachable, reachableElsewhere+unzoned); 2*reachableElsewhere < unreachable {
-		return "", KeepNobodyHearsMore
+		return "", KeepNoPeerReachesMore
 	}
 	transfers = RecentTransfers(transfers, now)
 	if len(transfers) > 0 && reachable <= Reachability(transfers[len(transfers)-1].ReachableWorkers).Total() {
--- a/internal/leadership/transfer_test.go
+++ b/internal/leadership/transfer_test.go
@@ -24,10 +24,10 @@
 		to        string
 		want      Decision
 	}{
-		"most workers reach the leader": {map[string]ZoneWorkers{"a": {All: 10, Silent: 4}}, map[string]Reachability{"n1": {"a": 4}}, nil, "", KeepHearsMost},
+		"most workers reach the leader": {map[string]ZoneWorkers{"a": {All: 10, Silent: 4}}, map[string]Reachability{"n1": {"a": 4}}, nil, "", KeepReachesMost},
 		// After a restart of all controllers each worker contacted the others. Those of the zones
 		// that reach this leader must not cause a transfer.
-		"partitioned zone":                     {partitioned, map[string]Reachability{"n1": {"a": 300, "c": 200}}, nil, "", KeepNobodyHearsMore},
+		"partitioned zone":                     {partitioned, map[string]Reachability{"n1": {"a": 300, "c": 200}}, nil, "", KeepNoPeerReachesMore},
 		"workers reach only other controllers": {unreachable, map[string]Reachability{"n1": {"a": 10, "b": 20}, "n2": {"a": 10, "b": 25}}, nil, "n2", Transfer},
 		"previous leader reached by as many":   {unreachable, map[string]Reachability{"n1": {"a": 30, "b": 60}}, []protocol.LeadershipTransfer{transferFrom("n1", 4, 0)}, "", KeepNoImprovement},
 		"peer without zones":                   {unreachable, map[string]Reachability{"n1": {"": 90}}, nil, "n1", Transfer},
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -79,7 +79,7 @@
 	in := `{"host":"n-000231","addr":"10.1.0.232:9000","flavor":"g8","region":"a","reclaimable":true,"tenure":1,"tick":88,"epoch":41,
 "reclaimInS":12.5,"new":1,"shards":[{"shard":"req-000412/3","try":2,"phase":"running"},{"shard":"req-000398/0","try":1,"phase":"exited","exitReason":"stopped","saved":true}]}`
 	want := &Heartbeat{
-		Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 88, Token: 41,
+		Host: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: 88, SeenEpoch: 41,
 		Interrupted: true, InterruptedIn: 12500 * Millisecond, Tasks: []TaskStatus{
 			{AttemptName: AttemptName{TaskName{"req-000412", 3}, 2}, State: TaskRunning},
 			{AttemptName: AttemptName{TaskName{"req-000398", 0}, 1}, State: TaskExited, Reason: ExitStopped, Checkpointed: true},
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -277,12 +277,12 @@
 
 // RolloutStatus is the status of a roll-out, as reported to users.
 type RolloutStatus struct {
-	Service, ID, State, Reason string
-	Stage                      int
-	Stages                     []int
-	Count, Floor, Surge        int
-	Changes                    int // number of changes to the roll-out's record so far
-	New, Old                   VersionStatus
+	Service, ID, State, Reason  string
+	Stage                       int
+	Stages                      []int
+	Count, MinHealthy, MaxSurge int
+	Changes                     int // number of changes to the roll-out's record so far
+	New, Old                    VersionStatus
 }
 
 // AppendRolloutStatus appends a roll-out's status. jobs selects whether the refs of its jobs are
@@ -301,8 +301,8 @@
 	number("stage", s.Stage)
 	b = appendList(appendName(append(b, ','), "stages"), s.Stages, appendInt)
 	number("count", s.Count)
-	number("floor", s.Floor)
-	number("surge", s.Surge)
+	number("floor", s.MinHealthy)
+	number("surge", s.MaxSurge)
 	number("changes", s.Changes)
 	for _, v := range []struct {
 		name string
@@ -343,7 +343,7 @@
 	text := func(v *fastjson.Value, name string) string { return string(v.GetStringBytes(name)) }
 	s := &RolloutStatus{
 		Service: text(v, "service"), ID: text(v, "id"), State: text(v, "state"), Reason: text(v, "reason"),
-		Stage: v.GetInt("stage"), Count: v.GetInt("count"), Floor: v.GetInt("floor"), Surge: v.GetInt("surge"), Changes: v.GetInt("changes"),
+		Stage: v.GetInt("stage"), Count: v.GetInt("count"), MinHealthy: v.GetInt("floor"), MaxSurge: v.GetInt("surge"), Changes: v.GetInt("changes"),
 	}
 	if s.Service == "" || s.State == "" {
 		return nil, fmt.Errorf("service or state: missing")
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -58,16 +58,17 @@
 }
 
 // Heartbeat is a worker's report on its host and the tasks there. AgentEpoch increases each time
-// the worker's lease expires, and Sequence numbers the messages within an agent epoch. Token is the
-// newest fencing token that the worker has received. Interrupted is set once the cloud has
-// announced that it will reclaim the spot machine, after the time InterruptedIn.
+// the worker's lease expires, and Sequence numbers the messages within an agent epoch. SeenEpoch is
+// the newest leader epoch that the worker has received; it is the worker's fencing token.
+// Interrupted is set once the cloud has announced that it will reclaim the spot machine, after the
+// time InterruptedIn.
 type Heartbeat struct {
-	Host, Addr, Type, Zone      string
-	Spot                        bool
-	AgentEpoch, Sequence, Token uint64
-	Interrupted                 bool
-	InterruptedIn               Micros
-	Tasks                       []TaskStatus
+	Host, Addr, Type, Zone          string
+	Spot                            bool
+	AgentEpoch, Sequence, SeenEpoch uint64
+	Interrupted                     bool
+	InterruptedIn                   Micros
+	Tasks                           []TaskStatus
 }
 
 // NewerThan reports whether h is newer than the worker's message with the given agent epoch and
@@ -87,7 +88,7 @@
 	f := &fields{obj: v}
 	h := &Heartbeat{
 		Host: f.text("host"), Addr: f.text("addr"), Type: f.text("flavor"), Zone: f.text("region"),
-		Spot: f.flag("reclaimable"), AgentEpoch: f.integer("tenure"), Sequence: f.integer("tick"), Token: f.integer("epoch"),
+		Spot: f.flag("reclaimable"), AgentEpoch: f.integer("tenure"), Sequence: f.integer("tick"), SeenEpoch: f.integer("epoch"),
 	}
 	if f.optional("reclaimInS") != nil {
 		h.Interrupted, h.InterruptedIn = true, FromSeconds(f.number("reclaimInS"))
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -11,7 +11,7 @@
 	r, s := sv.record, sv.spec()
 	st := &protocol.RolloutStatus{
 		Service: r.Service, ID: s.ID, State: r.State.String(), Reason: r.Reason, Stage: r.Stage + 1, Stages: s.Stages,
-		Count: s.Count, Floor: s.MinHealthy, Surge: s.MaxSurge, Changes: r.Changes,
+		Count: s.Count, MinHealthy: s.MinHealthy, MaxSurge: s.MaxSurge, Changes: r.Changes,
 	}
 	if r.State == Paused {
 		st.Reason = fmt.Sprintf("in %s: %s", r.PausedIn, r.Reason)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -92,7 +92,7 @@
 // share sets the parts of the state service's rates that a node keeps to.
 func (w *World) share(n *node, leads bool) {
 	nodes := len(w.nodes)
-	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.MaxTxnChanges, leads))
+	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.MaxTxnChanges(w.Platform.MaxTxnChanges, leads))
 }
 
 func (w *World) timeOf(n *node) protocol.Now {
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -58,8 +58,8 @@
 // Count is the number of jobs that were served and the number that were missed.
 type Count struct{ Served, Missed int }
 
-// Of returns the number of jobs counted.
-func (c Count) Of() int { return c.Served + c.Missed }
+// Total returns the number of jobs counted.
+func (c Count) Total() int { return c.Served + c.Missed }
 
 type group struct {
 	state         State
@@ -106,9 +106,9 @@
 	c := g.recent(now)
 	previous := g.state
 	switch {
-	case g.state == Sufficient && c.Of() >= minJobs && 100*c.Served < insufficientBelowPercent*c.Of():
+	case g.state == Sufficient && c.Total() >= minJobs && 100*c.Served < insufficientBelowPercent*c.Total():
 		g.state = Insufficient
-	case g.state == Insufficient && 100*c.Served >= sufficientFromPercent*c.Of():
+	case g.state == Insufficient && 100*c.Served >= sufficientFromPercent*c.Total():
 		g.state = Sufficient
 	}
 	return g.state != previous
@@ -126,16 +126,16 @@
 	return sum
 }
 
-// Lately returns the counts of a group within the window.
-func (w *Window) Lately(k Kind, name string, now micros) Count {
+// Recent returns the counts of a group within the window.
+func (w *Window) Recent(k Kind, name string, now micros) Count {
 	if g := w.groups[k][name]; g != nil {
 		return g.recent(now)
 	}
 	return Count{}
 }
 
-// Is returns the state of a group.
-func (w *Window) Is(k Kind, name string) State {
+// State returns the state of a group.
+func (w *Window) State(k Kind, name string) State {
 	if g := w.groups[k][name]; g != nil {
 		return g.state
 	}
--- a/internal/slo/window_test.go
+++ b/internal/slo/window_test.go
@@ -23,22 +23,22 @@
 		}
 		return changes
 	}
-	if add(9, 10*sec, false); w.Is(Class, "rerun") != Sufficient {
+	if add(9, 10*sec, false); w.State(Class, "rerun") != Sufficient {
 		t.Error("the state changed after nine jobs, fewer than minJobs")
 	}
-	if add(1, 20*sec, false) != 1 || w.Is(Class, "rerun") != Insufficient {
+	if add(1, 20*sec, false) != 1 || w.State(Class, "rerun") != Insufficient {
 		t.Error("the class is not insufficient after ten of ten jobs were missed")
 	}
-	if add(15, 30*sec, true); w.Is(Class, "rerun") != Insufficient {
-		t.Errorf("%+v: the class is sufficient again with 60%% of jobs served, below sufficientFromPercent", w.Lately(Class, "rerun", 30*sec))
+	if add(15, 30*sec, true); w.State(Class, "rerun") != Insufficient {
+		t.Errorf("%+v: the class is sufficient again with 60%% of jobs served, below sufficientFromPercent", w.Recent(Class, "rerun", 30*sec))
 	}
-	if add(4, 40*sec, true) != 1 || w.Is(Class, "rerun") != Sufficient {
-		t.Errorf("%+v: the class is not sufficient again", w.Lately(Class, "rerun", 40*sec))
+	if add(4, 40*sec, true) != 1 || w.State(Class, "rerun") != Sufficient {
+		t.Errorf("%+v: the class is not sufficient again", w.Recent(Class, "rerun", 40*sec))
 	}
-	if got := w.Lately(Class, "rerun", 300*sec); got != (Count{}) {
+	if got := w.Recent(Class, "rerun", 300*sec); got != (Count{}) {
 		t.Errorf("four minutes later, counts within the window: %+v, want none", got)
 	}
-	if got := w.Counts(Class)["rerun"]; got != (Count{19, 10}) || w.Is(Team, "rerun") != Sufficient {
+	if got := w.Counts(Class)["rerun"]; got != (Count{19, 10}) || w.State(Team, "rerun") != Sufficient {
 		t.Errorf("counts since the start: %+v, want 19 served and 10 missed", got)
 	}
 }
@@ -70,7 +70,7 @@
 					}
 				}
 			}
-			if got := w.Lately(Team, j.name, now); got != want {
+			if got := w.Recent(Team, j.name, now); got != want {
 				t.Fatalf("counts within the window: %+v, want %+v", got, want)
 			}
 		}
--- a/internal/state/host.go
+++ b/internal/state/host.go
@@ -154,10 +154,10 @@
 	h.State, h.Stale = s, true
 }
 
-// IsStale reports whether a heartbeat is older than the newest message from the host. A heartbeat
-// of an agent epoch that has ended by time is stale too: it was delayed on the network, and the
-// tasks that it lists are gone and may have been started elsewhere since.
-func (h *Host) IsStale(r *protocol.Heartbeat) bool {
+// IsStaleHeartbeat reports whether a heartbeat is older than the newest message from the host. A
+// heartbeat of an agent epoch that has ended by time is stale too: it was delayed on the network,
+// and the tasks that it lists are gone and may have been started elsewhere since.
+func (h *Host) IsStaleHeartbeat(r *protocol.Heartbeat) bool {
 	return r.AgentEpoch <= h.Agent.EndedEpoch || h.Agent.Epoch > 0 && !r.NewerThan(h.Agent.Epoch, h.Agent.Sequence)
 }
 
