--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -94,7 +94,7 @@
 // share sets the node's part of the rates and sizes that the state service allows all controllers.
 func (w *World) share(n *node, leads bool) {
 	nodes := len(w.nodes)
-	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.LargestChange(w.Platform.MaxTxnChanges, leads))
+	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.MaxTxnChanges(w.Platform.MaxTxnChanges, leads))
 }
 
 // timeOf returns the clocks of a node. The steady clock is at 1 s when the node starts.
