--- a/internal/scale/hollow/run.go
+++ b/internal/scale/hollow/run.go
@@ -1,8 +1,9 @@
-// Package hollow has workers without machines: they speak the workers' protocol over real
-// sockets, and their tasks run by a clock and do no work.
+// Package hollow simulates workers without machines. The workers use the real protocol over
+// real sockets, but their tasks only wait for timers and do no work.
 //
-// What a launched task is, how long it runs, whether its result is kept already and when a
-// gang is whole or has lost a task, the supervisor says: it alone sees all processes.
+// The supervisor sends the description of a launched task, its run time, whether its result
+// is stored already, and whether a gang is complete or has lost a task, since only the
+// supervisor receives messages from all processes.
 package hollow
 
 import (
@@ -25,9 +26,9 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// Run is the role of many workers in a process.
+// Run runs the part with wire.RoleHollow: a process that simulates many workers.
 func Run(in io.Reader, out io.Writer, _ *slog.Logger) error {
-	runtime.GOMAXPROCS(2) // a machine has several of these processes
+	runtime.GOMAXPROCS(2) // several of these processes share a machine
 	p, err := ipc.Open(in, out)
 	if err != nil {
 		return err
@@ -35,7 +36,8 @@
 	return run(p)
 }
 
-// RunOne is the role of a process that is one worker, which is kept small.
+// RunOne runs the part with wire.RoleWorker: a process that simulates a single worker and is
+// limited to one CPU and little memory.
 func RunOne(in io.Reader, out io.Writer, _ *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(24 << 20)
@@ -46,7 +48,7 @@
 	return run(p)
 }
 
-// process is what the workers of a process share.
+// process contains the state that the workers of a process share.
 type process struct {
 	config   *wire.Config
 	platform *protocol.Platform
@@ -54,67 +56,67 @@
 	timers   *timers
 	now      func() int64
 
-	mu      sync.Mutex
-	workers map[string]*worker
-	jobs    map[string]*job
-	gangs   map[string]map[*task]bool // tasks that are on machines, by job and attempt
-	out     []*wire.Message
-	more    chan struct{} // something is in out
+	mu       sync.Mutex
+	workers  map[string]*worker
+	jobs     map[string]*job
+	gangs    map[string]map[*task]bool // gang tasks on machines of this process, by gangKey
+	out      []*wire.Message
+	outReady chan struct{} // signals that out is not empty
 
-	hello, commands, status httpconn.Traffic
-	up                      atomic.Int64
-	failed, redirects       atomic.Int64 // reports
-	dropped                 atomic.Int64 // answers
-	expiries                atomic.Int64
-	longest                 atomic.Int64 // wait for an answer to a report, microseconds
+	heartbeatTraffic, commandTraffic, statusTraffic httpconn.Traffic
+	workersUp                                       atomic.Int64
+	failedReports, redirects                        atomic.Int64 // counts of reports
+	droppedAnswers                                  atomic.Int64 // of an old epoch or session
+	leaseExpiries                                   atomic.Int64
+	maxReportLatency                                atomic.Int64 // since the last gauge, microseconds
 }
 
-func run(pp *ipc.Pipe) error {
+func run(pipe *ipc.Pipe) error {
 	p := &process{
-		config: pp.Config, platform: pp.Platform, types: make(map[string]*protocol.MachineType), timers: newTimers(), now: wire.Now,
-		workers: make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool), more: make(chan struct{}, 1),
+		config: pipe.Config, platform: pipe.Platform, types: make(map[string]*protocol.MachineType), timers: newTimers(), now: wire.Now,
+		workers: make(map[string]*worker), jobs: make(map[string]*job), gangs: make(map[string]map[*task]bool), outReady: make(chan struct{}, 1),
 	}
 	for _, t := range p.config.Types {
 		p.types[t.Name] = t
 	}
-	if err := pp.Ready(p.begin()); err != nil {
-		p.end()
+	if err := pipe.Ready(p.startMachines()); err != nil {
+		p.removeAll()
 		return err
 	}
 	stop, flushed := make(chan struct{}), make(chan struct{})
 	go p.timers.run(stop)
 	go func() {
 		defer close(flushed)
-		p.speak(pp.Out, stop)
+		p.writeMessages(pipe.Out, stop)
 	}()
 	gauge := time.NewTicker(time.Second)
 	defer gauge.Stop()
 	for open := true; open; {
 		select {
-		case m, more := <-pp.In:
+		case m, more := <-pipe.In:
 			if open = more; open {
-				p.order(m)
+				p.handleMessage(m)
 			}
 		case <-gauge.C:
-			p.tell(p.gauge(p.now()))
+			p.send(p.gaugeMessage(p.now()))
 		}
 	}
-	p.end()
+	p.removeAll()
 	close(stop)
 	<-flushed
 	return nil
 }
 
-// begin brings up the machines that are there from the beginning.
-func (p *process) begin() error {
+// startMachines starts the workers of the machines that exist from the beginning of the run.
+func (p *process) startMachines() error {
 	if p.platform == nil || len(p.config.Controllers) == 0 {
 		return fmt.Errorf("the platform's settings or the controllers are missing")
 	}
 	now := p.now()
 	for i := range p.config.Machines {
-		w, err := p.add(p.config.Machines[i])
+		w, err := p.addMachine(p.config.Machines[i])
 		if err == nil {
-			err = w.starts(now, true)
+			err = w.start(now, true)
 		}
 		if err != nil {
 			return fmt.Errorf("worker of %s: %w", p.config.Machines[i].Name, err)
@@ -123,15 +125,15 @@
 	return nil
 }
 
-// end closes all sockets.
-func (p *process) end() {
-	for _, w := range p.named(nil) {
-		w.ends(p.now(), "end of the run")
+// removeAll removes all machines, which closes their sockets.
+func (p *process) removeAll() {
+	for _, w := range p.workersByName(nil) {
+		w.remove(p.now(), "end of the run")
 	}
 }
 
-// add takes a machine in.
-func (p *process) add(m wire.Machine) (*worker, error) {
+// addMachine creates the worker of a machine without starting it.
+func (p *process) addMachine(m wire.Machine) (*worker, error) {
 	typ := p.types[m.Type]
 	if typ == nil {
 		return nil, fmt.Errorf("unknown machine type %q", m.Type)
@@ -144,14 +146,14 @@
 	h := fnv.New64a()
 	h.Write([]byte(m.Name))
 	w := &worker{
-		p: p, m: m, typ: typ, head: reportHead(&m), send: make(chan struct{}, 1),
-		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.hello},
+		process: p, machine: m, machineType: typ, reportPrefix: encodeReportPrefix(&m), sendReport: make(chan struct{}, 1),
+		rng: rand.New(rand.NewPCG(p.config.Seed, h.Sum64())), client: &httpconn.Client{Source: m.Source, Traffic: &p.heartbeatTraffic},
 	}
-	w.images = images{rate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, cache: typ.CacheSize, list: make(map[string]*image)}
-	if w.images.rate <= 0 {
-		w.images.rate = math.MaxInt32
+	w.images = imageCache{fetchRate: typ.FetchRate * (2 + 2*w.rng.Float64()) / 3, capacity: typ.CacheSize, byName: make(map[string]*image)}
+	if w.images.fetchRate <= 0 {
+		w.images.fetchRate = math.MaxInt32
 	}
-	w.node = w.rng.IntN(len(p.config.Controllers))
+	w.controller = w.rng.IntN(len(p.config.Controllers))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.workers[m.Name] != nil {
@@ -161,8 +163,8 @@
 	return w, nil
 }
 
-// named lists workers by their machines' names, nil: all.
-func (p *process) named(names []string) (list []*worker) {
+// workersByName returns the workers of the named machines, or all workers if names is nil.
+func (p *process) workersByName(names []string) (list []*worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if names == nil {
@@ -179,42 +181,42 @@
 	return list
 }
 
-// remove takes machines away for good.
-func (p *process) remove(names []string, why string) {
-	for _, w := range p.named(names) {
-		w.ends(p.now(), why)
+// removeMachines permanently removes machines with their workers and tasks.
+func (p *process) removeMachines(names []string, why string) {
+	for _, w := range p.workersByName(names) {
+		w.remove(p.now(), why)
 		p.mu.Lock()
-		delete(p.workers, w.m.Name)
+		delete(p.workers, w.machine.Name)
 		p.mu.Unlock()
 	}
 }
 
-// order carries out what the supervisor says.
-func (p *process) order(m *wire.Message) {
+// handleMessage executes a message from the supervisor.
+func (p *process) handleMessage(m *wire.Message) {
 	switch m.Kind {
 	case wire.Boot:
 		if m.Machine == nil {
 			return
 		}
-		w, err := p.add(*m.Machine)
+		w, err := p.addMachine(*m.Machine)
 		if err != nil {
 			p.note("machine %s: %v", m.Machine.Name, err)
 			return
 		}
-		p.timers.at(m.At, func(now int64) {
-			if err := w.starts(now, false); err != nil {
-				p.note("worker of %s: %v", w.m.Name, err)
+		p.timers.schedule(m.At, func(now int64) {
+			if err := w.start(now, false); err != nil {
+				p.note("worker of %s: %v", w.machine.Name, err)
 			}
 		})
 	case wire.Gone:
-		var had []string
-		for _, w := range p.named(m.Names) {
-			had = append(had, w.m.Name)
+		var found []string
+		for _, w := range p.workersByName(m.Names) {
+			found = append(found, w.machine.Name)
 		}
-		if len(had) > 0 {
-			p.remove(had, "released")
+		if len(found) > 0 {
+			p.removeMachines(found, "released")
 		}
-		p.tell(&wire.Message{Kind: wire.GoneDone, ID: m.ID, Names: had, At: p.now()})
+		p.send(&wire.Message{Kind: wire.GoneDone, ID: m.ID, Names: found, At: p.now()})
 	case wire.Jobs:
 		for _, spec := range m.Specs {
 			if s, err := protocol.ParseJob(spec); err == nil {
@@ -223,54 +225,56 @@
 				p.mu.Unlock()
 			}
 		}
-		for _, w := range p.named([]string{m.Name}) {
-			w.described(m)
+		for _, w := range p.workersByName([]string{m.Name}) {
+			w.handleDescription(m)
 		}
 	case wire.Go:
-		p.each(m.Task, func(t *task) func(int64) { return func(now int64) { t.goes(now, m) } })
+		p.forEachGangTask(m.Task, func(t *task) func(int64) { return func(now int64) { t.handleGo(now, m) } })
 	case wire.Peers:
-		p.each(m.Task, func(t *task) func(int64) {
+		p.forEachGangTask(m.Task, func(t *task) func(int64) {
 			return func(now int64) {
 				if m.At <= now {
-					t.alone(now) // before what else was held while the machine hung
+					t.handlePeerLoss(now) // a timer would run after other deferred calls
 					return
 				}
-				t.w.later(m.At, t.alone)
+				t.worker.schedule(m.At, t.handlePeerLoss)
 			}
 		})
 	case wire.Fault:
-		p.fault(m)
+		p.injectFault(m)
 	}
 }
 
-func (p *process) fault(m *wire.Message) {
+func (p *process) injectFault(m *wire.Message) {
 	now := p.now()
 	switch m.Text {
 	case wire.FaultEnd:
-		p.remove(m.Names, "ended")
+		p.removeMachines(m.Names, "ended")
 	case wire.FaultHang:
-		for _, w := range p.named(m.Names) {
-			w.hangs(now, now+m.For)
+		for _, w := range p.workersByName(m.Names) {
+			w.hang(now, now+m.For)
 		}
 	case wire.FaultRestart:
-		for _, w := range p.named(m.Names) {
-			w.restarts(now)
+		for _, w := range p.workersByName(m.Names) {
+			w.restart(now)
 		}
 	}
 }
 
-// goes takes word that the gang is whole, or that all its tasks were told to save.
-func (t *task) goes(now int64, m *wire.Message) {
+// handleGo handles a wire.Go message. Without a text it starts a task whose gang is complete,
+// which runs until m.At. With the text `saved` all tasks of the gang have received the command
+// to checkpoint, so that the checkpoint can complete.
+func (t *task) handleGo(now int64, m *wire.Message) {
 	switch {
 	case m.Text == "saved" && t.state == protocol.TaskCheckpointing:
-		t.later(max(now, m.At, t.first+int64(t.job.spec.CheckpointDuration)), func(now int64) { t.exit(now, protocol.ExitStopped, true) })
+		t.schedule(max(now, m.At, t.checkpointStart+int64(t.job.spec.CheckpointDuration)), func(now int64) { t.exit(now, protocol.ExitStopped, true) })
 	case m.Text == "" && t.state == protocol.TaskWaiting:
-		t.runs(now, m.At)
+		t.startRunning(now, m.At)
 	}
 }
 
-// alone ends a task whose gang has lost another one.
-func (t *task) alone(now int64) {
+// handlePeerLoss ends a task whose gang has lost another task.
+func (t *task) handlePeerLoss(now int64) {
 	switch t.state {
 	case protocol.TaskRunning:
 		t.exit(now, protocol.ExitPeers, false)
@@ -280,68 +284,70 @@
 	}
 }
 
-// each has something done for each task here of a gang's attempt, with its worker's lock.
-func (p *process) each(name string, do func(*task) func(int64)) {
+// forEachGangTask calls a function for each task of a gang attempt in this process, with the
+// lock of the task's worker. name is the name of any task of the attempt.
+func (p *process) forEachGangTask(name string, do func(*task) func(int64)) {
 	var list []*task
 	p.mu.Lock()
-	for t := range p.gangs[gangOf(name)] {
+	for t := range p.gangs[gangKeyOf(name)] {
 		list = append(list, t)
 	}
 	p.mu.Unlock()
 	for _, t := range list {
-		t.w.locked(p.now(), do(t))
+		t.worker.runLocked(p.now(), do(t))
 	}
 }
 
-// gangOf is what the tasks of an attempt have in common, of one of their names.
-func gangOf(task string) string {
+// gangKeyOf returns the gangKey of a task from the task's name.
+func gangKeyOf(task string) string {
 	ref, rest, _ := strings.Cut(task, "/")
-	_, try, _ := strings.Cut(rest, "#")
-	return ref + "#" + try
+	_, attempt, _ := strings.Cut(rest, "#")
+	return ref + "#" + attempt
 }
 
-// joins notes that a gang's task is on a machine here.
-func (p *process) joins(t *task) {
+// addGangTask records that a gang task is on a machine of this process.
+func (p *process) addGangTask(t *task) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := t.gang()
+	g := t.gangKey()
 	if p.gangs[g] == nil {
 		p.gangs[g] = make(map[*task]bool)
 	}
 	p.gangs[g][t] = true
 }
 
-// leaves notes that it is there no more.
-func (p *process) leaves(t *task) {
+// removeGangTask records that a gang task has left its machine.
+func (p *process) removeGangTask(t *task) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := t.gang()
+	g := t.gangKey()
 	delete(p.gangs[g], t)
 	if len(p.gangs[g]) == 0 {
 		delete(p.gangs, g)
 	}
 }
 
-// job is what is known of a job here, or nil.
+// job returns a job, or nil if the supervisor has not described it to this process.
 func (p *process) job(ref string) *job {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.jobs[ref]
 }
 
-// tell says something to the supervisor, in order, without waiting for it.
-func (p *process) tell(m *wire.Message) {
+// send queues a message to the supervisor. It doesn't block and keeps the order of messages.
+func (p *process) send(m *wire.Message) {
 	p.mu.Lock()
 	p.out = append(p.out, m)
 	p.mu.Unlock()
 	select {
-	case p.more <- struct{}{}:
+	case p.outReady <- struct{}{}:
 	default:
 	}
 }
 
-// speak writes what there is to say until stop, and then the rest of it.
-func (p *process) speak(to *wire.Writer, stop <-chan struct{}) {
+// writeMessages writes queued messages to the supervisor until stop is closed, and then those
+// that are left in the queue.
+func (p *process) writeMessages(to *wire.Writer, stop <-chan struct{}) {
 	for stopped := false; ; {
 		p.mu.Lock()
 		list := p.out
@@ -359,7 +365,7 @@
 			return
 		}
 		select {
-		case <-p.more:
+		case <-p.outReady:
 		case <-stop:
 			stopped = true
 		}
@@ -367,47 +373,48 @@
 }
 
 func (p *process) note(format string, args ...any) {
-	p.tell(&wire.Message{Kind: wire.Note, Name: p.config.Part, At: p.now(), Text: fmt.Sprintf(format, args...)})
+	p.send(&wire.Message{Kind: wire.Note, Name: p.config.Part, At: p.now(), Text: fmt.Sprintf(format, args...)})
 }
 
-// answered notes how a report went.
-func (p *process) answered(took int64, failed bool) {
+// recordReport records the latency of an answered report, or a failure.
+func (p *process) recordReport(took int64, failed bool) {
 	if failed {
-		p.failed.Add(1)
+		p.failedReports.Add(1)
 		return
 	}
 	for {
-		longest := p.longest.Load()
-		if took <= longest || p.longest.CompareAndSwap(longest, took) {
+		previous := p.maxReportLatency.Load()
+		if took <= previous || p.maxReportLatency.CompareAndSwap(previous, took) {
 			return
 		}
 	}
 }
 
-// gauge is what the supervisor is told each second: counts since the beginning, bytes of
-// whole HTTP messages, and what is there now. `_max`: the longest of the last second.
-func (p *process) gauge(now int64) *wire.Message {
+// gaugeMessage returns the message that the supervisor receives each second. Its values are
+// counts since the beginning, bytes of whole HTTP messages, and current numbers of workers and
+// tasks. Values with the suffix `_max` are maxima of the last second.
+func (p *process) gaugeMessage(now int64) *wire.Message {
 	v := map[string]float64{
-		"lag_ms_max":      float64(p.timers.longest(now)) / 1000,
-		"hello_ms_max":    float64(p.longest.Swap(0)) / 1000,
-		"workers":         float64(p.up.Load()),
-		"lease_expiries":  float64(p.expiries.Load()),
-		"hello_failed":    float64(p.failed.Load()),
+		"lag_ms_max":      float64(p.timers.takeMaxLag(now)) / 1000,
+		"hello_ms_max":    float64(p.maxReportLatency.Swap(0)) / 1000,
+		"workers":         float64(p.workersUp.Load()),
+		"lease_expiries":  float64(p.leaseExpiries.Load()),
+		"hello_failed":    float64(p.failedReports.Load()),
 		"hello_redirects": float64(p.redirects.Load()),
-		"hello_dropped":   float64(p.dropped.Load()),
+		"hello_dropped":   float64(p.droppedAnswers.Load()),
 	}
-	for name, t := range map[string]*httpconn.Traffic{"hello": &p.hello, "commands": &p.commands, "status": &p.status} {
+	for name, t := range map[string]*httpconn.Traffic{"hello": &p.heartbeatTraffic, "commands": &p.commandTraffic, "status": &p.statusTraffic} {
 		v[name] = float64(t.Messages.Load())
 		v[name+"_in_bytes"] = float64(t.In.Load())
 		v[name+"_out_bytes"] = float64(t.Out.Load())
 	}
-	var held, on, running int
-	for _, w := range p.named(nil) {
+	var reported, entered, running int
+	for _, w := range p.workersByName(nil) {
 		w.mu.Lock()
-		held += len(w.tasks)
+		reported += len(w.tasks)
 		for _, t := range w.tasks {
-			if t.on {
-				on++
+			if t.entered {
+				entered++
 			}
 			if t.state == protocol.TaskRunning {
 				running++
@@ -415,6 +422,6 @@
 		}
 		w.mu.Unlock()
 	}
-	v["tasks_reported"], v["tasks_on"], v["tasks_running"] = float64(held), float64(on), float64(running)
+	v["tasks_reported"], v["tasks_on"], v["tasks_running"] = float64(reported), float64(entered), float64(running)
 	return &wire.Message{Kind: wire.Gauge, Name: p.config.Part, At: now, Values: v}
 }
--- a/internal/scale/hollow/task.go
+++ b/internal/scale/hollow/task.go
@@ -7,125 +7,129 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// job is what a process knows of a job.
+// job is a job as described by the supervisor.
 type job struct {
-	spec *protocol.JobSpec
-	run  int64 // of a task, microseconds; below 0: it fails after that
+	spec    *protocol.JobSpec
+	runTime int64 // of a task, microseconds; if negative, the task fails after -runTime
 }
 
-// task is an attempt on a machine, until it is forgotten.
+// task is an attempt on a machine. It exists until a controller sends the command `forget`.
 type task struct {
-	w      *worker
-	ref    string
-	index  int
-	try    uint64
-	name   string // REF/INDEX#TRY
-	state  protocol.TaskState
-	reason protocol.ExitReason
-	saved  bool
-
-	job     *job // nil: not known yet
-	told    bool // the supervisor has said what it is
-	kept    bool // its result is there already
-	on      bool // it is on the machine, as the rules count it
-	image   *image
-	began   int64 // when it was launched
-	fetched int64 // how long its image took
-	left    int64 // of its run, as of since
-	safe    int64 // what is left from its last checkpoint on, as the supervisor knows
-	since   int64 // when it began to run
-	ends    int64 // when it completes
-	first   int64 // when it was told to save
-	turn    uint64
+	worker  *worker
+	ref     string
+	index   int
+	attempt uint64
+	name    string // REF/INDEX#TRY
+	state   protocol.TaskState
+	reason  protocol.ExitReason
+	saved   bool
+
+	job               *job // nil until the task is admitted
+	described         bool // the supervisor has described the task
+	resultStored      bool // the task's result is stored already
+	entered           bool // the task counts as on the machine: wire.Enter was sent, wire.Leave was not
+	image             *image
+	launchedAt        int64  // time of the launch command
+	fetchTime         int64  // time from the launch until the image was present, 0 if it already was
+	remaining         int64  // run time that is left, as of startedAt
+	reportedRemaining int64  // run time left at the last checkpoint that the supervisor has recorded
+	startedAt         int64  // time at which it began to run, moved by the time that its machine hung
+	endsAt            int64  // time at which it completes
+	checkpointStart   int64  // time of the command to checkpoint a gang task
+	generation        uint64 // increased to invalidate the timers of the task
 }
 
-// gang is the name that the tasks of an attempt have in common.
-func (t *task) gang() string { return t.ref + "#" + strconv.FormatUint(t.try, 10) }
+// gangKey returns the key that all tasks of a gang attempt share: REF#TRY.
+func (t *task) gangKey() string { return t.ref + "#" + strconv.FormatUint(t.attempt, 10) }
 
-// becomes is the one place where a task's state changes. What was to happen in the state
-// that it leaves doesn't happen any more.
-func (t *task) becomes(now int64, state protocol.TaskState) {
+// setState changes the state of a task and invalidates the timers of the previous state. Only
+// killTasks changes the state without it, for tasks that the worker drops.
+func (t *task) setState(now int64, state protocol.TaskState) {
 	t.state = state
-	t.turn++
-	t.w.touch(now)
+	t.generation++
+	t.worker.markChanged(now)
 }
 
-// later has fn called at an instant if the task is still in the same state then, and not
-// before its machine goes on if that hangs.
-func (t *task) later(at int64, fn func(now int64)) {
-	turn := t.turn
-	t.w.later(at, func(now int64) {
-		if t.turn == turn {
+// schedule calls fn at a time unless the task's timers have been invalidated by then. If the
+// machine hangs at that time, the call is deferred until the hang ends.
+func (t *task) schedule(at int64, fn func(now int64)) {
+	generation := t.generation
+	t.worker.schedule(at, func(now int64) {
+		if t.generation == generation {
 			fn(now)
 		}
 	})
 }
 
-// ready has a task start that is known and has its image.
-func (t *task) ready(now int64) {
-	if t.state != protocol.TaskFetching || !t.told || t.image == nil || !t.image.here {
+// startIfReady starts a task that the supervisor has described and whose image is present. A
+// gang task waits for the rest of its gang, unless it is going to fail anyway.
+func (t *task) startIfReady(now int64) {
+	if t.state != protocol.TaskFetching || !t.described || t.image == nil || !t.image.present {
 		return
 	}
 	spec := t.job.spec
-	t.on = true
+	t.entered = true
 	t.image.waiters--
 	t.image.users++
-	t.image.used = now
-	t.w.p.tell(&wire.Message{Kind: wire.Enter, Task: t.name, Name: t.w.m.Name, At: now, Run: t.fetched})
-	if t.kept {
+	t.image.lastUsed = now
+	t.worker.process.send(&wire.Message{Kind: wire.Enter, Task: t.name, Name: t.worker.machine.Name, At: now, Run: t.fetchTime})
+	if t.resultStored {
 		t.exit(now, protocol.ExitDone, false)
 		return
 	}
-	if spec.Kind == protocol.Gang && t.job.run >= 0 {
-		t.becomes(now, protocol.TaskWaiting)
-		t.w.p.joins(t)
-		t.w.p.tell(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.w.m.Name, At: now})
-		t.later(now+int64(t.w.p.platform.GangWaitTimeout), func(now int64) { t.exit(now, protocol.ExitIncomplete, false) })
+	if spec.Kind == protocol.Gang && t.job.runTime >= 0 {
+		t.setState(now, protocol.TaskWaiting)
+		t.worker.process.addGangTask(t)
+		t.worker.process.send(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.worker.machine.Name, At: now})
+		t.schedule(now+int64(t.worker.process.platform.GangWaitTimeout), func(now int64) { t.exit(now, protocol.ExitIncomplete, false) })
 		return
 	}
-	t.runs(now, now+t.left)
+	t.startRunning(now, now+t.remaining)
 }
 
-// runs has a task run until an instant.
-func (t *task) runs(now, ends int64) {
-	t.since, t.ends = now, ends
-	t.becomes(now, protocol.TaskRunning)
+// startRunning starts a task that completes at endsAt. A service runs until it is stopped, and a
+// task with a negative run time fails.
+func (t *task) startRunning(now, endsAt int64) {
+	t.startedAt, t.endsAt = now, endsAt
+	t.setState(now, protocol.TaskRunning)
 	switch {
-	case t.job.run < 0:
-		t.later(now-t.job.run, func(now int64) { t.exit(now, protocol.ExitError, false) })
+	case t.job.runTime < 0:
+		t.schedule(now-t.job.runTime, func(now int64) { t.exit(now, protocol.ExitError, false) })
 	case t.job.spec.Kind != protocol.Service:
-		t.later(ends, t.complete)
+		t.schedule(endsAt, t.complete)
 	}
 }
 
-// complete keeps a task's result.
+// complete ends a task and reports to the supervisor that its result is stored.
 func (t *task) complete(now int64) {
-	t.w.p.tell(&wire.Message{Kind: wire.Ended, Task: t.name, Name: t.w.m.Name, At: now})
+	t.worker.process.send(&wire.Message{Kind: wire.Ended, Task: t.name, Name: t.worker.machine.Name, At: now})
 	t.exit(now, protocol.ExitDone, false)
 }
 
-// longer has a task that works by itself end later, since its machine stood still.
-func (t *task) longer(by int64) {
-	if t.state != protocol.TaskRunning || t.job.spec.Kind != protocol.Array || t.job.run < 0 {
+// extendRun postpones the end of a running array task, which depends on no other task, by the
+// time that its machine hung.
+func (t *task) extendRun(by int64) {
+	if t.state != protocol.TaskRunning || t.job.spec.Kind != protocol.Array || t.job.runTime < 0 {
 		return
 	}
-	t.since, t.ends = t.since+by, t.ends+by
-	t.turn++
-	t.later(t.ends, t.complete)
+	t.startedAt, t.endsAt = t.startedAt+by, t.endsAt+by
+	t.generation++
+	t.schedule(t.endsAt, t.complete)
 }
 
-// checkpoint is what is left of a task's run if it is killed now: it goes on from the
-// last multiple of its interval. Of a gang the supervisor knows it.
-func (t *task) checkpoint(now int64) int64 {
-	every := int64(t.job.spec.CheckpointInterval)
-	if every <= 0 || t.job.spec.Kind != protocol.Array || t.state != protocol.TaskRunning {
-		return t.left
+// remainingAfterKill returns the run time that is left if a task is killed now: the next
+// attempt resumes from the last multiple of the checkpoint interval. For gangs the supervisor
+// computes it.
+func (t *task) remainingAfterKill(now int64) int64 {
+	interval := int64(t.job.spec.CheckpointInterval)
+	if interval <= 0 || t.job.spec.Kind != protocol.Array || t.state != protocol.TaskRunning {
+		return t.remaining
 	}
-	done := t.job.run - max(0, t.left-(now-t.since))
-	return min(t.left, t.job.run-done/every*every)
+	done := t.job.runTime - max(0, t.remaining-(now-t.startedAt))
+	return min(t.remaining, t.job.runTime-done/interval*interval)
 }
 
-// stop carries out a command.
+// stop executes a stop command.
 func (t *task) stop(now int64, grace protocol.Micros) {
 	switch t.state {
 	case protocol.TaskExited:
@@ -140,16 +144,16 @@
 			return
 		}
 		if spec.Kind == protocol.Gang {
-			t.first = now
-			t.becomes(now, protocol.TaskCheckpointing)
-			t.w.p.tell(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.w.m.Name, At: now, Text: "saving"})
+			t.checkpointStart = now
+			t.setState(now, protocol.TaskCheckpointing)
+			t.worker.process.send(&wire.Message{Kind: wire.Waiting, Task: t.name, Name: t.worker.machine.Name, At: now, Text: "saving"})
 			return
 		}
-		left := max(0, t.left-(now-t.since))
-		t.left = t.checkpoint(now) // if it doesn't come to the end of saving
-		t.becomes(now, protocol.TaskCheckpointing)
-		t.later(now+int64(spec.CheckpointDuration), func(now int64) {
-			t.left = left
+		remaining := max(0, t.remaining-(now-t.startedAt))
+		t.remaining = t.remainingAfterKill(now) // applies if the checkpoint does not complete
+		t.setState(now, protocol.TaskCheckpointing)
+		t.schedule(now+int64(spec.CheckpointDuration), func(now int64) {
+			t.remaining = remaining
 			t.exit(now, protocol.ExitStopped, true)
 		})
 	default:
@@ -157,50 +161,51 @@
 	}
 }
 
-// exit ends a task. It stays in the reports until it is forgotten.
+// exit ends a task. Reports contain it until a controller sends the command `forget`.
 func (t *task) exit(now int64, why protocol.ExitReason, saved bool) {
 	if t.state == protocol.TaskExited {
 		return
 	}
 	t.leave(now, string(why), saved)
 	t.reason, t.saved = why, saved
-	t.becomes(now, protocol.TaskExited)
+	t.setState(now, protocol.TaskExited)
 }
 
-// leave takes a task off its machine.
+// leave removes a task from its machine: it frees the resources and the image, and reports the
+// reason and the progress to the supervisor.
 func (t *task) leave(now int64, why string, saved bool) {
 	if t.state == protocol.TaskExited {
 		return
 	}
 	if t.job != nil {
-		t.w.used = t.w.used.Add(t.job.spec.TaskResources, -1)
+		t.worker.usedResources = t.worker.usedResources.Add(t.job.spec.TaskResources, -1)
 	}
 	if t.image != nil {
-		if t.on {
+		if t.entered {
 			t.image.users--
-			t.image.used = now
+			t.image.lastUsed = now
 		} else {
 			t.image.waiters--
-			t.w.images.unwanted(now, t.image)
-			t.w.armFetch()
+			t.worker.images.cancelUnneededFetch(now, t.image)
+			t.worker.scheduleFetchCheck()
 		}
 		t.image = nil
 	}
-	if !t.on {
+	if !t.entered {
 		return
 	}
-	t.on = false
+	t.entered = false
 	if t.job.spec.Kind == protocol.Gang {
-		t.w.p.leaves(t)
+		t.worker.process.removeGangTask(t)
 	}
-	if why != string(protocol.ExitDone) && t.job.run > 0 && t.job.spec.Kind == protocol.Array {
-		if left := t.checkpoint(now); left < t.safe {
-			t.w.p.tell(&wire.Message{Kind: wire.Progress, Task: t.name, At: now, Run: left})
+	if why != string(protocol.ExitDone) && t.job.runTime > 0 && t.job.spec.Kind == protocol.Array {
+		if remaining := t.remainingAfterKill(now); remaining < t.reportedRemaining {
+			t.worker.process.send(&wire.Message{Kind: wire.Progress, Task: t.name, At: now, Run: remaining})
 		}
 	}
-	m := &wire.Message{Kind: wire.Leave, Task: t.name, Name: t.w.m.Name, At: now, Text: why}
+	m := &wire.Message{Kind: wire.Leave, Task: t.name, Name: t.worker.machine.Name, At: now, Text: why}
 	if saved {
 		m.Phase = "saved"
 	}
-	t.w.p.tell(m)
+	t.worker.process.send(m)
 }
--- a/internal/scale/hollow/timers.go
+++ b/internal/scale/hollow/timers.go
@@ -8,18 +8,18 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// timers are all of a process, in one heap with one goroutine. A timer can't be taken
-// back: what it calls looks whether it is still wanted.
+// timers contains all timers of a process in one heap, which one goroutine serves. A timer
+// can't be cancelled, so the function that it calls checks whether the call still applies.
 type timers struct {
-	mu   sync.Mutex
-	heap timerHeap
-	seq  uint64
-	wake chan struct{}
-	lag  int64 // the longest since it was last asked for, microseconds
+	mu     sync.Mutex
+	heap   timerHeap
+	seq    uint64
+	wake   chan struct{}
+	maxLag int64 // longest delay of a call since takeMaxLag was last called, microseconds
 }
 
 type timer struct {
-	at  int64
+	due int64
 	seq uint64
 	fn  func(now int64)
 }
@@ -28,7 +28,7 @@
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(a, b int) bool {
-	return h[a].at < h[b].at || h[a].at == h[b].at && h[a].seq < h[b].seq
+	return h[a].due < h[b].due || h[a].due == h[b].due && h[a].seq < h[b].seq
 }
 func (h timerHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
@@ -46,11 +46,11 @@
 
 func newTimers() *timers { return &timers{wake: make(chan struct{}, 1)} }
 
-// at has fn called at an instant, not before.
-func (t *timers) at(at int64, fn func(now int64)) {
+// schedule calls fn at a time, never earlier.
+func (t *timers) schedule(due int64, fn func(now int64)) {
 	t.mu.Lock()
 	t.seq++
-	heap.Push(&t.heap, timer{at, t.seq, fn})
+	heap.Push(&t.heap, timer{due, t.seq, fn})
 	first := t.heap[0].seq == t.seq
 	t.mu.Unlock()
 	if first {
@@ -61,22 +61,23 @@
 	}
 }
 
-// next takes the first timer if it is due, or says how long it is until then.
+// next removes the first timer and returns its function if it is due. Otherwise it returns the
+// time until the first timer is due.
 func (t *timers) next(now int64) (fn func(int64), wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.heap) == 0 {
 		return nil, time.Hour
 	}
-	if first := t.heap[0]; first.at > now {
-		return nil, time.Duration(first.at-now) * time.Microsecond
+	if first := t.heap[0]; first.due > now {
+		return nil, time.Duration(first.due-now) * time.Microsecond
 	}
 	first := heap.Pop(&t.heap).(timer)
-	t.lag = max(t.lag, now-first.at)
+	t.maxLag = max(t.maxLag, now-first.due)
 	return first.fn, 0
 }
 
-// run calls timers as they are due, until stop is closed.
+// run calls the functions of timers when they are due, until stop is closed.
 func (t *timers) run(stop <-chan struct{}) {
 	sleep := time.NewTimer(time.Hour)
 	defer sleep.Stop()
@@ -97,14 +98,14 @@
 	}
 }
 
-// longest is the longest lag of a timer since the last call.
-func (t *timers) longest(now int64) int64 {
+// takeMaxLag returns the longest delay of a timer since the last call of takeMaxLag.
+func (t *timers) takeMaxLag(now int64) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lag := t.lag
-	if len(t.heap) > 0 { // one that waits for the goroutine just now
-		lag = max(lag, now-t.heap[0].at)
+	lag := t.maxLag
+	if len(t.heap) > 0 { // the first timer may be overdue while the goroutine is busy
+		lag = max(lag, now-t.heap[0].due)
 	}
-	t.lag = 0
+	t.maxLag = 0
 	return lag
 }
--- a/internal/scale/hollow/worker.go
+++ b/internal/scale/hollow/worker.go
@@ -15,392 +15,397 @@
 )
 
 const (
-	patience   = int64(4 * protocol.Second) // for an answer to a report
-	pause      = int64(protocol.Second)     // until the next controller is tried
-	changesGap = int64(protocol.Second / 2) // between reports of changes
-	// noticing is the part of gang_peer_s after which a gang has noticed that the machine
-	// of one of its tasks hangs.
-	noticing = 4
+	reportTimeout        = int64(4 * protocol.Second) // for the answer to a report
+	controllerRetryDelay = int64(protocol.Second)     // before a report to the next controller
+	changeReportDelay    = int64(protocol.Second / 2) // from a report until a report of changes
+	// hangNoticeDivisor: a gang notices that the machine of one of its tasks hangs after
+	// gang_peer_s divided by this number.
+	hangNoticeDivisor = 4
 )
 
-// worker is one machine's worker. Its state is its lock's holder's.
+// worker simulates the worker of one machine. mu guards its state.
 type worker struct {
-	p   *process
-	m   wire.Machine
-	typ *protocol.MachineType
-
-	mu        sync.Mutex
-	up, gone  bool
-	session   uint64
-	tick      uint64
-	epoch     uint64
-	leaseFrom int64 // when the session began, or the last answered report was sent
-
-	tasks  []*task
-	used   protocol.Resources // by tasks that have not exited
-	images images
-	head   string // of its reports
-	list   []byte // of its tasks, as in reports
-	stale  bool   // list has to be made anew
-
-	hungFrom, hungUntil int64         // 0: it doesn't hang
-	held                []func(int64) // what waits until it goes on
-	goesOn              chan struct{} // closed then
-
-	node      int   // controller that it reports to
-	sent      int64 // when the last report was
-	due       int64 // of the next one
-	notBefore int64
-	changed   bool
-	noticed   int64 // when a higher token last counted as a change
-	inFlight  bool
-	armed     int64 // first timer that looks whether a report is due
-	send      chan struct{}
-	body      []byte
-	rng       *rand.Rand
+	process     *process
+	machine     wire.Machine
+	machineType *protocol.MachineType
+
+	mu          sync.Mutex
+	up, removed bool
+	session     uint64
+	tick        uint64
+	epoch       uint64
+	leaseStart  int64 // start of the session, or time at which the last answered report was sent
+
+	tasks             []*task
+	usedResources     protocol.Resources // of tasks that have not exited
+	images            imageCache
+	reportPrefix      string // constant beginning of the reports
+	encodedTasks      []byte // tasks as encoded in reports
+	encodedTasksStale bool   // the tasks have changed since they were encoded
+
+	hangStart, hangEnd int64         // 0 if the machine doesn't hang
+	deferred           []func(int64) // calls that wait for the end of the hang
+	resumed            chan struct{} // closed when the hang ends or the machine is removed
+
+	controller     int   // index of the controller that receives the reports
+	lastReport     int64 // time of the last report
+	nextReport     int64 // time of the next report if nothing changes
+	earliestReport int64 // time before which no report is sent
+	hasChanges     bool  // since the last report
+	epochChangeAt  int64 // time at which a higher epoch last counted as a change
+	inFlight       bool
+	reportTimerAt  int64 // time of the first timer that checks whether a report is due
+	sendReport     chan struct{}
+	body           []byte
+	rng            *rand.Rand
 
 	server *httpconn.Server
 	client *httpconn.Client
 }
 
-// starts brings a worker up.
-func (w *worker) starts(now int64, spread bool) error {
+// start starts the worker. With spread the first report is due at a random time within a
+// heartbeat interval.
+func (w *worker) start(now int64, spread bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone || w.up {
+	if w.removed || w.up {
 		return nil
 	}
-	server, err := httpconn.Listen(w.m.Listen, nil, w.handle)
+	server, err := httpconn.Listen(w.machine.Listen, nil, w.handleRequest)
 	if err != nil {
 		return err
 	}
 	w.up, w.server = true, server
-	w.session, w.leaseFrom, w.due = 1, now, now
-	if spread { // a fleet that is there from the beginning doesn't report all at once
-		w.due += w.rng.Int64N(int64(w.p.platform.HeartbeatInterval) + 1)
-	}
-	w.notBefore = w.due
-	w.stale = true
-	w.p.up.Add(1)
-	w.armLease()
-	w.arm(now)
-	go w.report()
+	w.session, w.leaseStart, w.nextReport = 1, now, now
+	if spread { // workers that start together don't all report at once
+		w.nextReport += w.rng.Int64N(int64(w.process.platform.HeartbeatInterval) + 1)
+	}
+	w.earliestReport = w.nextReport
+	w.encodedTasksStale = true
+	w.process.workersUp.Add(1)
+	w.scheduleLeaseCheck()
+	w.scheduleReport(now)
+	go w.sendReports()
 	return nil
 }
 
-// ends takes a worker away for good, with all that is on it.
-func (w *worker) ends(now int64, why string) {
+// remove permanently removes a worker with all tasks on its machine.
+func (w *worker) remove(now int64, why string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone {
+	if w.removed {
 		return
 	}
-	w.kill(now, why)
-	w.gone = true
-	if w.goesOn != nil {
-		close(w.goesOn)
-		w.goesOn = nil
+	w.killTasks(now, why)
+	w.removed = true
+	if w.resumed != nil {
+		close(w.resumed)
+		w.resumed = nil
 	}
-	close(w.send)
+	close(w.sendReport)
 	w.client.Abort()
 	if w.up {
 		w.server.Close()
-		w.p.up.Add(-1)
+		w.process.workersUp.Add(-1)
 	}
 }
 
-// kill takes all tasks off the machine and forgets them.
-func (w *worker) kill(now int64, why string) {
+// killTasks removes all tasks from the machine and drops them from the reports.
+func (w *worker) killTasks(now int64, why string) {
 	for _, t := range w.tasks {
 		t.leave(now, why, false)
-		t.turn++
+		t.generation++
 		t.state = protocol.TaskExited
 	}
 	clear(w.tasks)
 	w.tasks = w.tasks[:0]
-	w.touch(now)
+	w.markChanged(now)
 }
 
-// nextSession begins a session without tasks.
-func (w *worker) nextSession(now int64, why string) {
-	w.kill(now, why)
+// startSession kills all tasks and begins a new session.
+func (w *worker) startSession(now int64, why string) {
+	w.killTasks(now, why)
 	w.session++
-	w.leaseFrom = now
-	w.armLease()
+	w.leaseStart = now
+	w.scheduleLeaseCheck()
 }
 
-// restarts begins anew: without tasks, images and token. The session is a new one all the
-// same, since the controllers take an earlier one for an older message.
-func (w *worker) restarts(now int64) {
+// restart simulates a restart of the worker: its tasks, images and epoch are lost. The session
+// number still increases, since controllers take a report with a lower number for an older one.
+func (w *worker) restart(now int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.up || w.gone {
+	if !w.up || w.removed {
 		return
 	}
-	w.nextSession(now, "restarted")
-	w.images.list, w.images.fetches = make(map[string]*image), nil
+	w.startSession(now, "restarted")
+	w.images.byName, w.images.fetches = make(map[string]*image), nil
 	w.epoch = 0
 	w.client.Close()
 	w.server.Drop()
 }
 
-// hangs has a machine stand still until an instant.
-func (w *worker) hangs(now, until int64) {
+// hang suspends the machine until a time.
+func (w *worker) hang(now, until int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.up || w.gone || until <= now {
+	if !w.up || w.removed || until <= now {
 		return
 	}
-	if w.hungUntil == 0 {
-		w.hungFrom, w.goesOn = now, make(chan struct{})
+	if w.hangEnd == 0 {
+		w.hangStart, w.resumed = now, make(chan struct{})
 	}
-	w.hungUntil = max(w.hungUntil, until)
-	w.p.timers.at(w.hungUntil, w.resumes)
-	if notice := int64(w.p.platform.GangPeerTimeout) / noticing; until-now > notice {
-		from := w.hungFrom
-		w.p.timers.at(now+notice, func(now int64) { w.missed(now, from) })
+	w.hangEnd = max(w.hangEnd, until)
+	w.process.timers.schedule(w.hangEnd, w.resume)
+	if noticeDelay := int64(w.process.platform.GangPeerTimeout) / hangNoticeDivisor; until-now > noticeDelay {
+		hangStart := w.hangStart
+		w.process.timers.schedule(now+noticeDelay, func(now int64) { w.reportHang(now, hangStart) })
 	}
 }
 
-// missed tells that the gangs with a task here notice that the machine hangs.
-func (w *worker) missed(now, from int64) {
+// reportHang reports to the supervisor that the gangs with a task on this machine have noticed
+// the hang that began at hangStart, if it lasts until now.
+func (w *worker) reportHang(now, hangStart int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone || w.hungUntil == 0 || w.hungFrom != from {
+	if w.removed || w.hangEnd == 0 || w.hangStart != hangStart {
 		return
 	}
 	for _, t := range w.tasks {
-		if t.on && t.job.spec.Kind == protocol.Gang && (t.state == protocol.TaskRunning || t.state == protocol.TaskCheckpointing) {
-			w.p.tell(&wire.Message{Kind: wire.Peers, Task: t.name, Name: w.m.Name, At: now})
+		if t.entered && t.job.spec.Kind == protocol.Gang && (t.state == protocol.TaskRunning || t.state == protocol.TaskCheckpointing) {
+			w.process.send(&wire.Message{Kind: wire.Peers, Task: t.name, Name: w.machine.Name, At: now})
 		}
 	}
 }
 
-// resumes goes on after a hang.
-func (w *worker) resumes(now int64) {
+// resume ends a hang and runs the deferred calls.
+func (w *worker) resume(now int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone || w.hungUntil == 0 || now < w.hungUntil {
+	if w.removed || w.hangEnd == 0 || now < w.hangEnd {
 		return
 	}
 	for _, t := range w.tasks {
-		t.longer(now - w.hungFrom)
+		t.extendRun(now - w.hangStart)
 	}
-	held, goesOn := w.held, w.goesOn
-	w.hungFrom, w.hungUntil, w.held, w.goesOn = 0, 0, nil, nil
-	for _, fn := range held {
+	deferred, resumed := w.deferred, w.resumed
+	w.hangStart, w.hangEnd, w.deferred, w.resumed = 0, 0, nil, nil
+	for _, fn := range deferred {
 		fn(now)
 	}
-	close(goesOn)
-	w.arm(now)
+	close(resumed)
+	w.scheduleReport(now)
 }
 
-// later has fn called with the lock at an instant, or when the machine goes on after it.
-func (w *worker) later(at int64, fn func(now int64)) {
-	w.p.timers.at(at, func(now int64) { w.locked(now, fn) })
+// schedule calls fn with the lock at a time. If the machine hangs then, the call is deferred until
+// the hang ends.
+func (w *worker) schedule(at int64, fn func(now int64)) {
+	w.process.timers.schedule(at, func(now int64) { w.runLocked(now, fn) })
 }
 
-// locked calls fn with the lock, once the machine doesn't hang.
-func (w *worker) locked(now int64, fn func(now int64)) {
+// runLocked calls fn with the lock. If the machine hangs, it defers the call until the hang ends.
+func (w *worker) runLocked(now int64, fn func(now int64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.gone:
-	case w.hungUntil > 0:
-		w.held = append(w.held, fn)
+	case w.removed:
+	case w.hangEnd > 0:
+		w.deferred = append(w.deferred, fn)
 	default:
 		fn(now)
 	}
 }
 
-// armLease looks when the lease may be over. A machine that hangs loses its lease too.
-func (w *worker) armLease() {
+// scheduleLeaseCheck checks the lease at the time at which it may have expired. The lease also
+// expires while the machine hangs.
+func (w *worker) scheduleLeaseCheck() {
 	session := w.session
-	w.p.timers.at(w.leaseFrom+int64(w.p.platform.WorkerLease)+1, func(now int64) {
+	w.process.timers.schedule(w.leaseStart+int64(w.process.platform.WorkerLease)+1, func(now int64) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.gone || w.session != session {
+		if w.removed || w.session != session {
 			return
 		}
-		if now <= w.leaseFrom+int64(w.p.platform.WorkerLease) {
-			w.armLease()
+		if now <= w.leaseStart+int64(w.process.platform.WorkerLease) {
+			w.scheduleLeaseCheck()
 			return
 		}
-		w.p.expiries.Add(1)
-		w.nextSession(now, "lease")
+		w.process.leaseExpiries.Add(1)
+		w.startSession(now, "lease")
 	})
 }
 
-// touch notes that the next report says something new.
-func (w *worker) touch(now int64) {
-	w.stale, w.changed = true, true
-	w.arm(now)
+// markChanged records that the next report contains changes, so that it is sent earlier.
+func (w *worker) markChanged(now int64) {
+	w.encodedTasksStale, w.hasChanges = true, true
+	w.scheduleReport(now)
 }
 
-// reportDue is when the next report goes out.
+// reportDue returns the time at which the next report is due.
 func (w *worker) reportDue() int64 {
-	due := w.due
-	if w.changed {
-		due = min(due, w.sent+changesGap)
+	due := w.nextReport
+	if w.hasChanges {
+		due = min(due, w.lastReport+changeReportDelay)
 	}
-	return max(due, w.notBefore)
+	return max(due, w.earliestReport)
 }
 
-// arm looks after the next report.
-func (w *worker) arm(now int64) {
-	if !w.up || w.gone || w.inFlight || w.hungUntil > 0 {
+// scheduleReport sets a timer for the next report unless an earlier one is set.
+func (w *worker) scheduleReport(now int64) {
+	if !w.up || w.removed || w.inFlight || w.hangEnd > 0 {
 		return
 	}
 	due := w.reportDue()
-	if w.armed > now && w.armed <= due {
+	if w.reportTimerAt > now && w.reportTimerAt <= due {
 		return
 	}
-	w.armed = max(due, now)
-	w.p.timers.at(w.armed, func(now int64) {
+	w.reportTimerAt = max(due, now)
+	w.process.timers.schedule(w.reportTimerAt, func(now int64) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.gone || w.inFlight || w.hungUntil > 0 {
+		if w.removed || w.inFlight || w.hangEnd > 0 {
 			return
 		}
 		if now < w.reportDue() {
-			w.arm(now)
+			w.scheduleReport(now)
 			return
 		}
 		w.inFlight = true
-		w.send <- struct{}{} // there is room: only one is in flight
+		w.sendReport <- struct{}{} // doesn't block, since only one report is in flight
 	})
 }
 
-// report sends reports, each when it is due.
-func (w *worker) report() {
-	for range w.send {
-		addr, sent, session := w.composes()
+// sendReports sends a report for each signal of sendReport until that is closed.
+func (w *worker) sendReports() {
+	for range w.sendReport {
+		addr, sent, session := w.composeReport()
 		if addr == "" {
 			return
 		}
-		r, err := w.client.Post(addr, "/hello", w.body, time.Now().Add(time.Duration(patience)*time.Microsecond))
-		w.answered(sent, session, r, err)
+		r, err := w.client.Post(addr, "/hello", w.body, time.Now().Add(time.Duration(reportTimeout)*time.Microsecond))
+		w.handleReportResult(sent, session, r, err)
 	}
 }
 
-// composes writes the next report. No address: the machine is gone.
-func (w *worker) composes() (addr string, sent int64, session uint64) {
+// composeReport writes the next report and returns the address of the controller that receives
+// it. The address is empty if the machine was removed.
+func (w *worker) composeReport() (addr string, sent int64, session uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone {
+	if w.removed {
 		return "", 0, 0
 	}
-	sent = w.p.now()
-	w.sent, w.changed, w.armed = sent, false, 0
-	every := int64(w.p.platform.HeartbeatInterval)
-	w.due = sent + every*3/4 + w.rng.Int64N(every/2+1)
-	w.notBefore = 0
+	sent = w.process.now()
+	w.lastReport, w.hasChanges, w.reportTimerAt = sent, false, 0
+	interval := int64(w.process.platform.HeartbeatInterval)
+	w.nextReport = sent + interval*3/4 + w.rng.Int64N(interval/2+1)
+	w.earliestReport = 0
 	w.body = w.append(w.body[:0])
-	return w.p.config.Controllers[w.node].Public[w.m.Region], sent, w.session
+	return w.process.config.Controllers[w.controller].Public[w.machine.Region], sent, w.session
 }
 
-// answered takes what became of a report.
-func (w *worker) answered(sent int64, session uint64, r *transport.Response, err error) {
+// handleReportResult handles the answer to a report, or the error instead of one.
+func (w *worker) handleReportResult(sent int64, session uint64, r *transport.Response, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.standsStill()
-	if w.gone {
+	w.waitWhileHung()
+	if w.removed {
 		return
 	}
-	now := w.p.now()
+	now := w.process.now()
 	w.inFlight = false
-	if err == nil && now-sent > patience {
+	if err == nil && now-sent > reportTimeout {
 		err = errors.New("too late")
 		w.client.Close()
 	}
-	w.p.answered(now-sent, err != nil || r.Status != 200 && r.Status != 421)
+	w.process.recordReport(now-sent, err != nil || r.Status != 200 && r.Status != 421)
 	if err != nil {
-		w.next(now)
+		w.selectNextController(now)
 	} else {
-		w.take(now, sent, session, r)
+		w.handleAnswer(now, sent, session, r)
 	}
-	w.arm(now)
+	w.scheduleReport(now)
 }
 
-// standsStill waits until the machine doesn't hang; the lock is given back meanwhile.
-func (w *worker) standsStill() {
-	for w.hungUntil > 0 && !w.gone {
-		goesOn := w.goesOn
+// waitWhileHung waits until the machine doesn't hang. It releases the lock while it waits.
+func (w *worker) waitWhileHung() {
+	for w.hangEnd > 0 && !w.removed {
+		resumed := w.resumed
 		w.mu.Unlock()
-		<-goesOn
+		<-resumed
 		w.mu.Lock()
 	}
 }
 
-// next has the worker report to the next controller.
-func (w *worker) next(now int64) {
-	w.node = (w.node + 1) % len(w.p.config.Controllers)
-	w.due = now + pause
-	w.notBefore = w.due
+// selectNextController makes the next controller receive the reports, after a delay.
+func (w *worker) selectNextController(now int64) {
+	w.controller = (w.controller + 1) % len(w.process.config.Controllers)
+	w.nextReport = now + controllerRetryDelay
+	w.earliestReport = w.nextReport
 }
 
-// take takes the answer to a report.
-func (w *worker) take(now, sent int64, session uint64, r *transport.Response) {
+// handleAnswer handles the answer to a report.
+func (w *worker) handleAnswer(now, sent int64, session uint64, r *transport.Response) {
 	if r.Status != 200 && r.Status != 421 {
-		w.next(now)
+		w.selectNextController(now)
 		return
 	}
 	parser := protocol.Parsers.Get()
 	defer protocol.Parsers.Put(parser)
 	v, err := parser.ParseBytes(r.Body)
 	if err != nil {
-		w.next(now)
+		w.selectNextController(now)
 		return
 	}
 	if r.Status == 421 {
-		w.p.redirects.Add(1)
+		w.process.redirects.Add(1)
 		leader := string(v.GetStringBytes("leader"))
-		for i, c := range w.p.config.Controllers {
-			if c.Name == leader && i != w.node {
+		for i, c := range w.process.config.Controllers {
+			if c.Name == leader && i != w.controller {
 				w.client.Close()
-				w.node = i
-				w.due = now + w.rng.Int64N(int64(protocol.Second/2))
-				w.notBefore = w.due
+				w.controller = i
+				w.nextReport = now + w.rng.Int64N(int64(protocol.Second/2))
+				w.earliestReport = w.nextReport
 				return
 			}
 		}
-		w.next(now)
+		w.selectNextController(now)
 		return
 	}
-	if token := v.GetUint64("epoch"); token == 0 || token < w.epoch || session != w.session {
-		w.p.dropped.Add(1)
+	if epoch := v.GetUint64("epoch"); epoch == 0 || epoch < w.epoch || session != w.session {
+		w.process.droppedAnswers.Add(1)
 		return
-	} else if token > w.epoch {
-		w.sees(now, token)
+	} else if epoch > w.epoch {
+		w.raiseEpoch(now, epoch)
 	}
-	w.leaseFrom = sent
+	w.leaseStart = sent
 	for _, c := range v.GetArray("orders") {
 		w.execute(now, string(c.GetStringBytes("verb")), string(c.GetStringBytes("shard")), c.GetUint64("try"), c.GetFloat64("drainS"))
 	}
 }
 
-// sees takes a higher token.
-func (w *worker) sees(now int64, token uint64) {
-	w.epoch = token
-	if now-w.noticed >= int64(w.p.platform.WorkerLease)/2 {
-		w.noticed = now
-		w.changed = true
+// raiseEpoch stores a higher epoch. It counts as a change at most once in half a lease.
+func (w *worker) raiseEpoch(now int64, epoch uint64) {
+	w.epoch = epoch
+	if now-w.epochChangeAt >= int64(w.process.platform.WorkerLease)/2 {
+		w.epochChangeAt = now
+		w.hasChanges = true
 	}
 }
 
-// execute carries out a command.
-func (w *worker) execute(now int64, verb, name string, try uint64, grace float64) {
-	ref, number, _ := strings.Cut(name, "/")
-	index, err := strconv.Atoi(number)
+// execute executes a command from a controller.
+func (w *worker) execute(now int64, verb, name string, attempt uint64, grace float64) {
+	ref, indexText, _ := strings.Cut(name, "/")
+	index, err := strconv.Atoi(indexText)
 	if err != nil || index < 0 {
 		return
 	}
-	var known *task
+	var existing *task
 	busy := false
 	for _, t := range w.tasks {
 		if t.index == index && t.ref == ref {
-			if t.try == try {
-				known = t
+			if t.attempt == attempt {
+				existing = t
 			} else if t.state != protocol.TaskExited {
 				busy = true
 			}
@@ -408,73 +413,74 @@
 	}
 	switch verb {
 	case "launch":
-		if known == nil {
-			w.launch(now, ref, index, try, busy)
+		if existing == nil {
+			w.launch(now, ref, index, attempt, busy)
 		}
 	case "stop":
-		if known != nil {
-			known.stop(now, protocol.FromSeconds(grace))
+		if existing != nil {
+			existing.stop(now, protocol.FromSeconds(grace))
 		}
 	case "forget":
-		if known != nil && known.state == protocol.TaskExited {
+		if existing != nil && existing.state == protocol.TaskExited {
 			for i, t := range w.tasks {
-				if t == known {
+				if t == existing {
 					w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
 					break
 				}
 			}
-			w.touch(now)
+			w.markChanged(now)
 		}
 	}
 }
 
-// launch takes a task in; what it is, the supervisor says.
-func (w *worker) launch(now int64, ref string, index int, try uint64, busy bool) {
-	t := &task{w: w, ref: ref, index: index, try: try, began: now}
-	t.name = ref + "/" + strconv.Itoa(index) + "#" + strconv.FormatUint(try, 10)
+// launch adds a task and requests its description from the supervisor.
+func (w *worker) launch(now int64, ref string, index int, attempt uint64, busy bool) {
+	t := &task{worker: w, ref: ref, index: index, attempt: attempt, launchedAt: now}
+	t.name = ref + "/" + strconv.Itoa(index) + "#" + strconv.FormatUint(attempt, 10)
 	w.tasks = append(w.tasks, t)
-	w.touch(now)
+	w.markChanged(now)
 	if busy {
 		t.exit(now, protocol.ExitBusy, false)
 		return
 	}
-	j := w.p.job(ref)
+	j := w.process.job(ref)
 	if j != nil && !w.admit(now, t, j) {
 		return
 	}
-	ask := &wire.Message{Kind: wire.Jobs, Task: t.name, Name: w.m.Name, At: now}
+	request := &wire.Message{Kind: wire.Jobs, Task: t.name, Name: w.machine.Name, At: now}
 	if j == nil {
-		ask.Ref = ref
+		request.Ref = ref
 	}
-	w.p.tell(ask)
+	w.process.send(request)
 }
 
-// admit takes what a task needs of the machine and has its image fetched, or refuses it.
+// admit reserves the resources of a task and fetches its image. It returns false if it has
+// refused the task.
 func (w *worker) admit(now int64, t *task, j *job) bool {
 	if t.index >= j.spec.Tasks {
 		t.exit(now, protocol.ExitUnknown, false)
 		return false
 	}
-	used := w.used.Add(j.spec.TaskResources, 1)
-	if !w.typ.Capacity.Covers(used) {
+	used := w.usedResources.Add(j.spec.TaskResources, 1)
+	if !w.machineType.Capacity.Covers(used) {
 		t.exit(now, protocol.ExitFull, false)
 		return false
 	}
-	w.used, t.job, t.left = used, j, max(j.run, 0)
-	t.image = w.images.want(now, j.spec.Image, j.spec.ImageSize)
+	w.usedResources, t.job, t.remaining = used, j, max(j.runTime, 0)
+	t.image = w.images.getOrFetch(now, j.spec.Image, j.spec.ImageSize)
 	t.image.waiters++
-	w.armFetch()
+	w.scheduleFetchCheck()
 	return true
 }
 
-// described takes what the supervisor says of a task.
-func (w *worker) described(m *wire.Message) {
-	w.locked(w.p.now(), func(now int64) {
+// handleDescription handles the supervisor's description of a task.
+func (w *worker) handleDescription(m *wire.Message) {
+	w.runLocked(w.process.now(), func(now int64) {
 		for _, t := range w.tasks {
-			if t.name != m.Task || t.state != protocol.TaskFetching || t.told {
+			if t.name != m.Task || t.state != protocol.TaskFetching || t.described {
 				continue
 			}
-			j := w.p.job(t.ref)
+			j := w.process.job(t.ref)
 			if m.Status == 404 || j == nil {
 				t.exit(now, protocol.ExitUnknown, false)
 				return
@@ -482,58 +488,58 @@
 			if t.job == nil && !w.admit(now, t, j) {
 				return
 			}
-			t.told, t.kept = true, m.Phase == "done"
+			t.described, t.resultStored = true, m.Phase == "done"
 			if m.For > 0 {
-				t.left = m.For
+				t.remaining = m.For
 			}
-			t.safe = t.left
-			t.ready(now)
+			t.reportedRemaining = t.remaining
+			t.startIfReady(now)
 			return
 		}
 	})
 }
 
-// armFetch looks when the next image is there.
-func (w *worker) armFetch() {
-	due := w.images.due()
+// scheduleFetchCheck sets a timer for the time at which the next fetch completes.
+func (w *worker) scheduleFetchCheck() {
+	due := w.images.nextCompletion()
 	if due == 0 {
 		return
 	}
-	w.later(due, func(now int64) {
-		if next := w.images.due(); next == 0 || next > now {
-			return // the fetches have changed, and with them the timer
+	w.schedule(due, func(now int64) {
+		if next := w.images.nextCompletion(); next == 0 || next > now {
+			return // the fetches have changed, and a later timer is set
 		}
-		list := w.images.arrived(now)
-		for _, i := range list {
+		fetched := w.images.completeFetches(now)
+		for _, i := range fetched {
 			for _, t := range w.tasks {
 				if t.image == i && t.state == protocol.TaskFetching {
-					t.fetched = now - t.began
-					t.ready(now)
+					t.fetchTime = now - t.launchedAt
+					t.startIfReady(now)
 				}
 			}
 		}
-		w.armFetch()
+		w.scheduleFetchCheck()
 	})
 }
 
-// append writes a report; the tasks are written anew only if they have changed.
+// append appends a report to b. It encodes the tasks again only if they have changed.
 func (w *worker) append(b []byte) []byte {
 	w.tick++
-	if w.stale {
-		w.stale = false
-		w.list = appendTasks(w.list[:0], w.tasks)
+	if w.encodedTasksStale {
+		w.encodedTasksStale = false
+		w.encodedTasks = appendTasks(w.encodedTasks[:0], w.tasks)
 	}
-	b = append(b, w.head...)
+	b = append(b, w.reportPrefix...)
 	b = strconv.AppendUint(b, w.session, 10)
 	b = strconv.AppendUint(append(b, `,"tick":`...), w.tick, 10)
 	b = strconv.AppendUint(append(b, `,"epoch":`...), w.epoch, 10)
 	b = append(b, `,"reclaimInS":null,"shards":[`...)
-	b = append(b, w.list...)
+	b = append(b, w.encodedTasks...)
 	return append(b, "]}"...)
 }
 
-// reportHead is what all reports of a machine begin with.
-func reportHead(m *wire.Machine) string {
+// encodeReportPrefix returns the constant beginning of the reports of a machine.
+func encodeReportPrefix(m *wire.Machine) string {
 	b := protocol.AppendQuoted([]byte(`{"host":`), m.Name)
 	b = protocol.AppendQuoted(append(b, `,"addr":`...), m.Public)
 	b = protocol.AppendQuoted(append(b, `,"flavor":`...), m.Type)
@@ -551,7 +557,7 @@
 		}
 		b = append(append(append(b, `{"shard":"`...), t.ref...), '/')
 		b = strconv.AppendInt(b, int64(t.index), 10)
-		b = strconv.AppendUint(append(b, `","try":`...), t.try, 10)
+		b = strconv.AppendUint(append(b, `","try":`...), t.attempt, 10)
 		b = append(append(append(b, `,"phase":"`...), stateNames[t.state]...), '"')
 		if t.state == protocol.TaskExited {
 			b = append(append(append(b, `,"exitReason":"`...), t.reason...), '"')
@@ -564,34 +570,34 @@
 	return b
 }
 
-// handle answers what controllers ask of the worker directly.
-func (w *worker) handle(c *httpconn.Conn, r *transport.Request) (int, []byte) {
+// handleRequest answers requests that controllers send to the worker.
+func (w *worker) handleRequest(c *httpconn.Conn, r *transport.Request) (int, []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.standsStill()
-	if w.gone {
+	w.waitWhileHung()
+	if w.removed {
 		return 0, nil
 	}
-	c.Traffic = &w.p.status
+	c.Traffic = &w.process.statusTraffic
 	switch {
 	case r.Method == "GET" && r.Path == "/status":
 		return 200, w.append(nil)
 	case r.Method == "POST" && r.Path == "/commands":
-		c.Traffic = &w.p.commands
+		c.Traffic = &w.process.commandTraffic
 		parser := protocol.Parsers.Get()
 		defer protocol.Parsers.Put(parser)
 		v, err := parser.ParseBytes(r.Body)
 		if err != nil || v.Get("epoch") == nil || v.Get("tenure") == nil {
 			return 400, []byte(`{"error":"epoch and tenure are needed"}`)
 		}
-		token := v.GetUint64("epoch")
-		if token < w.epoch || v.GetUint64("tenure") != w.session {
+		epoch := v.GetUint64("epoch")
+		if epoch < w.epoch || v.GetUint64("tenure") != w.session {
 			return 409, w.append(nil)
 		}
-		now := w.p.now()
-		if token > w.epoch {
-			w.sees(now, token)
-			w.arm(now)
+		now := w.process.now()
+		if epoch > w.epoch {
+			w.raiseEpoch(now, epoch)
+			w.scheduleReport(now)
 		}
 		for _, c := range v.GetArray("orders") {
 			w.execute(now, string(c.GetStringBytes("verb")), string(c.GetStringBytes("shard")), c.GetUint64("try"), c.GetFloat64("drainS"))
