--- a/internal/scale/relay/relay.go
+++ b/internal/scale/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay has the links between regions of a scale run: connections to a region's
-// addresses go through its process, which delays them, holds them while a region is
-// apart, and loses some, all on loopback.
+// Package relay simulates the links between regions in a scale run. Connections to the
+// addresses of a region pass through the region's process, which delays their data, holds it
+// while a link is cut, and resets some connections. All connections use loopback addresses.
 package relay
 
 import (
@@ -21,44 +21,44 @@
 )
 
 const (
-	// mostHeld is how many bytes a direction holds before it takes no more from its
-	// sender: about what sockets hold behind a cut.
-	mostHeld = 1 << 20
-	dialFor  = 2 * time.Second
-	block    = 32 << 10
+	// maxBuffered is how many bytes a direction buffers before it reads no more from the
+	// sender: about what socket buffers contain while a link is cut.
+	maxBuffered = 1 << 20
+	dialTimeout = 2 * time.Second
+	bufferSize  = 32 << 10
 )
 
-// relay is a region's.
+// relay contains the links of a region to the others.
 type relay struct {
 	pipe   *ipc.Pipe
 	region string
-	delay  map[string]int64 // one way, microseconds, by the other region
+	delay  map[string]int64 // one-way delay by the other region, microseconds
 	log    *slog.Logger
 
-	mu        sync.Mutex
-	of        map[string]string // IP to region
-	listeners map[string]net.Listener
-	targets   map[string]string // public address to listening one
-	links     map[string]*link  // by the other region
-	loss      float64
-	jitter    float64
-	r         *rand.Rand
-	buffers   sync.Pool
+	mu         sync.Mutex
+	regionByIP map[string]string // region by source IP
+	listeners  map[string]net.Listener
+	targets    map[string]string // listening address by public address
+	links      map[string]*link  // by the other region
+	lossShare  float64
+	jitter     float64
+	rng        *rand.Rand
+	buffers    sync.Pool
 
 	bytes, opened, lost, refused, unknown atomic.Int64
 }
 
-// link is between this region and another one.
+// link is the link between this region and another one.
 type link struct {
-	cutUntil  int64 // bytes are held until then
-	slowUntil int64
-	slow      float64
-	lossUntil int64
-	loss      float64
-	conns     map[*splice]bool
+	cutUntil    int64 // data is held until this time
+	delayUntil  int64 // delays are multiplied by delayFactor until this time
+	delayFactor float64
+	lossUntil   int64 // lossShare of the connections is reset until this time
+	lossShare   float64
+	conns       map[*splice]bool
 }
 
-// Run is the role of a region's links.
+// Run runs the part with wire.RoleRelay: the links of a region.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
 	p, err := ipc.Open(in, out)
 	if err != nil {
@@ -69,12 +69,12 @@
 		return p.Ready(fmt.Errorf("setup without links"))
 	}
 	r := &relay{
-		pipe: p, region: c.Region, delay: c.Delay, log: log, of: make(map[string]string), listeners: make(map[string]net.Listener),
-		targets: make(map[string]string), links: make(map[string]*link), loss: c.Loss, jitter: c.Jitter, r: rand.New(rand.NewPCG(p.Config.Seed, 0x11e)),
+		pipe: p, region: c.Region, delay: c.Delay, log: log, regionByIP: make(map[string]string), listeners: make(map[string]net.Listener),
+		targets: make(map[string]string), links: make(map[string]*link), lossShare: c.Loss, jitter: c.Jitter, rng: rand.New(rand.NewPCG(p.Config.Seed, 0x11e)),
 	}
-	r.buffers.New = func() any { return new([block]byte) }
+	r.buffers.New = func() any { return new([bufferSize]byte) }
 	for ip, region := range c.Of {
-		r.of[ip] = region
+		r.regionByIP[ip] = region
 	}
 	for public, listen := range c.Listen {
 		if err := r.listen(public, listen); err != nil {
@@ -85,22 +85,23 @@
 	if err := p.Ready(nil); err != nil {
 		return err
 	}
-	over := make(chan struct{})
-	go r.report(over)
+	stop := make(chan struct{})
+	go r.sendGauges(stop)
 	for m := range p.In {
-		r.order(m)
+		r.handleMessage(m)
 	}
-	close(over)
+	close(stop)
 	r.close()
 	return nil
 }
 
-// order takes one of the supervisor's: machines that come and go, and faults.
-func (r *relay) order(m *wire.Message) {
+// handleMessage handles a message from the supervisor: a machine is added, machines are
+// removed, or a fault begins.
+func (r *relay) handleMessage(m *wire.Message) {
 	switch {
 	case m.Kind == wire.Boot && m.Machine != nil:
 		r.mu.Lock()
-		r.of[m.Machine.Source] = m.Machine.Region
+		r.regionByIP[m.Machine.Source] = m.Machine.Region
 		r.mu.Unlock()
 		if m.Machine.Region == r.region {
 			if err := r.listen(m.Machine.Public, m.Machine.Listen); err != nil {
@@ -112,12 +113,13 @@
 			r.unlisten(public)
 		}
 	case m.Kind == wire.Fault:
-		r.fault(m)
+		r.injectFault(m)
 	}
 }
 
-// fault begins one. Each relay is told of all: it knows its end of the links.
-func (r *relay) fault(m *wire.Message) {
+// injectFault begins a fault. The supervisor sends each fault to all relays, and each relay
+// applies it to its own links.
+func (r *relay) injectFault(m *wire.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until := wire.Now() + m.For
@@ -130,11 +132,11 @@
 		case wire.FaultCut:
 			l.cutUntil = max(l.cutUntil, until)
 		case wire.FaultDelay:
-			l.slow, l.slowUntil = m.Factor, until
+			l.delayFactor, l.delayUntil = m.Factor, until
 		case wire.FaultLoss:
-			l.loss, l.lossUntil = m.Factor, until
+			l.lossShare, l.lossUntil = m.Factor, until
 			for s := range l.conns {
-				if r.r.Float64() < m.Factor {
+				if r.rng.Float64() < m.Factor {
 					r.lost.Add(1)
 					s.reset()
 				}
@@ -143,7 +145,7 @@
 	}
 }
 
-// link is the one to a region; the lock is held.
+// link returns the link to a region and creates it if needed. The caller holds the lock.
 func (r *relay) link(other string) *link {
 	l := r.links[other]
 	if l == nil {
@@ -156,7 +158,7 @@
 func (r *relay) listen(public, listen string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, there := r.listeners[public]; there {
+	if _, exists := r.listeners[public]; exists {
 		r.targets[public] = listen
 		return nil
 	}
@@ -197,24 +199,24 @@
 	}
 }
 
-// connect brings a connection to its target. Behind a cut it waits: whoever gives it up
-// meanwhile is not heard of later.
+// connect connects an accepted connection to its target. While the link is cut it waits. If the
+// client closes the connection meanwhile, no connection to the target is made.
 func (r *relay) connect(c *net.TCPConn, public string) {
 	from := c.RemoteAddr().(*net.TCPAddr).IP
 	r.mu.Lock()
-	other, known := r.of[from.String()]
+	other, known := r.regionByIP[from.String()]
 	target := r.targets[public]
-	loss := r.loss
+	lossShare := r.lossShare
 	var l *link
 	if known && other != r.region {
 		l = r.link(other)
 		if wire.Now() < l.lossUntil {
-			loss = l.loss
+			lossShare = l.lossShare
 		}
 	} else {
-		loss = 0
+		lossShare = 0
 	}
-	lost := loss > 0 && r.r.Float64() < loss
+	lost := lossShare > 0 && r.rng.Float64() < lossShare
 	r.mu.Unlock()
 	if !known {
 		r.unknown.Add(1)
@@ -226,12 +228,12 @@
 		c.Close()
 		return
 	}
-	s := &splice{r: r, l: l, delay: r.delay[other]}
+	s := &splice{relay: r, link: l, delay: r.delay[other]}
 	if l == nil {
 		s.delay = 0
 	}
-	// The connection's own round trip.
-	for at := wire.Now() + 2*s.span(); ; {
+	// Delays the connection by one round trip, as a handshake over the link would.
+	for at := wire.Now() + 2*s.packetDelay(); ; {
 		if until := s.heldUntil(); until > at {
 			at = until
 		}
@@ -239,26 +241,26 @@
 		if wait <= 0 {
 			break
 		}
-		if gone(c, time.Duration(min(wait, 100_000))*time.Microsecond) {
+		if closedAfter(c, time.Duration(min(wait, 100_000))*time.Microsecond) {
 			c.Close()
 			return
 		}
 	}
-	by := net.Dialer{Timeout: dialFor, LocalAddr: &net.TCPAddr{IP: from}, Control: func(_, _ string, raw syscall.RawConn) error {
-		// The port is chosen when the target is known: an IP may have as many
-		// connections to each target as there are ports.
+	dialer := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: from}, Control: func(_, _ string, raw syscall.RawConn) error {
+		// With this option the kernel chooses the source port when the target is known.
+		// An IP can then have as many connections to each target as there are ports.
 		return raw.Control(func(fd uintptr) {
 			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 		})
 	}}
-	t, err := by.Dial("tcp4", target)
+	targetConn, err := dialer.Dial("tcp4", target)
 	if err != nil {
 		r.refused.Add(1)
 		_ = c.SetLinger(0)
 		c.Close()
 		return
 	}
-	s.a, s.b = c, t.(*net.TCPConn)
+	s.client, s.target = c, targetConn.(*net.TCPConn)
 	if l != nil {
 		r.mu.Lock()
 		l.conns[s] = true
@@ -267,9 +269,9 @@
 	s.run()
 }
 
-// gone waits and reports whether the other side has closed the connection meanwhile.
-// What it sent stays to be read.
-func gone(c *net.TCPConn, wait time.Duration) bool {
+// closedAfter waits and reports whether the peer has closed the connection by then. It does not
+// read what the peer has sent.
+func closedAfter(c *net.TCPConn, wait time.Duration) bool {
 	time.Sleep(wait)
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -285,84 +287,85 @@
 	return closed || err != nil
 }
 
-// splice is a connection and the one that goes on from it.
+// splice is an accepted connection of a client and the connection to its target.
 type splice struct {
-	r     *relay
-	l     *link // nil: within the region
-	delay int64
-	a, b  *net.TCPConn
+	relay          *relay
+	link           *link // nil within the region
+	delay          int64
+	client, target *net.TCPConn
 }
 
-// span is how long a packet takes now.
-func (s *splice) span() int64 {
-	if s.l == nil {
+// packetDelay returns the delay of a packet that is sent now, in microseconds.
+func (s *splice) packetDelay() int64 {
+	if s.link == nil {
 		return 0
 	}
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
+	s.relay.mu.Lock()
+	defer s.relay.mu.Unlock()
 	d := float64(s.delay)
-	if wire.Now() < s.l.slowUntil {
-		d *= s.l.slow
+	if wire.Now() < s.link.delayUntil {
+		d *= s.link.delayFactor
 	}
-	return int64(d * (1 - s.r.jitter + 2*s.r.jitter*s.r.r.Float64()))
+	return int64(d * (1 - s.relay.jitter + 2*s.relay.jitter*s.relay.rng.Float64()))
 }
 
-// heldUntil is when a packet that is sent now may be delivered, if the link is cut.
+// heldUntil returns the time until which a cut of the link holds packets.
 func (s *splice) heldUntil() int64 {
-	if s.l == nil {
+	if s.link == nil {
 		return 0
 	}
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
-	return s.l.cutUntil
+	s.relay.mu.Lock()
+	defer s.relay.mu.Unlock()
+	return s.link.cutUntil
 }
 
 func (s *splice) reset() {
-	for _, c := range []*net.TCPConn{s.a, s.b} {
+	for _, c := range []*net.TCPConn{s.client, s.target} {
 		_ = c.SetLinger(0)
 		c.Close()
 	}
 }
 
 func (s *splice) run() {
-	var both sync.WaitGroup
-	both.Go(func() { s.flow(s.a, s.b) })
-	both.Go(func() { s.flow(s.b, s.a) })
-	both.Wait()
-	if s.l != nil {
-		s.r.mu.Lock()
-		delete(s.l.conns, s)
-		s.r.mu.Unlock()
-	}
-	s.a.Close()
-	s.b.Close()
+	var directions sync.WaitGroup
+	directions.Go(func() { s.forward(s.client, s.target) })
+	directions.Go(func() { s.forward(s.target, s.client) })
+	directions.Wait()
+	if s.link != nil {
+		s.relay.mu.Lock()
+		delete(s.link.conns, s)
+		s.relay.mu.Unlock()
+	}
+	s.client.Close()
+	s.target.Close()
 }
 
-// chunk is what was read at once. Without bytes it is the end of the stream.
+// chunk is the data of one read. A chunk without data marks the end of the stream.
 type chunk struct {
-	at   int64
-	data []byte
+	deliverAt int64
+	data      []byte
 }
 
-// direction is a half of a connection: chunks in order, each delivered at its time, or
-// when the cut is over.
+// direction is one direction of a splice. It delivers chunks in order, each at its time, or
+// when a cut ends.
 type direction struct {
-	s     *splice
-	to    *net.TCPConn
-	mu    sync.Mutex
-	room  *sync.Cond
-	queue []chunk
-	held  int
-	busy  bool // somebody delivers
-	last  int64
-	over  bool
-	done  chan struct{}
+	s             *splice
+	to            *net.TCPConn
+	mu            sync.Mutex
+	spaceFreed    *sync.Cond
+	queue         []chunk
+	buffered      int
+	delivering    bool // a goroutine runs deliver
+	lastDeliverAt int64
+	closed        bool
+	done          chan struct{}
 }
 
-// flow carries bytes from one connection to the other until both ends of it are over.
-func (s *splice) flow(from, to *net.TCPConn) {
+// forward copies bytes from one connection to the other. It returns when the end of the stream
+// has been delivered or a write has failed.
+func (s *splice) forward(from, to *net.TCPConn) {
 	d := &direction{s: s, to: to, done: make(chan struct{})}
-	d.room = sync.NewCond(&d.mu)
+	d.spaceFreed = sync.NewCond(&d.mu)
 	raw, err := from.SyscallConn()
 	if err != nil {
 		return
@@ -370,9 +373,9 @@
 	for {
 		var data []byte
 		var rerr error
-		// The buffer is taken only once there is something to read.
+		// A buffer is taken for each read only, so that idle connections have none.
 		err := raw.Read(func(fd uintptr) bool {
-			buf := s.r.buffers.Get().(*[block]byte)
+			buf := s.relay.buffers.Get().(*[bufferSize]byte)
 			n, e := unix.Read(int(fd), buf[:])
 			for e == unix.EINTR {
 				n, e = unix.Read(int(fd), buf[:])
@@ -380,7 +383,7 @@
 			if n > 0 {
 				data = append([]byte(nil), buf[:n]...)
 			}
-			s.r.buffers.Put(buf)
+			s.relay.buffers.Put(buf)
 			if e == unix.EAGAIN {
 				return false
 			}
@@ -388,45 +391,46 @@
 			return true
 		})
 		if err != nil || rerr != nil {
-			// It was reset: so is the other side, but not before what was on its way.
-			d.put(nil)
+			// The connection was reset. The data on its way is delivered before the end of
+			// the stream.
+			d.enqueue(nil)
 			break
 		}
-		s.r.bytes.Add(int64(len(data)))
-		if !d.put(data) || len(data) == 0 {
+		s.relay.bytes.Add(int64(len(data)))
+		if !d.enqueue(data) || len(data) == 0 {
 			break
 		}
 	}
 	<-d.done
 }
 
-// put queues a chunk, and waits while too much is held. It reports whether the other
-// side still takes anything.
-func (d *direction) put(data []byte) bool {
+// enqueue queues a chunk. It waits while too many bytes are buffered, and reports whether the
+// receiver still accepts data.
+func (d *direction) enqueue(data []byte) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.held > mostHeld && !d.over {
-		d.room.Wait()
+	for d.buffered > maxBuffered && !d.closed {
+		d.spaceFreed.Wait()
 	}
-	if d.over {
+	if d.closed {
 		return false
 	}
-	d.last = max(d.last, wire.Now()+d.s.span())
-	d.queue = append(d.queue, chunk{d.last, data})
-	d.held += len(data)
-	if !d.busy {
-		d.busy = true
+	d.lastDeliverAt = max(d.lastDeliverAt, wire.Now()+d.s.packetDelay())
+	d.queue = append(d.queue, chunk{d.lastDeliverAt, data})
+	d.buffered += len(data)
+	if !d.delivering {
+		d.delivering = true
 		go d.deliver()
 	}
 	return true
 }
 
-// deliver hands chunks on until there are none.
+// deliver writes queued chunks to the receiver until the queue is empty.
 func (d *direction) deliver() {
 	for {
 		d.mu.Lock()
 		if len(d.queue) == 0 {
-			d.busy = false
+			d.delivering = false
 			d.queue = nil
 			d.mu.Unlock()
 			return
@@ -434,7 +438,7 @@
 		c := d.queue[0]
 		d.mu.Unlock()
 		for {
-			until := max(c.at, d.s.heldUntil())
+			until := max(c.deliverAt, d.s.heldUntil())
 			wait := until - wire.Now()
 			if wait <= 0 {
 				break
@@ -449,35 +453,35 @@
 		}
 		d.mu.Lock()
 		d.queue = d.queue[1:]
-		d.held -= len(c.data)
+		d.buffered -= len(c.data)
 		ended := len(c.data) == 0 || err != nil
 		if ended {
-			d.over, d.queue, d.busy = true, nil, false
+			d.closed, d.queue, d.delivering = true, nil, false
 			close(d.done)
 		}
-		d.room.Broadcast()
+		d.spaceFreed.Broadcast()
 		d.mu.Unlock()
 		if ended {
 			if err != nil {
-				d.s.reset() // nobody is there any more: the sender hears of it
+				d.s.reset() // the receiver is gone, so the sender's connection is reset
 			}
 			return
 		}
 	}
 }
 
-// report says once a second what was carried.
-func (r *relay) report(over chan struct{}) {
+// sendGauges reports the traffic to the supervisor once a second.
+func (r *relay) sendGauges(stop chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		began := time.Now()
+		tickStart := time.Now()
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-tick.C:
 		}
-		late := max(0, time.Since(began)-time.Second)
+		late := max(0, time.Since(tickStart)-time.Second)
 		r.mu.Lock()
 		open := 0
 		for _, l := range r.links {
--- a/internal/scale/relay/relay_test.go
+++ b/internal/scale/relay/relay_test.go
@@ -16,23 +16,24 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// bench is a relay of region r0 with a server behind it that answers each line with the
-// caller's IP and the line, and says what it has read.
-type bench struct {
-	t      *testing.T
-	prefix string
-	orders *wire.Writer
-	public string
-	heard  chan string
+// relayTest is a relay of region r0 with a server behind it. The server answers each line with
+// the client's IP and the line, and sends each line that it has read, and `end` for the end of
+// a connection, to received.
+type relayTest struct {
+	t        *testing.T
+	prefix   string
+	messages *wire.Writer
+	public   string
+	received chan string
 }
 
-func start(t *testing.T, delay time.Duration) *bench {
+func startRelay(t *testing.T, delay time.Duration) *relayTest {
 	t.Helper()
 	n, err := loopback.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, prefix: n.Prefix, public: n.Prefix + "0.10:8100", heard: make(chan string, 100)}
+	b := &relayTest{t: t, prefix: n.Prefix, public: n.Prefix + "0.10:8100", received: make(chan string, 100)}
 	ln, err := net.Listen("tcp4", n.Prefix+"0.10:7100")
 	if err != nil {
 		t.Fatal(err)
@@ -47,18 +48,18 @@
 				defer c.Close()
 				host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 				for s := bufio.NewScanner(c); s.Scan(); {
-					b.heard <- s.Text()
+					b.received <- s.Text()
 					fmt.Fprintf(c, "%s %s\n", host, s.Text())
 				}
-				b.heard <- "end"
+				b.received <- "end"
 			}()
 		}
 	}()
 	in, toPart := io.Pipe()
 	fromPart, out := io.Pipe()
-	b.orders = wire.NewWriter(toPart)
-	over := make(chan error, 1)
-	go func() { over <- Run(in, out, slog.New(slog.DiscardHandler)) }()
+	b.messages = wire.NewWriter(toPart)
+	done := make(chan error, 1)
+	go func() { done <- Run(in, out, slog.New(slog.DiscardHandler)) }()
 	ready := make(chan string, 1)
 	go func() {
 		_ = wire.Read(fromPart, func(m *wire.Message) bool {
@@ -68,7 +69,7 @@
 			return true
 		})
 	}()
-	_ = b.orders.Send(&wire.Message{Kind: wire.Setup, Setup: &wire.Config{Part: "relay-r0", Links: &wire.Links{
+	_ = b.messages.Send(&wire.Message{Kind: wire.Setup, Setup: &wire.Config{Part: "relay-r0", Links: &wire.Links{
 		Region: "r0", Listen: map[string]string{b.public: n.Prefix + "0.10:7100"},
 		Of: map[string]string{n.Prefix + "1.1": "r0", n.Prefix + "1.2": "r1"}, Delay: map[string]int64{"r1": delay.Microseconds()},
 	}}})
@@ -76,8 +77,8 @@
 		t.Fatal(problem)
 	}
 	t.Cleanup(func() {
-		_ = b.orders.Send(&wire.Message{Kind: wire.Stop})
-		if err := <-over; err != nil {
+		_ = b.messages.Send(&wire.Message{Kind: wire.Stop})
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 		toPart.Close()
@@ -87,7 +88,7 @@
 	return b
 }
 
-func (b *bench) dial(source string) *net.TCPConn {
+func (b *relayTest) dial(source string) *net.TCPConn {
 	b.t.Helper()
 	c, err := b.tryDial(source)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return c
 }
 
-func (b *bench) tryDial(source string) (*net.TCPConn, error) {
+func (b *relayTest) tryDial(source string) (*net.TCPConn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(b.prefix + source)}}
 	c, err := d.Dial("tcp4", b.public)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return c.(*net.TCPConn), nil
 }
 
-func (b *bench) line(c net.Conn) string {
+func (b *relayTest) readLine(c net.Conn) string {
 	b.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	text, err := bufio.NewReader(c).ReadString('\n')
@@ -115,12 +116,12 @@
 	return strings.TrimSpace(text)
 }
 
-// sync returns once the relay has taken all orders: they are taken in turn, and the last
-// one has it listen on one more address.
-func (b *bench) sync() {
+// waitForMessages returns when the relay has handled all messages sent before. The relay handles
+// messages in order, and the last one makes it listen on another address.
+func (b *relayTest) waitForMessages() {
 	b.t.Helper()
 	m := &wire.Machine{Region: "r0", Public: b.prefix + "9.9:9000", Listen: b.prefix + "9.9:9001", Source: b.prefix + "9.9"}
-	_ = b.orders.Send(&wire.Message{Kind: wire.Boot, Machine: m})
+	_ = b.messages.Send(&wire.Message{Kind: wire.Boot, Machine: m})
 	for range 1000 {
 		if c, err := net.Dial("tcp4", m.Public); err == nil {
 			c.Close()
@@ -128,68 +129,69 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.t.Fatal("the relay takes no orders")
+	b.t.Fatal("the relay handles no messages")
 }
 
-// Whoever is called sees the caller's IP; a round trip between regions takes at least its
+// The server sees the client's IP, and a round trip between regions takes at least its two
 // delays.
 func TestDelay(t *testing.T) {
-	b := start(t, 60*time.Millisecond)
+	b := startRelay(t, 60*time.Millisecond)
 	near := b.dial("1.1")
 	defer near.Close()
 	fmt.Fprintln(near, "one")
-	if got := b.line(near); got != b.prefix+"1.1 one" {
-		t.Errorf("%q", got)
+	if got := b.readLine(near); got != b.prefix+"1.1 one" {
+		t.Errorf("answer within the region: %q", got)
 	}
 	far := b.dial("1.2")
 	defer far.Close()
 	began := time.Now()
 	fmt.Fprintln(far, "two")
-	if got := b.line(far); got != b.prefix+"1.2 two" {
-		t.Errorf("%q", got)
+	if got := b.readLine(far); got != b.prefix+"1.2 two" {
+		t.Errorf("answer between regions: %q", got)
 	}
 	if took := time.Since(began); took < 120*time.Millisecond {
 		t.Errorf("a round trip of two times 60 ms took %s", took)
 	}
 }
 
-// While a region is apart, what it sends is held, and comes in order afterwards, also if
-// its connection was closed meanwhile. Who gave up a connection made behind the cut is
-// not heard of. Within the region all goes on.
+// During a cut the data that a region sends is held. It arrives in order after the cut, also if
+// the client has closed the connection. A connection that is both opened and closed during the
+// cut never reaches the server. Connections within the region are not affected.
 func TestCut(t *testing.T) {
 	const cut = 2 * time.Second
-	b := start(t, 0)
+	b := startRelay(t, 0)
 	far := b.dial("1.2")
 	fmt.Fprintln(far, "before")
-	if got := <-b.heard; got != "before" {
+	if got := <-b.received; got != "before" {
 		t.Fatal(got)
 	}
-	b.line(far)
+	b.readLine(far)
 	began := time.Now()
-	_ = b.orders.Send(&wire.Message{Kind: wire.Fault, Text: wire.FaultCut, Region: "r1", For: cut.Microseconds()})
-	b.sync()
+	_ = b.messages.Send(&wire.Message{Kind: wire.Fault, Text: wire.FaultCut, Region: "r1", For: cut.Microseconds()})
+	b.waitForMessages()
 	for i := range 3 {
 		fmt.Fprintf(far, "held %d\n", i)
 	}
 	far.Close()
-	given := b.dial("1.2")
-	fmt.Fprintln(given, "given up")
-	given.Close()
+	abandoned := b.dial("1.2")
+	fmt.Fprintln(abandoned, "given up")
+	abandoned.Close()
 	kept := b.dial("1.2")
 	defer kept.Close()
 	fmt.Fprintln(kept, "kept")
 	near := b.dial("1.1")
 	defer near.Close()
 	fmt.Fprintln(near, "near")
-	if got := <-b.heard; got != "near" {
-		t.Fatalf("%q came through the cut", got)
+	if got := <-b.received; got != "near" {
+		t.Fatalf("%q arrived during the cut", got)
 	}
 	var order []string
 	seen := make(map[string]bool)
-	for len(seen) < 5 { // three held lines, the end of their connection, and what was kept
-		got := <-b.heard
+	// Three held lines, the end of their connection, and the line of the kept connection.
+	for len(seen) < 5 {
+		got := <-b.received
 		if took := time.Since(began); took < cut {
-			t.Errorf("%q came after %s", got, took)
+			t.Errorf("%q arrived %s after the cut began, before its end", got, took)
 		}
 		seen[got] = true
 		if got != "kept" {
@@ -197,29 +199,29 @@
 		}
 	}
 	if want := "held 0,held 1,held 2,end"; strings.Join(order, ",") != want {
-		t.Errorf("%q came, not %q", order, want)
+		t.Errorf("received %q, want %q", order, want)
 	}
 	if !seen["kept"] || seen["given up"] {
-		t.Errorf("%v", seen)
+		t.Errorf("received after the cut: %v", seen)
 	}
-	if got := b.line(kept); got != b.prefix+"1.2 kept" {
-		t.Errorf("%q", got)
+	if got := b.readLine(kept); got != b.prefix+"1.2 kept" {
+		t.Errorf("answer on the kept connection: %q", got)
 	}
 }
 
-// A fault of losses resets connections that are open and those that are made.
+// A loss fault resets open connections and new ones.
 func TestLoss(t *testing.T) {
-	b := start(t, 0)
+	b := startRelay(t, 0)
 	c := b.dial("1.2")
 	defer c.Close()
 	fmt.Fprintln(c, "one")
-	b.line(c)
-	_ = b.orders.Send(&wire.Message{Kind: wire.Fault, Text: wire.FaultLoss, Region: "r1", Factor: 1, For: 3600e6})
+	b.readLine(c)
+	_ = b.messages.Send(&wire.Message{Kind: wire.Fault, Text: wire.FaultLoss, Region: "r1", Factor: 1, For: 3600e6})
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("an open connection: %v", err)
+		t.Errorf("open connection is not reset: %v", err)
 	}
-	// On a busy machine the reset may be there before the dialer has seen the connection.
+	// On a busy machine the reset may arrive before Dial returns, which then fails.
 	made, err := b.tryDial("1.2")
 	if err == nil {
 		defer made.Close()
@@ -227,6 +229,6 @@
 		_, err = made.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one that is made: %v", err)
+		t.Errorf("new connection is not reset: %v", err)
 	}
 }
