--- a/internal/scale/users/balancer.go
+++ b/internal/scale/users/balancer.go
@@ -1,85 +1,86 @@
 package users
 
-// Times of the load balancer, microseconds, as the protocol has them.
+// Settings of the load balancer as the protocol defines them; times are in microseconds.
 const (
-	probeEvery   = 1_000_000
-	probeWithin  = 1_000_000
-	acceptWithin = 500_000
-	skipFor      = 3_000_000
-	leastPause   = 3_000_000
-	mostPause    = 60_000_000
-	pauseMemory  = 120_000_000
-	resetAfter   = 5_000_000
-	raiseOver    = 10_000_000
-	mostAttempts = 3
+	probeInterval      = 1_000_000
+	probeTimeout       = 1_000_000
+	connectTimeout     = 500_000
+	skipDuration       = 3_000_000
+	minRemovalPause    = 3_000_000
+	maxRemovalPause    = 60_000_000
+	removalMemory      = 120_000_000
+	resetAfter         = 5_000_000
+	rampUpTime         = 10_000_000
+	maxConnectAttempts = 3
 )
 
-// node is a controller as a region's load balancer sees it.
-type node struct {
-	healthy, ever bool
-	probes        []bool // the last six
-	since         int64  // healthy, or not, since then
-	pause         int64  // not healthy before since plus that
-	removals      []int64
-	open          int // connections of users
-	failed        int // connections in a row that were not accepted
-	skipUntil     int64
+// backend is the state of a controller in the load balancer of a region.
+type backend struct {
+	healthy, everHealthy bool
+	probes               []bool  // outcomes of the last six probes at most, since changedAt
+	changedAt            int64   // time at which it became healthy or unhealthy
+	removalPause         int64   // minimum time after changedAt until it may be healthy again
+	removals             []int64 // times at which it became unhealthy, within removalMemory
+	openConns            int     // open connections of users
+	failedConnects       int     // consecutive connection attempts that failed
+	skipUntil            int64   // time before which it isn't picked
 }
 
-// balancer picks a controller for each new connection. It has no clock and makes no
-// connections.
-type balancer struct{ nodes []*node }
+// balancer picks a controller for each new connection. It reads no clock and opens no
+// connections: callers pass times and outcomes.
+type balancer struct{ backends []*backend }
 
 func newBalancer(n int) *balancer {
 	b := &balancer{}
 	for range n {
-		b.nodes = append(b.nodes, &node{})
+		b.backends = append(b.backends, &backend{})
 	}
 	return b
 }
 
-// probed takes the outcome of a probe.
-func (b *balancer) probed(i int, ok bool, at int64) {
-	n := b.nodes[i]
-	if n.probes = append(n.probes, ok); len(n.probes) > 6 {
-		n.probes = n.probes[1:]
+// recordProbe records the outcome of a health probe.
+func (b *balancer) recordProbe(i int, ok bool, at int64) {
+	be := b.backends[i]
+	if be.probes = append(be.probes, ok); len(be.probes) > 6 {
+		be.probes = be.probes[1:]
 	}
-	last := len(n.probes) - 1
-	if !n.healthy {
-		twice := ok && last > 0 && n.probes[last-1]
-		if ok && !n.ever || twice && at >= n.since+n.pause {
-			n.healthy, n.ever, n.since, n.probes = true, true, at, nil
+	last := len(be.probes) - 1
+	if !be.healthy {
+		twoSuccesses := ok && last > 0 && be.probes[last-1]
+		if ok && !be.everHealthy || twoSuccesses && at >= be.changedAt+be.removalPause {
+			be.healthy, be.everHealthy, be.changedAt, be.probes = true, true, at, nil
 		}
 		return
 	}
-	bad := 0
-	for _, p := range n.probes {
+	failures := 0
+	for _, p := range be.probes {
 		if !p {
-			bad++
+			failures++
 		}
 	}
-	if !ok && last > 0 && !n.probes[last-1] || bad >= 3 {
-		n.healthy, n.since, n.probes = false, at, nil
-		recent := n.removals[:0]
-		for _, r := range n.removals {
-			if at-r < pauseMemory {
+	if !ok && last > 0 && !be.probes[last-1] || failures >= 3 {
+		be.healthy, be.changedAt, be.probes = false, at, nil
+		recent := be.removals[:0]
+		for _, r := range be.removals {
+			if at-r < removalMemory {
 				recent = append(recent, r)
 			}
 		}
-		n.removals = append(recent, at)
-		n.pause = leastPause
-		for range len(n.removals) - 1 {
-			n.pause = min(mostPause, n.pause*2)
+		be.removals = append(recent, at)
+		be.removalPause = minRemovalPause
+		for range len(be.removals) - 1 {
+			be.removalPause = min(maxRemovalPause, be.removalPause*2)
 		}
 	}
 }
 
-// pick chooses a node for a connection, other than those tried already; -1: none.
+// pick returns the index of the backend for a connection, other than those in tried, or -1 if
+// there is none.
 func (b *balancer) pick(tried []int, at int64) int {
-	best, least := -1, 0.0
+	best, lowestLoad := -1, 0.0
 next:
-	for i, n := range b.nodes {
-		if !n.healthy || at < n.skipUntil {
+	for i, be := range b.backends {
+		if !be.healthy || at < be.skipUntil {
 			continue
 		}
 		for _, t := range tried {
@@ -87,31 +88,31 @@
 				continue next
 			}
 		}
-		share := max(0.05, min(1, float64(at-n.since)/raiseOver))
-		if load := float64(n.open+1) / share; best < 0 || load < least {
-			best, least = i, load
+		weight := max(0.05, min(1, float64(at-be.changedAt)/rampUpTime))
+		if load := float64(be.openConns+1) / weight; best < 0 || load < lowestLoad {
+			best, lowestLoad = i, load
 		}
 	}
 	return best
 }
 
-// connected takes the outcome of a connection attempt.
-func (b *balancer) connected(i int, ok bool, at int64) {
-	n := b.nodes[i]
+// recordConnect records the outcome of a connection attempt.
+func (b *balancer) recordConnect(i int, ok bool, at int64) {
+	be := b.backends[i]
 	if ok {
-		n.open++
-		n.failed = 0
+		be.openConns++
+		be.failedConnects = 0
 		return
 	}
-	if n.failed++; n.failed >= 3 {
-		n.failed, n.skipUntil = 0, at+skipFor
+	if be.failedConnects++; be.failedConnects >= 3 {
+		be.failedConnects, be.skipUntil = 0, at+skipDuration
 	}
 }
 
-func (b *balancer) closed(i int) { b.nodes[i].open-- }
+func (b *balancer) recordClose(i int) { b.backends[i].openConns-- }
 
-// reset says whether connections of a node are reset.
-func (b *balancer) reset(i int, at int64) bool {
-	n := b.nodes[i]
-	return n.ever && !n.healthy && at-n.since >= resetAfter
+// shouldReset reports whether the connections of a backend are to be reset.
+func (b *balancer) shouldReset(i int, at int64) bool {
+	be := b.backends[i]
+	return be.everHealthy && !be.healthy && at-be.changedAt >= resetAfter
 }
--- a/internal/scale/users/change.go
+++ b/internal/scale/users/change.go
@@ -13,23 +13,24 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// What an operator's request may take, microseconds: a wait is kept for a second and a half.
-const configTry = 4 * second
+// configTimeout limits a request of an operator, microseconds. A controller holds a request to
+// wait for a revision for up to 1.5 s.
+const configTimeout = 4 * second
 
-// mostNotes is how many refusals are said with their reasons.
-const mostNotes = 3
+// maxRefusalNotes is how many refusals are reported with their reasons.
+const maxRefusalNotes = 3
 
-// changeLog is what operators have asked for and were told.
+// changeLog records the changes that operators have requested and the answers to them.
 type changeLog struct {
 	mu       sync.Mutex
-	sent     map[string]bool
-	accepted map[string]uint64
+	sent     map[string]bool   // by change id
+	accepted map[string]uint64 // revision by change id
 	refused  int
 }
 
-// operate plays the operators: each makes its changes one after the other, in the order
-// in which they are due. Whether one is in force is asked beside the next one.
-func (l *load) operate(all []*change, over chan struct{}) {
+// runOperators simulates the operators. Each makes its changes one after the other, in the
+// order in which they are due. It waits for a change to be in force while it makes the next one.
+func (l *load) runOperators(all []*change, stop chan struct{}) {
 	log := &changeLog{sent: make(map[string]bool), accepted: make(map[string]uint64)}
 	queues := make([]chan *change, l.plan.Operators.Operators)
 	for i := range queues {
@@ -37,42 +38,42 @@
 		go func() {
 			for {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case c := <-queues[i]:
-					l.change(c, log, over)
+					l.makeChange(c, log, stop)
 				}
 			}
 		}()
 	}
 	for _, c := range all {
-		l.at(c.due, func(due int64) {
+		l.schedule(c.due, func(due int64) {
 			l.mu.Lock()
-			l.lag = append(l.lag, wire.Now()-due)
+			l.lags = append(l.lags, wire.Now()-due)
 			l.mu.Unlock()
 			l.count("config_due")
 			queues[c.operator] <- c
 		})
 	}
-	l.at(l.plan.BeginUS+l.plan.DurationUS+l.plan.SettleUS/3, func(int64) { l.checkHistory(log, len(all)) })
+	l.schedule(l.plan.BeginUS+l.plan.DurationUS+l.plan.SettleUS/3, func(int64) { l.checkHistory(log, len(all)) })
 }
 
-// change makes a change, and has somebody wait for it.
-func (l *load) change(drawn *change, log *changeLog, over chan struct{}) {
-	c := drawn.begin(wire.Now())
+// makeChange makes a change, and starts a goroutine that waits until the change is in force.
+func (l *load) makeChange(planned *change, log *changeLog, stop chan struct{}) {
+	c := planned.start(wire.Now())
 	log.mu.Lock()
 	log.sent[c.id] = true
 	log.mu.Unlock()
-	l.pursue(c, waiting, over)
+	l.requestUntil(c, waiting, stop)
 	switch c.state {
 	case refused:
 		l.count("config_refused")
 		log.mu.Lock()
 		log.refused++
-		say := log.refused <= mostNotes
+		note := log.refused <= maxRefusalNotes
 		log.mu.Unlock()
-		if say {
-			l.pipe.Note("%s was refused: %v: %s", c.id, c.set, c.why)
+		if note {
+			l.pipe.Note("%s was refused: %v: %s", c.id, c.set, c.refusal)
 		}
 		return
 	case waiting:
@@ -80,7 +81,7 @@
 		l.count("config_given_up")
 		return
 	}
-	if !c.changed {
+	if !c.newRevision {
 		l.count("config_unchanged")
 	} else {
 		l.count("config_made")
@@ -88,47 +89,50 @@
 		log.accepted[c.id] = c.revision
 		log.mu.Unlock()
 	}
-	made := c.since
-	l.told(c, "made", made, made)
+	madeAt := c.retryStart
+	l.reportChange(c, "made", madeAt, madeAt)
 	go func() {
-		l.pursue(c, inForce, over)
+		l.requestUntil(c, inForce, stop)
 		if c.state != inForce {
 			l.count("config_wait_given_up")
 			return
 		}
 		l.count("config_in_force")
-		l.told(c, "in_force", made, wire.Now())
+		l.reportChange(c, "in_force", madeAt, wire.Now())
 	}()
 }
 
-// pursue makes requests for a change until it has come to a state, or is over.
-func (l *load) pursue(c *changing, until changeState, over chan struct{}) {
-	for c.state < until && !c.state.over() {
+// requestUntil sends requests for a change until the change has reached the target state or a
+// final one.
+func (l *load) requestUntil(c *pendingChange, target changeState, stop chan struct{}) {
+	for c.state < target && !c.state.final() {
 		method, path, body := c.request()
 		op := [...]string{"config", "config_change", "config_wait"}[c.state]
 		conflicts := c.conflicts
-		a := l.sites[c.region].call(method, path, body, configTry)
-		pause := c.answered(a, wire.Now())
+		a := l.clients[c.region].call(method, path, body, configTimeout)
+		pause := c.handleAnswer(a, wire.Now())
 		l.count("requests_" + op)
 		l.count("status_" + op + "_" + strconv.Itoa(a.status))
 		if c.conflicts > conflicts {
 			l.count("config_conflicts")
 		}
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Duration(pause) * time.Microsecond):
 		}
 	}
 }
 
-// told says how long a change took: Run is when it was made.
-func (l *load) told(c *changing, phase string, made, at int64) {
-	_ = l.pipe.Out.Send(&wire.Message{Kind: wire.Answer, Op: "config", Ref: c.id, Region: c.region, Status: 200, Phase: phase, Due: c.due, Run: made, At: at})
+// reportChange reports to the supervisor that a change has reached a phase. The message contains
+// the times at which the change was due (Due), was made (Run) and reached the phase (At).
+func (l *load) reportChange(c *pendingChange, phase string, madeAt, at int64) {
+	_ = l.pipe.Out.Send(&wire.Message{Kind: wire.Answer, Op: "config", Ref: c.id, Region: c.region, Status: 200, Phase: phase, Due: c.due, Run: madeAt, At: at})
 }
 
-// checkHistory reads the history when the load is over, and judges it.
-func (l *load) checkHistory(log *changeLog, drawn int) {
+// checkHistory reads the configuration's history after the load has ended, and reports each
+// problem in it to the supervisor.
+func (l *load) checkHistory(log *changeLog, planned int) {
 	log.mu.Lock()
 	accepted := make(map[string]uint64, len(log.accepted))
 	for id, revision := range log.accepted {
@@ -136,7 +140,7 @@
 	}
 	log.mu.Unlock()
 	l.mu.Lock()
-	summary := fmt.Sprintf("configuration: %d changes drawn, %.0f made, %.0f were so already, %.0f refused, %.0f given up; %.0f in force, %.0f waits given up; %.0f conflicts", drawn,
+	summary := fmt.Sprintf("configuration: %d changes drawn, %.0f made, %.0f were so already, %.0f refused, %.0f given up; %.0f in force, %.0f waits given up; %.0f conflicts", planned,
 		l.counts["config_made"], l.counts["config_unchanged"], l.counts["config_refused"], l.counts["config_given_up"], l.counts["config_in_force"], l.counts["config_wait_given_up"], l.counts["config_conflicts"])
 	l.mu.Unlock()
 	history, err := l.readHistory(l.plan.BeginUS + l.plan.DurationUS + l.plan.SettleUS)
@@ -150,21 +154,21 @@
 		sent[id] = true
 	}
 	log.mu.Unlock()
-	problems := judgeHistory(history, sent, accepted)
+	problems := findHistoryProblems(history, sent, accepted)
 	for _, p := range problems {
 		_ = l.pipe.Out.Send(&wire.Message{Kind: wire.Broken, Name: "lost_change", Text: p, At: wire.Now()})
 	}
 	l.pipe.Note("%s; a history of %d revisions was judged, %d problems", summary, len(history), len(problems))
 }
 
-// readHistory reads all of the history, the oldest entry first.
-func (l *load) readHistory(until int64) (list []configuration.Entry, err error) {
+// readHistory reads the whole history and returns it with the oldest entry first.
+func (l *load) readHistory(deadline int64) (list []configuration.Entry, err error) {
 	path := "/api/config/history"
-	for turn := 0; ; turn++ {
-		a := l.sites[l.plan.Regions[turn%len(l.plan.Regions)]].call("GET", path, nil, configTry)
+	for attempt := 0; ; attempt++ {
+		a := l.clients[l.plan.Regions[attempt%len(l.plan.Regions)]].call("GET", path, nil, configTimeout)
 		if a.status != 200 {
-			pause := max(leastRetry, min(a.retryAfter, mostRetry))
-			if wire.Now()+pause > until {
+			pause := max(minRetryDelay, min(a.retryAfter, maxRetryDelay))
+			if wire.Now()+pause > deadline {
 				return nil, fmt.Errorf("%s: status %d", path, a.status)
 			}
 			time.Sleep(time.Duration(pause) * time.Microsecond)
@@ -174,8 +178,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, it := range v.GetArray("history") {
-			e, err := configuration.DecodeEntry(it)
+		for _, item := range v.GetArray("history") {
+			e, err := configuration.DecodeEntry(item)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/scale/users/mix.go
+++ b/internal/scale/users/mix.go
@@ -1,5 +1,6 @@
-// Package users is the load of a scale run: users that submit jobs at set rates, however
-// slow the answers are, ask about them, and cancel some.
+// Package users generates the load of a scale run. Simulated users submit jobs at configured
+// rates, however slow the answers are, query their state and cancel some of them. Simulated
+// operators change the configuration.
 package users
 
 import (
@@ -12,7 +13,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// Class is a class of jobs of the mix. Times are in seconds.
+// Class is a class of jobs in the mix. Times are in seconds.
 type Class struct {
 	Name          string       `toml:"name"`
 	Kind          string       `toml:"kind"` // array, gang or service
@@ -22,11 +23,11 @@
 	MemoryGB      float64      `toml:"memory_gb"`
 	Types         []string     `toml:"types"` // empty: any
 	Tasks         Distribution `toml:"tasks"`
-	RunS          Distribution `toml:"run_s"` // of a task; a service's is the time after which its user cancels it
+	RunS          Distribution `toml:"run_s"` // of a task; for a service, time until its user cancels it
 	Initial       int          `toml:"initial"`
-	Rate          float64      `toml:"rate"` // jobs a second
+	Rate          float64      `toml:"rate"` // jobs per second
 	Images        Images       `toml:"images"`
-	EstimateError float64      `toml:"estimate_error"` // standard deviation of the logarithm of estimate by run time
+	EstimateError float64      `toml:"estimate_error"` // standard deviation of log(estimate / run time)
 	Cancelled     float64      `toml:"cancelled"`      // share of the jobs that their users cancel early
 	Spread        bool         `toml:"spread"`
 	OneZone       bool         `toml:"one_zone"`
@@ -35,7 +36,8 @@
 	SaveS         float64      `toml:"save_s"`
 }
 
-// Distribution is one of sizes with weights, or a logarithmic normal one that is cut off.
+// Distribution is a discrete distribution of sizes with weights, or a log-normal distribution
+// whose values are limited to Max.
 type Distribution struct {
 	Sizes   []float64 `toml:"sizes" json:",omitempty"`
 	Weights []float64 `toml:"weights" json:",omitempty"`
@@ -44,14 +46,14 @@
 	Max     float64   `toml:"max"`
 }
 
-// Images are those of a class: Count of them, drawn by Zipf's law.
+// Images describes the images of a class: Count images, which jobs use by Zipf's law.
 type Images struct {
 	Count int          `toml:"count"`
 	GB    Distribution `toml:"gb"`
 	Zipf  float64      `toml:"zipf"`
 }
 
-// Change multiplies rates for a while. Times are in seconds from the load's beginning.
+// Change multiplies arrival rates for a period. Times are in seconds from the load's beginning.
 type Change struct {
 	AtS     float64  `toml:"at_s"`
 	ForS    float64  `toml:"for_s"`
@@ -59,17 +61,18 @@
 	Classes []string `toml:"classes"` // empty: all
 }
 
-// Plan is what the part is told of the load.
+// Plan is the load as the supervisor sends it to the part. Names with the suffix US are times in
+// microseconds.
 type Plan struct {
 	BeginUS, DurationUS, SettleUS, FillUS, PollUS int64
 	MaxConnections                                int
 	Teams, Regions                                []string
 	Classes                                       []Class
 	Changes                                       []Change
-	Sources                                       map[string]string // region to the IP that its users call from
-	Strangers                                     float64           // questions a second about jobs that nobody submitted
-	Operators                                     *Operators        // nil: the configuration stays
-	Bounds                                        Bounds            // of what they change
+	Sources                                       map[string]string // source IP of a region's users, by region
+	Strangers                                     float64           // queries per second for jobs that don't exist
+	Operators                                     *Operators        // nil: the configuration is not changed
+	Bounds                                        Bounds            // of the operators' changes
 }
 
 var (
@@ -77,7 +80,8 @@
 	ranks = map[string]protocol.Priority{"critical": protocol.PriorityCritical, "high": protocol.PriorityHigh, "standard": protocol.PriorityStandard, "low": protocol.PriorityLow}
 )
 
-// check says what is wrong with a distribution of values from low to high.
+// check returns the problem of a distribution whose values have to be from low to high, or an
+// empty string.
 func (d *Distribution) check(low, high float64) string {
 	if len(d.Sizes) > 0 {
 		if len(d.Weights) != len(d.Sizes) {
@@ -122,7 +126,7 @@
 	return min(d.Max, d.Median*math.Exp(sigma*r.NormFloat64()))
 }
 
-// Largest is the largest value that can be drawn.
+// Largest returns the largest value that can be drawn.
 func (d *Distribution) Largest() float64 {
 	if len(d.Sizes) > 0 {
 		return slices.Max(d.Sizes)
@@ -130,7 +134,7 @@
 	return d.Max
 }
 
-// Check finds the first value that is impossible, given the names of machine types.
+// Check returns the first invalid value, or nil. types contains the names of the machine types.
 func (c *Class) Check(types []string) *protocol.KeyError {
 	bad := func(key, problem string) *protocol.KeyError { return &protocol.KeyError{Key: key, Problem: problem} }
 	if c.Name == "" || len(c.Name) > 100 {
@@ -179,84 +183,85 @@
 	return nil
 }
 
-// job is one that was drawn. Times are microseconds.
+// job is a generated job. Times are in microseconds.
 type job struct {
 	spec     *protocol.JobSpec
 	class    int
 	region   string
 	due      int64
 	run      int64
-	cancelAt int64 // after due; 0: its user doesn't cancel it
+	cancelAt int64 // time after due at which its user cancels it, 0 if its user doesn't
 }
 
-// drawer draws jobs, the same ones for a seed.
-type drawer struct {
-	plan   *Plan
-	r      *rand.Rand
-	seed   uint64
-	drawn  uint64
-	images [][]float64 // of each class: sizes
-	ranked [][]float64 // of each class: sums of the images' weights
+// jobGenerator generates jobs. The same seed gives the same jobs.
+type jobGenerator struct {
+	plan       *Plan
+	rng        *rand.Rand
+	seed       uint64
+	generated  uint64
+	images     [][]float64 // sizes of the images of each class
+	weightSums [][]float64 // cumulative weights of the images of each class
 }
 
-func newDrawer(p *Plan, seed uint64) *drawer {
-	d := &drawer{plan: p, seed: seed, r: rand.New(rand.NewPCG(seed, 0x5ca1e))}
+func newJobGenerator(p *Plan, seed uint64) *jobGenerator {
+	g := &jobGenerator{plan: p, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x5ca1e))}
 	for _, c := range p.Classes {
 		var sizes, sums []float64
 		sum := 0.0
 		for i := range c.Images.Count {
-			sizes = append(sizes, c.Images.GB.draw(d.r))
+			sizes = append(sizes, c.Images.GB.draw(g.rng))
 			sum += math.Pow(float64(i+1), -c.Images.Zipf)
 			sums = append(sums, sum)
 		}
-		d.images, d.ranked = append(d.images, sizes), append(d.ranked, sums)
+		g.images, g.weightSums = append(g.images, sizes), append(g.weightSums, sums)
 	}
-	return d
+	return g
 }
 
-// ref is a job's name. Names come in no order: the factor has no divisor in common
-// with their number.
-func (d *drawer) ref() string {
-	d.drawn++
-	return fmt.Sprintf("req-%09d", (d.drawn*736338717+d.seed%1000*1000003)%1_000_000_000)
+// nextRef returns the name of the next job. Names are unique but not ascending: the factor has
+// no divisor in common with the number of names.
+func (g *jobGenerator) nextRef() string {
+	g.generated++
+	return fmt.Sprintf("req-%09d", (g.generated*736338717+g.seed%1000*1000003)%1_000_000_000)
 }
 
-// micros turns seconds into microseconds.
+// micros converts seconds to microseconds.
 func micros(s float64) int64 { return int64(math.Round(s * 1e6)) }
 
-// draw draws a job of a class.
-func (d *drawer) draw(class int, due int64) *job {
-	c := &d.plan.Classes[class]
-	sums := d.ranked[class]
-	at := d.r.Float64() * sums[len(sums)-1]
+// drawJob generates a job of a class.
+func (g *jobGenerator) drawJob(class int, due int64) *job {
+	c := &g.plan.Classes[class]
+	sums := g.weightSums[class]
+	at := g.rng.Float64() * sums[len(sums)-1]
 	image, _ := slices.BinarySearch(sums, at)
 	image = min(image, len(sums)-1)
-	run := c.RunS.draw(d.r)
+	run := c.RunS.draw(g.rng)
 	thousandths := func(v float64) int64 { return int64(math.Round(v * 1000)) }
 	s := &protocol.JobSpec{
-		Ref: d.ref(), Class: c.Name, Team: d.plan.Teams[d.r.IntN(len(d.plan.Teams))], Kind: kinds[c.Kind], Priority: ranks[c.Rank],
-		Tasks:         int(math.Round(c.Tasks.draw(d.r))),
+		Ref: g.nextRef(), Class: c.Name, Team: g.plan.Teams[g.rng.IntN(len(g.plan.Teams))], Kind: kinds[c.Kind], Priority: ranks[c.Rank],
+		Tasks:         int(math.Round(c.Tasks.draw(g.rng))),
 		TaskResources: protocol.Resources{CPU: thousandths(c.CPUs), GPU: thousandths(c.GPUs), Memory: thousandths(c.MemoryGB)},
-		Image:         fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(d.images[class][image])), MachineTypes: c.Types,
+		Image:         fmt.Sprintf("%s-%d", c.Name, image), ImageSize: max(1, thousandths(g.images[class][image])), MachineTypes: c.Types,
 		SingleZone: c.OneZone, SpreadZones: c.Spread, AllowSpot: c.Spot,
 		CheckpointInterval: protocol.FromSeconds(c.CheckpointS), CheckpointDuration: protocol.FromSeconds(c.SaveS),
 	}
-	j := &job{spec: s, class: class, region: d.plan.Regions[d.r.IntN(len(d.plan.Regions))], due: due, run: micros(run)}
-	noise := math.Exp(c.EstimateError * d.r.NormFloat64())
-	early := d.r.Float64() < c.Cancelled
-	when := d.r.Float64()
+	j := &job{spec: s, class: class, region: g.plan.Regions[g.rng.IntN(len(g.plan.Regions))], due: due, run: micros(run)}
+	noise := math.Exp(c.EstimateError * g.rng.NormFloat64())
+	cancelEarly := g.rng.Float64() < c.Cancelled
+	cancelPoint := g.rng.Float64()
 	if s.Kind == protocol.Service {
 		j.run, j.cancelAt = 0, micros(run)
 	} else {
 		s.EstimatedRuntime = protocol.Micros(max(1000, micros(run*noise)))
 	}
-	if early {
-		j.cancelAt = max(1, micros(run*when))
+	if cancelEarly {
+		j.cancelAt = max(1, micros(run*cancelPoint))
 	}
 	return j
 }
 
-// rate is that of a class at a time, jobs a microsecond.
+// rate returns the arrival rate of a class at a time after the load's beginning, in jobs per
+// microsecond.
 func (p *Plan) rate(class int, at int64) float64 {
 	c := &p.Classes[class]
 	rate := c.Rate / 1e6
@@ -268,30 +273,31 @@
 	return rate
 }
 
-// arrivals draws when the jobs of a class come, from the load's beginning on: the first
-// ones evenly over the time in which the deployment fills, and a Poisson process beside
-// them whose rate changes. Arrivals at the highest rate are thinned out to the rate of
-// their time.
-func (d *drawer) arrivals(class int) []int64 {
-	c := &d.plan.Classes[class]
+// arrivals returns the times at which the jobs of a class arrive, from the load's beginning on.
+// The initial jobs are spread evenly over the time in which the deployment fills. The others
+// arrive by a Poisson process whose rate changes: arrivals are drawn at the highest rate and
+// thinned out to the rate at their time.
+func (g *jobGenerator) arrivals(class int) []int64 {
+	c := &g.plan.Classes[class]
 	var at []int64
 	for i := range c.Initial {
-		at = append(at, d.plan.FillUS*int64(i)/int64(c.Initial))
+		at = append(at, g.plan.FillUS*int64(i)/int64(c.Initial))
 	}
-	highest := d.plan.rate(class, 0)
-	for _, ch := range d.plan.Changes {
-		highest = max(highest, d.plan.rate(class, micros(ch.AtS)))
+	highest := g.plan.rate(class, 0)
+	for _, ch := range g.plan.Changes {
+		highest = max(highest, g.plan.rate(class, micros(ch.AtS)))
 	}
-	// A change may end within another one: the product of all is a bound.
+	// A change that lowers the rate may end within another one, so that the rate is highest at
+	// no change's beginning. The product of all factors above 1 is an upper bound.
 	bound := c.Rate / 1e6
-	for _, ch := range d.plan.Changes {
+	for _, ch := range g.plan.Changes {
 		bound *= max(1, ch.Factor)
 	}
 	if highest = max(highest, bound); highest <= 0 {
 		return at
 	}
-	for t := d.r.ExpFloat64() / highest; t < float64(d.plan.DurationUS); t += d.r.ExpFloat64() / highest {
-		if d.r.Float64()*highest < d.plan.rate(class, int64(t)) {
+	for t := g.rng.ExpFloat64() / highest; t < float64(g.plan.DurationUS); t += g.rng.ExpFloat64() / highest {
+		if g.rng.Float64()*highest < g.plan.rate(class, int64(t)) {
 			at = append(at, int64(t))
 		}
 	}
@@ -299,19 +305,19 @@
 	return at
 }
 
-// jobs draws all jobs of a run in the order in which they are due.
-func (d *drawer) jobs() []*job {
+// jobs generates all jobs of a run, in the order in which they are due.
+func (g *jobGenerator) jobs() []*job {
 	var all []*job
-	for class := range d.plan.Classes {
-		for _, at := range d.arrivals(class) {
-			all = append(all, d.draw(class, d.plan.BeginUS+at))
+	for class := range g.plan.Classes {
+		for _, at := range g.arrivals(class) {
+			all = append(all, g.drawJob(class, g.plan.BeginUS+at))
 		}
 	}
 	slices.SortStableFunc(all, func(a, b *job) int { return int(max(-1, min(1, a.due-b.due))) })
 	return all
 }
 
-// ParsePlan reads the plan that the part was told.
+// ParsePlan parses the plan that the supervisor has sent to the part.
 func ParsePlan(text json.RawMessage) (*Plan, error) {
 	p := new(Plan)
 	if err := json.Unmarshal(text, p); err != nil {
--- a/internal/scale/users/operators.go
+++ b/internal/scale/users/operators.go
@@ -14,20 +14,20 @@
 	"mapleslip/internal/protocol"
 )
 
-// Operators is the load of changes of the configuration. Its rate is not scaled by the
-// part of a deployment that is played: a day has as many changes whatever the size.
+// Operators configures the load of configuration changes. Its rate is not scaled by the part of
+// a deployment that is simulated: a day has the same number of changes at any size.
 type Operators struct {
-	Rate      float64 `toml:"rate"`      // changes a second
-	Operators int     `toml:"operators"` // writers at once, over the regions in turn
+	Rate      float64 `toml:"rate"`      // changes per second
+	Operators int     `toml:"operators"` // concurrent writers, assigned to the regions in turn
 	// Weights of the kinds of changes.
-	Limits     float64 `toml:"limits"`     // of teams, lowered and taken back
-	Guarantees float64 `toml:"guarantees"` // of teams, lowered and taken back
-	Drains     float64 `toml:"drains"`     // of a machine, and taken back
-	Ceilings   float64 `toml:"ceilings"`   // of rental, in a zone
-	Drained    float64 `toml:"drained"`    // share of the machines that are drained at once, at most
+	Limits     float64 `toml:"limits"`     // a team's limit is lowered or reset
+	Guarantees float64 `toml:"guarantees"` // a team's guarantee is lowered or reset
+	Drains     float64 `toml:"drains"`     // a machine's drain is begun or ended
+	Ceilings   float64 `toml:"ceilings"`   // the ceiling of rented machines in a zone is set or reset
+	Drained    float64 `toml:"drained"`    // maximum share of the machines that are drained at once
 }
 
-// Check finds the first value that is impossible.
+// Check returns the first invalid value, or nil.
 func (o *Operators) Check() *protocol.KeyError {
 	for _, n := range []struct {
 		key          string
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// Bounds are what changes are drawn from.
+// Bounds contains the teams, machines and ceilings from which changes are drawn.
 type Bounds struct {
-	Teams    []protocol.Team // as in the platform's file: no limit above it is drawn
+	Teams    []protocol.Team // as in the platform's settings file: no limit above theirs is drawn
 	Machines []string
-	Ceilings map[string]int // machines there by "type/zone"
+	Ceilings map[string]int // number of existing machines by "type/zone"
 }
 
-// change is one that was drawn. It makes one revision.
+// change is a generated configuration change. It creates one revision.
 type change struct {
 	id       string
 	operator int
@@ -70,20 +70,21 @@
 	set      map[string]string
 }
 
-// mostDrained bounds the drains of the document, which has 60% of a value.
-const mostDrained = 40
+// maxDrained limits the drains in the configuration's document, whose size is limited to 60% of
+// a value of the state service.
+const maxDrained = 40
 
-// lowest is the share of the platform's limit, and of a guarantee, down to which they are
-// lowered.
-const lowest = 0.6
+// lowestShare is the share of a team's limit or guarantee in the platform's settings below which
+// no change lowers it.
+const lowestShare = 0.6
 
-// changes draws all changes of a run in the order in which they are due, a Poisson
-// process. What is set is mostly taken out the next time, so
-// that the document stays small.
-func (p *Plan) changes(seed uint64) []*change {
+// drawChanges generates all changes of a run as a Poisson process, in the order in which they
+// are due. The next change of a key that is set usually removes it, so that the document stays
+// small.
+func (p *Plan) drawChanges(seed uint64) []*change {
 	o, b := p.Operators, p.Bounds
 	r := rand.New(rand.NewPCG(seed, 0xc0f16))
-	kinds := slices.Sorted(func(yield func(string) bool) {
+	ceilingKeys := slices.Sorted(func(yield func(string) bool) {
 		for k := range b.Ceilings {
 			if !yield(k) {
 				return
@@ -91,40 +92,41 @@
 		}
 	})
 	var drained []string
-	most := min(mostDrained, len(b.Machines), max(1, int(o.Drained*float64(len(b.Machines)))))
-	in := make(map[string]bool) // keys that are set, if all is made in the order in which it is due
-	// turn takes a key out that is set, mostly, or else gives it a value.
-	turn := func(key string, draw func() string) (string, string) {
-		if in[key] && r.IntN(4) > 0 {
-			delete(in, key)
+	maxDrainedNow := min(maxDrained, len(b.Machines), max(1, int(o.Drained*float64(len(b.Machines)))))
+	// isSet contains the keys that are set if the changes are made in the order in which they are due.
+	isSet := make(map[string]bool)
+	// toggle usually removes a key that is set. Otherwise it sets the key to a value.
+	toggle := func(key string, drawValue func() string) (string, string) {
+		if isSet[key] && r.IntN(4) > 0 {
+			delete(isSet, key)
 			return key, ""
 		}
-		in[key] = true
-		return key, draw()
+		isSet[key] = true
+		return key, drawValue()
 	}
-	team := func(low func(t *protocol.Team) (key string, from, to int64)) (key, value string) {
+	drawTeamChange := func(pickLimit func(t *protocol.Team) (key string, from, to int64)) (key, value string) {
 		t := b.Teams[r.IntN(len(b.Teams))]
-		key, from, to := low(&t)
-		from = max(from, int64(float64(to)*lowest))
-		return turn("team/"+t.Name+"/"+key, func() string {
+		key, from, to := pickLimit(&t)
+		from = max(from, int64(float64(to)*lowestShare))
+		return toggle("team/"+t.Name+"/"+key, func() string {
 			v := from + r.Int64N(max(1, to-from))
 			return strconv.FormatFloat(float64(min(to, (v+999)/1000*1000))/1000, 'f', -1, 64)
 		})
 	}
-	draw := func() (key, value string) {
+	drawChange := func() (key, value string) {
 		at := r.Float64() * (o.Limits + o.Guarantees + o.Drains + o.Ceilings)
 		switch {
 		case at < o.Limits:
-			return team(func(t *protocol.Team) (string, int64, int64) {
+			return drawTeamChange(func(t *protocol.Team) (string, int64, int64) {
 				if t.Limit.GPU > 0 && r.IntN(2) == 0 {
 					return "gpus_max", t.Guarantee.GPU, t.Limit.GPU
 				}
 				return "cpus_max", t.Guarantee.CPU, t.Limit.CPU
 			})
 		case at < o.Limits+o.Guarantees:
-			return team(func(t *protocol.Team) (string, int64, int64) { return "cpus", 0, t.Guarantee.CPU })
+			return drawTeamChange(func(t *protocol.Team) (string, int64, int64) { return "cpus", 0, t.Guarantee.CPU })
 		case at < o.Limits+o.Guarantees+o.Drains:
-			if len(drained) >= most || len(drained) > 0 && r.IntN(2) == 0 {
+			if len(drained) >= maxDrainedNow || len(drained) > 0 && r.IntN(2) == 0 {
 				key, drained = "drain/machine/"+drained[0], drained[1:]
 				return key, ""
 			}
@@ -135,14 +137,15 @@
 			drained = append(drained, m)
 			return "drain/machine/" + m, `"finish"`
 		}
-		k := kinds[r.IntN(len(kinds))]
-		return turn("rent/"+k, func() string { return strconv.Itoa(b.Ceilings[k] + r.IntN(b.Ceilings[k]/4+2)) })
+		k := ceilingKeys[r.IntN(len(ceilingKeys))]
+		return toggle("rent/"+k, func() string { return strconv.Itoa(b.Ceilings[k] + r.IntN(b.Ceilings[k]/4+2)) })
 	}
 	var all []*change
 	for t := r.ExpFloat64() / o.Rate; t < float64(p.DurationUS)/second; t += r.ExpFloat64() / o.Rate {
 		i := len(all)
-		key, value := draw()
-		operator := int(crc32.ChecksumIEEE([]byte(key)) % uint32(o.Operators)) // so that what is set and taken out stays in order
+		key, value := drawChange()
+		// All changes of a key have the same operator, which keeps their order.
+		operator := int(crc32.ChecksumIEEE([]byte(key)) % uint32(o.Operators))
 		all = append(all, &change{
 			id: fmt.Sprintf("c-%06d", i+1), operator: operator, region: p.Regions[operator%len(p.Regions)],
 			due: p.BeginUS + int64(math.Round(t*second)), set: map[string]string{key: value},
@@ -151,37 +154,38 @@
 	return all
 }
 
-// changeState is how far a change has come.
+// changeState is the progress of a change.
 type changeState uint8
 
 const (
-	reading changeState = iota // its operator reads the last revision
-	posting                    // and asks for the next one
-	waiting                    // it is made: until it is in force everywhere
+	reading changeState = iota // the operator requests the latest revision
+	posting                    // the operator requests the next revision with the change
+	waiting                    // the change is made, but may not be in force everywhere
 	inForce
-	refused // it can't be: the answer says why
-	givenUp // nobody could say for a minute
+	refused // the controller refused the change; the answer contains the reason
+	givenUp // no conclusive answer for a minute
 )
 
-func (s changeState) over() bool { return s >= inForce }
+func (s changeState) final() bool { return s >= inForce }
 
-// changing is a change that is being made. It has no clock and makes no requests.
-type changing struct {
+// pendingChange is a change in progress. It reads no clock and sends no requests: callers pass
+// times and answers.
+type pendingChange struct {
 	*change
-	state     changeState
-	since     int64 // when its operator began with it; while it waits, when it was made
-	expected  uint64
-	revision  uint64 // that was made
-	changed   bool   // it made one: false, the document had it so already
-	conflicts int    // times that somebody else was first
-	why       string // it was refused
+	state       changeState
+	retryStart  int64 // time of its beginning; in the state waiting, time at which it was made
+	expected    uint64
+	revision    uint64 // that contains the change
+	newRevision bool   // it created a revision; false if the document had the values already
+	conflicts   int    // number of times that another change created the next revision first
+	refusal     string // reason of a refusal
 }
 
-// begin has an operator take it up.
-func (c *change) begin(at int64) *changing { return &changing{change: c, since: at} }
+// start begins to make the change.
+func (c *change) start(at int64) *pendingChange { return &pendingChange{change: c, retryStart: at} }
 
-// request is what to ask for now.
-func (c *changing) request() (method, path string, body []byte) {
+// request returns the next request for the change.
+func (c *pendingChange) request() (method, path string, body []byte) {
 	switch c.state {
 	case reading:
 		return "GET", "/api/config", nil
@@ -193,25 +197,25 @@
 	}
 }
 
-// answered takes the answer to it. It says how long to pause before the next request,
+// handleAnswer handles the answer to the request. It returns the pause before the next request,
 // microseconds.
-func (c *changing) answered(a answer, at int64) (pause int64) {
+func (c *pendingChange) handleAnswer(a answer, at int64) (pause int64) {
 	switch {
 	case a.status == 200 && c.state == reading:
 		c.state, c.expected = posting, fastjsonUint(a.body, "revision")
 	case a.status == 200 && c.state == posting:
-		c.state, c.since = waiting, at
-		c.revision, c.changed = fastjsonUint(a.body, "revision"), fastjson.GetBool(a.body, "changed")
+		c.state, c.retryStart = waiting, at
+		c.revision, c.newRevision = fastjsonUint(a.body, "revision"), fastjson.GetBool(a.body, "changed")
 	case a.status == 200:
 		c.state = inForce
-	case a.status == 409 && c.state == posting && at < c.since+retryFor && fastjsonUint(a.body, "revision") != c.expected:
+	case a.status == 409 && c.state == posting && at < c.retryStart+retryLimit && fastjsonUint(a.body, "revision") != c.expected:
 		c.state = reading
 		c.conflicts++
 	case (a.status == 400 || a.status == 422) && c.state == posting:
-		c.state, c.why = refused, fastjson.GetString(a.body, "error")
+		c.state, c.refusal = refused, fastjson.GetString(a.body, "error")
 	default:
-		pause = max(leastRetry, min(a.retryAfter, mostRetry))
-		if at+pause > c.since+retryFor {
+		pause = max(minRetryDelay, min(a.retryAfter, maxRetryDelay))
+		if at+pause > c.retryStart+retryLimit {
 			c.state, pause = givenUp, 0
 		}
 	}
@@ -226,23 +230,23 @@
 	return v.GetUint64(key)
 }
 
-// judgeHistory says what is wrong with a history that was read, the oldest entry first.
-// sent are the ids of the requests that were made, accepted the revisions of those that
-// were told made before the history was read.
-func judgeHistory(history []configuration.Entry, sent map[string]bool, accepted map[string]uint64) (problems []string) {
-	bad := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
-	of := make(map[string]uint64)
+// findHistoryProblems returns the problems of a history, whose first entry is the oldest. sent
+// contains the ids of the changes that were requested. accepted contains the revisions of the
+// changes that controllers had reported as made before the history was read.
+func findHistoryProblems(history []configuration.Entry, sent map[string]bool, accepted map[string]uint64) (problems []string) {
+	addProblem := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
+	revisions := make(map[string]uint64)
 	for i, e := range history {
 		if e.Revision != uint64(i)+1 {
-			bad("the history has revision %d as its entry %d", e.Revision, i+1)
-			return problems // all that follow are off as well
+			addProblem("the history has revision %d as its entry %d", e.Revision, i+1)
+			return problems // the revisions of all later entries differ as well
 		}
-		if was := of[e.ID]; was > 0 {
-			bad("change %s is in the history twice, as revisions %d and %d", e.ID, was, e.Revision)
+		if earlier := revisions[e.ID]; earlier > 0 {
+			addProblem("change %s is in the history twice, as revisions %d and %d", e.ID, earlier, e.Revision)
 		}
-		of[e.ID] = e.Revision
+		revisions[e.ID] = e.Revision
 		if !sent[e.ID] {
-			bad("revision %d is by change %q, which nobody asked for", e.Revision, e.ID)
+			addProblem("revision %d is by change %q, which nobody asked for", e.Revision, e.ID)
 		}
 	}
 	for _, id := range slices.Sorted(func(yield func(string) bool) {
@@ -252,8 +256,8 @@
 			}
 		}
 	}) {
-		if of[id] != accepted[id] {
-			bad("change %s was told made as revision %d, the history has it as %d", id, accepted[id], of[id])
+		if revisions[id] != accepted[id] {
+			addProblem("change %s was told made as revision %d, the history has it as %d", id, accepted[id], revisions[id])
 		}
 	}
 	return problems
--- a/internal/scale/users/run.go
+++ b/internal/scale/users/run.go
@@ -23,37 +23,37 @@
 	"mapleslip/internal/transport"
 )
 
-// Times of users, microseconds, as the protocol has them.
+// Settings of users as the protocol defines them; times are in microseconds.
 const (
-	second      = 1_000_000
-	submitTry   = 5 * second
-	pollTry     = 2 * second
-	leastRetry  = 1 * second
-	mostRetry   = 30 * second
-	retryFor    = 60 * second
-	keepIdle    = 10 * second
-	mostOnConn  = 50 // requests on a connection
-	laterPoll   = 15 * second
-	crowdedWait = second / 20
+	second             = 1_000_000
+	submitTimeout      = 5 * second
+	pollTimeout        = 2 * second
+	minRetryDelay      = 1 * second
+	maxRetryDelay      = 30 * second
+	retryLimit         = 60 * second // of all attempts of a request
+	idleTimeout        = 10 * second
+	maxRequestsPerConn = 50
+	laterPollDelay     = 15 * second // of a poll after the job has ended
+	connLimitDelay     = second / 20 // between checks while the maximum of connections is open
 )
 
-// event is something that a user does at a time.
+// event is an action of a user or operator at a time.
 type event struct {
 	due int64
 	do  func(due int64)
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(a, b int) bool { return q[a].due < q[b].due }
-func (q queue) Swap(a, b int)      { q[a], q[b] = q[b], q[a] }
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(a, b int) bool { return q[a].due < q[b].due }
+func (q eventQueue) Swap(a, b int)      { q[a], q[b] = q[b], q[a] }
 
 // Push is part of heap.Interface.
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop is part of heap.Interface.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -61,42 +61,42 @@
 	return e
 }
 
-// load is the running part.
+// load is the state of the part.
 type load struct {
-	pipe  *ipc.Pipe
-	plan  *Plan
-	log   *slog.Logger
-	r     *rand.Rand
-	wake  chan struct{}
-	sites map[string]*site
+	pipe    *ipc.Pipe
+	plan    *Plan
+	log     *slog.Logger
+	rng     *rand.Rand
+	wake    chan struct{}
+	clients map[string]*regionClient
 
 	mu       sync.Mutex
-	events   queue
-	lag      []int64 // of this second's requests, microseconds
+	events   eventQueue
+	lags     []int64 // of the requests since the last gauge, microseconds
 	counts   map[string]float64
 	inFlight int
 }
 
-// site is a region's users: their load balancer and their connections.
-type site struct {
-	l        *load
-	region   string
-	source   net.IP
-	nodes    []string // addresses
-	mu       sync.Mutex
-	balancer *balancer
-	idle     []*conn
-	open     map[*conn]bool
+// regionClient is the client of the users of a region, with their load balancer and connections.
+type regionClient struct {
+	load      *load
+	region    string
+	source    net.IP
+	addresses []string // of the controllers
+	mu        sync.Mutex
+	balancer  *balancer
+	idle      []*conn
+	open      map[*conn]bool
 }
 
 type conn struct {
 	net.Conn
-	node  int
-	used  int
-	since int64
+	backend   int
+	requests  int
+	idleSince int64
 }
 
-// Run is the role of the load.
+// Run runs the part with wire.RoleUsers: the load.
 func Run(in io.Reader, out io.Writer, log *slog.Logger) error {
 	p, err := ipc.Open(in, out)
 	if err != nil {
@@ -107,56 +107,56 @@
 		return p.Ready(err)
 	}
 	l := &load{
-		pipe: p, plan: plan, log: log, r: rand.New(rand.NewPCG(p.Config.Seed, 0xbe7)), wake: make(chan struct{}, 1),
-		sites: make(map[string]*site), counts: make(map[string]float64),
+		pipe: p, plan: plan, log: log, rng: rand.New(rand.NewPCG(p.Config.Seed, 0xbe7)), wake: make(chan struct{}, 1),
+		clients: make(map[string]*regionClient), counts: make(map[string]float64),
 	}
 	for _, region := range plan.Regions {
-		s := &site{l: l, region: region, source: net.ParseIP(plan.Sources[region]), balancer: newBalancer(len(p.Config.Controllers)), open: make(map[*conn]bool)}
+		rc := &regionClient{load: l, region: region, source: net.ParseIP(plan.Sources[region]), balancer: newBalancer(len(p.Config.Controllers)), open: make(map[*conn]bool)}
 		for _, c := range p.Config.Controllers {
-			s.nodes = append(s.nodes, c.Public[region])
+			rc.addresses = append(rc.addresses, c.Public[region])
 		}
-		l.sites[region] = s
+		l.clients[region] = rc
 	}
 	return l.run()
 }
 
 func (l *load) run() error {
-	d := newDrawer(l.plan, l.pipe.Config.Seed)
-	jobs := d.jobs()
+	g := newJobGenerator(l.plan, l.pipe.Config.Seed)
+	jobs := g.jobs()
 	for _, j := range jobs {
-		l.at(j.due, func(due int64) { l.submit(j) })
+		l.schedule(j.due, func(due int64) { l.submit(j) })
 	}
 	if l.plan.Strangers > 0 {
-		l.at(l.plan.BeginUS+second, l.stranger)
+		l.schedule(l.plan.BeginUS+second, l.queryUnknownJob)
 	}
 	var changes []*change
 	if l.plan.Operators != nil {
-		changes = l.plan.changes(l.pipe.Config.Seed)
+		changes = l.plan.drawChanges(l.pipe.Config.Seed)
 	}
 	if err := l.pipe.Ready(nil); err != nil {
 		return err
 	}
 	l.pipe.Note("load: %d jobs drawn", len(jobs))
-	over := make(chan struct{})
-	for _, s := range l.sites {
-		for i := range s.nodes {
-			go s.probe(i, over)
+	stop := make(chan struct{})
+	for _, rc := range l.clients {
+		for i := range rc.addresses {
+			go rc.probe(i, stop)
 		}
-		go s.sweep(over)
+		go rc.sweepConns(stop)
 	}
 	if len(changes) > 0 {
-		l.operate(changes, over)
+		l.runOperators(changes, stop)
 	}
-	go l.pace(over)
-	go l.report(over)
+	go l.runEvents(stop)
+	go l.sendGauges(stop)
 	for range l.pipe.In {
 	}
-	close(over)
+	close(stop)
 	return nil
 }
 
-// at has something done at a time.
-func (l *load) at(due int64, do func(due int64)) {
+// schedule calls do at a time.
+func (l *load) schedule(due int64, do func(due int64)) {
 	l.mu.Lock()
 	heap.Push(&l.events, event{due, do})
 	l.mu.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// pace does what is due, each in a goroutine of its own, however long others take.
-func (l *load) pace(over chan struct{}) {
+// runEvents runs each event when it is due, in a goroutine of its own, however long others take.
+func (l *load) runEvents(stop chan struct{}) {
 	for {
 		wait := time.Hour
 		l.mu.Lock()
@@ -183,7 +183,7 @@
 		l.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
-		case <-over:
+		case <-stop:
 			t.Stop()
 			return
 		case <-l.wake:
@@ -193,21 +193,21 @@
 	}
 }
 
-// count counts an event.
+// count increments a counter.
 func (l *load) count(name string) {
 	l.mu.Lock()
 	l.counts[name]++
 	l.mu.Unlock()
 }
 
-// report says once a second what was measured. The lag is how much later than due a
-// request was written to its connection or given to the balancer.
-func (l *load) report(over chan struct{}) {
+// sendGauges reports the measured values to the supervisor once a second. The lag of a request
+// is the time from when it is due until the client begins to look for a connection for it.
+func (l *load) sendGauges(stop chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-tick.C:
 		}
@@ -216,24 +216,24 @@
 		for name, n := range l.counts {
 			v[name] = n
 		}
-		slices.Sort(l.lag)
-		if n := len(l.lag); n > 0 {
-			v["lag_ms_max"] = float64(l.lag[n-1]) / 1000
-			v["lag_ms_p99"] = float64(l.lag[n*99/100]) / 1000
+		slices.Sort(l.lags)
+		if n := len(l.lags); n > 0 {
+			v["lag_ms_max"] = float64(l.lags[n-1]) / 1000
+			v["lag_ms_p99"] = float64(l.lags[n*99/100]) / 1000
 		}
-		l.lag = l.lag[:0]
+		l.lags = l.lags[:0]
 		v["in_flight"] = float64(l.inFlight)
 		l.mu.Unlock()
 		healthy, open := 0, 0
-		for _, s := range l.sites {
-			s.mu.Lock()
-			open += len(s.open)
-			for _, n := range s.balancer.nodes {
+		for _, rc := range l.clients {
+			rc.mu.Lock()
+			open += len(rc.open)
+			for _, n := range rc.balancer.backends {
 				if n.healthy {
 					healthy++
 				}
 			}
-			s.mu.Unlock()
+			rc.mu.Unlock()
 		}
 		v["connections"], v["healthy"] = float64(open), float64(healthy)
 		if l.pipe.Out.Send(&wire.Message{Kind: wire.Gauge, Name: l.pipe.Config.Part, At: wire.Now(), Values: v}) != nil {
@@ -242,14 +242,14 @@
 	}
 }
 
-// jitter is a span give or take a fifth.
+// jitter returns a span that is changed randomly by up to a fifth of it.
 func (l *load) jitter(span int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return span*4/5 + l.r.Int64N(max(1, span*2/5))
+	return span*4/5 + l.rng.Int64N(max(1, span*2/5))
 }
 
-// answer is what came back for a request; status 0: nothing.
+// answer is the answer to a request. The status is 0 if there was none.
 type answer struct {
 	status     int
 	phase      string
@@ -257,15 +257,15 @@
 	body       []byte
 }
 
-// request makes a request when it is due and tells the supervisor how it went.
-func (l *load) request(region, op, ref string, due int64, method, path string, body []byte, within int64) answer {
-	s := l.sites[region]
+// request sends a request that is due and reports the answer to the supervisor.
+func (l *load) request(region, op, ref string, due int64, method, path string, body []byte, timeout int64) answer {
+	rc := l.clients[region]
 	late := wire.Now() - due
 	l.mu.Lock()
-	l.lag = append(l.lag, late)
+	l.lags = append(l.lags, late)
 	l.inFlight++
 	l.mu.Unlock()
-	a := s.call(method, path, body, within)
+	a := rc.call(method, path, body, timeout)
 	l.mu.Lock()
 	l.inFlight--
 	l.counts["requests_"+op]++
@@ -275,15 +275,16 @@
 	return a
 }
 
-// retry has a request made again after an answer that is none, for as long as users do
-// that. It reports whether the user gave up.
-func (l *load) retry(a answer, first int64, again func(due int64)) (gaveUp bool) {
-	wait := l.jitter(max(leastRetry, min(a.retryAfter, mostRetry)) * 5 / 4) // from the least on
+// retry schedules another attempt of a request that failed, unless retryLimit is over by then.
+// It reports whether the user gave up.
+func (l *load) retry(a answer, start int64, try func(due int64)) (gaveUp bool) {
+	// The factor keeps the jitter from shortening the delay below its minimum.
+	wait := l.jitter(max(minRetryDelay, min(a.retryAfter, maxRetryDelay)) * 5 / 4)
 	now := wire.Now()
-	if now+wait > first+retryFor {
+	if now+wait > start+retryLimit {
 		return true
 	}
-	l.at(now+wait, again)
+	l.schedule(now+wait, try)
 	return false
 }
 
@@ -292,10 +293,10 @@
 	_ = l.pipe.Out.Send(&wire.Message{Kind: wire.Submit, Ref: j.spec.Ref, Region: j.region, Due: j.due, At: wire.Now(), Run: j.run, Specs: []json.RawMessage{body}})
 	var try func(due int64)
 	try = func(due int64) {
-		a := l.request(j.region, "submit", j.spec.Ref, due, "POST", "/api/jobs", body, submitTry)
+		a := l.request(j.region, "submit", j.spec.Ref, due, "POST", "/api/jobs", body, submitTimeout)
 		switch a.status {
 		case 200, 201:
-			l.accepted(j)
+			l.followJob(j)
 		case 400, 422:
 			l.count("refused")
 		default:
@@ -307,39 +308,40 @@
 	try(j.due)
 }
 
-// accepted has a user ask after a job, and perhaps cancel it.
-func (l *load) accepted(j *job) {
+// followJob polls a job and cancels it if its user does that.
+func (l *load) followJob(j *job) {
 	now := wire.Now()
-	ends := l.plan.BeginUS + l.plan.DurationUS + l.plan.SettleUS
-	var cancelling, over bool // each job's events come one after the other but for these
+	end := l.plan.BeginUS + l.plan.DurationUS + l.plan.SettleUS
+	// The polls and the cancellation run concurrently and share these variables.
+	var cancelling, finished bool
 	var mu sync.Mutex
 	var poll func(due int64)
 	poll = func(due int64) {
-		a := l.request(j.region, "query", j.spec.Ref, due, "GET", "/api/jobs/"+j.spec.Ref, nil, pollTry)
+		a := l.request(j.region, "query", j.spec.Ref, due, "GET", "/api/jobs/"+j.spec.Ref, nil, pollTimeout)
 		if a.status == 200 && (a.phase == "done" || a.phase == "cancelled") {
 			mu.Lock()
-			first := !over
-			over = true
+			firstTime := !finished
+			finished = true
 			mu.Unlock()
-			// Some ask again later.
-			if l.jitter(100) < 100 && first {
-				l.at(wire.Now()+l.jitter(laterPoll), poll)
+			// About half of the users poll once more, later.
+			if l.jitter(100) < 100 && firstTime {
+				l.schedule(wire.Now()+l.jitter(laterPollDelay), poll)
 			}
 			return
 		}
-		if next := wire.Now() + l.jitter(l.plan.PollUS); next < ends {
-			l.at(next, poll)
+		if next := wire.Now() + l.jitter(l.plan.PollUS); next < end {
+			l.schedule(next, poll)
 		}
 	}
-	l.at(now+l.jitter(l.plan.PollUS), poll)
+	l.schedule(now+l.jitter(l.plan.PollUS), poll)
 	if j.cancelAt == 0 || max(now, j.due+j.cancelAt) >= l.plan.BeginUS+l.plan.DurationUS {
 		return
 	}
-	first := max(now, j.due+j.cancelAt)
+	cancelDue := max(now, j.due+j.cancelAt)
 	var cancel func(due int64)
 	cancel = func(due int64) {
 		mu.Lock()
-		skip := over
+		skip := finished
 		begin := !cancelling
 		cancelling = true
 		mu.Unlock()
@@ -349,115 +351,117 @@
 		if begin {
 			_ = l.pipe.Out.Send(&wire.Message{Kind: wire.Cancel, Ref: j.spec.Ref, Region: j.region, Due: due, At: wire.Now()})
 		}
-		a := l.request(j.region, "cancel", j.spec.Ref, due, "POST", "/api/jobs/"+j.spec.Ref+"/cancel", nil, submitTry)
-		if a.status != 200 && l.retry(a, first, cancel) {
+		a := l.request(j.region, "cancel", j.spec.Ref, due, "POST", "/api/jobs/"+j.spec.Ref+"/cancel", nil, submitTimeout)
+		if a.status != 200 && l.retry(a, cancelDue, cancel) {
 			l.count("given_up_cancel")
 		}
 	}
-	l.at(first, cancel)
+	l.schedule(cancelDue, cancel)
 }
 
-// stranger asks about a job that nobody submitted; names of the load have nine digits.
-func (l *load) stranger(due int64) {
+// queryUnknownJob queries a job that was never submitted: its name has twelve digits, those of
+// submitted jobs have nine.
+func (l *load) queryUnknownJob(due int64) {
 	l.mu.Lock()
-	ref := fmt.Sprintf("req-%012d", 1_000_000_000_0+l.r.Int64N(1_000_000_000))
-	region := l.plan.Regions[l.r.IntN(len(l.plan.Regions))]
-	wait := int64(l.r.ExpFloat64() / l.plan.Strangers * second)
+	ref := fmt.Sprintf("req-%012d", 1_000_000_000_0+l.rng.Int64N(1_000_000_000))
+	region := l.plan.Regions[l.rng.IntN(len(l.plan.Regions))]
+	wait := int64(l.rng.ExpFloat64() / l.plan.Strangers * second)
 	l.mu.Unlock()
 	if due+wait < l.plan.BeginUS+l.plan.DurationUS {
-		l.at(due+wait, l.stranger)
+		l.schedule(due+wait, l.queryUnknownJob)
 	}
-	l.request(region, "query", ref, due, "GET", "/api/jobs/"+ref, nil, pollTry)
+	l.request(region, "query", ref, due, "GET", "/api/jobs/"+ref, nil, pollTimeout)
 }
 
-// take finds an idle connection, or makes one to a node that the balancer picks.
-func (s *site) take(deadline int64) *conn {
-	s.mu.Lock()
-	for n := len(s.idle); n > 0; n = len(s.idle) {
-		c := s.idle[n-1]
-		s.idle = s.idle[:n-1]
-		if wire.Now()-c.since < keepIdle && s.open[c] {
-			s.mu.Unlock()
+// acquire returns an idle connection, or opens one to a backend that the balancer picks. It
+// returns nil if no backend accepts a connection, or at the deadline with too many open.
+func (rc *regionClient) acquire(deadline int64) *conn {
+	rc.mu.Lock()
+	for n := len(rc.idle); n > 0; n = len(rc.idle) {
+		c := rc.idle[n-1]
+		rc.idle = rc.idle[:n-1]
+		if wire.Now()-c.idleSince < idleTimeout && rc.open[c] {
+			rc.mu.Unlock()
 			return c
 		}
-		s.drop(c)
+		rc.closeConn(c)
 	}
-	s.mu.Unlock()
+	rc.mu.Unlock()
 	for {
-		s.mu.Lock()
-		crowded := len(s.open)*len(s.l.sites) >= s.l.plan.MaxConnections
-		s.mu.Unlock()
+		rc.mu.Lock()
+		crowded := len(rc.open)*len(rc.load.clients) >= rc.load.plan.MaxConnections
+		rc.mu.Unlock()
 		if !crowded {
 			break
 		}
-		s.l.count("crowded")
-		time.Sleep(crowdedWait * time.Microsecond)
+		rc.load.count("crowded")
+		time.Sleep(connLimitDelay * time.Microsecond)
 		if wire.Now() > deadline {
 			return nil
 		}
 	}
 	var tried []int
-	for range mostAttempts {
-		s.mu.Lock()
-		i := s.balancer.pick(tried, wire.Now())
-		s.mu.Unlock()
+	for range maxConnectAttempts {
+		rc.mu.Lock()
+		i := rc.balancer.pick(tried, wire.Now())
+		rc.mu.Unlock()
 		if i < 0 {
 			return nil
 		}
 		tried = append(tried, i)
-		by := net.Dialer{Timeout: acceptWithin * time.Microsecond}
-		if s.source != nil {
-			by.LocalAddr = &net.TCPAddr{IP: s.source}
+		dialer := net.Dialer{Timeout: connectTimeout * time.Microsecond}
+		if rc.source != nil {
+			dialer.LocalAddr = &net.TCPAddr{IP: rc.source}
 		}
-		c, err := by.Dial("tcp4", s.nodes[i])
-		s.mu.Lock()
-		s.balancer.connected(i, err == nil, wire.Now())
+		c, err := dialer.Dial("tcp4", rc.addresses[i])
+		rc.mu.Lock()
+		rc.balancer.recordConnect(i, err == nil, wire.Now())
 		if err == nil {
-			k := &conn{Conn: c, node: i}
-			s.open[k] = true
-			s.mu.Unlock()
-			return k
+			opened := &conn{Conn: c, backend: i}
+			rc.open[opened] = true
+			rc.mu.Unlock()
+			return opened
 		}
-		s.mu.Unlock()
+		rc.mu.Unlock()
 	}
 	return nil
 }
 
-// drop closes a connection; the lock is held.
-func (s *site) drop(c *conn) {
-	if s.open[c] {
-		delete(s.open, c)
-		s.balancer.closed(c.node)
+// closeConn closes a connection. The caller holds the lock.
+func (rc *regionClient) closeConn(c *conn) {
+	if rc.open[c] {
+		delete(rc.open, c)
+		rc.balancer.recordClose(c.backend)
 	}
 	c.Close()
 }
 
-func (s *site) call(method, path string, body []byte, within int64) (a answer) {
-	deadline := wire.Now() + within
-	c := s.take(deadline)
+func (rc *regionClient) call(method, path string, body []byte, timeout int64) (a answer) {
+	deadline := wire.Now() + timeout
+	c := rc.acquire(deadline)
 	if c == nil {
 		return a
 	}
 	_ = c.SetDeadline(time.Now().Add(time.Duration(deadline-wire.Now()) * time.Microsecond))
-	a, keep, in, out := exchange(c, method, s.nodes[c.node], path, body)
-	s.l.mu.Lock()
-	s.l.counts["bytes_in"] += float64(in)
-	s.l.counts["bytes_out"] += float64(out)
-	s.l.mu.Unlock()
-	c.used++
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !keep || c.used >= mostOnConn || !s.open[c] {
-		s.drop(c)
+	a, keep, in, out := roundTrip(c, method, rc.addresses[c.backend], path, body)
+	rc.load.mu.Lock()
+	rc.load.counts["bytes_in"] += float64(in)
+	rc.load.counts["bytes_out"] += float64(out)
+	rc.load.mu.Unlock()
+	c.requests++
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if !keep || c.requests >= maxRequestsPerConn || !rc.open[c] {
+		rc.closeConn(c)
 		return a
 	}
-	c.since = wire.Now()
-	s.idle = append(s.idle, c)
+	c.idleSince = wire.Now()
+	rc.idle = append(rc.idle, c)
 	return a
 }
 
-// exchange makes a request on a connection.
-func exchange(c net.Conn, method, host, path string, body []byte) (a answer, keep bool, in, out int) {
+// roundTrip sends a request on a connection and reads the response.
+func roundTrip(c net.Conn, method, host, path string, body []byte) (a answer, keep bool, in, out int) {
 	payload := transport.AppendRequest(nil, method, host, path, body)
 	n, err := c.Write(payload)
 	if out = n; err != nil {
@@ -484,7 +488,8 @@
 	}
 }
 
-// retryAfter is what a response's head says of when to come back, microseconds.
+// retryAfter returns the delay in the Retry-After header of a response, microseconds. It is at
+// most an hour.
 func retryAfter(head []byte) int64 {
 	for line := range strings.SplitSeq(string(head), "\r\n") {
 		if name, v, ok := strings.Cut(line, ":"); ok && strings.EqualFold(name, "Retry-After") {
@@ -495,17 +500,17 @@
 	return 0
 }
 
-// probe asks a node about once a second whether it is well.
-func (s *site) probe(i int, over chan struct{}) {
-	by := transport.Dialer{MaxOpen: 1, MaxPer: 1}
-	if a, ok := addrOf(s.source); ok {
-		by.Source = a
+// probe checks the health of a controller about once a second.
+func (rc *regionClient) probe(i int, stop chan struct{}) {
+	dialer := transport.Dialer{MaxOpen: 1, MaxPer: 1}
+	if a, ok := sourceAddr(rc.source); ok {
+		dialer.Source = a
 	}
-	payload := transport.AppendRequest(nil, "GET", s.nodes[i], "/healthz", nil)
+	payload := transport.AppendRequest(nil, "GET", rc.addresses[i], "/healthz", nil)
 	for {
 		status := 0
-		began := wire.Now()
-		err := by.Do(s.nodes[i], payload, probeWithin*time.Microsecond, func(buf []byte, eof bool) (int, bool, error) {
+		start := wire.Now()
+		err := dialer.Do(rc.addresses[i], payload, probeTimeout*time.Microsecond, func(buf []byte, eof bool) (int, bool, error) {
 			r, used, err := transport.ParseResponse(buf, eof)
 			if err != nil || used == 0 {
 				return 0, false, err
@@ -513,50 +518,51 @@
 			status = r.Status
 			return used, false, nil
 		})
-		s.mu.Lock()
-		s.balancer.probed(i, err == nil && status == 200, wire.Now())
-		s.mu.Unlock()
-		s.l.count("probes")
-		wait := time.Duration(max(second/10, began+s.l.jitter(probeEvery)-wire.Now())) * time.Microsecond
+		rc.mu.Lock()
+		rc.balancer.recordProbe(i, err == nil && status == 200, wire.Now())
+		rc.mu.Unlock()
+		rc.load.count("probes")
+		wait := time.Duration(max(second/10, start+rc.load.jitter(probeInterval)-wire.Now())) * time.Microsecond
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(wait):
 		}
 	}
 }
 
-// sweep resets connections of nodes that have been unhealthy for long, and closes idle ones.
-func (s *site) sweep(over chan struct{}) {
+// sweepConns closes connections of backends that have been unhealthy for long, and those that
+// have been idle for long.
+func (rc *regionClient) sweepConns(stop chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
 		case <-time.After(time.Second):
 		}
-		s.mu.Lock()
+		rc.mu.Lock()
 		now := wire.Now()
-		for c := range s.open {
-			if s.balancer.reset(c.node, now) {
-				s.drop(c) // a call on it fails at once
+		for c := range rc.open {
+			if rc.balancer.shouldReset(c.backend, now) {
+				rc.closeConn(c) // a request on it fails at once
 			}
 		}
-		kept := s.idle[:0]
-		for _, c := range s.idle {
+		kept := rc.idle[:0]
+		for _, c := range rc.idle {
 			switch {
-			case !s.open[c]:
-			case now-c.since >= keepIdle:
-				s.drop(c)
+			case !rc.open[c]:
+			case now-c.idleSince >= idleTimeout:
+				rc.closeConn(c)
 			default:
 				kept = append(kept, c)
 			}
 		}
-		s.idle = kept
-		s.mu.Unlock()
+		rc.idle = kept
+		rc.mu.Unlock()
 	}
 }
 
-func addrOf(ip net.IP) (netip.Addr, bool) {
+func sourceAddr(ip net.IP) (netip.Addr, bool) {
 	a, ok := netip.AddrFromSlice(ip.To4())
 	return a, ok
 }
--- a/internal/scale/users/users_test.go
+++ b/internal/scale/users/users_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// A seed always draws the same jobs: valid ones, each with a name of its own, in the
-// order in which they are due.
+// The same seed gives the same jobs. The jobs are valid, have unique names and are in the order
+// in which they are due.
 func TestJobs(t *testing.T) {
-	a, b := newDrawer(testPlan(), 3).jobs(), newDrawer(testPlan(), 3).jobs()
+	a, b := newJobGenerator(testPlan(), 3).jobs(), newJobGenerator(testPlan(), 3).jobs()
 	if d := cmp.Diff(a, b, cmp.AllowUnexported(job{})); d != "" {
 		t.Fatal(d)
 	}
@@ -35,7 +35,7 @@
 	peak, last := 0, int64(0)
 	for _, j := range a {
 		if refs[j.spec.Ref] {
-			t.Fatalf("%s twice", j.spec.Ref)
+			t.Fatalf("two jobs have the name %s", j.spec.Ref)
 		}
 		refs[j.spec.Ref] = true
 		got, err := protocol.ParseJob(protocol.AppendJob(nil, j.spec))
@@ -46,7 +46,7 @@
 			t.Fatal(d)
 		}
 		if j.due < last || j.due < 1000 || j.due >= 1000+100*second {
-			t.Fatalf("due at %d after %d", j.due, last)
+			t.Fatalf("a job is due at %d, the previous one at %d", j.due, last)
 		}
 		last = j.due
 		counts[j.spec.Class]++
@@ -54,36 +54,36 @@
 			peak++
 		}
 		if (j.spec.Kind == protocol.Service) != (j.run == 0) {
-			t.Errorf("%s runs for %d", j.spec.Class, j.run)
+			t.Errorf("a job of class %s has a run time of %d", j.spec.Class, j.run)
 		}
 	}
-	// 10 a second for 80 s, 50 for 20 s: seven standard deviations of each.
+	// 10 jobs per second for 80 s, 50 for 20 s: within seven standard deviations of each.
 	if rest := counts["sum"] - peak; peak < 1000-221 || peak > 1000+221 || rest < 800-198 || rest > 800+198 {
 		t.Errorf("%d jobs in the peak, %d in the rest", peak, rest)
 	}
 }
 
-// The balancer as the protocol describes it, step by step.
+// Follows the load balancer's rules in the protocol step by step.
 func TestBalancer(t *testing.T) {
 	b := newBalancer(2)
 	at := int64(0)
 	probe := func(i int, outcomes ...bool) {
 		for _, ok := range outcomes {
 			at += second
-			b.probed(i, ok, at)
+			b.recordProbe(i, ok, at)
 		}
 	}
 	expect := func(what string, i int, healthy bool) {
 		t.Helper()
-		if b.nodes[i].healthy != healthy {
-			t.Fatalf("%s: healthy is %t", what, b.nodes[i].healthy)
+		if b.backends[i].healthy != healthy {
+			t.Fatalf("%s: healthy is %t", what, b.backends[i].healthy)
 		}
 	}
 	if b.pick(nil, at) != -1 {
-		t.Fatal("picked a node that nobody has probed")
+		t.Fatal("picked a backend that was not probed")
 	}
 	probe(0, true)
-	expect("one success of a new node", 0, true)
+	expect("one success of a new backend", 0, true)
 	probe(0, false, true, false, true)
 	expect("two failures among four", 0, true)
 	probe(0, false)
@@ -92,56 +92,56 @@
 	probe(0, true, true)
 	expect("two successes within 3 s", 0, false)
 	probe(0, true)
-	if at-removed != leastPause {
+	if at-removed != minRemovalPause {
 		t.Fatal(at - removed)
 	}
 	expect("two successes after 3 s", 0, true)
 	probe(0, false, false)
 	expect("two failures", 0, false)
 	probe(0, true, true, true, true, true)
-	expect("the second pause is 6 s", 0, false)
+	expect("before the end of the second pause of 6 s", 0, false)
 	probe(0, true)
-	expect("after it", 0, true)
+	expect("after the second pause", 0, true)
 	probe(1, true)
-	at += raiseOver
+	at += rampUpTime
 	if got := b.pick([]int{0}, at); got != 1 {
-		t.Errorf("picked %d", got)
+		t.Errorf("picked %d, want 1", got)
 	}
-	b.nodes[0].open, b.nodes[1].open = 3, 1
+	b.backends[0].openConns, b.backends[1].openConns = 3, 1
 	if got := b.pick(nil, at); got != 1 {
 		t.Errorf("picked %d, which has more connections", got)
 	}
 	for range 3 {
-		b.connected(1, false, at)
+		b.recordConnect(1, false, at)
 	}
 	if got := b.pick(nil, at); got != 0 {
 		t.Errorf("picked %d, which failed three connections", got)
 	}
-	if got := b.pick(nil, at+skipFor); got != 1 {
+	if got := b.pick(nil, at+skipDuration); got != 1 {
 		t.Errorf("picked %d after the 3 s", got)
 	}
 	probe(1, false, false)
-	if b.reset(1, at+resetAfter-1) || !b.reset(1, at+resetAfter) {
+	if b.shouldReset(1, at+resetAfter-1) || !b.shouldReset(1, at+resetAfter) {
 		t.Error("connections are not reset after 5 s")
 	}
 }
 
-// Nothing is picked that is not healthy, was tried already or is skipped.
+// The balancer picks no backend that is unhealthy, was tried already or is skipped.
 func TestPick(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBalancer(rapid.IntRange(1, 8).Draw(t, "nodes"))
 		at := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(b.nodes)-1).Draw(t, "node")
+			i := rapid.IntRange(0, len(b.backends)-1).Draw(t, "node")
 			at += rapid.Int64Range(0, second).Draw(t, "wait")
 			switch ok := rapid.Bool().Draw(t, "ok"); rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				b.probed(i, ok, at)
+				b.recordProbe(i, ok, at)
 			case 1:
-				b.connected(i, ok, at)
+				b.recordConnect(i, ok, at)
 			case 2:
-				if got := b.pick([]int{i}, at); got >= 0 && (got == i || !b.nodes[got].healthy || at < b.nodes[got].skipUntil) {
-					t.Fatalf("picked %d: %+v", got, b.nodes[got])
+				if got := b.pick([]int{i}, at); got >= 0 && (got == i || !b.backends[got].healthy || at < b.backends[got].skipUntil) {
+					t.Fatalf("picked %d: %+v", got, b.backends[got])
 				}
 			}
 		}
