--- a/cmd/mapleslip/check_test.go
+++ b/cmd/mapleslip/check_test.go
@@ -11,9 +11,9 @@
 	"mapleslip/internal/transport"
 )
 
-// instance is a service's instance on loopback that does what it is told with each
-// connection.
-func instance(t *testing.T, serve func(net.Conn)) string {
+// startInstance listens on a loopback address as an instance of a service, and calls serve for each
+// connection. If serve is nil, it accepts no connection.
+func startInstance(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -34,8 +34,8 @@
 	return l.Addr().String()
 }
 
-// A check that hangs fails at its time-out, however the instance hangs; its socket is
-// given back, and other checks go on meanwhile.
+// Guards against health checks that block or leak sockets: a check fails at its timeout however the
+// instance hangs, its socket is released, and other checks run meanwhile.
 func TestChecks(t *testing.T) {
 	text := func(s string) func(net.Conn) {
 		return func(c net.Conn) {
@@ -44,10 +44,10 @@
 			c.Close()
 		}
 	}
-	until := make(chan struct{})
-	t.Cleanup(func() { close(until) })
-	hang := func(c net.Conn) { <-until; c.Close() }
-	drip := func(c net.Conn) { // a byte at a time, for ever
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	hang := func(c net.Conn) { <-release; c.Close() }
+	drip := func(c net.Conn) { // sends a byte at a time without end
 		for {
 			if _, err := c.Write([]byte("H")); err != nil {
 				return
@@ -68,25 +68,25 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	good := instance(t, text("HTTP/1.1 204 No Content\r\n\r\n"))
+	good := startInstance(t, text("HTTP/1.1 204 No Content\r\n\r\n"))
 	cases := []struct {
 		name, method, addr string
 		status             int
 		refused            bool
 	}{
 		{"passes", "GET", good, 204, false},
-		{"fails", "GET", instance(t, text("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), 500, false},
-		{"not HTTP", "GET", instance(t, text("SSH-2.0\r\n\r\n")), 0, false},
-		{"closes", "GET", instance(t, func(c net.Conn) { c.Close() }), 0, false},
-		{"accepts and never answers", "GET", instance(t, hang), 0, false},
-		{"answers a byte at a time", "GET", instance(t, drip), 0, false},
-		{"answers without end", "GET", instance(t, flood), 0, false},
-		{"never accepts", "GET", instance(t, nil), 0, false},
-		{"nobody listens", "GET", closed.Addr().String(), 0, true},
+		{"fails", "GET", startInstance(t, text("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), 500, false},
+		{"not HTTP", "GET", startInstance(t, text("SSH-2.0\r\n\r\n")), 0, false},
+		{"closes", "GET", startInstance(t, func(c net.Conn) { c.Close() }), 0, false},
+		{"accepts and never answers", "GET", startInstance(t, hang), 0, false},
+		{"answers a byte at a time", "GET", startInstance(t, drip), 0, false},
+		{"answers without end", "GET", startInstance(t, flood), 0, false},
+		{"never accepts", "GET", startInstance(t, nil), 0, false},
+		{"no listener", "GET", closed.Addr().String(), 0, true},
 		{"TCP", "", good, 200, false},
-		{"TCP, nobody listens", "", closed.Addr().String(), 0, true},
+		{"TCP, no listener", "", closed.Addr().String(), 0, true},
 	}
-	// Two sockets in all: a single one that is kept would show.
+	// With only two sockets, a single socket that is not released makes later checks fail.
 	d := &driver{dialers: map[controller.Target]*transport.Dialer{controller.ToInstance: {MaxOpen: 2, MaxPer: 2}}}
 	run := func(method, addr string) controller.CallResult {
 		return d.exchange(controller.Call{Target: controller.ToInstance, Method: method, Path: "/healthz", Timeout: 60 * protocol.Millisecond}, addr)
@@ -98,16 +98,16 @@
 			}
 		}
 	}
-	var slow sync.WaitGroup
+	var pending sync.WaitGroup
 	began := make(chan struct{})
-	stuck := instance(t, func(c net.Conn) { close(began); <-until; c.Close() })
-	slow.Go(func() { run("GET", stuck) })
+	hanging := startInstance(t, func(c net.Conn) { close(began); <-release; c.Close() })
+	pending.Go(func() { run("GET", hanging) })
 	<-began
 	if got := run("GET", good); got.Status != 204 {
-		t.Errorf("beside one that hangs: %+v", got)
+		t.Errorf("check during a hanging check: %+v", got)
 	}
-	slow.Wait()
+	pending.Wait()
 	if done := (&driver{}).exchange(controller.Call{Target: controller.ToInstance}, good); !done.NotSent || done.ConnectionRefused {
-		t.Errorf("off: %+v", done)
+		t.Errorf("check with roll-outs disabled: %+v", done)
 	}
 }
--- a/cmd/mapleslip/config.go
+++ b/cmd/mapleslip/config.go
@@ -17,18 +17,19 @@
 	"mapleslip/internal/protocol"
 )
 
-// operators are the commands about the configuration that changes while the service runs.
-type operators struct {
-	*users
+// configCommands contains the flags of the commands with which operators show and change the
+// configuration of running controllers.
+type configCommands struct {
+	*userCommands
 	who, why string
 	expected int64
 	wait     bool
-	mend     bool
+	repair   bool
 	all      bool
 }
 
-func (u *users) configCommand() *cobra.Command {
-	o := &operators{users: u}
+func (u *userCommands) configCommand() *cobra.Command {
+	o := &configCommands{userCommands: u}
 	cmd := &cobra.Command{Use: "config", Short: "Show and change the configuration while the service runs"}
 	get := &cobra.Command{Use: "get [KEY]", Short: "Show the last revision, or the value of a key", Args: cobra.MaximumNArgs(1), RunE: o.get}
 	set := &cobra.Command{Use: "set KEY=VALUE...", Short: "Change keys, all in one revision; KEY=- takes one out", Args: cobra.MinimumNArgs(1), RunE: o.set}
@@ -38,7 +39,7 @@
 	history.Flags().BoolVar(&o.all, "all", false, "the whole history that is kept")
 	rollback := &cobra.Command{Use: "rollback REVISION", Short: "Go back to an earlier revision's document, as a new revision", Args: cobra.ExactArgs(1), RunE: o.rollback}
 	status := &cobra.Command{Use: "status", Short: "Say which revision each controller goes by", Args: cobra.NoArgs, RunE: o.status}
-	wait := &cobra.Command{Use: "wait [REVISION]", Short: "Wait until a revision, the last one if none is named, is in force everywhere", Args: cobra.MaximumNArgs(1), RunE: o.waits}
+	wait := &cobra.Command{Use: "wait [REVISION]", Short: "Wait until a revision, the last one if none is named, is in force everywhere", Args: cobra.MaximumNArgs(1), RunE: o.waitForRevision}
 	for _, c := range []*cobra.Command{set, apply, rollback} {
 		c.Flags().StringVar(&o.who, "who", "", "who makes the change, yourself if left out")
 		c.Flags().StringVar(&o.why, "why", "", "the reason, for the history")
@@ -46,15 +47,15 @@
 		c.Flags().BoolVar(&o.wait, "wait", false, "wait until it is in force everywhere")
 	}
 	for _, c := range []*cobra.Command{set, apply} {
-		c.Flags().BoolVar(&o.mend, "mend", false, "put a new record in the place of one that can't be read")
+		c.Flags().BoolVar(&o.repair, "mend", false, "put a new record in the place of one that can't be read")
 	}
 	cmd.AddCommand(get, set, apply, diff, history, rollback, status, wait)
 	return cmd
 }
 
-// current asks for the last revision.
-func (s *session) current() (revision uint64, document configuration.Document, answer []byte, err error) {
-	if answer, err = s.ask("GET", "/api/config", nil); err != nil {
+// currentConfig requests the latest revision of the configuration.
+func (s *session) currentConfig() (revision uint64, document configuration.Document, answer []byte, err error) {
+	if answer, err = s.request("GET", "/api/config", nil); err != nil {
 		return 0, nil, nil, err
 	}
 	v, err := fastjson.ParseBytes(answer)
@@ -65,13 +66,13 @@
 	return v.GetUint64("revision"), document, answer, err
 }
 
-func (o *operators) get(cmd *cobra.Command, args []string) error {
-	s, err := o.session(cmd)
+func (o *configCommands) get(cmd *cobra.Command, args []string) error {
+	s, err := o.newSession(cmd)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	revision, document, answer, err := s.current()
+	revision, document, answer, err := s.currentConfig()
 	out := cmd.OutOrStdout()
 	switch {
 	case err != nil:
@@ -91,10 +92,10 @@
 	return nil
 }
 
-func (o *operators) set(cmd *cobra.Command, args []string) error {
+func (o *configCommands) set(cmd *cobra.Command, args []string) error {
 	set := make(map[string]string)
-	for _, word := range args {
-		key, value, err := configuration.ParseSet(word)
+	for _, arg := range args {
+		key, value, err := configuration.ParseSet(arg)
 		if err != nil {
 			return err
 		}
@@ -103,16 +104,17 @@
 		}
 		set[key] = value
 	}
-	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.mend}, nil)
+	return o.requestChange(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.repair}, nil)
 }
 
-// fileChanges reads the changes of a file. at tells where in it a key is.
-func fileChanges(path string) (set map[string]string, at func(error) error, err error) {
+// readChanges reads configuration changes from a file. locate adds the path of the file to an
+// error, and also the line if the error begins with a key that the file sets.
+func readChanges(path string) (set map[string]string, locate func(error) error, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	at = func(err error) error {
+	locate = func(err error) error {
 		if key, _, ok := strings.Cut(err.Error(), ": "); ok {
 			if n := configuration.Line(text, key); n > 0 {
 				return fmt.Errorf("%s: line %d: %w", path, n, err)
@@ -121,30 +123,31 @@
 		return fmt.Errorf("%s: %w", path, protocol.OneLine(err))
 	}
 	if set, err = configuration.ParseFile(text); err != nil {
-		return nil, nil, at(err)
+		return nil, nil, locate(err)
 	}
-	return set, at, nil
+	return set, locate, nil
 }
 
-func (o *operators) apply(cmd *cobra.Command, args []string) error {
-	set, at, err := fileChanges(args[0])
+func (o *configCommands) apply(cmd *cobra.Command, args []string) error {
+	set, locate, err := readChanges(args[0])
 	if err != nil {
 		return err
 	}
-	return o.change(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.mend}, at)
+	return o.requestChange(cmd, "/api/config", &configuration.Request{Set: set, Repair: o.repair}, locate)
 }
 
-func (o *operators) rollback(cmd *cobra.Command, args []string) error {
+func (o *configCommands) rollback(cmd *cobra.Command, args []string) error {
 	to, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil {
 		return fmt.Errorf("%q is no revision", args[0])
 	}
-	return o.change(cmd, "/api/config/rollback", &configuration.Request{Rollback: true, To: to}, nil)
+	return o.requestChange(cmd, "/api/config/rollback", &configuration.Request{Rollback: true, To: to}, nil)
 }
 
-// change asks for a revision. at says where in a file what was refused is, nil: nowhere.
-func (o *operators) change(cmd *cobra.Command, path string, r *configuration.Request, at func(error) error) error {
-	s, err := o.session(cmd)
+// requestChange requests a new revision. If locate is not nil, it adds the position in a file to
+// the error of a rejected request.
+func (o *configCommands) requestChange(cmd *cobra.Command, path string, r *configuration.Request, locate func(error) error) error {
+	s, err := o.newSession(cmd)
 	if err != nil {
 		return err
 	}
@@ -155,23 +158,23 @@
 			r.Who = me.Username
 		}
 	}
-	r.Why, r.ID, r.Expected = o.why, drawnID(), uint64(o.expected)
+	r.Why, r.ID, r.Expected = o.why, randomID(), uint64(o.expected)
 	if o.expected < 0 {
-		if r.Expected, _, _, err = s.current(); err != nil {
+		if r.Expected, _, _, err = s.currentConfig(); err != nil {
 			return err
 		}
 	}
-	answer, err := s.ask("POST", path, configuration.AppendRequest(nil, r))
+	answer, err := s.request("POST", path, configuration.AppendRequest(nil, r))
 	if err != nil {
-		if at != nil {
-			return at(err)
+		if locate != nil {
+			return locate(err)
 		}
 		return err
 	}
 	revision, changed := fastjson.GetInt(answer, "revision"), fastjson.GetBool(answer, "changed")
 	if o.wait {
 		began := time.Now()
-		if _, err := s.ask("GET", fmt.Sprintf("/api/config/wait?revision=%d", revision), nil); err != nil {
+		if _, err := s.request("GET", fmt.Sprintf("/api/config/wait?revision=%d", revision), nil); err != nil {
 			return fmt.Errorf("revision %d is made, but: %w", revision, err)
 		}
 		fmt.Fprintf(cmd.ErrOrStderr(), "in force everywhere after %.1f s\n", time.Since(began).Seconds())
@@ -187,17 +190,17 @@
 	return nil
 }
 
-func (o *operators) diff(cmd *cobra.Command, args []string) error {
-	set, _, err := fileChanges(args[0])
+func (o *configCommands) diff(cmd *cobra.Command, args []string) error {
+	set, _, err := readChanges(args[0])
 	if err != nil {
 		return err
 	}
-	s, err := o.session(cmd)
+	s, err := o.newSession(cmd)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	revision, document, _, err := s.current()
+	revision, document, _, err := s.currentConfig()
 	if err != nil {
 		return err
 	}
@@ -211,19 +214,19 @@
 }
 
 func printChanges(out io.Writer, changes []configuration.Change) {
-	word := func(v string) string {
+	orUnset := func(v string) string {
 		if v == "" {
 			return "unset"
 		}
 		return v
 	}
 	for _, c := range changes {
-		fmt.Fprintf(out, "  %s: %s -> %s\n", c.Key, word(c.Old), word(c.New))
+		fmt.Fprintf(out, "  %s: %s -> %s\n", c.Key, orUnset(c.Old), orUnset(c.New))
 	}
 }
 
-func (o *operators) history(cmd *cobra.Command, _ []string) error {
-	s, err := o.session(cmd)
+func (o *configCommands) history(cmd *cobra.Command, _ []string) error {
+	s, err := o.newSession(cmd)
 	if err != nil {
 		return err
 	}
@@ -231,7 +234,7 @@
 	out := cmd.OutOrStdout()
 	path := "/api/config/history"
 	for {
-		answer, err := s.ask("GET", path, nil)
+		answer, err := s.request("GET", path, nil)
 		if err != nil {
 			return err
 		}
@@ -240,13 +243,13 @@
 			return err
 		}
 		var last uint64
-		for _, it := range v.GetArray("history") {
-			last = it.GetUint64("revision")
-			if o.json { // a line for each entry
-				fmt.Fprintln(out, string(it.MarshalTo(nil)))
+		for _, item := range v.GetArray("history") {
+			last = item.GetUint64("revision")
+			if o.json { // one line per entry
+				fmt.Fprintln(out, string(item.MarshalTo(nil)))
 				continue
 			}
-			e, err := configuration.DecodeEntry(it)
+			e, err := configuration.DecodeEntry(item)
 			if err != nil {
 				return err
 			}
@@ -264,8 +267,8 @@
 	}
 }
 
-func (o *operators) status(cmd *cobra.Command, _ []string) error {
-	answer, err := o.once(cmd, "GET", "/api/config/status")
+func (o *configCommands) status(cmd *cobra.Command, _ []string) error {
+	answer, err := o.request(cmd, "GET", "/api/config/status")
 	if err != nil {
 		return err
 	}
@@ -297,22 +300,22 @@
 	return nil
 }
 
-func (o *operators) waits(cmd *cobra.Command, args []string) error {
-	s, err := o.session(cmd)
+func (o *configCommands) waitForRevision(cmd *cobra.Command, args []string) error {
+	s, err := o.newSession(cmd)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
 	var revision uint64
 	if len(args) == 0 {
-		revision, _, _, err = s.current()
+		revision, _, _, err = s.currentConfig()
 	} else if revision, err = strconv.ParseUint(args[0], 10, 64); err != nil {
 		err = errors.New(args[0] + " is no revision")
 	}
 	if err != nil {
 		return err
 	}
-	answer, err := s.ask("GET", fmt.Sprintf("/api/config/wait?revision=%d", revision), nil)
+	answer, err := s.request("GET", fmt.Sprintf("/api/config/wait?revision=%d", revision), nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/mapleslip/config_test.go
+++ b/cmd/mapleslip/config_test.go
@@ -15,8 +15,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// leaderOf answers as a leader that keeps one document.
-func leaderOf(t *testing.T) *httptest.Server {
+// startLeader starts an HTTP server that responds like a leader and stores one configuration.
+func startLeader(t *testing.T) *httptest.Server {
 	h := &configuration.Head{}
 	b := &configuration.Baseline{Zones: []string{"a"}, Teams: map[string]protocol.Team{"red": {Limit: protocol.Resources{GPU: 8000}}}, ValueBytes: 8192}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,18 +56,19 @@
 	return s
 }
 
-// What operators type is what is asked for; what is refused names key and line.
+// Checks that each command sends the request that its arguments specify, and that the error of a
+// rejected change names the key and the line of the file.
 func TestConfigCommands(t *testing.T) {
-	server := strings.TrimPrefix(leaderOf(t).URL, "http://")
-	file := func(text string) string {
+	server := strings.TrimPrefix(startLeader(t).URL, "http://")
+	writeFile := func(text string) string {
 		path := filepath.Join(t.TempDir(), "change.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	good := file("unset = [\"log/level\"]\n[team.red]\ngpus_max = 4\n[drain.zone]\na = \"stop\"\n")
-	for _, c := range []struct{ words, want string }{
+	good := writeFile("unset = [\"log/level\"]\n[team.red]\ngpus_max = 4\n[drain.zone]\na = \"stop\"\n")
+	for _, c := range []struct{ args, want string }{
 		{"get", "revision 0\n"},
 		{"set log/level=debug --who ann --why looking --wait", "revision 1\n"},
 		{"get log/level", "\"debug\"\n"},
@@ -75,8 +76,8 @@
 		{"diff " + good, "  drain/zone/a: unset -> \"stop\"\n  log/level: \"debug\" -> unset\n  team/red/gpus_max: unset -> 4\n"},
 		{"apply " + good + " --who ann", "revision 2\n"},
 		{"apply " + good + " --who ann --expect 1", "! expected"},
-		{"apply " + file("[team.red]\n\ngpus_max = 9\n") + " --who ann", "! line 3: team/red/gpus_max: must be above 0 and at most 8"},
-		{"apply " + file("[team.red]\ngpus_max = \n") + " --who ann", "! line 2"},
+		{"apply " + writeFile("[team.red]\n\ngpus_max = 9\n") + " --who ann", "! line 3: team/red/gpus_max: must be above 0 and at most 8"},
+		{"apply " + writeFile("[team.red]\ngpus_max = \n") + " --who ann", "! line 2"},
 		{"set team/red", "! \"team/red\" is not KEY=VALUE"},
 		{"set log/level=debug log/level=info", "! log/level: is there twice"},
 		{"rollback 1 --who bob --why back", "revision 3\n"},
@@ -87,18 +88,18 @@
 		{"wait", "revision 3 is in force everywhere\n"},
 		{"wait x", "! x is no revision"},
 	} {
-		cmd := command()
+		cmd := rootCommand()
 		var out, errs bytes.Buffer
 		cmd.SetOut(&out)
 		cmd.SetErr(&errs)
-		cmd.SetArgs(append([]string{"config", "--server", server}, strings.Fields(c.words)...))
+		cmd.SetArgs(append([]string{"config", "--server", server}, strings.Fields(c.args)...))
 		got := ""
 		if err := cmd.Execute(); err != nil {
 			got = "! " + err.Error()
 		}
 		got += out.String()
 		if want, failed := strings.CutPrefix(c.want, "! "); !strings.Contains(got, want) || failed != strings.HasPrefix(got, "! ") {
-			t.Errorf("%s:\n%s", c.words, got)
+			t.Errorf("%s:\n%s", c.args, got)
 		}
 	}
 }
--- a/cmd/mapleslip/demo.go
+++ b/cmd/mapleslip/demo.go
@@ -17,27 +17,27 @@
 	"mapleslip/internal/simulation"
 )
 
-// demo plays a demonstration on a deployment of one machine.
+// demo runs a demonstration on a deployment on one machine and records its results.
 type demo struct {
-	d     *dev
-	c     *client.Client
-	out   io.Writer
-	began time.Time
-	rows  []demoRow
+	dev       *devDeployment
+	client    *client.Client
+	out       io.Writer
+	startTime time.Time
+	results   []checkResult
 }
 
-// demoRow is something that was checked.
-type demoRow struct {
-	what, seen string
-	held       bool
+// checkResult is the result of one check.
+type checkResult struct {
+	name, observed string
+	passed         bool
 }
 
-func (m *demo) say(format string, args ...any) {
-	fmt.Fprintf(m.out, "%5.1f s  %s\n", time.Since(m.began).Seconds(), fmt.Sprintf(format, args...))
+func (m *demo) printf(format string, args ...any) {
+	fmt.Fprintf(m.out, "%5.1f s  %s\n", time.Since(m.startTime).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (m *demo) check(what string, held bool, format string, args ...any) {
-	m.rows = append(m.rows, demoRow{what, fmt.Sprintf(format, args...), held})
+func (m *demo) recordResult(name string, passed bool, format string, args ...any) {
+	m.results = append(m.results, checkResult{name, fmt.Sprintf(format, args...), passed})
 }
 
 const demoJob = `
@@ -80,182 +80,186 @@
 timeout_s = 0.3
 `
 
-// step is a part of what is played on a deployment.
-type step struct {
-	what string
-	do   func(context.Context) error
+// demoStep is one step of a demonstration.
+type demoStep struct {
+	name string
+	run  func(context.Context) error
 }
 
-func newDemo(d *dev, out io.Writer) (*demo, error) {
+func newDemo(d *devDeployment, out io.Writer) (*demo, error) {
 	c, err := client.New(strings.Join(d.clients, ","))
 	if err != nil {
 		return nil, err
 	}
-	return &demo{d: d, c: c, out: out, began: time.Now()}, nil
+	return &demo{dev: d, client: c, out: out, startTime: time.Now()}, nil
 }
 
-// runDemo plays it; the error says what did not hold. It is over within limit.
-func runDemo(ctx context.Context, d *dev, limit time.Duration, out io.Writer) error {
+// runDemo runs the demonstration, for at most limit. The error names the step or the first check
+// that failed.
+func runDemo(ctx context.Context, d *devDeployment, limit time.Duration, out io.Writer) error {
 	m, err := newDemo(d, out)
 	if err != nil {
 		return err
 	}
-	err = m.play(ctx, limit, []step{
-		{"a leader is elected", m.election},
-		{"an array, a gang and a service run", m.jobs},
+	err = m.runSteps(ctx, limit, []demoStep{
+		{"a leader is elected", m.waitForLeader},
+		{"an array, a gang and a service run", m.runJobs},
 		{"the leader is killed and the work goes on", m.killLeader},
-		{"a healthy roll-out completes", m.goodRollout},
-		{"a faulty roll-out is reverted", m.badRollout},
+		{"a healthy roll-out completes", m.healthyRollout},
+		{"a faulty roll-out is reverted", m.faultyRollout},
 	})
 	if err == nil {
-		m.say("all held; a deployment to try things on: mapleslip dev")
+		m.printf("all held; a deployment to try things on: mapleslip dev")
 	}
 	return err
 }
 
-// play takes the steps one after the other, and prints what was checked; the error says
-// what did not hold. It is over within limit.
-func (m *demo) play(ctx context.Context, limit time.Duration, steps []step) error {
+// runSteps runs the steps in order until one fails, for at most limit in all, and prints the
+// results of the checks. The error names the step or the first check that failed.
+func (m *demo) runSteps(ctx context.Context, limit time.Duration, steps []demoStep) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var failed error
 	for _, s := range steps {
-		m.say("== %s", s.what)
-		if err := s.do(ctx); err != nil {
+		m.printf("== %s", s.name)
+		if err := s.run(ctx); err != nil {
 			switch ctx.Err() {
 			case context.DeadlineExceeded:
 				err = fmt.Errorf("not over after %s, outstanding: %w", limit, err)
 			case context.Canceled:
 				err = fmt.Errorf("interrupted, outstanding: %w", err)
 			}
-			failed = fmt.Errorf("%s: %w", s.what, err)
-			m.check(s.what, false, "%s", err)
+			failed = fmt.Errorf("%s: %w", s.name, err)
+			m.recordResult(s.name, false, "%s", err)
 			break
 		}
 	}
-	if err := m.d.live.Err(); err != nil {
-		m.check("the protocol's rules hold", false, "%s", err)
+	if err := m.dev.live.Err(); err != nil {
+		m.recordResult("the protocol's rules hold", false, "%s", err)
 	} else {
-		m.check("the protocol's rules hold", true, "no task ran twice, in a wrong place or beyond a limit")
+		m.recordResult("the protocol's rules hold", true, "no task ran twice, in a wrong place or beyond a limit")
 	}
 	fmt.Fprintln(m.out)
 	w := tabwriter.NewWriter(m.out, 0, 0, 2, ' ', 0)
-	for _, r := range m.rows {
+	for _, r := range m.results {
 		verdict := "held"
-		if !r.held {
+		if !r.passed {
 			verdict = "FAILED"
 			if failed == nil {
-				failed = fmt.Errorf("%s: %s", r.what, r.seen)
+				failed = fmt.Errorf("%s: %s", r.name, r.observed)
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", verdict, r.what, r.seen)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", verdict, r.name, r.observed)
 	}
 	w.Flush()
 	return failed
 }
 
-// until asks again and again until done says that it is enough.
-func (m *demo) until(ctx context.Context, what string, done func() (string, bool, error)) error {
+// poll calls done repeatedly until it reports success or an error, and prints each new line that
+// done returns. It fails with the text unmet if the context ends first. It also fails if a rule of
+// the protocol is broken or a controller exits by itself.
+func (m *demo) poll(ctx context.Context, unmet string, done func() (string, bool, error)) error {
 	last := ""
 	for {
 		line, ok, err := done()
 		if line != "" && line != last {
-			m.say("%s", line)
+			m.printf("%s", line)
 			last = line
 		}
 		if ok || err != nil && ctx.Err() == nil {
 			return err
 		}
-		if err := m.d.live.Err(); err != nil {
+		if err := m.dev.live.Err(); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("%s (last seen: %s)", what, last)
+			return fmt.Errorf("%s (last seen: %s)", unmet, last)
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s (last seen: %s)", what, last)
-		case name := <-m.d.ended:
-			return fmt.Errorf("%s ended by itself: %s", name, m.d.lastLine(name))
+			return fmt.Errorf("%s (last seen: %s)", unmet, last)
+		case name := <-m.dev.exited:
+			return fmt.Errorf("%s ended by itself: %s", name, m.dev.lastLine(name))
 		case <-time.After(300 * time.Millisecond):
 		}
 	}
 }
 
-func (m *demo) election(ctx context.Context) error {
-	return m.until(ctx, "no leader", func() (string, bool, error) {
-		if l := m.d.live.Leader(); l != "" {
+func (m *demo) waitForLeader(ctx context.Context) error {
+	return m.poll(ctx, "no leader", func() (string, bool, error) {
+		if l := m.dev.live.Leader(); l != "" {
 			return l + " leads", true, nil
 		}
 		return "", false, nil
 	})
 }
 
-// demoImage is the image of all jobs of the demo.
+// demoImage is the image of all jobs that the demonstration submits.
 const demoImage = "img-1"
 
-func (m *demo) submit(ctx context.Context, ref, kind string, tasks int, run float64, awaits ...string) error {
-	body, _, err := protocol.ParseJobFile(fmt.Appendf(nil, demoJob, ref, kind, tasks, demoImage, run), "", awaits...)
+func (m *demo) submit(ctx context.Context, ref, kind string, tasks int, runSeconds float64, awaits ...string) error {
+	body, _, err := protocol.ParseJobFile(fmt.Appendf(nil, demoJob, ref, kind, tasks, demoImage, runSeconds), "", awaits...)
 	if err != nil {
 		return err
 	}
-	if _, _, err := m.c.Do(ctx, "POST", "/api/jobs", body); err != nil {
+	if _, _, err := m.client.Do(ctx, "POST", "/api/jobs", body); err != nil {
 		return err
 	}
-	m.say("submitted %s: %s of %d, image %s", ref, kind, tasks, demoImage)
+	m.printf("submitted %s: %s of %d, image %s", ref, kind, tasks, demoImage)
 	return nil
 }
 
-// job waits until a job is in a phase.
-func (m *demo) job(ctx context.Context, ref, what, phase string, running int) error {
-	return m.until(ctx, fmt.Sprintf("%s is not %s", what, phase), func() (string, bool, error) {
-		_, a, err := m.c.Do(ctx, "GET", "/api/jobs/"+ref, nil)
+// waitForJob waits until a job is in a phase and has at least a number of running tasks. name is
+// what the output calls the job.
+func (m *demo) waitForJob(ctx context.Context, ref, name, phase string, running int) error {
+	return m.poll(ctx, fmt.Sprintf("%s is not %s", name, phase), func() (string, bool, error) {
+		_, a, err := m.client.Do(ctx, "GET", "/api/jobs/"+ref, nil)
 		if err != nil {
 			return "", false, err
 		}
 		p, n := fastjson.GetString(a, "phase"), fastjson.GetInt(a, "running")
-		return fmt.Sprintf("%s is %s, %d done, %d running", what, p, fastjson.GetInt(a, "done"), n), p == phase && n >= running, nil
+		return fmt.Sprintf("%s is %s, %d done, %d running", name, p, fastjson.GetInt(a, "done"), n), p == phase && n >= running, nil
 	})
 }
 
-func (m *demo) jobs(ctx context.Context) error {
+func (m *demo) runJobs(ctx context.Context) error {
 	began := time.Now()
 	for _, j := range []struct {
-		ref, kind string
-		tasks     int
-		run       float64
+		ref, kind  string
+		tasks      int
+		runSeconds float64
 	}{{"req-000001", "array", 6, 3}, {"req-000002", "gang", 3, 4}, {"req-000003", "service", 4, 0}} {
-		if err := m.submit(ctx, j.ref, j.kind, j.tasks, j.run); err != nil {
+		if err := m.submit(ctx, j.ref, j.kind, j.tasks, j.runSeconds); err != nil {
 			return err
 		}
 	}
 	for _, j := range []struct {
-		ref, what, phase string
+		ref, name, phase string
 		running          int
 	}{{"req-000001", "the array", "done", 0}, {"req-000002", "the gang", "done", 0}, {"req-000003", "the service", "running", 4}} {
-		if err := m.job(ctx, j.ref, j.what, j.phase, j.running); err != nil {
+		if err := m.waitForJob(ctx, j.ref, j.name, j.phase, j.running); err != nil {
 			return err
 		}
 	}
-	m.check("an array, a gang and a service run", true, "after %.1f s, on %d machines rented for them", time.Since(began).Seconds(), m.d.live.Machines())
+	m.recordResult("an array, a gang and a service run", true, "after %.1f s, on %d machines rented for them", time.Since(began).Seconds(), m.dev.live.Machines())
 	return nil
 }
 
 func (m *demo) killLeader(ctx context.Context) error {
-	old := m.d.live.Leader()
+	old := m.dev.live.Leader()
 	if err := m.submit(ctx, "req-000004", "array", 8, 6); err != nil {
 		return err
 	}
-	if err := m.job(ctx, "req-000004", "the second array", "running", 1); err != nil {
+	if err := m.waitForJob(ctx, "req-000004", "the second array", "running", 1); err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := m.d.kill(old); err != nil {
+	if err := m.dev.kill(old); err != nil {
 		return err
 	}
-	m.say("killed %s", old)
-	if err := m.until(ctx, "no new leader", func() (string, bool, error) {
-		if l := m.d.live.Leader(); l != "" && l != old {
+	m.printf("killed %s", old)
+	if err := m.poll(ctx, "no new leader", func() (string, bool, error) {
+		if l := m.dev.live.Leader(); l != "" && l != old {
 			return l + " leads", true, nil
 		}
 		return "", false, nil
@@ -263,71 +267,72 @@
 		return err
 	}
 	took := time.Since(began)
-	if err := m.job(ctx, "req-000004", "the second array", "done", 0); err != nil {
+	if err := m.waitForJob(ctx, "req-000004", "the second array", "done", 0); err != nil {
 		return err
 	}
-	if err := m.job(ctx, "req-000003", "the service", "running", 4); err != nil {
+	if err := m.waitForJob(ctx, "req-000003", "the service", "running", 4); err != nil {
 		return err
 	}
-	m.check("the leader is killed and the work goes on", true, "%s led after %.1f s, the array is done", m.d.live.Leader(), took.Seconds())
-	m.say("starting %s again", old)
-	return m.d.start(slices.Index(m.d.names, old))
+	m.recordResult("the leader is killed and the work goes on", true, "%s led after %.1f s, the array is done", m.dev.live.Leader(), took.Seconds())
+	m.printf("starting %s again", old)
+	return m.dev.start(slices.Index(m.dev.names, old))
 }
 
-// roll plays a roll-out, and watches how many instances are healthy meanwhile.
-func (m *demo) roll(ctx context.Context, id, image, adopt string) (s *protocol.RolloutStatus, lowest int, err error) {
+// runRollout starts a roll-out and polls its status until it stops. It also returns the lowest
+// number of healthy instances of the service during this time.
+func (m *demo) runRollout(ctx context.Context, id, image, adopt string) (s *protocol.RolloutStatus, lowest int, err error) {
 	body, _, err := protocol.ParseRolloutFile(fmt.Appendf(nil, demoRollout, id, adopt, image, simulation.InstanceAt), "")
 	if err != nil {
 		return nil, 0, err
 	}
 	lowest = 1 << 30
-	var watching sync.WaitGroup
-	over := make(chan struct{})
-	watching.Go(func() {
+	var watcher sync.WaitGroup
+	finished := make(chan struct{})
+	watcher.Go(func() {
 		for {
-			lowest = min(lowest, m.d.live.Healthy("img-1", "img-2", "img-3"))
+			lowest = min(lowest, m.dev.live.Healthy("img-1", "img-2", "img-3"))
 			select {
-			case <-over:
+			case <-finished:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 	})
-	_, answer, err := m.c.Do(ctx, "POST", "/api/rollouts", body)
+	_, answer, err := m.client.Do(ctx, "POST", "/api/rollouts", body)
 	if err == nil {
-		err = m.until(ctx, "roll-out "+id+" has not ended", func() (string, bool, error) {
+		err = m.poll(ctx, "roll-out "+id+" has not ended", func() (string, bool, error) {
 			if s, err = protocol.ParseRolloutStatus(answer); err != nil {
 				return "", false, err
 			}
 			if !s.Stopped() {
-				_, answer, err = m.c.Do(ctx, "GET", "/api/rollouts/picker", nil)
+				_, answer, err = m.client.Do(ctx, "GET", "/api/rollouts/picker", nil)
 			}
 			return rolloutLine(s), s.Stopped(), err
 		})
 	}
-	close(over)
-	watching.Wait()
+	close(finished)
+	watcher.Wait()
 	return s, lowest, err
 }
 
-func (m *demo) goodRollout(ctx context.Context) error {
-	s, lowest, err := m.roll(ctx, "demo-good", "img-2", `adopt = ["req-000003"]`)
+func (m *demo) healthyRollout(ctx context.Context) error {
+	s, lowest, err := m.runRollout(ctx, "demo-good", "img-2", `adopt = ["req-000003"]`)
 	if err != nil {
 		return err
 	}
-	m.check("a healthy roll-out completes", s.State == "done", "%s, at least %d healthy at any time, asked for 4", s.State, lowest)
-	m.check("its floor holds", lowest >= 4, "%d", lowest)
+	m.recordResult("a healthy roll-out completes", s.State == "done", "%s, at least %d healthy at any time, asked for 4", s.State, lowest)
+	m.recordResult("its floor holds", lowest >= 4, "%d", lowest)
 	return nil
 }
 
-func (m *demo) badRollout(ctx context.Context) error {
-	m.d.live.Behave("img-3", "fails", 5*protocol.Second)
-	m.say("instances of img-3 will pass their checks for 5 s, and fail from then on")
-	s, lowest, err := m.roll(ctx, "demo-bad", "img-3", "")
+func (m *demo) faultyRollout(ctx context.Context) error {
+	m.dev.live.Behave("img-3", "fails", 5*protocol.Second)
+	m.printf("instances of img-3 will pass their checks for 5 s, and fail from then on")
+	s, lowest, err := m.runRollout(ctx, "demo-bad", "img-3", "")
 	if err != nil {
 		return err
 	}
-	m.check("a faulty roll-out is reverted", s.State == "reverted", "%s: %s", s.State, s.Reason)
-	m.check("its floor holds", lowest >= 4, "%d", lowest)
+	m.recordResult("a faulty roll-out is reverted", s.State == "reverted", "%s: %s", s.State, s.Reason)
+	m.recordResult("its floor holds", lowest >= 4, "%d", lowest)
 	return nil
 }
--- a/cmd/mapleslip/dev.go
+++ b/cmd/mapleslip/dev.go
@@ -22,12 +22,12 @@
 	"mapleslip/internal/transport"
 )
 
-// devSettings are the flags of mapleslip dev.
+// devSettings contains the flags of mapleslip dev.
 type devSettings struct {
 	port     int
 	demo     bool
 	limit    time.Duration
-	rollFrom string // program of an earlier version, "": nothing is upgraded
+	rollFrom string // path of an earlier version's program, "" if nothing is upgraded
 }
 
 func devCommand() *cobra.Command {
@@ -60,23 +60,23 @@
 			}
 			defer d.stop()
 			out := cmd.OutOrStdout()
-			keep := func(err error) error {
+			keepLogs := func(err error) error {
 				if err != nil && ctx.Err() == nil {
-					d.keep = true
+					d.keepDir = true
 					fmt.Fprintf(out, "logs of the controllers are kept: %s\n", d.dir)
 				}
 				return err
 			}
 			if s.demo {
-				return keep(runDemo(ctx, d, s.limit, out))
+				return keepLogs(runDemo(ctx, d, s.limit, out))
 			}
 			if s.rollFrom != "" {
-				return keep(runUpgrade(ctx, d, out))
+				return keepLogs(runUpgrade(ctx, d, out))
 			}
 			fmt.Fprintf(out, "controllers: %s\n  export %s=%s\n", strings.Join(d.clients, ", "), serverVariable, strings.Join(d.clients, ","))
 			fmt.Fprintf(out, "teams: red (8 GPUs guaranteed, 64 at most), blue (the same)\nmachine types: small (8 cores), big (32 cores, 8 GPUs), zones a, b, c\n")
 			fmt.Fprintf(out, "address of a service's instance, for its check: %s\nlogs: %s\nCtrl-C ends it\n", simulation.InstanceAt, d.dir)
-			return keep(d.wait(ctx))
+			return keepLogs(d.wait(ctx))
 		},
 	}
 	cmd.Flags().IntVar(&s.port, "port", 7400, "first of the `PORTS` on 127.0.0.1 that are used, 8 in a row")
@@ -87,27 +87,29 @@
 	return cmd
 }
 
-// dev is a deployment on one machine.
-type dev struct {
-	live          *simulation.Live
-	cancel        context.CancelFunc
-	network       *loopback.Network // of the machines
-	dir           string
-	names         []string
-	clients       []string
-	programs      []string // that the controllers run when they are started next
-	files         []string // of the controllers' settings
-	rollout       string
-	configuration string
+// devDeployment is a deployment on one machine. Each controller is a process; the state service,
+// the cloud and the workers are simulated in this process.
+type devDeployment struct {
+	live              *simulation.Live // simulated state service, cloud and workers
+	cancel            context.CancelFunc
+	network           *loopback.Network // addresses of the simulated machines
+	dir               string
+	names             []string // of the controllers
+	clients           []string // addresses of the controllers for users and workers
+	programs          []string // path of the program that each controller runs at its next start
+	settingsFiles     []string // path of each controller's platform settings file
+	rolloutFile       string
+	configurationFile string
 
-	mu    sync.Mutex
-	procs map[string]*exec.Cmd
-	ended chan string // controllers that ended by themselves
-	over  bool
-	keep  bool // the directory, for whoever looks for what went wrong
+	mu        sync.Mutex
+	processes map[string]*exec.Cmd
+	exited    chan string // names of controllers that exited without being killed by this process
+	stopped   bool
+	keepDir   bool // keep dir, which has the controllers' logs, to analyze a failure
 }
 
-// devPlatform is what a deployment on one machine has.
+// devPlatform returns the platform settings of a deployment on one machine, except for those
+// that differ between the controllers.
 func devPlatform() protocol.Platform {
 	p := protocol.Platform{
 		Zones: []string{"a", "b", "c"}, Teams: map[string]protocol.Team{},
@@ -129,7 +131,7 @@
 	}
 }
 
-func startDev(ctx context.Context, s devSettings) (_ *dev, err error) {
+func startDev(ctx context.Context, s devSettings) (_ *devDeployment, err error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -138,7 +140,7 @@
 		program = s.rollFrom
 	}
 	addr := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", s.port+n) }
-	d := &dev{procs: make(map[string]*exec.Cmd), ended: make(chan string, 16)}
+	d := &devDeployment{processes: make(map[string]*exec.Cmd), exited: make(chan string, 16)}
 	var cluster []string
 	for n := range 3 {
 		d.names = append(d.names, fmt.Sprintf("node-%d", n))
@@ -177,27 +179,27 @@
 	return d, nil
 }
 
-// writeSettings writes the files that the controllers are started with.
-func (d *dev) writeSettings(p protocol.Platform, stateAddr, cloudAddr string, cluster []string) error {
-	d.rollout = filepath.Join(d.dir, "rollout.toml")
+// writeSettings writes the settings files of the controllers.
+func (d *devDeployment) writeSettings(p protocol.Platform, stateAddr, cloudAddr string, cluster []string) error {
+	d.rolloutFile = filepath.Join(d.dir, "rollout.toml")
 	operator := filepath.Join(d.dir, "operator.toml")
-	d.configuration = filepath.Join(d.dir, "configuration.toml")
-	files := map[string]string{d.configuration: "history_pages = 16\n", d.rollout: "checks_per_s = 200.0\n", operator: "idle_return_s = 120.0\n"}
+	d.configurationFile = filepath.Join(d.dir, "configuration.toml")
+	files := map[string]string{d.configurationFile: "history_pages = 16\n", d.rolloutFile: "checks_per_s = 200.0\n", operator: "idle_return_s = 120.0\n"}
 	for n, name := range d.names {
-		q := p
-		q.ControllerName, q.Zone, q.ClientListen, q.ClusterListen, q.StateAddr, q.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], stateAddr, cloudAddr
+		settings := p
+		settings.ControllerName, settings.Zone, settings.ClientListen, settings.ClusterListen, settings.StateAddr, settings.CloudAddr = name, p.Zones[n], d.clients[n], cluster[n], stateAddr, cloudAddr
 		for k := range d.names {
 			if k != n {
-				q.Peers = append(q.Peers, protocol.Peer{Name: d.names[k], Zone: p.Zones[k], Address: cluster[k]})
+				settings.Peers = append(settings.Peers, protocol.Peer{Name: d.names[k], Zone: p.Zones[k], Address: cluster[k]})
 			}
 		}
-		text, err := protocol.SettingsFile(&q)
+		text, err := protocol.SettingsFile(&settings)
 		if err != nil {
 			return err
 		}
 		file := filepath.Join(d.dir, name+".toml")
 		files[file] = string(text)
-		d.files = append(d.files, file)
+		d.settingsFiles = append(d.settingsFiles, file)
 	}
 	for name, text := range files {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -207,62 +209,64 @@
 	return nil
 }
 
-// start starts a controller.
-func (d *dev) start(n int) error {
+// start starts the process of controller n.
+func (d *devDeployment) start(n int) error {
 	name := d.names[n]
 	log, err := os.OpenFile(filepath.Join(d.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(d.programs[n], "--config", d.files[n], "--operator", filepath.Join(d.dir, "operator.toml"), "--rollout", d.rollout, "--configuration", d.configuration)
+	cmd := exec.Command(d.programs[n], "--config", d.settingsFiles[n], "--operator", filepath.Join(d.dir, "operator.toml"), "--rollout", d.rolloutFile, "--configuration", d.configurationFile)
 	cmd.Stderr = log
-	// It ends with this process, however that ends, and Ctrl-C is for this one alone.
+	// The kernel kills the controller when this process exits for any reason. Its own process group
+	// keeps Ctrl-C in the terminal from reaching it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.stopped {
 		return errors.New("the deployment has ended")
 	}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	d.procs[name] = cmd
+	d.processes[name] = cmd
 	go func() {
 		_ = cmd.Wait()
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.procs[name] == cmd && !d.over {
-			delete(d.procs, name)
-			d.ended <- name
+		if d.processes[name] == cmd && !d.stopped {
+			delete(d.processes, name)
+			d.exited <- name
 		}
 	}()
 	return nil
 }
 
-// kill ends a controller without a warning.
-func (d *dev) kill(name string) error {
+// kill kills the process of a controller with SIGKILL.
+func (d *devDeployment) kill(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	cmd := d.procs[name]
+	cmd := d.processes[name]
 	if cmd == nil {
 		return fmt.Errorf("%s does not run", name)
 	}
-	delete(d.procs, name)
+	delete(d.processes, name)
 	return cmd.Process.Kill()
 }
 
-// wait returns when the deployment has to end.
-func (d *dev) wait(ctx context.Context) error {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// wait blocks until the deployment has to be stopped: the context is cancelled, a controller has
+// exited, or the simulation reports an error or a broken rule of the protocol.
+func (d *devDeployment) wait(ctx context.Context) error {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case name := <-d.ended:
+		case name := <-d.exited:
 			return fmt.Errorf("%s ended by itself: %s", name, d.lastLine(name))
-		case <-tick.C:
+		case <-ticker.C:
 			if err := d.live.Err(); err != nil {
 				return err
 			}
@@ -270,8 +274,8 @@
 	}
 }
 
-// logged reports whether a controller's log has a line with all of the words.
-func (d *dev) logged(name string, words ...string) (bool, error) {
+// logContains reports whether the log of a controller has a line that contains all of the words.
+func (d *devDeployment) logContains(name string, words ...string) (bool, error) {
 	text, err := os.ReadFile(filepath.Join(d.dir, name+".log"))
 	if err != nil {
 		return false, err
@@ -285,8 +289,8 @@
 	return false, nil
 }
 
-// lastLine is the last line of a controller's log.
-func (d *dev) lastLine(name string) string {
+// lastLine returns the last line of a controller's log, or the error of reading the log.
+func (d *devDeployment) lastLine(name string) string {
 	text, err := os.ReadFile(filepath.Join(d.dir, name+".log"))
 	if err != nil {
 		return err.Error()
@@ -295,12 +299,12 @@
 	return lines[len(lines)-1]
 }
 
-// stop ends all of it.
-func (d *dev) stop() {
+// stop kills the controllers, stops the simulation and removes the directory unless it is kept.
+func (d *devDeployment) stop() {
 	d.mu.Lock()
-	d.over = true
-	procs := d.procs
-	d.procs = nil
+	d.stopped = true
+	procs := d.processes
+	d.processes = nil
 	d.mu.Unlock()
 	for _, cmd := range procs {
 		_ = cmd.Process.Kill()
@@ -311,7 +315,7 @@
 	if d.network != nil {
 		_ = d.network.Close()
 	}
-	if !d.keep {
+	if !d.keepDir {
 		_ = os.RemoveAll(d.dir)
 	}
 }
--- a/cmd/mapleslip/devupgrade.go
+++ b/cmd/mapleslip/devupgrade.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	upgradeLimit    = 4 * time.Minute  // an upgrade that takes longer has failed
-	upgradeDowntime = 2 * time.Second  // of a controller that is killed
-	programPatience = 10 * time.Second // for a program to say its version
+	upgradeLimit    = 4 * time.Minute  // time limit of the whole upgrade
+	upgradeDowntime = 2 * time.Second  // between killing a controller and restarting it
+	versionTimeout  = 10 * time.Second // for a program to print its version
 )
 
-// earlierProgram checks that a path is a program of mapleslip, and makes it absolute.
+// earlierProgram checks that a path is that of a mapleslip program, and returns it as an absolute
+// path.
 func earlierProgram(ctx context.Context, path string) (string, error) {
 	info, err := os.Stat(path)
 	switch {
@@ -38,164 +39,166 @@
 	if path, err = filepath.Abs(path); err != nil {
 		return "", err
 	}
-	ctx, cancel := context.WithTimeout(ctx, programPatience)
+	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
-	said, err := exec.CommandContext(ctx, path, "--version").Output()
+	output, err := exec.CommandContext(ctx, path, "--version").Output()
 	if err != nil {
 		return "", fmt.Errorf("%q is not a program of mapleslip: %w", path, err)
 	}
-	if !strings.HasPrefix(string(said), "mapleslip version ") {
+	if !strings.HasPrefix(string(output), "mapleslip version ") {
 		return "", fmt.Errorf("%q is not a program of mapleslip", path)
 	}
 	return path, nil
 }
 
-// upgradeDemo brings this program to controllers that began with an earlier one.
+// upgradeDemo upgrades controllers that were started with an earlier program to this program.
 type upgradeDemo struct {
 	*demo
-	program string // this one
-	jobs    int    // submitted so far
+	program  string // path of this program
+	jobCount int    // number of jobs submitted so far
 }
 
-// runUpgrade upgrades the controllers of a deployment one after the other, under load, and
-// then uses what is new; the error says what did not hold.
-func runUpgrade(ctx context.Context, d *dev, out io.Writer) error {
+// runUpgrade upgrades the controllers of a deployment one after the other, under load, and then
+// uses the features of the new version. The error names the step or the first check that failed.
+func runUpgrade(ctx context.Context, d *devDeployment, out io.Writer) error {
 	m, err := newDemo(d, out)
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	u := &upgradeDemo{demo: m, program: self}
-	steps := []step{{"a leader of the earlier version is elected", u.election}}
+	u := &upgradeDemo{demo: m, program: executable}
+	steps := []demoStep{{"a leader of the earlier version is elected", u.waitForLeader}}
 	for n, name := range d.names {
-		steps = append(steps, step{name + " is upgraded", func(ctx context.Context) error { return u.upgrade(ctx, n) }})
+		steps = append(steps, demoStep{name + " is upgraded", func(ctx context.Context) error { return u.upgrade(ctx, n) }})
 	}
 	steps = append(steps,
-		step{"the feature level becomes active", u.level},
-		step{"a chain of three stages is done", u.chainDone},
-		step{"a chain is cancelled", u.chainCancelled})
-	if err := u.play(ctx, upgradeLimit, steps); err != nil {
+		demoStep{"the feature level becomes active", u.waitForFeatureLevel},
+		demoStep{"a chain of three stages is done", u.completeChain},
+		demoStep{"a chain is cancelled", u.cancelChain})
+	if err := u.runSteps(ctx, upgradeLimit, steps); err != nil {
 		return err
 	}
-	u.say("upgraded: %d controllers, feature level %d active on all, a chain done, a chain cancelled, %d jobs in all", len(d.names), featuregate.Build.High, u.jobs)
+	u.printf("upgraded: %d controllers, feature level %d active on all, a chain done, a chain cancelled, %d jobs in all", len(d.names), featuregate.Build.High, u.jobCount)
 	return nil
 }
 
-// upgrade kills a controller and another one besides. The first comes back with this
-// program, the other with the one that it ran; jobs run meanwhile.
+// upgrade kills a controller and one other. It restarts the first with this program and the other
+// with the program that it ran before, while jobs run.
 func (u *upgradeDemo) upgrade(ctx context.Context, n int) error {
-	other := (n + 1) % len(u.d.names)
-	before, err := u.array(ctx, 6)
+	other := (n + 1) % len(u.dev.names)
+	before, err := u.submitArray(ctx, 6)
 	if err != nil {
 		return err
 	}
-	if err := u.job(ctx, before, "the array of before", "running", 1); err != nil {
+	if err := u.waitForJob(ctx, before, "the array of before", "running", 1); err != nil {
 		return err
 	}
-	active, err := u.active()
+	active, err := u.activeCount()
 	if err != nil {
 		return err
 	}
 	if active > 0 {
 		return fmt.Errorf("the feature level is active on %d controllers before all are upgraded", active)
 	}
-	led := u.d.live.Leader()
+	led := u.dev.live.Leader()
 	for _, k := range []int{n, other} {
-		if err := u.d.kill(u.d.names[k]); err != nil {
+		if err := u.dev.kill(u.dev.names[k]); err != nil {
 			return err
 		}
 	}
-	u.say("killed %s and %s, %s led", u.d.names[n], u.d.names[other], led)
-	meanwhile, err := u.array(ctx, 2)
+	u.printf("killed %s and %s, %s led", u.dev.names[n], u.dev.names[other], led)
+	meanwhile, err := u.submitArray(ctx, 2)
 	if err != nil {
 		return err
 	}
-	u.d.programs[n] = u.program
+	u.dev.programs[n] = u.program
 	for _, k := range []int{n, other} {
-		if err := u.back(ctx, k); err != nil {
+		if err := u.restart(ctx, k); err != nil {
 			return err
 		}
 	}
-	if err := u.job(ctx, before, "the array of before", "done", 0); err != nil {
+	if err := u.waitForJob(ctx, before, "the array of before", "done", 0); err != nil {
 		return err
 	}
-	if err := u.job(ctx, meanwhile, "the array of meanwhile", "done", 0); err != nil {
+	if err := u.waitForJob(ctx, meanwhile, "the array of meanwhile", "done", 0); err != nil {
 		return err
 	}
-	u.check(u.d.names[n]+" is upgraded", true, "%s led, %s leads, %s came back as it was, both arrays are done", led, u.d.live.Leader(), u.d.names[other])
+	u.recordResult(u.dev.names[n]+" is upgraded", true, "%s led, %s leads, %s came back as it was, both arrays are done", led, u.dev.live.Leader(), u.dev.names[other])
 	return nil
 }
 
-// back starts a controller that was killed, and waits until it answers.
-func (u *upgradeDemo) back(ctx context.Context, n int) error {
-	name, address := u.d.names[n], u.d.clients[n]
+// restart starts a controller that was killed, and waits until it responds to a request.
+func (u *upgradeDemo) restart(ctx context.Context, n int) error {
+	name, address := u.dev.names[n], u.dev.clients[n]
 	select {
 	case <-ctx.Done():
 	case <-time.After(upgradeDowntime):
 	}
-	if err := u.until(ctx, address+" is not free", func() (string, bool, error) {
+	if err := u.poll(ctx, address+" is not free", func() (string, bool, error) {
 		return "", transport.CanListen(address, 0) == nil, nil
 	}); err != nil {
 		return err
 	}
-	if err := u.d.start(n); err != nil {
+	if err := u.dev.start(n); err != nil {
 		return err
 	}
 	c, err := client.New(address)
 	if err != nil {
 		return err
 	}
-	if _, _, err := c.Do(ctx, "GET", "/api/jobs/"+u.ref(), nil); err != nil {
+	if _, _, err := c.Do(ctx, "GET", "/api/jobs/"+u.lastRef(), nil); err != nil {
 		return fmt.Errorf("%s does not answer: %w", name, err)
 	}
-	u.say("%s is back, with %s", name, u.d.programs[n])
+	u.printf("%s is back, with %s", name, u.dev.programs[n])
 	return nil
 }
 
-// active counts the controllers whose log says that the highest feature level is active.
-func (u *upgradeDemo) active() (n int, err error) {
-	for _, name := range u.d.names {
-		said, err := u.d.logged(name, `"feature level is active"`, fmt.Sprintf("level=%d ", featuregate.Build.High))
+// activeCount returns the number of controllers that have logged that the highest feature level is
+// active.
+func (u *upgradeDemo) activeCount() (n int, err error) {
+	for _, name := range u.dev.names {
+		found, err := u.dev.logContains(name, `"feature level is active"`, fmt.Sprintf("level=%d ", featuregate.Build.High))
 		if err != nil {
 			return 0, err
 		}
-		if said {
+		if found {
 			n++
 		}
 	}
 	return n, nil
 }
 
-// level waits until the highest feature level is active on all controllers.
-func (u *upgradeDemo) level(ctx context.Context) error {
-	err := u.until(ctx, "the feature level is not active everywhere", func() (string, bool, error) {
-		n, err := u.active()
-		return fmt.Sprintf("feature level %d is active on %d controllers", featuregate.Build.High, n), n == len(u.d.names), err
+// waitForFeatureLevel waits until the highest feature level is active on all controllers.
+func (u *upgradeDemo) waitForFeatureLevel(ctx context.Context) error {
+	err := u.poll(ctx, "the feature level is not active everywhere", func() (string, bool, error) {
+		n, err := u.activeCount()
+		return fmt.Sprintf("feature level %d is active on %d controllers", featuregate.Build.High, n), n == len(u.dev.names), err
 	})
 	if err == nil {
-		u.check("the feature level becomes active", true, "level %d, on %d controllers", featuregate.Build.High, len(u.d.names))
+		u.recordResult("the feature level becomes active", true, "level %d, on %d controllers", featuregate.Build.High, len(u.dev.names))
 	}
 	return err
 }
 
-// ref names the job that was submitted last.
-func (u *upgradeDemo) ref() string { return fmt.Sprintf("req-%06d", u.jobs) }
+// lastRef returns the reference of the job that was submitted last.
+func (u *upgradeDemo) lastRef() string { return fmt.Sprintf("req-%06d", u.jobCount) }
 
-// array submits an array whose tasks run for so many seconds, once others are done.
-func (u *upgradeDemo) array(ctx context.Context, run float64, awaits ...string) (ref string, err error) {
-	u.jobs++
-	ref = u.ref()
-	return ref, u.submit(ctx, ref, "array", 4, run, awaits...)
+// submitArray submits an array whose tasks run for runSeconds each. It starts once the jobs in
+// awaits are done.
+func (u *upgradeDemo) submitArray(ctx context.Context, runSeconds float64, awaits ...string) (ref string, err error) {
+	u.jobCount++
+	ref = u.lastRef()
+	return ref, u.submit(ctx, ref, "array", 4, runSeconds, awaits...)
 }
 
-// chain submits three arrays, each of which awaits the one before.
-func (u *upgradeDemo) chain(ctx context.Context, run float64) (refs []string, err error) {
+// submitChain submits three arrays. The second and the third start when the previous one is done.
+func (u *upgradeDemo) submitChain(ctx context.Context, runSeconds float64) (refs []string, err error) {
 	var awaits []string
 	for range 3 {
-		ref, err := u.array(ctx, run, awaits...)
+		ref, err := u.submitArray(ctx, runSeconds, awaits...)
 		if err != nil {
 			return nil, err
 		}
@@ -204,13 +207,13 @@
 	return refs, nil
 }
 
-// chainDone has a chain run to its end.
-func (u *upgradeDemo) chainDone(ctx context.Context) error {
-	refs, err := u.chain(ctx, 2)
+// completeChain submits a chain and waits until all of its stages are done.
+func (u *upgradeDemo) completeChain(ctx context.Context) error {
+	refs, err := u.submitChain(ctx, 2)
 	if err != nil {
 		return err
 	}
-	_, answer, err := u.c.Do(ctx, "GET", "/api/jobs/"+refs[2], nil)
+	_, answer, err := u.client.Do(ctx, "GET", "/api/jobs/"+refs[2], nil)
 	if err != nil {
 		return err
 	}
@@ -219,31 +222,31 @@
 		return fmt.Errorf("the last stage awaits %q, not %s", waited, refs[1])
 	}
 	for k, ref := range refs {
-		if err := u.job(ctx, ref, fmt.Sprintf("stage %d", k+1), "done", 0); err != nil {
+		if err := u.waitForJob(ctx, ref, fmt.Sprintf("stage %d", k+1), "done", 0); err != nil {
 			return err
 		}
 	}
-	u.check("a chain of three stages is done", true, "%s", strings.Join(refs, ", "))
+	u.recordResult("a chain of three stages is done", true, "%s", strings.Join(refs, ", "))
 	return nil
 }
 
-// chainCancelled cancels the first stage of a chain, and the others go with it.
-func (u *upgradeDemo) chainCancelled(ctx context.Context) error {
-	refs, err := u.chain(ctx, 60)
+// cancelChain submits a chain, cancels the first stage, and waits until all stages are cancelled.
+func (u *upgradeDemo) cancelChain(ctx context.Context) error {
+	refs, err := u.submitChain(ctx, 60)
 	if err != nil {
 		return err
 	}
-	if err := u.job(ctx, refs[0], "stage 1", "running", 1); err != nil {
+	if err := u.waitForJob(ctx, refs[0], "stage 1", "running", 1); err != nil {
 		return err
 	}
-	if _, _, err := u.c.Do(ctx, "POST", "/api/jobs/"+refs[0]+"/cancel", nil); err != nil {
+	if _, _, err := u.client.Do(ctx, "POST", "/api/jobs/"+refs[0]+"/cancel", nil); err != nil {
 		return err
 	}
 	for k, ref := range refs {
-		if err := u.job(ctx, ref, fmt.Sprintf("stage %d", k+1), "cancelled", 0); err != nil {
+		if err := u.waitForJob(ctx, ref, fmt.Sprintf("stage %d", k+1), "cancelled", 0); err != nil {
 			return err
 		}
 	}
-	u.check("a chain is cancelled", true, "%s", strings.Join(refs, ", "))
+	u.recordResult("a chain is cancelled", true, "%s", strings.Join(refs, ", "))
 	return nil
 }
--- a/cmd/mapleslip/devupgrade_test.go
+++ b/cmd/mapleslip/devupgrade_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A program to upgrade from is refused in one line unless it is one of mapleslip.
+// Checks that --roll-from rejects a path that is not a mapleslip program with a one-line error.
 func TestRollFromChecksItsProgram(t *testing.T) {
 	dir := t.TempDir()
-	file := func(name, text string, mode os.FileMode) string {
+	writeFile := func(name, text string, mode os.FileMode) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), mode); err != nil {
 			t.Fatal(err)
@@ -22,12 +22,12 @@
 		{filepath.Join(dir, "absent"), "no program at"},
 		{"", "no program at"},
 		{dir, "is not a program"},
-		{file("plain", "text", 0o600), "is not a program"},
-		{file("text", "text", 0o700), "is not a program of mapleslip: fork/exec"},
-		{file("fails", "#!/bin/sh\nexit 3\n", 0o700), "is not a program of mapleslip: exit status 3"},
-		{file("other", "#!/bin/sh\necho other version 1\n", 0o700), "is not a program of mapleslip"},
+		{writeFile("plain", "text", 0o600), "is not a program"},
+		{writeFile("text", "text", 0o700), "is not a program of mapleslip: fork/exec"},
+		{writeFile("fails", "#!/bin/sh\nexit 3\n", 0o700), "is not a program of mapleslip: exit status 3"},
+		{writeFile("other", "#!/bin/sh\necho other version 1\n", 0o700), "is not a program of mapleslip"},
 	} {
-		cmd := command()
+		cmd := rootCommand()
 		cmd.SetArgs([]string{"dev", "--roll-from", c.path})
 		cmd.SetOut(io.Discard)
 		err := cmd.ExecuteContext(t.Context())
@@ -35,16 +35,16 @@
 			t.Errorf("%s: %v, want %q", c.path, err, c.want)
 		}
 	}
-	earlier := file("earlier", "#!/bin/sh\necho mapleslip version 0.0.1\n", 0o700)
+	earlier := writeFile("earlier", "#!/bin/sh\necho mapleslip version 0.0.1\n", 0o700)
 	t.Chdir(dir)
 	if got, err := earlierProgram(t.Context(), "earlier"); got != earlier || err != nil {
 		t.Errorf("%q %v, want %q", got, err, earlier)
 	}
 }
 
-// An upgrade and the demonstration are not played at once.
+// Checks that --demo and --roll-from exclude each other.
 func TestRollFromOrDemo(t *testing.T) {
-	cmd := command()
+	cmd := rootCommand()
 	cmd.SetArgs([]string{"dev", "--demo", "--roll-from", "earlier"})
 	if err := cmd.ExecuteContext(t.Context()); err == nil || !strings.Contains(err.Error(), "[demo roll-from]") {
 		t.Error(err)
--- a/cmd/mapleslip/main.go
+++ b/cmd/mapleslip/main.go
@@ -1,4 +1,5 @@
-// Command mapleslip is one controller of the cluster scheduler.
+// Command mapleslip runs one controller of the cluster scheduler. Its subcommands send requests to
+// running controllers and run deployments on one machine for trials and measurements.
 package main
 
 import (
@@ -17,11 +18,11 @@
 	"mapleslip/internal/telemetry"
 )
 
-// version is set by releases with -ldflags "-X main.version=...".
+// version is set in release builds with -ldflags "-X main.version=...".
 var version = "0.1.0-dev"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		var exit *exitError
 		if errors.As(err, &exit) {
 			os.Exit(exit.code)
@@ -31,19 +32,20 @@
 	}
 }
 
-// settingsFiles are the files that a controller is started with.
+// settingsFiles contains the paths of a controller's settings files, as named on the command line.
 type settingsFiles struct {
 	platform, operator, telemetry, rollouts, configuration string
 }
 
-// settings are what the files say.
+// settings contains the loaded settings of a controller.
 type settings struct {
 	platform *protocol.Platform
 	operator protocol.OperatorSettings
 	features features
 }
 
-// load reads the files. Those that are not named leave what they are for off, or as it is.
+// load reads the settings files. Only the platform's file is required. Without a file for the
+// operator settings their defaults are used; without a file for a feature it stays disabled.
 func (f *settingsFiles) load() (s settings, err error) {
 	if f.platform == "" {
 		return s, errors.New("--config: missing")
@@ -67,7 +69,7 @@
 	return s, err
 }
 
-// loadOptional loads a file, nil if none is named.
+// loadOptional loads the file at a path. It returns nil if the path is empty.
 func loadOptional[T any](file string, load func(string) (T, error)) (*T, error) {
 	if file == "" {
 		return nil, nil
@@ -79,11 +81,11 @@
 	return &loaded, nil
 }
 
-// memoryLimitPercent is the part of its memory quota above which the process collects garbage
-// all the time.
+// memoryLimitPercent is the Go runtime's soft memory limit as a percentage of the memory quota.
+// Above this limit the garbage collector runs continuously.
 const memoryLimitPercent = 60
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var files settingsFiles
 	var check bool
 	cmd := &cobra.Command{
@@ -106,8 +108,8 @@
 			}
 			log, level := logger(os.Getenv("LOG_LEVEL"))
 			slog.SetDefault(log)
-			// One goroutine owns the state and the share is part of one core: more threads would
-			// only take turns.
+			// A single goroutine handles all state, and the CPU share of the process is a part of
+			// one core, so more threads would only compete with each other.
 			runtime.GOMAXPROCS(1)
 			debug.SetMemoryLimit(s.platform.MemoryBytes * memoryLimitPercent / 100)
 			return serve(s.platform, s.operator, s.features, log, level)
@@ -119,14 +121,15 @@
 	cmd.Flags().StringVar(&files.rollouts, "rollout", "", "serve roll-outs, as the settings `FILE` says")
 	cmd.Flags().StringVar(&files.configuration, "configuration", "", "let the configuration change while it runs, as the settings `FILE` says")
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings and exit")
-	cmd.AddCommand((&users{}).commands()...)
+	cmd.AddCommand((&userCommands{}).commands()...)
 	cmd.AddCommand(devCommand(), scaleCommand())
 	cmd.CompletionOptions.DisableDefaultCmd = true
 	return cmd
 }
 
-// levelNamed is a level of the log, info where the name is not one of error, info, debug.
-func levelNamed(name string) (l slog.Level, known bool) {
+// parseLevel returns the log level with a name. If the name is not error, info or debug, it returns
+// info, and known is false.
+func parseLevel(name string) (l slog.Level, known bool) {
 	switch name {
 	case "error":
 		return slog.LevelError, true
@@ -136,14 +139,15 @@
 	return slog.LevelInfo, name == "info"
 }
 
-// logger makes the log, whose level may be changed.
+// logger creates a logger that writes to standard error, and the variable that sets its level at
+// run time. An unknown level is logged, and info is used.
 func logger(level string) (*slog.Logger, *slog.LevelVar) {
-	l, known := levelNamed(level)
-	lever := new(slog.LevelVar)
-	lever.Set(l)
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: lever}))
+	l, known := parseLevel(level)
+	levelVar := new(slog.LevelVar)
+	levelVar.Set(l)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: levelVar}))
 	if !known && level != "" {
 		log.Info("LOG_LEVEL is not one of error, info, debug: info is used", "LOG_LEVEL", level)
 	}
-	return log, lever
+	return log, levelVar
 }
--- a/cmd/mapleslip/scale.go
+++ b/cmd/mapleslip/scale.go
@@ -15,12 +15,13 @@
 	"mapleslip/internal/scale"
 )
 
-// exitError ends the program with a code of its own; what there is to say is said.
+// exitError makes main exit with a code. main prints no message for it, because the command has
+// already printed its result or error.
 type exitError struct{ code int }
 
 func (e *exitError) Error() string { return fmt.Sprintf("exit %d", e.code) }
 
-// scaleFlags are those of the commands that make runs.
+// scaleFlags contains the flags of the commands that make scale runs.
 type scaleFlags struct {
 	part       float64
 	seed       uint64
@@ -42,29 +43,29 @@
 	return cmd
 }
 
-func (s *scaleFlags) add(cmd *cobra.Command) {
+func (s *scaleFlags) addFlags(cmd *cobra.Command) {
 	cmd.Flags().Uint64Var(&s.seed, "seed", 0, "`NUMBER` that draws jobs and faults, instead of the file's")
 	cmd.Flags().StringVar(&s.controller, "controller", "", "another `PROGRAM` for the controllers than this one")
 	cmd.Flags().StringArrayVar(&s.faults, "fault", nil, "one more `FAULT`, as in at_s=95,kind=controller_end,controller=leader")
 }
 
-// load reads a file and the faults of the command line.
+// load reads the settings file of a run and adds the faults from the command line.
 func (s *scaleFlags) load(path string) (*scale.File, error) {
 	f, err := scale.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	for _, text := range s.faults {
-		t, err := scale.ParseFault(f, text)
+		fault, err := scale.ParseFault(f, text)
 		if err != nil {
 			return nil, err
 		}
-		f.Faults = append(f.Faults, t)
+		f.Faults = append(f.Faults, fault)
 	}
 	return f, nil
 }
 
-// run makes a run and writes its report.
+// run makes a scale run and writes its report.
 func (s *scaleFlags) run(ctx context.Context, cmd *cobra.Command, f *scale.File, part float64, seed uint64, out string) (*scale.Report, error) {
 	if part <= 0 || part > 10 {
 		return nil, errors.New("--part: must be above 0 and at most 10")
@@ -77,15 +78,15 @@
 	}
 	controller := s.controller
 	if controller != "" {
-		full, err := filepath.Abs(controller)
+		absolute, err := filepath.Abs(controller)
 		if err != nil {
 			return nil, err
 		}
-		controller = full
+		controller = absolute
 	}
-	// What an earlier run left there must not be taken for this one's.
-	if old, err := filepath.Glob(filepath.Join(out, "*.log")); err == nil {
-		for _, name := range old {
+	// Remove the logs of an earlier run in this folder: they must not be mistaken for this run's.
+	if oldLogs, err := filepath.Glob(filepath.Join(out, "*.log")); err == nil {
+		for _, name := range oldLogs {
 			_ = os.Remove(name)
 		}
 	}
@@ -133,14 +134,14 @@
 			return nil
 		},
 	}
-	s.add(cmd)
+	s.addFlags(cmd)
 	cmd.Flags().Float64Var(&s.part, "part", 1, "`SHARE` of the file's machines, tasks and rates")
 	cmd.Flags().StringVar(&s.out, "out", "", "`FOLDER` of the report, plots and logs (target/scale/NAME-PART-SEED)")
 	cmd.Flags().BoolVar(&s.json, "json", false, "print the report as JSON")
 	return cmd
 }
 
-// slopesFlags are those of a command that runs several sizes.
+// slopesFlags contains the flags of the command that makes runs of several sizes.
 type slopesFlags struct {
 	scaleFlags
 	parts   []float64
@@ -151,7 +152,7 @@
 
 const maxRepeats = 100
 
-// reports reads the reports of earlier runs, or makes runs.
+// reports reads the reports of earlier runs if --from names any. Otherwise it makes the runs.
 func (s *slopesFlags) reports(ctx context.Context, cmd *cobra.Command, args []string) (reports []*scale.Report, err error) {
 	for _, path := range s.from {
 		r, err := scale.ReadReport(path)
@@ -173,13 +174,13 @@
 	if err != nil {
 		return nil, err
 	}
-	first := f.Seed
+	firstSeed := f.Seed
 	if s.seed != 0 {
-		first = s.seed
+		firstSeed = s.seed
 	}
 	for n := range s.repeats {
 		for _, part := range s.parts {
-			r, err := s.runPart(ctx, cmd, f, part, first+uint64(n))
+			r, err := s.runPart(ctx, cmd, f, part, firstSeed+uint64(n))
 			if err != nil {
 				return nil, err
 			}
@@ -189,7 +190,7 @@
 	return reports, nil
 }
 
-// runPart makes a run of one size.
+// runPart makes a run with a part of the file's size.
 func (s *slopesFlags) runPart(ctx context.Context, cmd *cobra.Command, f *scale.File, part float64, seed uint64) (*scale.Report, error) {
 	if ctx.Err() != nil {
 		return nil, errors.New("interrupted")
@@ -231,7 +232,7 @@
 			return err
 		},
 	}
-	s.add(cmd)
+	s.addFlags(cmd)
 	cmd.Flags().Float64SliceVar(&s.parts, "parts", []float64{0.1, 0.25, 0.5}, "`SHARES` of the file's size")
 	cmd.Flags().IntVar(&s.repeats, "repeats", 1, "`NUMBER` of runs of each size")
 	cmd.Flags().StringVar(&s.by, "by", "", "`ROW` that is the size, instead of the number of workers")
@@ -242,7 +243,7 @@
 }
 
 func scaleCompareCommand() *cobra.Command {
-	var least float64
+	var minDifference float64
 	cmd := &cobra.Command{
 		Use:   "compare A B",
 		Short: "Two runs' reports side by side",
@@ -257,10 +258,10 @@
 			if err != nil {
 				return err
 			}
-			scale.Compare(cmd.OutOrStdout(), a, b, least)
+			scale.Compare(cmd.OutOrStdout(), a, b, minDifference)
 			return nil
 		},
 	}
-	cmd.Flags().Float64Var(&least, "least", 0.05, "leave out figures that differ by less than this `SHARE`")
+	cmd.Flags().Float64Var(&minDifference, "least", 0.05, "leave out figures that differ by less than this `SHARE`")
 	return cmd
 }
--- a/cmd/mapleslip/scale_test.go
+++ b/cmd/mapleslip/scale_test.go
@@ -17,18 +17,20 @@
 	"mapleslip/internal/transport"
 )
 
-// asProgram has the test binary be the program: deployments start themselves again.
-const asProgram = "MAPLESLIP_TEST_AS_PROGRAM"
+// asProgramVariable is the environment variable that makes the test binary run as mapleslip:
+// deployments start their processes from the running executable.
+const asProgramVariable = "MAPLESLIP_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(asProgramVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// freePorts finds two rows of ports for mapleslip dev that are 200 apart.
+// freePorts returns the first of 8 consecutive ports that are free, as are the 8 ports 200 above
+// them, for two deployments of mapleslip dev.
 func freePorts(t *testing.T) int {
 	t.Helper()
 next:
@@ -46,44 +48,44 @@
 	return 0
 }
 
-// Two deployments of mapleslip dev stand side by side whatever their ports are. With ports
-// 200 apart both took the same network for their machines, and the second ended.
+// Guards against two deployments of mapleslip dev that use the same network for their machines:
+// with ports 200 apart both picked the same one, and the second deployment ended.
 func TestTwoDev(t *testing.T) {
-	t.Setenv(asProgram, "1")
+	t.Setenv(asProgramVariable, "1")
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	port := freePorts(t)
-	var both []*dev
+	var deployments []*devDeployment
 	for _, p := range []int{port, port + 200} {
 		d, err := startDev(ctx, devSettings{port: p})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer d.stop()
-		both = append(both, d)
+		deployments = append(deployments, d)
 	}
-	for i, d := range both {
+	for i, d := range deployments {
 		c, err := client.New(strings.Join(d.clients, ","))
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &demo{d: d, c: c, out: io.Discard, began: time.Now()}
+		m := &demo{dev: d, client: c, out: io.Discard, startTime: time.Now()}
 		if err := m.submit(ctx, "req-000001", "array", 4, 1); err != nil {
 			t.Fatalf("deployment %d: %v", i, err)
 		}
-		if err := m.job(ctx, "req-000001", "the array", "done", 0); err != nil {
+		if err := m.waitForJob(ctx, "req-000001", "the array", "done", 0); err != nil {
 			t.Fatalf("deployment %d: %v", i, err)
 		}
 	}
-	for i, d := range both {
+	for i, d := range deployments {
 		if err := d.live.Err(); err != nil {
 			t.Errorf("deployment %d: %v", i, err)
 		}
 	}
 }
 
-// children counts the processes that this one started and that are there.
-func children(t *testing.T) (n int) {
+// countChildren returns the number of child processes of this process that still exist.
+func countChildren(t *testing.T) (n int) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -102,28 +104,29 @@
 	return n
 }
 
-// A scale run that can't go on says why, in time, and leaves no process.
+// Guards against scale runs that hang or leave processes behind when they cannot continue: each run
+// ends in time and returns an error that gives the reason.
 func TestScaleRunEnds(t *testing.T) {
-	t.Setenv(asProgram, "1")
+	t.Setenv(asProgramVariable, "1")
 	f, err := scale.Load(filepath.Join("..", "..", "deploy", "scale", "small.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	few, many := *f, *f
-	few.Limits.Processes, many.Deployment.RealWorkers = 5, 0
+	fewProcesses, noRealWorkers := *f, *f
+	fewProcesses.Limits.Processes, noRealWorkers.Deployment.RealWorkers = 5, 0
 	run := func(ctx context.Context, f *scale.File, controller string, progress io.Writer) (*scale.Report, error) {
 		return scale.Run(ctx, scale.Options{File: f, Part: 1, Out: t.TempDir(), Controller: controller, Progress: progress})
 	}
-	if _, err := run(context.Background(), &few, "", nil); err == nil || !strings.Contains(err.Error(), "limits.processes") {
+	if _, err := run(context.Background(), &fewProcesses, "", nil); err == nil || !strings.Contains(err.Error(), "limits.processes") {
 		t.Errorf("too many processes: %v", err)
 	}
-	if r, err := run(context.Background(), &many, "/bin/false", nil); err == nil || r == nil || r.Exit != scale.ExitFailed {
-		t.Errorf("controllers that end at once: %v", err)
+	if r, err := run(context.Background(), &noRealWorkers, "/bin/false", nil); err == nil || r == nil || r.Exit != scale.ExitFailed {
+		t.Errorf("controllers that exit at once: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	// Interrupted once a controller leads.
-	r, err := run(ctx, &many, "", writer(func(p []byte) {
+	// Interrupt the run once a controller leads.
+	r, err := run(ctx, &noRealWorkers, "", writerFunc(func(p []byte) {
 		if bytes.Contains(p, []byte("leads")) {
 			cancel()
 		}
@@ -131,14 +134,14 @@
 	if err == nil || r == nil || r.Exit != scale.ExitFailed || !errors.Is(ctx.Err(), context.Canceled) {
 		t.Errorf("interrupted: %v", err)
 	}
-	if n := children(t); n != 0 {
+	if n := countChildren(t); n != 0 {
 		t.Errorf("%d processes are left", n)
 	}
 }
 
-type writer func(p []byte)
+type writerFunc func(p []byte)
 
-func (w writer) Write(p []byte) (int, error) {
+func (w writerFunc) Write(p []byte) (int, error) {
 	w(p)
 	return len(p), nil
 }
--- a/cmd/mapleslip/scalepart.go
+++ b/cmd/mapleslip/scalepart.go
@@ -8,7 +8,8 @@
 	"mapleslip/internal/scale/process"
 )
 
-// scalePartCommand runs a process of a scale run. The supervisor starts it.
+// scalePartCommand returns the hidden command that the supervisor of a scale run starts for each of
+// the run's processes.
 func scalePartCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "part ROLE",
--- a/cmd/mapleslip/serve.go
+++ b/cmd/mapleslip/serve.go
@@ -18,29 +18,30 @@
 	"mapleslip/internal/transport"
 )
 
-// driver joins the controller, which does no I/O, to the transport.
+// driver connects the controller, which does no I/O itself, to the transport. It passes events to
+// the controller and executes the effects that the controller returns.
 type driver struct {
 	log      *slog.Logger
 	platform *protocol.Platform
 	ctl      *controller.Controller
 	server   *transport.Server
 	started  time.Time
-	in       chan any // transport.Inbound or controller.CallResult
+	events   chan any // a transport.Inbound or a controller.CallResult
 	meters   map[controller.Target]*transport.Meter
 	dialers  map[controller.Target]*transport.Dialer
 	addrs    map[controller.Target]string
-	shown    *telemetry.Recorder // nil: telemetry is off
+	recorder *telemetry.Recorder // nil if telemetry is disabled
 
-	level      *slog.LevelVar // of the log
-	startLevel slog.Level
+	level      *slog.LevelVar // current log level
+	startLevel slog.Level     // log level at the start of the process
 }
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	queueLength = 2048
-	// bindWait is how long an address may be in use: the process before this one
-	// may still be on its way out.
-	bindWait = 2 * time.Second
+	tickInterval     = 50 * time.Millisecond
+	eventQueueLength = 2048
+	// bindTimeout is how long binding an address that is in use is retried: the previous process
+	// of this controller may still be shutting down.
+	bindTimeout = 2 * time.Second
 )
 
 var targetNames = map[controller.Target]string{
@@ -48,7 +49,7 @@
 	controller.ToPeer: "controller", controller.ToWorker: "worker", controller.ToInstance: "instance",
 }
 
-// features are what operators' files switch on, nil where they don't.
+// features contains the settings of the optional features, nil for each that is disabled.
 type features struct {
 	telemetry     *telemetry.Settings
 	rollouts      *rollout.Settings
@@ -58,7 +59,7 @@
 // checkAddresses checks that the addresses of a controller can be bound.
 func checkAddresses(p *protocol.Platform, o protocol.OperatorSettings) error {
 	for _, l := range []struct{ key, address string }{{"client_listen", p.ClientListen}, {"cluster_listen", p.ClusterListen}} {
-		if err := transport.CanListen(l.address, bindWait); err != nil {
+		if err := transport.CanListen(l.address, bindTimeout); err != nil {
 			return fmt.Errorf("%s: %w", l.key, err)
 		}
 	}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// serve runs a controller until the process is killed. It returns only if that can't begin.
+// serve runs a controller until the process is killed. It returns only if startup fails.
 func serve(p *protocol.Platform, o protocol.OperatorSettings, f features, log *slog.Logger, level *slog.LevelVar) error {
 	if err := checkAddresses(p, o); err != nil {
 		return err
@@ -79,7 +80,7 @@
 	t, r := f.telemetry, f.rollouts
 	seed := rand.Uint64()
 	d := &driver{
-		log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), in: make(chan any, queueLength),
+		log: log, platform: p, ctl: controller.New(p, o, seed, log), started: time.Now(), events: make(chan any, eventQueueLength),
 		level: level, startLevel: level.Level(),
 		meters: map[controller.Target]*transport.Meter{
 			controller.ToState: transport.NewMeter(p.StateRequestRate, p.StateWriteRate, 1, p.MaxTxnChanges),
@@ -96,53 +97,55 @@
 	}
 	d.ctl.SetFeatureRange(featuregate.Build, version)
 	if r != nil {
-		// Connections of checks are not kept: an instance may be gone at any time.
+		// Connections for health checks are not reused: an instance may terminate at any time.
 		d.dialers[controller.ToInstance] = &transport.Dialer{MaxOpen: plan.instances, MaxPer: 4}
 		d.ctl.EnableRollouts(*r)
-		log.Info("roll-outs are on", "checks_per_s", r.ChecksPerS)
+		log.Info("roll-outs are enabled", "checks_per_s", r.ChecksPerS)
 	}
 	if f.configuration != nil {
 		d.ctl.EnableConfiguration(*f.configuration)
-		log.Info("the configuration may change", "history_pages", f.configuration.HistoryPages)
+		log.Info("configuration changes are enabled", "history_pages", f.configuration.HistoryPages)
 	}
-	for _, by := range d.dialers {
-		by.Source = o.SourceAddress
+	for _, dialer := range d.dialers {
+		dialer.Source = o.SourceAddress
 	}
 	d.server = &transport.Server{
 		Split: protocol.SplitPeer, Deliver: d.deliver,
 		MaxOpen: plan.inbound, Idle: 5 * time.Minute,
-		// Whoever reports or polls is heard again before that.
+		// When all connections are in use, one without traffic for this time is closed for a new
+		// one. Workers that send heartbeats and clients that poll send again within this time.
 		Quiet: max(20*time.Second, 3*time.Duration(p.HeartbeatInterval)*time.Microsecond),
 	}
 	if t != nil {
-		shown, err := telemetry.Start(*t, p.ControllerName, version, log)
+		recorder, err := telemetry.Start(*t, p.ControllerName, version, log)
 		if err != nil {
 			return fmt.Errorf("telemetry: %w", err)
 		}
-		d.shown = shown
-		if shown.Spans() {
+		d.recorder = recorder
+		if recorder.Spans() {
 			d.ctl.EnableTracing()
 		}
-		log.Info("telemetry", "metrics", shown.Addr(), "traces", t.Traces)
+		log.Info("telemetry", "metrics", recorder.Addr(), "traces", t.Traces)
 	}
-	d.share(false)
+	d.setRateShare(false)
 	go d.server.Run(p.ClientListen, p.ClusterListen)
 	log.Info("started", "node", p.ControllerName, "zone", p.Zone, "version", version)
 	d.loop()
 	return nil
 }
 
-// share keeps to this node's part of the rates that all controllers share.
-func (d *driver) share(leads bool) {
+// setRateShare limits calls to the state service and the cloud to this controller's share of their
+// rate limits, which apply to all controllers together.
+func (d *driver) setRateShare(isLeader bool) {
 	nodes := len(d.platform.Peers) + 1
-	writes := controller.WriteShare(nodes, leads)
-	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, leads), writes, controller.LargestChange(d.platform.MaxTxnChanges, leads))
+	writes := controller.WriteShare(nodes, isLeader)
+	d.meters[controller.ToState].SetShare(controller.ReadShare(nodes, isLeader), writes, controller.LargestChange(d.platform.MaxTxnChanges, isLeader))
 	d.meters[controller.ToCloud].SetShare(writes, 0, 0)
 }
 
 func (d *driver) deliver(m transport.Inbound) bool {
 	select {
-	case d.in <- m:
+	case d.events <- m:
 		return true
 	default:
 		return false
@@ -154,33 +157,33 @@
 	return protocol.Now{Steady: protocol.Micros(t.Sub(d.started) / time.Microsecond), Wall: protocol.Micros(t.UnixMicro())}
 }
 
-// batch is how many events are handled before it is seen whether a tick is due:
-// however many wait, renewal and rounds get their turn.
-const batch = 64
+// maxEventBatch is the maximum number of events that are handled between two checks whether a tick
+// is due, so that lease renewals and scheduling rounds also run while many events are queued.
+const maxEventBatch = 64
 
 func (d *driver) loop() {
 	d.perform(d.ctl.Start(d.now()))
-	ticker := time.NewTicker(tickEvery)
-	var ticked protocol.Micros
+	ticker := time.NewTicker(tickInterval)
+	var lastTick protocol.Micros
 	for {
 		select {
-		case m := <-d.in:
+		case m := <-d.events:
 			d.handle(m)
 		case <-ticker.C:
 		}
-		for n := 1; n < batch && len(d.in) > 0; n++ {
-			d.handle(<-d.in)
+		for n := 1; n < maxEventBatch && len(d.events) > 0; n++ {
+			d.handle(<-d.events)
 		}
-		if now := d.now(); now.Steady-ticked >= protocol.Micros(tickEvery/time.Microsecond)*9/10 {
-			ticked = now.Steady
-			backlog := len(d.in)
+		if now := d.now(); now.Steady-lastTick >= protocol.Micros(tickInterval/time.Microsecond)*9/10 {
+			lastTick = now.Steady
+			backlog := len(d.events)
 			d.step("tick", controller.Tick{Backlog: backlog})
 			for _, m := range d.meters {
-				m.Run(ticked)
+				m.Run(lastTick)
 			}
-			if d.shown != nil {
-				d.shown.Waiting(backlog, map[string]int{"state": d.meters[controller.ToState].Waiting(), "cloud": d.meters[controller.ToCloud].Waiting()})
-				d.shown.Snapshot(now.Steady, d.ctl.Snapshot)
+			if d.recorder != nil {
+				d.recorder.Waiting(backlog, map[string]int{"state": d.meters[controller.ToState].Waiting(), "cloud": d.meters[controller.ToCloud].Waiting()})
+				d.recorder.Snapshot(now.Steady, d.ctl.Snapshot)
 			}
 		}
 	}
@@ -207,23 +210,23 @@
 	}
 }
 
-// step has the controller handle an event, and does what follows.
+// step passes an event to the controller and executes the resulting effects.
 func (d *driver) step(kind string, ev controller.Event) {
-	if d.shown == nil {
+	if d.recorder == nil {
 		d.perform(d.ctl.Step(d.now(), ev))
 		return
 	}
 	began := time.Now()
 	effects := d.ctl.Step(d.now(), ev)
-	d.shown.Step(kind, time.Since(began))
+	d.recorder.Step(kind, time.Since(began))
 	d.perform(effects)
 }
 
-// configOps are what is asked about the configuration, by path and method.
-var configOps = map[string]struct {
+// configRoutes contains the method and operation of each configuration request, by path.
+var configRoutes = map[string]struct {
 	method string
 	op     protocol.UserOp
-	arg    string // of the query
+	arg    string // name of the query parameter, "" if the request has none
 }{
 	"/api/config":          {"GET", protocol.OpConfig, ""},
 	"/api/config/apply":    {"POST", protocol.OpConfigApply, ""},
@@ -233,8 +236,8 @@
 	"/api/config/status":   {"GET", protocol.OpConfigStatus, ""},
 }
 
-// argument is one argument of a query, "" where it is not there.
-func argument(query, name string) string {
+// queryParameter returns the value of a parameter of a URL query, or "" if the parameter is absent.
+func queryParameter(query, name string) string {
 	for _, part := range strings.Split(query, "&") {
 		if k, v, _ := strings.Cut(part, "="); k == name {
 			return v
@@ -243,20 +246,21 @@
 	return ""
 }
 
-var rolloutOps = map[string]protocol.UserOp{
+var rolloutActions = map[string]protocol.UserOp{
 	"": protocol.OpRolloutShow, "pause": protocol.OpRolloutPause, "resume": protocol.OpRolloutResume,
 	"revert": protocol.OpRolloutRevert,
 }
 
-// route finds what an HTTP request asks for.
+// route converts an HTTP request into an event for the controller. It replies directly to a request
+// with an unknown path or a wrong method.
 func (d *driver) route(e transport.Inbound) {
 	to := controller.ReplyAddress{Conn: uint64(e.Conn)}
 	r := e.HTTP
 	var ev controller.Event
-	want, kind := "POST", "user"
+	wantMethod, kind := "POST", "user"
 	switch {
 	case r.Path == "/healthz":
-		want, kind = "GET", "health"
+		wantMethod, kind = "GET", "health"
 		ev = controller.HealthzRequest{Reply: to}
 	case r.Path == "/hello":
 		kind = "report"
@@ -268,36 +272,36 @@
 		if id, ok := strings.CutSuffix(ref, "/cancel"); ok {
 			ev = controller.UserRequest{Reply: to, Op: protocol.OpCancel, Ref: id}
 		} else {
-			want = "GET"
+			wantMethod = "GET"
 			ev = controller.UserRequest{Reply: to, Op: protocol.OpQuery, Ref: ref}
 		}
-	case configOps[r.Path].op > 0:
-		o := configOps[r.Path]
+	case configRoutes[r.Path].op > 0:
+		o := configRoutes[r.Path]
 		if r.Path == "/api/config" && r.Method == "POST" {
-			o = configOps["/api/config/apply"]
+			o = configRoutes["/api/config/apply"]
 		}
-		want, ev = o.method, controller.UserRequest{Reply: to, Op: o.op, Ref: argument(r.Query, o.arg), Body: r.Body}
+		wantMethod, ev = o.method, controller.UserRequest{Reply: to, Op: o.op, Ref: queryParameter(r.Query, o.arg), Body: r.Body}
 	case r.Path == "/api/rollouts":
 		ev = controller.UserRequest{Reply: to, Op: protocol.OpRollout, Body: r.Body}
 		if r.Method == "GET" {
-			want, ev = "GET", controller.UserRequest{Reply: to, Op: protocol.OpRollouts}
+			wantMethod, ev = "GET", controller.UserRequest{Reply: to, Op: protocol.OpRollouts}
 		}
 	case strings.HasPrefix(r.Path, "/api/rollouts/"):
-		service, what, _ := strings.Cut(strings.TrimPrefix(r.Path, "/api/rollouts/"), "/")
-		op, known := rolloutOps[what]
+		service, action, _ := strings.Cut(strings.TrimPrefix(r.Path, "/api/rollouts/"), "/")
+		op, known := rolloutActions[action]
 		if !known {
 			d.reply(controller.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
 			return
 		}
-		if what == "" {
-			want = "GET"
+		if action == "" {
+			wantMethod = "GET"
 		}
 		ev = controller.UserRequest{Reply: to, Op: op, Ref: service}
 	default:
 		d.reply(controller.Reply{To: to, Status: 404, Body: protocol.ErrorBody("no such path")})
 		return
 	}
-	if r.Method != want {
+	if r.Method != wantMethod {
 		d.reply(controller.Reply{To: to, Status: 405, Body: protocol.ErrorBody("method not allowed")})
 		return
 	}
@@ -312,26 +316,27 @@
 		case controller.Call:
 			d.call(e)
 		case controller.RateShare:
-			d.share(e.Leads)
+			d.setRateShare(e.Leads)
 		case controller.WriteRate:
 			d.meters[controller.ToState].SetWrites(e.PerSecond, e.Lowered)
 		case controller.SetLogLevel:
 			d.setLevel(e.Level)
 		case controller.Span:
-			d.shown.Span(e, d.started)
+			d.recorder.Span(e, d.started)
 		}
 	}
 }
 
-// updateLogLevel sets the level of the log; "" is the one that the process was started with.
+// setLevel sets the log level. An empty name restores the level at the start of the process. The
+// change is logged at level info whatever the old and the new level are.
 func (d *driver) setLevel(name string) {
 	level := d.startLevel
 	if name != "" {
-		level, _ = levelNamed(name)
+		level, _ = parseLevel(name)
 	}
-	if was := d.level.Level(); level != was {
+	if previous := d.level.Level(); level != previous {
 		d.level.Set(slog.LevelInfo)
-		d.log.Info("level of the log", "from", was.String(), "to", level.String())
+		d.log.Info("log level changed", "from", previous.String(), "to", level.String())
 		d.level.Set(level)
 	}
 }
@@ -348,7 +353,7 @@
 	})
 }
 
-// call makes an outbound call, in its turn where the service is metered.
+// call makes an outbound call. A call to a rate-limited service is queued in the service's meter.
 func (d *driver) call(c controller.Call) {
 	send := func() { go d.send(c) }
 	m := d.meters[c.Target]
@@ -363,7 +368,7 @@
 	m.Add(transport.Metered{
 		Priority: transport.Priority(c.Priority), Changes: changes, Expires: d.now().Steady + c.Timeout, Send: send,
 		Expire: func() {
-			go func() { d.in <- controller.CallResult{ID: c.ID, NotSent: true} }()
+			go func() { d.events <- controller.CallResult{ID: c.ID, NotSent: true} }()
 		},
 	})
 	m.Run(d.now().Steady)
@@ -375,54 +380,54 @@
 		addr = d.addrs[c.Target]
 	}
 	began := time.Now()
-	done := d.exchange(c, addr)
-	d.shown.Call(targetNames[c.Target], c.Method, c.Path, done, began)
-	d.in <- done
+	result := d.exchange(c, addr)
+	d.recorder.Call(targetNames[c.Target], c.Method, c.Path, result, began)
+	d.events <- result
 }
 
-// mostCheckAnswer is how long the answer to a check may be.
-const mostCheckAnswer = 64 << 10
+// maxCheckResponseBytes is the maximum size of the response to a health check.
+const maxCheckResponseBytes = 64 << 10
 
-// exchange sends a call to an address and waits for the answer. A check of an instance
-// is a connection that is accepted, or the answer to a GET: the time-out covers all of
-// it, an answer that comes a byte at a time too, and the socket is closed with it.
+// exchange sends a call to an address and waits for the response. A health check of an instance
+// either opens a TCP connection or sends a GET request. Its timeout covers the whole check, also a
+// response that arrives a byte at a time, and its socket is closed when the check ends.
 func (d *driver) exchange(c controller.Call, addr string) controller.CallResult {
-	done := controller.CallResult{ID: c.ID}
+	result := controller.CallResult{ID: c.ID}
 	dialer, timeout := d.dialers[c.Target], time.Duration(c.Timeout)*time.Microsecond
 	var err error
 	switch {
 	case dialer == nil:
-		err = transport.ErrSockets // roll-outs are off here
+		err = transport.ErrSockets // roll-outs are disabled on this controller
 	case c.Target == controller.ToInstance && c.Method == "":
 		err = dialer.Probe(addr, timeout)
-		done.Status = 200
+		result.Status = 200
 	case c.Target == controller.ToPeer:
 		err = dialer.Do(addr, c.Body, timeout, func(buf []byte, _ bool) (int, bool, error) {
 			frame, used, err := protocol.SplitPeer(buf)
 			if used > 0 {
-				done.Status, done.Body = 200, frame
+				result.Status, result.Body = 200, frame
 			}
 			return used, true, err
 		})
 	default:
-		check := c.Target == controller.ToInstance
+		isCheck := c.Target == controller.ToInstance
 		payload := transport.AppendRequest(nil, c.Method, addr, c.Path, c.Body)
 		err = dialer.Do(addr, payload, timeout, func(buf []byte, eof bool) (int, bool, error) {
-			if check && len(buf) > mostCheckAnswer {
+			if isCheck && len(buf) > maxCheckResponseBytes {
 				return 0, false, transport.ErrTooLong
 			}
 			r, used, err := transport.ParseResponse(buf, eof)
 			if err != nil || used == 0 {
 				return 0, false, err
 			}
-			done.Status, done.Body = r.Status, r.Body
-			return used, !r.Close && !check, nil
+			result.Status, result.Body = r.Status, r.Body
+			return used, !r.Close && !isCheck, nil
 		})
 	}
 	if err != nil {
-		done.Status, done.Body = 0, nil
-		done.ConnectionRefused = errors.Is(err, transport.ErrRefused)
-		done.NotSent = done.ConnectionRefused || errors.Is(err, transport.ErrSockets)
+		result.Status, result.Body = 0, nil
+		result.ConnectionRefused = errors.Is(err, transport.ErrRefused)
+		result.NotSent = result.ConnectionRefused || errors.Is(err, transport.ErrSockets)
 	}
-	return done
+	return result
 }
--- a/cmd/mapleslip/sockets.go
+++ b/cmd/mapleslip/sockets.go
@@ -2,46 +2,51 @@
 
 import "mapleslip/internal/controller"
 
-// sockets is how the connections that a process may have are divided.
-type sockets struct {
-	inbound                               int // of users, workers, health checks and other controllers
-	state, cloud, peers, perPeer, workers int // outbound, at the most
-	instances                             int // of checks, 0 where roll-outs are off
-	free                                  int // held back, so that accepting never meets the limit
+// socketPlan divides the connections that a process may have open among their uses.
+type socketPlan struct {
+	// inbound connections come from users, workers, health checks and other controllers.
+	inbound int
+	// state, cloud, peers and workers are the maximum numbers of outbound connections of each kind,
+	// perPeer is the maximum to each other controller.
+	state, cloud, peers, perPeer, workers int
+	// instances is the maximum for health checks of instances, 0 if roll-outs are disabled.
+	instances int
+	// reserved connections are assigned to no use, so that accepting one never reaches the limit.
+	reserved int
 }
 
-// Needs of outbound calls. A leader keeps a bounded number of calls to workers on their
-// way, however many there are; what is kept beyond that only saves it a handshake.
+// Numbers of connections for outbound calls. A leader has a bounded number of concurrent calls to
+// workers, whatever the number of workers; connections beyond that only save handshakes.
 const (
-	stateCalls = 64
-	cloudCalls = 24                      // of seconds each, at a few a second
-	peerCalls  = controller.MaxPeerCalls // to each other controller: users' calls and reports that are passed on
-	checkCalls = 64
-	sparePart  = 20 // one in so many is held back
+	maxStateCalls   = 64
+	maxCloudCalls   = 24                      // a call takes seconds, and a few are made per second
+	maxPeerCalls    = controller.MaxPeerCalls // per controller: forwarded requests and heartbeats
+	maxCheckCalls   = 64
+	reservedDivisor = 20 // one in this many connections is reserved
 )
 
-// planSockets divides them: outbound calls get what they need, at most half of all
-// together, and whatever is left is for those who come in. With a fourth for outbound
-// calls, whatever they needed, a fleet half as large again as himal-members-fleet had
-// 2,110 workers for 1,977 connections.
-func planSockets(most, siblings int, rollouts bool) sockets {
-	s := sockets{state: stateCalls, cloud: cloudCalls, perPeer: peerCalls, workers: controller.MaxWorkerCalls * 5 / 4}
+// planSockets divides maxConnections. Outbound calls get the connections that they need, at most
+// half of those that are not reserved; all others are for inbound connections. When a quarter was
+// set aside for outbound calls regardless of need, a fleet 1.5 times the size of
+// himal-members-fleet had 2,110 workers but only 1,977 inbound connections.
+func planSockets(maxConnections, peerCount int, rollouts bool) socketPlan {
+	s := socketPlan{state: maxStateCalls, cloud: maxCloudCalls, perPeer: maxPeerCalls, workers: controller.MaxWorkerCalls * 5 / 4}
 	if rollouts {
-		s.instances = checkCalls
+		s.instances = maxCheckCalls
 	}
-	s.peers = s.perPeer * min(max(1, siblings), 6)
-	s.free = max(8, most/sparePart)
-	if sum := s.outbound(); sum > (most-s.free)/2 {
-		// Too few for that: each gets its part of a half.
-		part := func(n int) int { return max(2, n*(most-s.free)/2/sum) }
-		s.state, s.cloud, s.peers, s.workers = part(s.state), part(s.cloud), part(s.peers), part(s.workers)
+	s.peers = s.perPeer * min(max(1, peerCount), 6)
+	s.reserved = max(8, maxConnections/reservedDivisor)
+	if sum := s.outbound(); sum > (maxConnections-s.reserved)/2 {
+		// The outbound calls need more than half: scale each down in proportion.
+		scaled := func(n int) int { return max(2, n*(maxConnections-s.reserved)/2/sum) }
+		s.state, s.cloud, s.peers, s.workers = scaled(s.state), scaled(s.cloud), scaled(s.peers), scaled(s.workers)
 		s.perPeer = min(s.perPeer, s.peers)
 		if rollouts {
-			s.instances = part(s.instances)
+			s.instances = scaled(s.instances)
 		}
 	}
-	s.inbound = max(8, most-s.free-s.outbound())
+	s.inbound = max(8, maxConnections-s.reserved-s.outbound())
 	return s
 }
 
-func (s *sockets) outbound() int { return s.state + s.cloud + s.peers + s.workers + s.instances }
+func (s *socketPlan) outbound() int { return s.state + s.cloud + s.peers + s.workers + s.instances }
--- a/cmd/mapleslip/user.go
+++ b/cmd/mapleslip/user.go
@@ -24,34 +24,35 @@
 
 const serverVariable = "MAPLESLIP_SERVER"
 
-// users are the commands of those who have work done.
-type users struct {
+// userCommands contains the flags of the commands with which users submit and follow jobs and
+// roll-outs.
+type userCommands struct {
 	server string
 	json   bool
 	wait   bool
 	awaits []string
 }
 
-func (u *users) commands() []*cobra.Command {
+func (u *userCommands) commands() []*cobra.Command {
 	submit := &cobra.Command{Use: "submit FILE", Short: "Submit a job", Args: cobra.ExactArgs(1), RunE: u.submit}
 	submit.Flags().BoolVar(&u.wait, "wait", false, "wait until the job is done or cancelled")
 	submit.Flags().StringSliceVar(&u.awaits, "awaits", nil, "jobs that have to be done before, `REF[,REF]`, besides those in the file")
 	status := &cobra.Command{Use: "status REF", Short: "Say how a job stands", Args: cobra.ExactArgs(1), RunE: u.status}
 	cancel := &cobra.Command{Use: "cancel REF", Short: "Cancel a job", Args: cobra.ExactArgs(1), RunE: u.cancel}
-	roll := &cobra.Command{Use: "rollout", Short: "Roll out a new version of a service"}
+	rollout := &cobra.Command{Use: "rollout", Short: "Roll out a new version of a service"}
 	start := &cobra.Command{Use: "start FILE", Short: "Begin a roll-out", Args: cobra.ExactArgs(1), RunE: u.startRollout}
 	start.Flags().BoolVar(&u.wait, "wait", false, "wait until it ends or pauses; exit 1 unless it is done")
 	show := &cobra.Command{Use: "status [SERVICE]", Short: "Say how one roll-out stands, or all", Args: cobra.MaximumNArgs(1), RunE: u.showRollout}
-	roll.AddCommand(start, show)
-	for _, what := range []string{"pause", "resume", "revert"} {
-		roll.AddCommand(&cobra.Command{
-			Use: what + " SERVICE", Short: strings.ToUpper(what[:1]) + what[1:] + " a roll-out", Args: cobra.ExactArgs(1),
+	rollout.AddCommand(start, show)
+	for _, action := range []string{"pause", "resume", "revert"} {
+		rollout.AddCommand(&cobra.Command{
+			Use: action + " SERVICE", Short: strings.ToUpper(action[:1]) + action[1:] + " a roll-out", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return u.rollout(cmd, "POST", args[0], "/"+what)
+				return u.rolloutRequest(cmd, "POST", args[0], "/"+action)
 			},
 		})
 	}
-	list := []*cobra.Command{submit, status, cancel, roll, u.configCommand()}
+	list := []*cobra.Command{submit, status, cancel, rollout, u.configCommand()}
 	for _, c := range list {
 		c.PersistentFlags().StringVar(&u.server, "server", os.Getenv(serverVariable), "controllers, `IP:port[,IP:port]`; "+serverVariable+" sets it too")
 		c.PersistentFlags().BoolVar(&u.json, "json", false, "print the service's own answer")
@@ -59,14 +60,14 @@
 	return list
 }
 
-// session is one command's talk with the controllers.
+// session is a client of the controllers for one command. Its context ends at SIGINT or SIGTERM.
 type session struct {
 	*client.Client
 	ctx  context.Context
 	stop func()
 }
 
-func (u *users) session(cmd *cobra.Command) (*session, error) {
+func (u *userCommands) newSession(cmd *cobra.Command) (*session, error) {
 	if u.server == "" {
 		return nil, fmt.Errorf("--server: missing, and %s is not set", serverVariable)
 	}
@@ -81,21 +82,22 @@
 	return &session{c, ctx, stop}, nil
 }
 
-// ask makes one request.
-func (s *session) ask(method, path string, body []byte) ([]byte, error) {
+// request makes one request and returns the body of the response.
+func (s *session) request(method, path string, body []byte) ([]byte, error) {
 	_, answer, err := s.Do(s.ctx, method, path, body)
 	return answer, err
 }
 
-// follow asks how something stands, again and again, until look says that it is over.
-func (s *session) follow(out io.Writer, path, what string, every time.Duration, answer []byte, look func([]byte) (line string, over bool, err error)) ([]byte, error) {
+// poll requests a status at each interval and prints it as a line of progress, until inspect
+// reports that the subject, a job or roll-out, has ended. answer is the first status.
+func (s *session) poll(out io.Writer, path, subject string, interval time.Duration, answer []byte, inspect func([]byte) (line string, ended bool, err error)) ([]byte, error) {
 	progress := newProgress(out)
 	for {
-		line, over, err := look(answer)
+		line, ended, err := inspect(answer)
 		if err != nil {
 			return nil, err
 		}
-		if over {
+		if ended {
 			progress.end()
 			return answer, nil
 		}
@@ -103,50 +105,50 @@
 		select {
 		case <-s.ctx.Done():
 			progress.end()
-			return nil, fmt.Errorf("interrupted; the %s goes on", what)
-		case <-time.After(every):
+			return nil, fmt.Errorf("interrupted; the %s goes on", subject)
+		case <-time.After(interval):
 		}
-		if answer, err = s.ask("GET", path, nil); err != nil {
+		if answer, err = s.request("GET", path, nil); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// once makes the one request of a command.
-func (u *users) once(cmd *cobra.Command, method, path string) ([]byte, error) {
-	s, err := u.session(cmd)
+// request makes a request in a session of its own, for commands that make only one request.
+func (u *userCommands) request(cmd *cobra.Command, method, path string) ([]byte, error) {
+	s, err := u.newSession(cmd)
 	if err != nil {
 		return nil, err
 	}
 	defer s.stop()
-	return s.ask(method, path, nil)
+	return s.request(method, path, nil)
 }
 
-// sent is what a file asks for: the request's body, and what it says.
-type sent[T any] struct {
+// requestFile is a request that was read from a file: its body on the wire and its parsed content.
+type requestFile[T any] struct {
 	body []byte
 	spec T
 }
 
-// load reads a file that people wrote; draw is what it gets where it has no name.
-func load[T any](path string, parse func(text []byte, draw string) ([]byte, T, error), draw string) (sent[T], error) {
-	return protocol.LoadFile(path, func(text []byte) (sent[T], error) {
-		body, spec, err := parse(text, draw)
-		return sent[T]{body, spec}, err
+// loadRequestFile reads a request from a file. If the file gives no name, it gets defaultName.
+func loadRequestFile[T any](path string, parse func(text []byte, defaultName string) ([]byte, T, error), defaultName string) (requestFile[T], error) {
+	return protocol.LoadFile(path, func(text []byte) (requestFile[T], error) {
+		body, spec, err := parse(text, defaultName)
+		return requestFile[T]{body, spec}, err
 	})
 }
 
-// drawnRef is a job's name that nobody else draws.
-func drawnRef() string {
-	most := new(big.Int).Exp(big.NewInt(10), big.NewInt(18), nil)
-	n, err := rand.Int(rand.Reader, most)
+// randomJobRef returns a job reference with 18 random digits, to avoid references of other jobs.
+func randomJobRef() string {
+	limit := new(big.Int).Exp(big.NewInt(10), big.NewInt(18), nil)
+	n, err := rand.Int(rand.Reader, limit)
 	if err != nil {
-		panic(err) // the system has no randomness
+		panic(err) // the system's random source failed
 	}
 	return fmt.Sprintf("req-%018d", n)
 }
 
-func drawnID() string {
+func randomID() string {
 	b := make([]byte, 6)
 	if _, err := rand.Read(b); err != nil {
 		panic(err)
@@ -154,30 +156,30 @@
 	return "r-" + hex.EncodeToString(b)
 }
 
-func (u *users) submit(cmd *cobra.Command, args []string) error {
+func (u *userCommands) submit(cmd *cobra.Command, args []string) error {
 	parse := func(text []byte, ref string) ([]byte, *protocol.JobSpec, error) {
 		return protocol.ParseJobFile(text, ref, u.awaits...)
 	}
-	job, err := load(args[0], parse, drawnRef())
+	job, err := loadRequestFile(args[0], parse, randomJobRef())
 	if err != nil {
 		return err
 	}
-	s, err := u.session(cmd)
+	s, err := u.newSession(cmd)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	answer, err := s.ask("POST", "/api/jobs", job.body)
+	answer, err := s.request("POST", "/api/jobs", job.body)
 	if err != nil {
 		return err
 	}
 	if !u.wait {
 		return u.printJob(cmd.OutOrStdout(), answer)
 	}
-	// Whoever stops waiting has to know the job's name.
+	// A user who interrupts the wait needs the reference to query the job.
 	fmt.Fprintf(cmd.ErrOrStderr(), "%s is accepted\n", job.spec.Ref)
 	phase := ""
-	answer, err = s.follow(cmd.ErrOrStderr(), "/api/jobs/"+job.spec.Ref, "job", 2*time.Second, answer, func(answer []byte) (string, bool, error) {
+	answer, err = s.poll(cmd.ErrOrStderr(), "/api/jobs/"+job.spec.Ref, "job", 2*time.Second, answer, func(answer []byte) (string, bool, error) {
 		phase = fastjson.GetString(answer, "phase")
 		line := fmt.Sprintf("%s, %d of %d done, %d running", phase, fastjson.GetInt(answer, "done"), job.spec.Tasks, fastjson.GetInt(answer, "running"))
 		return line, phase == "done" || phase == "cancelled", nil
@@ -191,26 +193,26 @@
 	return errors.New("the job was cancelled")
 }
 
-func (u *users) status(cmd *cobra.Command, args []string) error {
-	return u.aboutJob(cmd, "GET", args[0], "")
+func (u *userCommands) status(cmd *cobra.Command, args []string) error {
+	return u.jobRequest(cmd, "GET", args[0], "")
 }
 
-func (u *users) cancel(cmd *cobra.Command, args []string) error {
-	return u.aboutJob(cmd, "POST", args[0], "/cancel")
+func (u *userCommands) cancel(cmd *cobra.Command, args []string) error {
+	return u.jobRequest(cmd, "POST", args[0], "/cancel")
 }
 
-func (u *users) aboutJob(cmd *cobra.Command, method, ref, what string) error {
+func (u *userCommands) jobRequest(cmd *cobra.Command, method, ref, action string) error {
 	if !protocol.ValidRef(ref) {
 		return fmt.Errorf("%q is no job: it has the form req-000412", ref)
 	}
-	answer, err := u.once(cmd, method, "/api/jobs/"+ref+what)
+	answer, err := u.request(cmd, method, "/api/jobs/"+ref+action)
 	if err != nil {
 		return err
 	}
 	return u.printJob(cmd.OutOrStdout(), answer)
 }
 
-func (u *users) printJob(out io.Writer, answer []byte) error {
+func (u *userCommands) printJob(out io.Writer, answer []byte) error {
 	if u.json {
 		fmt.Fprintln(out, string(answer))
 		return nil
@@ -219,12 +221,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s %s, %d done, %d running%s\n", v.GetStringBytes("ref"), v.GetStringBytes("phase"), v.GetInt("done"), v.GetInt("running"), awaiting(v))
+	fmt.Fprintf(out, "%s %s, %d done, %d running%s\n", v.GetStringBytes("ref"), v.GetStringBytes("phase"), v.GetInt("done"), v.GetInt("running"), awaitedJobs(v))
 	return nil
 }
 
-// awaiting says what a queued job waits for.
-func awaiting(v *fastjson.Value) string {
+// awaitedJobs describes the jobs that a queued job waits for, "" if there are none.
+func awaitedJobs(v *fastjson.Value) string {
 	var refs []string
 	for _, ref := range v.GetArray("awaiting") {
 		refs = append(refs, string(ref.GetStringBytes()))
@@ -235,17 +237,17 @@
 	return ", waits for " + strings.Join(refs, ", ")
 }
 
-func (u *users) startRollout(cmd *cobra.Command, args []string) error {
-	r, err := load(args[0], protocol.ParseRolloutFile, drawnID())
+func (u *userCommands) startRollout(cmd *cobra.Command, args []string) error {
+	r, err := loadRequestFile(args[0], protocol.ParseRolloutFile, randomID())
 	if err != nil {
 		return err
 	}
-	s, err := u.session(cmd)
+	s, err := u.newSession(cmd)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	answer, err := s.ask("POST", "/api/rollouts", r.body)
+	answer, err := s.request("POST", "/api/rollouts", r.body)
 	if err != nil {
 		return err
 	}
@@ -253,7 +255,7 @@
 		return u.printRollout(cmd.OutOrStdout(), answer)
 	}
 	var last *protocol.RolloutStatus
-	answer, err = s.follow(cmd.ErrOrStderr(), "/api/rollouts/"+r.spec.Service, "roll-out", time.Second, answer, func(answer []byte) (string, bool, error) {
+	answer, err = s.poll(cmd.ErrOrStderr(), "/api/rollouts/"+r.spec.Service, "roll-out", time.Second, answer, func(answer []byte) (string, bool, error) {
 		var err error
 		if last, err = protocol.ParseRolloutStatus(answer); err != nil {
 			return "", false, err
@@ -269,11 +271,11 @@
 	return fmt.Errorf("the roll-out is %s: %s", last.State, last.Reason)
 }
 
-func (u *users) showRollout(cmd *cobra.Command, args []string) error {
+func (u *userCommands) showRollout(cmd *cobra.Command, args []string) error {
 	if len(args) == 1 {
-		return u.rollout(cmd, "GET", args[0], "")
+		return u.rolloutRequest(cmd, "GET", args[0], "")
 	}
-	answer, err := u.once(cmd, "GET", "/api/rollouts")
+	answer, err := u.request(cmd, "GET", "/api/rollouts")
 	if err != nil {
 		return err
 	}
@@ -293,11 +295,11 @@
 	return nil
 }
 
-func (u *users) rollout(cmd *cobra.Command, method, service, what string) error {
+func (u *userCommands) rolloutRequest(cmd *cobra.Command, method, service, action string) error {
 	if !protocol.ValidService(service) {
 		return fmt.Errorf("%q is no service's name", service)
 	}
-	answer, err := u.once(cmd, method, "/api/rollouts/"+service+what)
+	answer, err := u.request(cmd, method, "/api/rollouts/"+service+action)
 	if err != nil {
 		return err
 	}
@@ -316,7 +318,7 @@
 	return line
 }
 
-func (u *users) printRollout(out io.Writer, answer []byte) error {
+func (u *userCommands) printRollout(out io.Writer, answer []byte) error {
 	if u.json {
 		fmt.Fprintln(out, string(answer))
 		return nil
@@ -329,8 +331,8 @@
 	return nil
 }
 
-// progress shows how something goes on: in one line of a terminal, or a line for each
-// change elsewhere.
+// progress prints status lines: on a terminal it overwrites a single line, elsewhere it prints one
+// line for each change.
 type progress struct {
 	out      io.Writer
 	terminal bool
--- a/cmd/mapleslip/user_test.go
+++ b/cmd/mapleslip/user_test.go
@@ -7,7 +7,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// What a job waits for is shown with how it stands.
+// Checks that the printed status of a job includes the jobs that it waits for.
 func TestPrintJobShowsWhatItWaitsFor(t *testing.T) {
 	for _, c := range []struct {
 		answer []byte
@@ -17,7 +17,7 @@
 		{protocol.WaitingJobStatusBody("req-000009", []string{"req-000001", "req-000002"}), "req-000009 queued, 0 done, 0 running, waits for req-000001, req-000002\n"},
 	} {
 		var out strings.Builder
-		if err := new(users).printJob(&out, c.answer); err != nil || out.String() != c.want {
+		if err := new(userCommands).printJob(&out, c.answer); err != nil || out.String() != c.want {
 			t.Errorf("%q %v, want %q", out.String(), err, c.want)
 		}
 	}
