--- a/internal/scale/checker/checker.go
+++ b/internal/scale/checker/checker.go
@@ -1,10 +1,10 @@
-// Package checker is what the supervisor of a scale run knows of jobs and tasks: it tells
-// workers what a launched task is, brings the tasks of a gang together, keeps saved
-// progress and results, and judges the protocol's rules from what the workers and the
-// users have seen. It does no I/O, has no clock and isn't safe for concurrent use.
+// Package checker holds the supervisor's state of jobs and tasks in a scale run. It sends
+// workers the description of a launched task, starts a gang when all its tasks wait, keeps
+// saved progress and results, and checks the protocol's rules against the events that
+// workers and users report. It does no I/O, has no clock and isn't safe for concurrent use.
 //
-// Gangs are brought together as messages come; rules are judged later, in the order of
-// the times that the messages carry.
+// Gangs are handled as messages arrive; rules are checked later, in the order of the times
+// that the messages carry.
 package checker
 
 import (
@@ -20,150 +20,161 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// Violation is a rule of the protocol that was broken.
+// Violation is one breach of a rule of the protocol.
 type Violation struct {
-	Kind string // as the protocol calls it: ran_twice, quota, ...
+	Kind string // name of the rule in the protocol: ran_twice, quota, ...
 	Text string
-	At   int64 // microseconds, as wire.Now
+	At   int64 // time in microseconds, as from wire.Now
 }
 
-// Start is a task that was started, or a gang that runs whole.
+// Start is the start of a task, or of a gang once all its tasks are ready.
 type Start struct {
 	Spec  *protocol.JobSpec
-	Task  string // REF/INDEX#TRY; of a gang, its last task
-	Tasks int    // 1, of a gang all
-	Again bool   // not the first start of this task, or gang
-	Due   int64  // when its submission was due
-	Asked int64  // when its worker got the command, of a gang the last one's
-	At    int64  // when it had its image, of a gang the last one
-	Fetch int64  // how long its image took from the command on, 0: it was there; of a gang the longest
+	Task  string // REF/INDEX#TRY; for a gang, the task that became ready last
+	Tasks int    // number of tasks: 1, or all tasks of a gang
+	Again bool   // whether this task or gang had started before
+	Due   int64  // time when its submission was due
+	Asked int64  // time when the worker got the launch command; for a gang, the latest one
+	At    int64  // time when the image was ready; for a gang, when its last task began to wait
+	// Fetch is the time from the launch command until the image was ready, 0 if the machine
+	// had it already; for a gang, the longest one.
+	Fetch int64
 }
 
-// ClassCount counts a class of jobs.
+// ClassCount counts the jobs and tasks of a job class.
 type ClassCount struct {
-	Jobs    int // submitted
-	Starts  int
-	Running int // tasks on machines now
-	Done    int // tasks
+	Jobs    int // submitted jobs
+	Starts  int // started tasks
+	Running int // tasks that are on machines now
+	Done    int // completed tasks
 }
 
-// Counts says how much has happened.
+// Counts has the totals of a run.
 type Counts struct {
-	Jobs    int // submitted
-	Starts  int
-	Running int // tasks on machines now
-	Done    int
-	Late    int            // messages that came after their time had been judged
-	Unknown int            // messages that name a machine or task that nobody has spoken of
-	Leaves  map[string]int // by reason: those of the protocol, `lease`, `restarted`, `ended`, `released`, `lost`
-	Classes map[string]ClassCount
+	Jobs    int // submitted jobs
+	Starts  int // started tasks
+	Running int // tasks that are on machines now
+	Done    int // completed tasks
+	Late    int // messages that arrived after the rules had been checked for their time
+	Unknown int // messages about a machine or task that the checker has no record of
+	// Leaves counts the tasks that left a machine, by reason: an exit reason of the protocol,
+	// `lease`, `restarted`, `ended`, `released` or `lost`.
+	Leaves  map[string]int
+	Classes map[string]ClassCount // by class name
 }
 
 const (
-	// window is how late messages may come. What is older is judged.
-	window = int64(2 * protocol.Second)
-	// unknownJob is how long a worker waits for a job that its user may be about to submit.
-	unknownJob = int64(protocol.Second)
-	maxBroken  = 100
+	// lateWindow is the delay with which messages may arrive. Events older than that are checked.
+	lateWindow = int64(2 * protocol.Second)
+	// unknownJobWait is how long a worker's question about an unknown job is held back: the
+	// message with the job's submission may still be on its way.
+	unknownJobWait = int64(protocol.Second)
+	maxViolations  = 100 // reported violations
 )
 
-// Hub is told everything by Take. Its cost per event doesn't depend on how many jobs,
-// tasks or machines there are.
+// Hub tracks the jobs, tasks and machines of a run. Take passes it every message of the run's
+// parts. Its cost per event doesn't depend on the number of jobs, tasks or machines.
 type Hub struct {
 	platform *protocol.Platform
 	types    map[string]*protocol.MachineType
 	send     func(part string, m *wire.Message)
-	starts   func(Start)
-
-	jobs     map[string]*job
-	machines map[string]*machine
-	teams    map[string]*protocol.Resources // used by judged tasks
-	asked    map[string]int64               // when an attempt was launched, until it starts
-	asks     []ask                          // about jobs that nobody has submitted
-	saving   []*attempt                     // gangs that were told to save, until that has gone one way
-
-	events  eventHeap
-	seq     uint64
-	judged  int64             // all until then is
-	polls   map[string]*polls // by the region that users asked from
-	broken  []Violation
-	counts  Counts
-	classes map[string]*ClassCount
+	onStart  func(Start) // called for each start
+
+	jobs                map[string]*job                // by ref
+	machines            map[string]*machine            // by name
+	usedByTeam          map[string]*protocol.Resources // resources in use as of judgedUntil, by team
+	launchTimes         map[string]int64               // of tasks without an image yet, by name
+	pendingDescriptions []descriptionRequest           // for jobs that haven't been submitted
+	savingGangs         []*gangAttempt                 // until the save succeeds or fails
+
+	events      eventHeap
+	seq         uint64
+	judgedUntil int64                   // events up to this time have been checked
+	queries     map[string]*queryCounts // recent queries, by the region of the users
+	violations  []Violation
+	counts      Counts
+	classes     map[string]*ClassCount
 }
 
-// machine is one that there is or was.
+// machine is a machine that exists or has existed.
 type machine struct {
 	wire.Machine
-	part  string
-	on    map[string]place // judged: attempts that are on it
-	gang  map[string]bool  // attempts of gangs that are on it, as of now
-	early map[string]early // judged: those that left at the moment at which they came
+	part      string
+	tasks     map[string]placement // tasks on it as of Hub.judgedUntil, by name
+	gangTasks map[string]bool      // tasks of gangs on it as of the latest message, by name
+	// earlyLeaves has the tasks whose leave was checked before their enter, by name. This
+	// happens when both have the same time.
+	earlyLeaves map[string]earlyLeave
 }
 
-// place is a task that is on a machine.
-type place struct {
+// placement is an attempt of a task on a machine.
+type placement struct {
 	job     *job
 	index   int
-	try     uint64
+	attempt uint64
 	machine *machine
 }
 
-// job is one that a user has submitted.
+// job is a submitted job.
 type job struct {
-	ref   string
-	spec  *protocol.JobSpec // nil: malformed
-	raw   json.RawMessage
-	run   int64 // of a task
-	due   int64
-	kept  bits // results, as of now
-	left  map[int]int64
-	gang  int64 // what is left of a gang's run
-	tries map[uint64]*attempt
-
-	// Judged.
-	on        map[int]place
-	zones     map[string]int // tasks that are on machines
-	done      bits
-	started   bits
-	accepted  int64 // when its user was first told so; 0: never
-	toldDone  int64
-	cancelled int64 // when its user was told so
-	asked     int64 // when its user asked for that; 0: never
-	failing   int64 // since when all questions have failed; 0: they haven't
+	ref           string
+	spec          *protocol.JobSpec       // nil if the description is malformed
+	raw           json.RawMessage         // description as submitted
+	runTime       int64                   // run time of a task
+	due           int64                   // time when its submission was due
+	hasResult     taskSet                 // tasks with a stored result, as of the latest message
+	remaining     map[int]int64           // run time left of tasks that have saved progress
+	gangRemaining int64                   // run time left of a gang with saved progress, else 0
+	attempts      map[uint64]*gangAttempt // gang attempts with a task on a machine, by number
+
+	// The fields below are as of Hub.judgedUntil.
+
+	placements        map[int]placement // tasks on machines, by index
+	tasksByZone       map[string]int    // number of tasks on machines, by zone
+	done              taskSet           // completed tasks
+	started           taskSet           // tasks that have ever started; index Tasks: the whole gang
+	acceptedAt        int64             // time of the first answer that accepted the job, 0 if none
+	doneReportedAt    int64             // time of the first answer that it is done, 0 if none
+	cancelReportedAt  int64             // time of the first answer that it is cancelled, 0 if none
+	cancelRequestedAt int64             // time of the user's first cancellation request, 0 if none
+	// unansweredSince is the due time of the first of the latest queries that all failed, 0 if the
+	// last query was answered.
+	unansweredSince int64
 }
 
-// bits are the tasks of a job that have something.
-type bits struct {
+// taskSet is a set of task indexes of a job.
+type taskSet struct {
 	words []uint64
 	n     int
 }
 
-func (b *bits) has(i int) bool { return i/64 < len(b.words) && b.words[i/64]&(1<<(i%64)) != 0 }
+func (s *taskSet) has(i int) bool { return i/64 < len(s.words) && s.words[i/64]&(1<<(i%64)) != 0 }
 
-// set reports whether it wasn't there before.
-func (b *bits) set(i int) bool {
-	if b.has(i) {
+// add adds a task and reports whether the set didn't contain it before.
+func (s *taskSet) add(i int) bool {
+	if s.has(i) {
 		return false
 	}
-	for len(b.words) <= i/64 {
-		b.words = append(b.words, 0)
+	for len(s.words) <= i/64 {
+		s.words = append(s.words, 0)
 	}
-	b.words[i/64] |= 1 << (i % 64)
-	b.n++
+	s.words[i/64] |= 1 << (i % 64)
+	s.n++
 	return true
 }
 
-type ask struct {
+// descriptionRequest is a worker's request for the description of a launched task.
+type descriptionRequest struct {
 	part string
 	m    *wire.Message
 }
 
-// New makes a hub. send hands a message to a part; it must not call the hub.
+// New returns a Hub. send sends a message to a part; it must not call methods of the Hub.
 func New(platform *protocol.Platform, types []*protocol.MachineType, send func(part string, m *wire.Message)) *Hub {
 	h := &Hub{
-		platform: platform, types: make(map[string]*protocol.MachineType), send: send, starts: func(Start) {},
-		jobs: make(map[string]*job), polls: make(map[string]*polls), machines: make(map[string]*machine), teams: make(map[string]*protocol.Resources),
-		asked: make(map[string]int64), classes: make(map[string]*ClassCount),
+		platform: platform, types: make(map[string]*protocol.MachineType), send: send, onStart: func(Start) {},
+		jobs: make(map[string]*job), queries: make(map[string]*queryCounts), machines: make(map[string]*machine), usedByTeam: make(map[string]*protocol.Resources),
+		launchTimes: make(map[string]int64), classes: make(map[string]*ClassCount),
 	}
 	h.counts.Leaves = make(map[string]int)
 	for _, t := range types {
@@ -172,112 +183,114 @@
 	return h
 }
 
-// Take takes a message of a part: those of kind Submit, Answer, Jobs, Enter, Leave,
-// Waiting, Peers, Progress, Ended and Broken matter, others are let pass. Rules are judged later,
-// by Tick, since messages of several parts come out of order.
+// Take handles a message of a part. It uses the kinds Submit, Cancel, Answer, Jobs, Enter,
+// Leave, Waiting, Peers, Progress, Ended and Broken and ignores all others. Rules are checked
+// later, by Tick, since messages of several parts arrive out of order.
 //
-// An Answer's Due is when its request was due, or sent; Status is 0 where no answer came in
-// time. Each request that was made gets one, failed ones too: a cancellation that was never
-// answered has been asked for all the same.
+// Due of an Answer is the time when its request was due or sent; Status is 0 if no answer
+// came in time. Every request gets an Answer message, failed ones too, because a cancellation
+// without an answer still counts as requested.
 func (h *Hub) Take(part string, m *wire.Message) {
 	switch m.Kind {
 	case wire.Submit:
-		h.submitted(m)
+		h.addJobs(m)
 	case wire.Jobs:
-		h.asked[m.Task] = m.At
+		h.launchTimes[m.Task] = m.At
 		h.describe(part, m)
 	case wire.Cancel:
-		h.push(m.At, byAnswer, func() {
+		h.schedule(m.At, orderAnswer, func() {
 			if j := h.jobs[m.Ref]; j != nil {
-				j.ask(m.Due)
+				j.noteCancelRequest(m.Due)
 			}
 		})
 	case wire.Broken:
-		h.push(m.At, byAnswer, func() { h.violated(m.At, m.Name, "%s", m.Text) })
+		h.schedule(m.At, orderAnswer, func() { h.addViolation(m.At, m.Name, "%s", m.Text) })
 	case wire.Answer:
-		h.push(m.At, byAnswer, func() { h.answered(m) })
+		h.schedule(m.At, orderAnswer, func() { h.judgeAnswer(m) })
 	case wire.Enter, wire.Leave, wire.Waiting, wire.Peers, wire.Progress, wire.Ended:
-		j, index, try := h.task(m.Task)
+		j, index, attempt := h.parseTask(m.Task)
 		if j == nil || index >= j.spec.Tasks {
 			h.counts.Unknown++
 			return
 		}
-		h.gangTakes(j, index, try, m)
+		h.handleGangMessage(j, index, attempt, m)
 		switch m.Kind {
 		case wire.Progress:
-			if left := j.left[index]; left == 0 || m.Run < left {
-				if j.left == nil {
-					j.left = make(map[int]int64)
+			if left := j.remaining[index]; left == 0 || m.Run < left {
+				if j.remaining == nil {
+					j.remaining = make(map[int]int64)
 				}
-				j.left[index] = max(1, m.Run)
+				j.remaining[index] = max(1, m.Run)
 			}
 		case wire.Ended:
-			j.kept.set(index)
-			h.push(m.At, byLeave, func() { h.finished(j, index) })
+			j.hasResult.add(index)
+			h.schedule(m.At, orderLeave, func() { h.markDone(j, index) })
 		case wire.Enter:
-			asked := h.asked[m.Task]
-			delete(h.asked, m.Task)
-			h.push(m.At, byEnter, func() { h.enters(j, index, try, m, asked) })
+			launched := h.launchTimes[m.Task]
+			delete(h.launchTimes, m.Task)
+			h.schedule(m.At, orderEnter, func() { h.judgeEnter(j, index, attempt, m, launched) })
 		case wire.Leave:
-			h.push(m.At, byLeave, func() { h.leaves(j, index, try, m.Name, m.Text, m.At) })
+			h.schedule(m.At, orderLeave, func() { h.judgeLeave(j, index, attempt, m.Name, m.Text, m.At) })
 		}
 	}
 }
 
-// Machine says that there is a machine, or that it is booting, and which part plays it.
+// Machine adds a machine that is up or booting, with the part that simulates it. A second call
+// for the same name replaces its data.
 func (h *Hub) Machine(m wire.Machine, part string) {
-	if old := h.machines[m.Name]; old != nil { // said again
+	if old := h.machines[m.Name]; old != nil {
 		old.Machine, old.part = m, part
 		return
 	}
-	h.machines[m.Name] = &machine{Machine: m, part: part, on: make(map[string]place), gang: make(map[string]bool)}
+	h.machines[m.Name] = &machine{Machine: m, part: part, tasks: make(map[string]placement), gangTasks: make(map[string]bool)}
 }
 
-// MachineGone says that a machine and all tasks on it are gone since at. It may be
-// called also if its part has said so of the tasks.
+// MachineGone records that a machine and all tasks on it are gone since at. It may also be
+// called if the machine's part has already reported that the tasks left.
 func (h *Hub) MachineGone(name string, at int64) {
 	m := h.machines[name]
 	if m == nil {
 		return
 	}
-	for task := range m.gang {
-		if j, index, try := h.task(task); j != nil {
-			h.gangTakes(j, index, try, &wire.Message{Kind: wire.Leave, Task: task, Name: name, At: at, Text: "lost"})
+	for task := range m.gangTasks {
+		if j, index, attempt := h.parseTask(task); j != nil {
+			h.handleGangMessage(j, index, attempt, &wire.Message{Kind: wire.Leave, Task: task, Name: name, At: at, Text: "lost"})
 		}
 	}
-	h.push(at, byLeave, func() {
-		for task, p := range m.on {
-			h.leaves(p.job, p.index, p.try, name, "lost", at)
-			delete(m.on, task)
+	h.schedule(at, orderLeave, func() {
+		for task, p := range m.tasks {
+			h.judgeLeave(p.job, p.index, p.attempt, name, "lost", at)
+			delete(m.tasks, task)
 		}
 	})
 }
 
-// Tick judges all that happened up to two seconds before at. It is called some times a
-// second, and at the end of a run with a time at least two seconds after the last event.
+// Tick checks the rules for all events up to two seconds before at. It is called several times
+// a second, and at the end of a run with a time at least two seconds after the last event.
 func (h *Hub) Tick(at int64) {
-	rest := h.asks[:0]
-	for _, a := range h.asks {
-		if a.m.At+unknownJob > at {
+	rest := h.pendingDescriptions[:0]
+	for _, a := range h.pendingDescriptions {
+		if a.m.At+unknownJobWait > at {
 			rest = append(rest, a)
 			continue
 		}
-		delete(h.asked, a.m.Task)
+		delete(h.launchTimes, a.m.Task)
 		h.send(a.part, &wire.Message{Kind: wire.Jobs, Task: a.m.Task, Name: a.m.Name, Status: 404})
 	}
-	h.asks = rest
-	h.lateSavers(at)
-	until := at - window
+	h.pendingDescriptions = rest
+	h.expireSaves(at)
+	until := at - lateWindow
 	for len(h.events) > 0 && h.events[0].at <= until {
 		heap.Pop(&h.events).(event).judge()
 	}
-	h.judged = max(h.judged, until)
+	h.judgedUntil = max(h.judgedUntil, until)
 }
 
-// Broken lists the rules that were broken, the first 100 of them.
-func (h *Hub) Broken() []Violation { return h.broken }
+// Broken lists the first 100 violations.
+func (h *Hub) Broken() []Violation { return h.violations }
 
-// Counts says how much has happened so far, as judged. The maps are the caller's.
+// Counts returns the totals of the events that have been checked so far; Jobs, Late and Unknown
+// are counted as messages arrive. The caller owns the maps.
 func (h *Hub) Counts() Counts {
 	c := h.counts
 	c.Leaves = make(map[string]int, len(h.counts.Leaves))
@@ -291,64 +304,66 @@
 	return c
 }
 
-// Starts has take called for each start, from within Tick.
-func (h *Hub) Starts(take func(Start)) { h.starts = take }
+// Starts sets the function that is called for each start, from within Tick.
+func (h *Hub) Starts(take func(Start)) { h.onStart = take }
 
-// task finds what REF/INDEX#TRY names; nil: there is no such job.
-func (h *Hub) task(name string) (j *job, index int, try uint64) {
+// parseTask parses a task name, REF/INDEX#TRY. The job is nil if the name is malformed or if no
+// such job with a valid description was submitted.
+func (h *Hub) parseTask(name string) (j *job, index int, attempt uint64) {
 	ref, rest, ok := strings.Cut(name, "/")
-	number, attempt, ok2 := strings.Cut(rest, "#")
-	index, err := strconv.Atoi(number)
-	try, err2 := strconv.ParseUint(attempt, 10, 64)
+	indexText, attemptText, ok2 := strings.Cut(rest, "#")
+	index, err := strconv.Atoi(indexText)
+	attempt, err2 := strconv.ParseUint(attemptText, 10, 64)
 	if j = h.jobs[ref]; !ok || !ok2 || err != nil || err2 != nil || index < 0 || j == nil || j.spec == nil {
 		return nil, 0, 0
 	}
-	return j, index, try
+	return j, index, attempt
 }
 
-// submitted takes descriptions in, before their users send them.
-func (h *Hub) submitted(m *wire.Message) {
+// addJobs records the descriptions that users are about to submit.
+func (h *Hub) addJobs(m *wire.Message) {
 	for _, raw := range m.Specs {
 		ref := fastjson.GetString(raw, "ref")
 		if h.jobs[ref] != nil {
-			continue // a retry
+			continue // a retry of the submission
 		}
-		j := &job{ref: ref, raw: raw, run: m.Run, due: m.Due, on: make(map[int]place), zones: make(map[string]int)}
+		j := &job{ref: ref, raw: raw, runTime: m.Run, due: m.Due, placements: make(map[int]placement), tasksByZone: make(map[string]int)}
 		if j.due == 0 {
 			j.due = m.At
 		}
 		if spec, err := protocol.ParseJob(raw); err == nil {
 			j.spec = spec
-			h.class(spec.Class).Jobs++
+			h.classCount(spec.Class).Jobs++
 		}
 		h.jobs[ref] = j
 		h.counts.Jobs++
 	}
-	asks := h.asks
-	h.asks = nil
-	for _, a := range asks {
+	requests := h.pendingDescriptions
+	h.pendingDescriptions = nil
+	for _, a := range requests {
 		h.describe(a.part, a.m)
 	}
 }
 
-// describe tells a worker what a task is that it was told to launch.
+// describe sends a worker the description of a task that it has to launch.
 func (h *Hub) describe(part string, m *wire.Message) {
-	j, index, _ := h.task(m.Task)
+	j, index, _ := h.parseTask(m.Task)
 	if j == nil {
-		h.asks = append(h.asks, ask{part, m})
+		h.pendingDescriptions = append(h.pendingDescriptions, descriptionRequest{part, m})
 		return
 	}
-	a := &wire.Message{Kind: wire.Jobs, Task: m.Task, Name: m.Name, Status: 200, Run: j.run, For: j.left[index]}
+	a := &wire.Message{Kind: wire.Jobs, Task: m.Task, Name: m.Name, Status: 200, Run: j.runTime, For: j.remaining[index]}
 	if m.Ref != "" {
 		a.Specs = []json.RawMessage{j.raw}
 	}
-	if j.kept.has(index) {
+	if j.hasResult.has(index) {
 		a.Phase = "done"
 	}
 	h.send(part, a)
 }
 
-func (h *Hub) class(name string) *ClassCount {
+// classCount returns the counters of a class, which it creates if needed.
+func (h *Hub) classCount(name string) *ClassCount {
 	c := h.classes[name]
 	if c == nil {
 		c = new(ClassCount)
@@ -357,24 +372,24 @@
 	return c
 }
 
-func (h *Hub) violated(at int64, kind, format string, args ...any) {
-	if len(h.broken) < maxBroken {
-		h.broken = append(h.broken, Violation{kind, fmt.Sprintf(format, args...), at})
+func (h *Hub) addViolation(at int64, kind, format string, args ...any) {
+	if len(h.violations) < maxViolations {
+		h.violations = append(h.violations, Violation{kind, fmt.Sprintf(format, args...), at})
 	}
 }
 
-// What happened at the same time is judged in this order.
+// Order in which events of the same time are checked.
 const (
-	byLeave = iota
-	byEnter
-	byAnswer
-	byDeadline
+	orderLeave = iota
+	orderEnter
+	orderAnswer
+	orderDeadline
 )
 
-// event waits until it is judged.
+// event is a check that is due once Tick reaches its time.
 type event struct {
 	at    int64
-	class int
+	order int
 	seq   uint64
 	judge func()
 }
@@ -386,8 +401,8 @@
 	if h[a].at != h[b].at {
 		return h[a].at < h[b].at
 	}
-	if h[a].class != h[b].class {
-		return h[a].class < h[b].class
+	if h[a].order != h[b].order {
+		return h[a].order < h[b].order
 	}
 	return h[a].seq < h[b].seq
 }
@@ -405,10 +420,11 @@
 	return e
 }
 
-func (h *Hub) push(at int64, class int, judge func()) {
-	if at <= h.judged {
+// schedule queues a check for Tick. A time that has been passed already counts as late.
+func (h *Hub) schedule(at int64, order int, judge func()) {
+	if at <= h.judgedUntil {
 		h.counts.Late++
 	}
 	h.seq++
-	heap.Push(&h.events, event{at, class, h.seq, judge})
+	heap.Push(&h.events, event{at, order, h.seq, judge})
 }
--- a/internal/scale/checker/gang.go
+++ b/internal/scale/checker/gang.go
@@ -7,195 +7,199 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// gangState is how far an attempt of a gang has come.
+// gangState is the state of an attempt of a gang.
 type gangState uint8
 
 const (
-	gathering gangState = iota // some tasks don't wait yet
-	together                   // all run
-	toSave                     // some were told to save
-	safe                       // its progress is saved: its tasks leave
-	over                       // it is done, or it has lost a task
+	gangAssembling gangState = iota // some tasks aren't waiting for the others yet
+	gangRunning                     // all tasks run
+	gangSaving                      // some tasks have got the order to save
+	gangSaved                       // progress is saved, the tasks leave their machines
+	gangEnded                       // all tasks are done, or the attempt has failed
 )
 
-// attempt is one of a gang, while a task of it is on a machine.
-type attempt struct {
-	job     *job
-	try     uint64
-	state   gangState
-	on      map[int]*machine // tasks that are on machines
-	waiting bits
-	told    bits  // tasks that were told to save
-	end     int64 // when it is done, if nothing comes in between
-	first   int64 // when the first task was told to save
-	fetch   int64 // longest of its images
-	asked   int64 // last command
+// gangAttempt is an attempt of a gang that has a task on a machine.
+type gangAttempt struct {
+	job         *job
+	number      uint64
+	state       gangState
+	machines    map[int]*machine // machines of the tasks, by index
+	waiting     taskSet          // tasks that wait for the others
+	saveOrdered taskSet          // tasks that have got the order to save
+	endsAt      int64            // time when the gang is done if it runs without interruption
+	firstSave   int64            // time when the first task got the order to save
+	maxFetch    int64            // longest time until a task had its image
+	lastLaunch  int64            // time of the latest launch command
 }
 
-// gangTakes brings the tasks of a gang together.
-func (h *Hub) gangTakes(j *job, index int, try uint64, m *wire.Message) {
+// handleGangMessage updates the gang attempt that a message is about. It ignores messages about
+// other kinds of jobs.
+func (h *Hub) handleGangMessage(j *job, index int, attempt uint64, m *wire.Message) {
 	if j.spec.Kind != protocol.Gang {
 		return
 	}
-	a := j.tries[try]
+	a := j.attempts[attempt]
 	if a == nil {
 		if m.Kind != wire.Enter {
 			return
 		}
-		a = &attempt{job: j, try: try, on: make(map[int]*machine)}
-		if j.tries == nil {
-			j.tries = make(map[uint64]*attempt)
+		a = &gangAttempt{job: j, number: attempt, machines: make(map[int]*machine)}
+		if j.attempts == nil {
+			j.attempts = make(map[uint64]*gangAttempt)
 		}
-		j.tries[try] = a
+		j.attempts[attempt] = a
 	}
 	switch m.Kind {
 	case wire.Enter:
-		where := h.machines[m.Name]
-		if where == nil {
+		host := h.machines[m.Name]
+		if host == nil {
 			h.counts.Unknown++
 			return
 		}
-		a.on[index] = where
-		where.gang[m.Task] = true
-		a.fetch, a.asked = max(a.fetch, m.Run), max(a.asked, h.asked[m.Task])
+		a.machines[index] = host
+		host.gangTasks[m.Task] = true
+		a.maxFetch, a.lastLaunch = max(a.maxFetch, m.Run), max(a.lastLaunch, h.launchTimes[m.Task])
 	case wire.Waiting:
 		if m.Text == "saving" {
-			h.saves(a, index, m.At)
+			h.markSaving(a, index, m.At)
 		} else {
-			h.waits(a, index, m)
+			h.markWaiting(a, index, m)
 		}
 	case wire.Leave:
-		if where := a.on[index]; where == nil || where.Name != m.Name {
+		if host := a.machines[index]; host == nil || host.Name != m.Name {
 			return
 		}
-		delete(a.on[index].gang, m.Task)
-		delete(a.on, index)
-		h.gangLoses(a, index, m)
-		if len(a.on) == 0 {
-			delete(j.tries, try)
+		delete(a.machines[index].gangTasks, m.Task)
+		delete(a.machines, index)
+		h.gangTaskLeft(a, index, m)
+		if len(a.machines) == 0 {
+			delete(j.attempts, attempt)
 		}
-	case wire.Peers: // its machine hangs
-		h.falls(a, m.At)
+	case wire.Peers: // the task's machine hangs
+		h.failGang(a, m.At)
 	}
 }
 
-// waits notes that a task waits for the others; the last one starts the gang.
-func (h *Hub) waits(a *attempt, index int, m *wire.Message) {
-	if a.state != gathering || a.on[index] == nil {
+// markWaiting records that a task waits for the others. The last task starts the gang.
+func (h *Hub) markWaiting(a *gangAttempt, index int, m *wire.Message) {
+	if a.state != gangAssembling || a.machines[index] == nil {
 		return
 	}
-	a.waiting.set(index)
+	a.waiting.add(index)
 	if a.waiting.n < a.job.spec.Tasks {
 		return
 	}
-	a.state = together
-	left := a.job.run
-	if a.job.gang > 0 {
-		left = a.job.gang
+	a.state = gangRunning
+	left := a.job.runTime
+	if a.job.gangRemaining > 0 {
+		left = a.job.gangRemaining
 	}
-	a.end = m.At + left
-	h.tellGang(a, &wire.Message{Kind: wire.Go, Task: m.Task, At: a.end})
-	j, fetch, asked := a.job, a.fetch, a.asked
-	h.push(m.At, byEnter, func() {
-		h.starts(Start{Spec: j.spec, Task: m.Task, Tasks: j.spec.Tasks, Again: !j.started.set(j.spec.Tasks), Due: j.due, Asked: asked, At: m.At, Fetch: fetch})
+	a.endsAt = m.At + left
+	h.sendToGang(a, &wire.Message{Kind: wire.Go, Task: m.Task, At: a.endsAt})
+	j, fetch, lastLaunch := a.job, a.maxFetch, a.lastLaunch
+	h.schedule(m.At, orderEnter, func() {
+		h.onStart(Start{Spec: j.spec, Task: m.Task, Tasks: j.spec.Tasks, Again: !j.started.add(j.spec.Tasks), Due: j.due, Asked: lastLaunch, At: m.At, Fetch: fetch})
 	})
 }
 
-// saves notes that a task was told to save: with the first one the gang's progress stops,
-// with the last one it is safe once a task has written it.
-func (h *Hub) saves(a *attempt, index int, at int64) {
-	if a.state == together {
-		a.state, a.first = toSave, at
-		h.saving = append(h.saving, a)
-	}
-	if a.state != toSave {
+// markSaving records that a task got the order to save. The gang makes no more progress after
+// the first order. After the last one its tasks may save, and the progress is safe as soon as
+// one of them leaves with it.
+func (h *Hub) markSaving(a *gangAttempt, index int, at int64) {
+	if a.state == gangRunning {
+		a.state, a.firstSave = gangSaving, at
+		h.savingGangs = append(h.savingGangs, a)
+	}
+	if a.state != gangSaving {
 		return
 	}
-	if at > a.first+int64(h.platform.GangPeerTimeout) {
-		h.falls(a, at)
+	if at > a.firstSave+int64(h.platform.GangPeerTimeout) {
+		h.failGang(a, at)
 		return
 	}
-	a.told.set(index)
-	if a.told.n == a.job.spec.Tasks {
-		h.tellGang(a, &wire.Message{Kind: wire.Go, Task: a.name(index), Text: "saved", At: at})
+	a.saveOrdered.add(index)
+	if a.saveOrdered.n == a.job.spec.Tasks {
+		h.sendToGang(a, &wire.Message{Kind: wire.Go, Task: a.taskName(index), Text: "saved", At: at})
 	}
 }
 
-// lateSavers ends the gangs whose tasks weren't all told to save in time.
-func (h *Hub) lateSavers(at int64) {
-	rest := h.saving[:0]
-	for _, a := range h.saving {
-		if a.state == toSave && a.told.n < a.job.spec.Tasks && at > a.first+int64(h.platform.GangPeerTimeout) {
-			h.falls(a, a.first+int64(h.platform.GangPeerTimeout))
+// expireSaves fails the gangs whose tasks didn't all get the order to save within the peer
+// timeout.
+func (h *Hub) expireSaves(at int64) {
+	rest := h.savingGangs[:0]
+	for _, a := range h.savingGangs {
+		if a.state == gangSaving && a.saveOrdered.n < a.job.spec.Tasks && at > a.firstSave+int64(h.platform.GangPeerTimeout) {
+			h.failGang(a, a.firstSave+int64(h.platform.GangPeerTimeout))
 		}
-		if a.state == toSave && len(a.on) > 0 {
+		if a.state == gangSaving && len(a.machines) > 0 {
 			rest = append(rest, a)
 		}
 	}
-	h.saving = rest
+	h.savingGangs = rest
 }
 
-// gangLoses notes that a task has left its machine.
-func (h *Hub) gangLoses(a *attempt, index int, m *wire.Message) {
+// gangTaskLeft updates an attempt after one of its tasks has left its machine.
+func (h *Hub) gangTaskLeft(a *gangAttempt, index int, m *wire.Message) {
 	switch {
-	case a.state == over:
+	case a.state == gangEnded:
 	case m.Text == string(protocol.ExitDone):
-		a.state = over
-		for i := range a.job.spec.Tasks { // if one is done, all are
-			a.job.kept.set(i)
+		a.state = gangEnded
+		for i := range a.job.spec.Tasks { // when one task of a gang is done, all are
+			a.job.hasResult.add(i)
 		}
-	case a.state == gathering:
-		a.waiting.unset(index)
-	case a.state == toSave && m.Phase == "saved":
-		a.state = safe
-		a.job.gang = max(1, a.end-a.first)
+	case a.state == gangAssembling:
+		a.waiting.remove(index)
+	case a.state == gangSaving && m.Phase == "saved":
+		a.state = gangSaved
+		a.job.gangRemaining = max(1, a.endsAt-a.firstSave)
 	default:
-		h.falls(a, m.At)
+		h.failGang(a, m.At)
 	}
 }
 
-func (b *bits) unset(i int) {
-	if b.has(i) {
-		b.words[i/64] &^= 1 << (i % 64)
-		b.n--
+// remove removes a task from the set.
+func (s *taskSet) remove(i int) {
+	if s.has(i) {
+		s.words[i/64] &^= 1 << (i % 64)
+		s.n--
 	}
 }
 
-// falls ends a gang that has lost a task: the others notice, and it goes on later from its
-// last checkpoint.
-func (h *Hub) falls(a *attempt, at int64) {
-	if a.state != together && a.state != toSave {
+// failGang ends an attempt that has lost a task or whose save has failed. The other tasks exit
+// after half of the peer timeout. The next attempt resumes from the last checkpoint.
+func (h *Hub) failGang(a *gangAttempt, at int64) {
+	if a.state != gangRunning && a.state != gangSaving {
 		return
 	}
 	stopped := at
-	if a.state == toSave {
-		stopped = min(at, a.first)
-	}
-	a.state = over
-	if every := int64(a.job.spec.CheckpointInterval); every > 0 {
-		done := a.job.run - max(0, a.end-stopped)
-		left := a.job.run - done/every*every
-		if a.job.gang == 0 || left < a.job.gang {
-			a.job.gang = max(1, left)
+	if a.state == gangSaving {
+		stopped = min(at, a.firstSave)
+	}
+	a.state = gangEnded
+	if interval := int64(a.job.spec.CheckpointInterval); interval > 0 {
+		done := a.job.runTime - max(0, a.endsAt-stopped)
+		left := a.job.runTime - done/interval*interval
+		if a.job.gangRemaining == 0 || left < a.job.gangRemaining {
+			a.job.gangRemaining = max(1, left)
 		}
 	}
-	for index := range a.on {
-		h.tellGang(a, &wire.Message{Kind: wire.Peers, Task: a.name(index), At: at + int64(h.platform.GangPeerTimeout)/2})
+	for index := range a.machines {
+		h.sendToGang(a, &wire.Message{Kind: wire.Peers, Task: a.taskName(index), At: at + int64(h.platform.GangPeerTimeout)/2})
 		break
 	}
 }
 
-func (a *attempt) name(index int) string {
-	return a.job.ref + "/" + strconv.Itoa(index) + "#" + strconv.FormatUint(a.try, 10)
+func (a *gangAttempt) taskName(index int) string {
+	return a.job.ref + "/" + strconv.Itoa(index) + "#" + strconv.FormatUint(a.number, 10)
 }
 
-// tellGang tells the parts that have tasks of a gang.
-func (h *Hub) tellGang(a *attempt, m *wire.Message) {
-	told := make(map[string]bool)
-	for _, where := range a.on {
-		if !told[where.part] {
-			told[where.part] = true
-			h.send(where.part, m)
+// sendToGang sends a message to each part that has a task of the attempt.
+func (h *Hub) sendToGang(a *gangAttempt, m *wire.Message) {
+	sent := make(map[string]bool)
+	for _, host := range a.machines {
+		if !sent[host.part] {
+			sent[host.part] = true
+			h.send(host.part, m)
 		}
 	}
 }
--- a/internal/scale/checker/gang_test.go
+++ b/internal/scale/checker/gang_test.go
@@ -14,11 +14,12 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// gangOf3 is a hub with a gang of three tasks of 10 s, which saves each 4 s, on two parts.
-func gangOf3(t *testing.T) (h *Hub, said func(want ...string)) {
-	var all []string
+// newGangOf3 returns a Hub with a gang of three tasks of 10 s that saves every 4 s, on machines of
+// two parts. expectSent checks the messages that the Hub has sent since the last call.
+func newGangOf3(t *testing.T) (h *Hub, expectSent func(want ...string)) {
+	var sent []string
 	h = testHub(func(part string, m *wire.Message) {
-		all = append(all, fmt.Sprintf("%s %s%s %.1f", part, m.Kind, m.Text, float64(m.At-seconds("0"))/1e6))
+		sent = append(sent, fmt.Sprintf("%s %s%s %.1f", part, m.Kind, m.Text, float64(m.At-seconds("0"))/1e6))
 	})
 	for _, name := range []string{"m1", "m2", "m3"} {
 		h.Machine(wire.Machine{Name: name, Type: "big", Zone: "a"}, map[string]string{"m1": "p1", "m2": "p1", "m3": "p2"}[name])
@@ -26,37 +27,37 @@
 	play(h, "0 submit req-000001 gang tasks=3 every=4")
 	return h, func(want ...string) {
 		t.Helper()
-		slices.Sort(all)
+		slices.Sort(sent)
 		slices.Sort(want)
-		if !slices.Equal(all, want) {
-			t.Errorf("said %q, want %q", all, want)
+		if !slices.Equal(sent, want) {
+			t.Errorf("sent %q, want %q", sent, want)
 		}
-		all = nil
+		sent = nil
 	}
 }
 
-// gathers has an attempt's tasks wait, the last one at an instant.
-func gathers(h *Hub, try, at int) {
+// assemble lets the tasks of an attempt enter and wait, the last one at the time at.
+func assemble(h *Hub, attempt, at int) {
 	for i := range 3 {
-		play(h, fmt.Sprintf("%d enter req-000001/%d#%d m%d", at-2+i, i, try, i+1))
-		play(h, fmt.Sprintf("%d waiting req-000001/%d#%d m%d", at-2+i, i, try, i+1))
+		play(h, fmt.Sprintf("%d enter req-000001/%d#%d m%d", at-2+i, i, attempt, i+1))
+		play(h, fmt.Sprintf("%d waiting req-000001/%d#%d m%d", at-2+i, i, attempt, i+1))
 	}
 }
 
 func TestGangStartsWhole(t *testing.T) {
-	h, said := gangOf3(t)
+	h, expectSent := newGangOf3(t)
 	var starts []Start
 	h.Starts(func(s Start) { starts = append(starts, s) })
 	play(h, "1 enter req-000001/0#1 m1")
 	play(h, "1 waiting req-000001/0#1 m1")
-	play(h, "2 leave req-000001/0#1 m1 incomplete") // the rest goes on waiting
-	said()
-	gathers(h, 1, 5)
-	said("p1 go 15.0", "p2 go 15.0")
+	play(h, "2 leave req-000001/0#1 m1 incomplete") // the other tasks keep waiting
+	expectSent()
+	assemble(h, 1, 5)
+	expectSent("p1 go 15.0", "p2 go 15.0")
 	play(h, "15 ended req-000001/0#1 m1")
 	play(h, "15 leave req-000001/0#1 m1 done")
-	play(h, "15 leave req-000001/1#1 m2 lease") // too late: all are done
-	said()
+	play(h, "15 leave req-000001/1#1 m2 lease") // too late to matter: all tasks are done
+	expectSent()
 	h.Tick(seconds("20"))
 	if len(starts) != 1 || starts[0].Tasks != 3 || starts[0].At != seconds("5") || h.Counts().Done != 3 {
 		t.Errorf("%+v %+v", starts, h.Counts())
@@ -64,66 +65,67 @@
 }
 
 func TestGangLosesATask(t *testing.T) {
-	h, said := gangOf3(t)
-	gathers(h, 1, 5)
-	said("p1 go 15.0", "p2 go 15.0")
+	h, expectSent := newGangOf3(t)
+	assemble(h, 1, 5)
+	expectSent("p1 go 15.0", "p2 go 15.0")
 	play(h, "14 leave req-000001/2#1 m3 lease")
-	said("p1 peers 17.0")
+	expectSent("p1 peers 17.0")
 	play(h, "17 leave req-000001/0#1 m1 peers")
 	play(h, "17 leave req-000001/1#1 m2 peers")
-	gathers(h, 2, 25) // from the checkpoint at 8 s on
-	said("p1 go 27.0", "p2 go 27.0")
-	play(h, "26 peers req-000001/0#2 m1") // its machine hangs
-	said("p1 peers 29.0", "p2 peers 29.0")
-	gathers(h, 3, 35)
-	said("p1 go 37.0", "p2 go 37.0")
+	assemble(h, 2, 25) // resumes from the checkpoint at 8 s
+	expectSent("p1 go 27.0", "p2 go 27.0")
+	play(h, "26 peers req-000001/0#2 m1") // the machine of the task hangs
+	expectSent("p1 peers 29.0", "p2 peers 29.0")
+	assemble(h, 3, 35)
+	expectSent("p1 go 37.0", "p2 go 37.0")
 	h.MachineGone("m2", seconds("36"))
-	said("p1 peers 39.0", "p2 peers 39.0")
+	expectSent("p1 peers 39.0", "p2 peers 39.0")
 }
 
 func TestGangSaves(t *testing.T) {
-	h, said := gangOf3(t)
-	gathers(h, 1, 5)
-	said("p1 go 15.0", "p2 go 15.0")
+	h, expectSent := newGangOf3(t)
+	assemble(h, 1, 5)
+	expectSent("p1 go 15.0", "p2 go 15.0")
 	play(h, "8 waiting req-000001/0#1 m1 saving")
 	play(h, "8.5 waiting req-000001/1#1 m2 saving")
 	h.Tick(seconds("13"))
-	said()
+	expectSent()
 	play(h, "13 waiting req-000001/2#1 m3 saving")
-	said("p1 gosaved 13.0", "p2 gosaved 13.0")
+	expectSent("p1 gosaved 13.0", "p2 gosaved 13.0")
 	play(h, "14 leave req-000001/0#1 m1 stopped,saved")
-	play(h, "14 leave req-000001/1#1 m2 lease") // it is safe already
+	play(h, "14 leave req-000001/1#1 m2 lease") // the progress is saved already
 	play(h, "14 leave req-000001/2#1 m3 stopped,saved")
-	gathers(h, 2, 25)
-	said("p1 go 32.0", "p2 go 32.0") // 3 s are done
+	assemble(h, 2, 25)
+	expectSent("p1 go 32.0", "p2 go 32.0") // 3 of 10 s are done
 
-	// One isn't told in time: back to the checkpoint before the first one was told.
+	// One task doesn't get the order to save in time: the gang resumes from the checkpoint before
+	// the first order.
 	play(h, "27.5 waiting req-000001/0#2 m1 saving")
 	h.Tick(seconds("33"))
-	said()
+	expectSent()
 	h.Tick(seconds("33.6"))
-	said("p1 peers 36.5", "p2 peers 36.5")
+	expectSent("p1 peers 36.5", "p2 peers 36.5")
 	for i := range 3 {
 		play(h, fmt.Sprintf("36.5 leave req-000001/%d#2 m%d peers", i, i+1))
 	}
-	gathers(h, 3, 45)
-	said("p1 go 51.0", "p2 go 51.0") // 4 of 10 s
+	assemble(h, 3, 45)
+	expectSent("p1 go 51.0", "p2 go 51.0") // 4 of 10 s are done
 }
 
-// A drawn history of a small fleet that keeps all rules, told out of order by up to a
-// second, is never judged broken; and what the hub counts is what there was.
+// A random history of a small fleet that obeys all rules yields no violation and the right counts,
+// also if its messages arrive up to a second late and out of order.
 func TestLegalHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := testHub(func(string, *wire.Message) {})
-		type told struct {
-			at  int64 // when the hub hears of it
+		type delivery struct {
+			at  int64 // time when the Hub gets the message
 			do  func()
 			seq int
 		}
-		var all []told
-		say := func(m *wire.Message) {
+		var deliveries []delivery
+		deliver := func(m *wire.Message) {
 			late := int64(rapid.IntRange(0, 1000).Draw(t, "late")) * 1000
-			all = append(all, told{m.At + late, func() { h.Take("p", m) }, len(all)})
+			deliveries = append(deliveries, delivery{m.At + late, func() { h.Take("p", m) }, len(deliveries)})
 		}
 		zones := []string{"a", "b", "c"}
 		type host struct {
@@ -136,34 +138,34 @@
 			hosts = append(hosts, m)
 			h.Machine(wire.Machine{Name: m.name, Type: "big", Zone: m.zone, Spot: m.spot}, "p")
 		}
-		type drawn struct {
-			ref                  string
-			tasks                int
-			words                []string
-			oneZone, apart, spot bool
-			on                   map[int]int   // host by task
-			try                  map[int]int   // its attempt
-			since                map[int]int64 // when it last came
-			done                 map[int]bool
-			told                 bool  // that it is cancelled
-			looked               int64 // when its user last asked how it stands
+		type testJob struct {
+			ref                      string
+			tasks                    int
+			words                    []string
+			singleZone, spread, spot bool
+			hostOf                   map[int]int   // host by task
+			attempt                  map[int]int   // latest attempt by task
+			since                    map[int]int64 // time of the latest start by task
+			done                     map[int]bool
+			cancelled                bool  // whether its user got the answer that it is cancelled
+			queriedAt                int64 // time of its user's latest query
 		}
-		var jobs []*drawn
+		var jobs []*testJob
 		for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
-			j := &drawn{ref: fmt.Sprintf("req-%06d", i), tasks: rapid.IntRange(1, 5).Draw(t, "tasks"), on: map[int]int{}, try: map[int]int{}, since: map[int]int64{}, done: map[int]bool{}}
+			j := &testJob{ref: fmt.Sprintf("req-%06d", i), tasks: rapid.IntRange(1, 5).Draw(t, "tasks"), hostOf: map[int]int{}, attempt: map[int]int{}, since: map[int]int64{}, done: map[int]bool{}}
 			j.words = []string{"array", fmt.Sprintf("tasks=%d", j.tasks), "gpus=1"}
-			j.oneZone, j.spot = rapid.Bool().Draw(t, "one_zone"), rapid.Bool().Draw(t, "spot")
-			j.apart = !j.oneZone && rapid.Bool().Draw(t, "apart")
+			j.singleZone, j.spot = rapid.Bool().Draw(t, "one_zone"), rapid.Bool().Draw(t, "spot")
+			j.spread = !j.singleZone && rapid.Bool().Draw(t, "apart")
 			for _, w := range []struct {
 				word string
 				is   bool
-			}{{"one_zone", j.oneZone}, {"apart", j.apart}, {"spot", j.spot}} {
+			}{{"one_zone", j.singleZone}, {"apart", j.spread}, {"spot", j.spot}} {
 				if w.is {
 					j.words = append(j.words, w.word)
 				}
 			}
 			jobs = append(jobs, j)
-			say(&wire.Message{Kind: wire.Answer, Op: "submit", Ref: j.ref, Status: 201, Phase: "queued", Due: seconds("0.1"), At: seconds("0.2")})
+			deliver(&wire.Message{Kind: wire.Answer, Op: "submit", Ref: j.ref, Status: 201, Phase: "queued", Due: seconds("0.1"), At: seconds("0.2")})
 			h.Take("users", &wire.Message{Kind: wire.Submit, At: seconds("0"), Run: 5e6, Specs: []json.RawMessage{spec(j.ref, j.words)}})
 		}
 		used, starts, now := 0, 0, seconds("1")
@@ -171,79 +173,79 @@
 			now += int64(rapid.IntRange(0, 3000).Draw(t, "pause")) * 1000
 			j := jobs[rapid.IntRange(0, len(jobs)-1).Draw(t, "job")]
 			i := rapid.IntRange(0, j.tasks-1).Draw(t, "task")
-			name := func() string { return fmt.Sprintf("%s/%d#%d", j.ref, i, j.try[i]) }
+			name := func() string { return fmt.Sprintf("%s/%d#%d", j.ref, i, j.attempt[i]) }
 			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
 			case step < 5: // start
 				k := rapid.IntRange(0, len(hosts)-1).Draw(t, "on")
 				m := hosts[k]
 				inZone, elsewhere := 0, false
-				for _, o := range j.on {
+				for _, o := range j.hostOf {
 					if hosts[o].zone == m.zone {
 						inZone++
 					} else {
 						elsewhere = true
 					}
 				}
-				_, there := j.on[i]
-				if there || j.told || j.since[i] == now || j.done[i] || used == 8 || m.spot && !j.spot || j.oneZone && elsewhere || j.apart && inZone+1 > (j.tasks+1)/2 {
+				_, there := j.hostOf[i]
+				if there || j.cancelled || j.since[i] == now || j.done[i] || used == 8 || m.spot && !j.spot || j.singleZone && elsewhere || j.spread && inZone+1 > (j.tasks+1)/2 {
 					continue
 				}
-				j.try[i]++
+				j.attempt[i]++
 				j.since[i] = now
-				j.on[i] = k
+				j.hostOf[i] = k
 				used++
 				starts++
-				say(&wire.Message{Kind: wire.Enter, Task: name(), Name: m.name, At: now})
-			case step < 8: // leave, and perhaps start again at once elsewhere
-				k, there := j.on[i]
+				deliver(&wire.Message{Kind: wire.Enter, Task: name(), Name: m.name, At: now})
+			case step < 8: // leave; the task may start on another host right after
+				k, there := j.hostOf[i]
 				if !there || j.since[i] == now {
 					continue
 				}
 				why := rapid.SampledFrom([]string{"done", "stopped", "lease"}).Draw(t, "why")
 				j.done[i] = why == "done"
-				delete(j.on, i)
+				delete(j.hostOf, i)
 				used--
 				if why == "done" {
-					say(&wire.Message{Kind: wire.Ended, Task: name(), Name: hosts[k].name, At: now})
+					deliver(&wire.Message{Kind: wire.Ended, Task: name(), Name: hosts[k].name, At: now})
 				}
-				say(&wire.Message{Kind: wire.Leave, Task: name(), Name: hosts[k].name, At: now, Text: why})
-			case step == 8: // ask
+				deliver(&wire.Message{Kind: wire.Leave, Task: name(), Name: hosts[k].name, At: now, Text: why})
+			case step == 8: // query
 				phase := "running"
 				if n := countTrue(j.done); n == j.tasks {
 					phase = "done"
 				}
-				if j.told {
+				if j.cancelled {
 					phase = "cancelled"
 				}
-				j.looked = now
-				say(&wire.Message{Kind: wire.Answer, Op: "query", Ref: j.ref, Status: 200, Phase: phase, Due: now, At: now})
-			default: // cancel: all leave at once
-				// Of two answers at one instant nobody can say which one came first, and the
-				// hub may hear of either first.
-				if countTrue(j.done) == j.tasks || j.told || j.looked == now {
+				j.queriedAt = now
+				deliver(&wire.Message{Kind: wire.Answer, Op: "query", Ref: j.ref, Status: 200, Phase: phase, Due: now, At: now})
+			default: // cancel: all tasks leave 19 s later
+				// The order of two answers with the same time is undefined, and the Hub may get
+				// either one first.
+				if countTrue(j.done) == j.tasks || j.cancelled || j.queriedAt == now {
 					continue
 				}
-				say(&wire.Message{Kind: wire.Answer, Op: "cancel", Ref: j.ref, Status: 200, Phase: "cancelled", Due: now, At: now})
-				j.told = true
-				for _, i = range slices.Sorted(maps.Keys(j.on)) {
-					say(&wire.Message{Kind: wire.Leave, Task: name(), Name: hosts[j.on[i]].name, At: now + int64(19*protocol.Second), Text: "stopped"})
+				deliver(&wire.Message{Kind: wire.Answer, Op: "cancel", Ref: j.ref, Status: 200, Phase: "cancelled", Due: now, At: now})
+				j.cancelled = true
+				for _, i = range slices.Sorted(maps.Keys(j.hostOf)) {
+					deliver(&wire.Message{Kind: wire.Leave, Task: name(), Name: hosts[j.hostOf[i]].name, At: now + int64(19*protocol.Second), Text: "stopped"})
 				}
-				// They go on using what they have until then.
-				j.on = map[int]int{}
+				// The resources stay in use until then.
+				j.hostOf = map[int]int{}
 			}
 		}
-		slices.SortStableFunc(all, func(a, b told) int { return cmp.Compare(a.at, b.at) })
-		for _, m := range all {
+		slices.SortStableFunc(deliveries, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
+		for _, m := range deliveries {
 			h.Tick(m.at)
 			m.do()
 		}
 		h.Tick(now + seconds("60"))
 		if b := h.Broken(); len(b) > 0 {
-			t.Fatalf("judged broken: %v", b)
+			t.Fatalf("violations reported for a legal history: %v", b)
 		}
 		running := 0
 		for _, j := range jobs {
-			running += len(j.on)
+			running += len(j.hostOf)
 		}
 		if c := h.Counts(); c.Starts != starts || c.Running != running || c.Late != 0 {
 			t.Fatalf("%+v, want %d starts, %d running", c, starts, running)
--- a/internal/scale/checker/rules.go
+++ b/internal/scale/checker/rules.go
@@ -6,122 +6,124 @@
 )
 
 const (
-	// unanswered is how long no question about a job may be answered, while most others are.
-	unanswered = int64(90 * protocol.Second)
-	// askedLate is how much later it may become known that a user asked to cancel a job:
-	// the answer comes, or doesn't, within 5 s.
-	askedLate = int64(10 * protocol.Second)
+	// maxUnanswered is how long all queries about a job may fail while most other queries are
+	// answered.
+	maxUnanswered = int64(90 * protocol.Second)
+	// cancelRequestDelay is how long a user's request to cancel may take to reach the checker
+	// after an answer that reported the cancellation: the request is answered or fails within 5 s.
+	cancelRequestDelay = int64(10 * protocol.Second)
 )
 
-// enters judges a task that is on a machine from now on.
-func (h *Hub) enters(j *job, index int, try uint64, m *wire.Message, asked int64) {
-	where, s := h.machines[m.Name], j.spec
-	if where == nil {
+// judgeEnter records that a task has entered a machine and checks the rules for it.
+func (h *Hub) judgeEnter(j *job, index int, attempt uint64, m *wire.Message, launched int64) {
+	host, s := h.machines[m.Name], j.spec
+	if host == nil {
 		h.counts.Unknown++
 		return
 	}
-	if old, there := j.on[index]; there {
-		if old.machine != where {
-			h.violated(m.At, "ran_twice", "%s starts on %s while it is on %s as attempt %d", m.Task, m.Name, old.machine.Name, old.try)
+	if old, placed := j.placements[index]; placed {
+		if old.machine != host {
+			h.addViolation(m.At, "ran_twice", "%s starts on %s while it is on %s as attempt %d", m.Task, m.Name, old.machine.Name, old.attempt)
 		}
-		h.off(old)
+		h.removeTask(old)
 	}
-	p := place{j, index, try, where}
-	j.on[index] = p
-	where.on[m.Task] = p
-	j.zones[where.Zone]++
+	p := placement{j, index, attempt, host}
+	j.placements[index] = p
+	host.tasks[m.Task] = p
+	j.tasksByZone[host.Zone]++
 	h.counts.Starts++
 	h.counts.Running++
-	c := h.class(s.Class)
+	c := h.classCount(s.Class)
 	c.Starts++
 	c.Running++
-	again := !j.started.set(index)
+	again := !j.started.add(index)
 	if s.Kind != protocol.Gang {
-		h.starts(Start{Spec: s, Task: m.Task, Tasks: 1, Again: again, Due: j.due, Asked: asked, At: m.At, Fetch: m.Run})
+		h.onStart(Start{Spec: s, Task: m.Task, Tasks: 1, Again: again, Due: j.due, Asked: launched, At: m.At, Fetch: m.Run})
 	}
-	h.judgePlace(p, m)
-	used := h.team(s.Team)
+	h.judgePlacement(p, m)
+	used := h.teamUsage(s.Team)
 	*used = used.Add(s.TaskResources, 1)
 	if limit := h.platform.Teams[s.Team].Limit; limit.CPU > 0 && used.CPU > limit.CPU || limit.GPU > 0 && used.GPU > limit.GPU {
-		h.violated(m.At, "quota", "team %s uses %+v of %+v thousandths with %s on %s", s.Team, *used, limit, m.Task, m.Name)
+		h.addViolation(m.At, "quota", "team %s uses %+v of %+v thousandths with %s on %s", s.Team, *used, limit, m.Task, m.Name)
 	}
-	if j.cancelled > 0 && m.At > j.cancelled+int64(h.platform.CancelTimeout) {
-		h.violated(m.At, "ran_cancelled", "%s starts on %s %.3f s after its user was told that it is cancelled", m.Task, m.Name, float64(m.At-j.cancelled)/1e6)
+	if j.cancelReportedAt > 0 && m.At > j.cancelReportedAt+int64(h.platform.CancelTimeout) {
+		h.addViolation(m.At, "ran_cancelled", "%s starts on %s %.3f s after its user was told that it is cancelled", m.Task, m.Name, float64(m.At-j.cancelReportedAt)/1e6)
 	}
-	if left, early := where.early[m.Task]; early {
-		delete(where.early, m.Task)
-		if left.at >= m.At {
-			h.leaves(j, index, try, m.Name, left.why, left.at)
+	if leave, leftEarly := host.earlyLeaves[m.Task]; leftEarly {
+		delete(host.earlyLeaves, m.Task)
+		if leave.at >= m.At {
+			h.judgeLeave(j, index, attempt, m.Name, leave.reason, leave.at)
 		}
 	}
 }
 
-// judgePlace judges where a task starts.
-func (h *Hub) judgePlace(p place, m *wire.Message) {
-	s, where := p.job.spec, p.machine
-	wrong := func(why string) {
-		h.violated(m.At, "wrong_place", "%s starts on %s (%s, zone %s, spot %t): %s", m.Task, m.Name, where.Type, where.Zone, where.Spot, why)
+// judgePlacement checks that a task's machine and zone are allowed by its job.
+func (h *Hub) judgePlacement(p placement, m *wire.Message) {
+	s, host := p.job.spec, p.machine
+	report := func(reason string) {
+		h.addViolation(m.At, "wrong_place", "%s starts on %s (%s, zone %s, spot %t): %s", m.Task, m.Name, host.Type, host.Zone, host.Spot, reason)
 	}
-	switch t := h.types[where.Type]; {
-	case !s.AllowsType(where.Type) || t == nil || !t.Capacity.Covers(s.TaskResources):
-		wrong("its job doesn't allow the type")
-	case s.Zone != "" && s.Zone != where.Zone:
-		wrong("its job allows only zone " + s.Zone)
-	case where.Spot && !s.AllowSpot:
-		wrong("its job allows no spot machines")
-	case s.SingleZone && len(p.job.zones) > 1:
-		wrong("others of its job are in another zone")
-	case s.SpreadZones && p.job.zones[where.Zone] > (s.Tasks+1)/2:
-		wrong("more than half of its job are in that zone")
+	switch t := h.types[host.Type]; {
+	case !s.AllowsType(host.Type) || t == nil || !t.Capacity.Covers(s.TaskResources):
+		report("its job doesn't allow the type")
+	case s.Zone != "" && s.Zone != host.Zone:
+		report("its job allows only zone " + s.Zone)
+	case host.Spot && !s.AllowSpot:
+		report("its job allows no spot machines")
+	case s.SingleZone && len(p.job.tasksByZone) > 1:
+		report("others of its job are in another zone")
+	case s.SpreadZones && p.job.tasksByZone[host.Zone] > (s.Tasks+1)/2:
+		report("more than half of its job are in that zone")
 	}
 }
 
-func (h *Hub) team(name string) *protocol.Resources {
-	used := h.teams[name]
+// teamUsage returns the resources that a team's tasks use, for reading and updating.
+func (h *Hub) teamUsage(name string) *protocol.Resources {
+	used := h.usedByTeam[name]
 	if used == nil {
 		used = new(protocol.Resources)
-		h.teams[name] = used
+		h.usedByTeam[name] = used
 	}
 	return used
 }
 
-// off takes a task off its machine.
-func (h *Hub) off(p place) {
+// removeTask removes a task from its machine and subtracts its resources.
+func (h *Hub) removeTask(p placement) {
 	s := p.job.spec
-	delete(p.job.on, p.index)
-	delete(p.machine.on, p.name())
-	if p.job.zones[p.machine.Zone]--; p.job.zones[p.machine.Zone] == 0 {
-		delete(p.job.zones, p.machine.Zone)
+	delete(p.job.placements, p.index)
+	delete(p.machine.tasks, p.taskName())
+	if p.job.tasksByZone[p.machine.Zone]--; p.job.tasksByZone[p.machine.Zone] == 0 {
+		delete(p.job.tasksByZone, p.machine.Zone)
 	}
-	used := h.team(s.Team)
+	used := h.teamUsage(s.Team)
 	*used = used.Add(s.TaskResources, -1)
 	h.counts.Running--
-	h.class(s.Class).Running--
+	h.classCount(s.Class).Running--
 }
 
-// leaves takes note of a task that is gone from a machine. One that leaves at the moment
-// at which it has come is judged before it has come: the rest follows then.
-func (h *Hub) leaves(j *job, index int, try uint64, name, why string, at int64) {
-	where := h.machines[name]
-	p, there := j.on[index]
-	if where == nil || !there || p.machine != where || p.try != try {
-		if where != nil {
-			if where.early == nil {
-				where.early = make(map[string]early)
+// judgeLeave records that a task has left a machine. If a task enters and leaves at the same
+// time, the leave is checked first: it is stored, and judgeEnter applies it.
+func (h *Hub) judgeLeave(j *job, index int, attempt uint64, name, reason string, at int64) {
+	host := h.machines[name]
+	p, placed := j.placements[index]
+	if host == nil || !placed || p.machine != host || p.attempt != attempt {
+		if host != nil {
+			if host.earlyLeaves == nil {
+				host.earlyLeaves = make(map[string]earlyLeave)
 			}
-			where.early[place{j, index, try, where}.name()] = early{at, why}
+			host.earlyLeaves[placement{j, index, attempt, host}.taskName()] = earlyLeave{at, reason}
 		}
 		return
 	}
-	h.off(p)
-	h.counts.Leaves[why]++
-	if why == string(protocol.ExitDone) {
-		h.finished(j, index)
+	h.removeTask(p)
+	h.counts.Leaves[reason]++
+	if reason == string(protocol.ExitDone) {
+		h.markDone(j, index)
 	}
 }
 
-// finished takes note of a task that is done; of a gang all are then.
-func (h *Hub) finished(j *job, index int) {
+// markDone records that a task is done. For a gang, all tasks are done then.
+func (h *Hub) markDone(j *job, index int) {
 	if j.done.has(index) {
 		return
 	}
@@ -130,147 +132,149 @@
 		first, last = 0, j.spec.Tasks-1
 	}
 	for i := first; i <= last; i++ {
-		if j.done.set(i) {
+		if j.done.add(i) {
 			h.counts.Done++
-			h.class(j.spec.Class).Done++
+			h.classCount(j.spec.Class).Done++
 		}
 	}
 }
 
-// answered judges what a user was told.
-func (h *Hub) answered(m *wire.Message) {
+// judgeAnswer checks the rules for an answer to a user's request.
+func (h *Hub) judgeAnswer(m *wire.Message) {
 	j := h.jobs[m.Ref]
 	ok := m.Status == 200 || m.Status == 201
 	if m.Op == "query" {
-		p := h.polls[m.Region]
+		p := h.queries[m.Region]
 		if p == nil {
-			p = &polls{}
-			h.polls[m.Region] = p
+			p = &queryCounts{}
+			h.queries[m.Region] = p
 		}
-		p.count(m.At, ok || m.Status == 404)
+		p.add(m.At, ok || m.Status == 404)
 	}
 	if j == nil {
 		if ok && m.Op != "config" {
-			h.violated(m.At, "invented", "%s of %s, which nobody has submitted, gets %d %s", m.Op, m.Ref, m.Status, m.Phase)
+			h.addViolation(m.At, "invented", "%s of %s, which nobody has submitted, gets %d %s", m.Op, m.Ref, m.Status, m.Phase)
 		}
 		return
 	}
 	if m.Op == "cancel" {
-		j.ask(m.Due)
+		j.noteCancelRequest(m.Due)
 	}
-	known := j.accepted > 0 && m.Due >= j.accepted
+	wasAccepted := j.acceptedAt > 0 && m.Due >= j.acceptedAt
 	switch {
-	case m.Op == "submit" && (m.Status == 400 || m.Status == 422) && known:
-		h.violated(m.At, "forgotten", "a repeated submission of %s gets %d", m.Ref, m.Status)
-	case m.Status == 404 && m.Op != "submit" && known:
-		h.violated(m.At, "forgotten", "%s of %s, which was accepted, gets 404", m.Op, m.Ref)
+	case m.Op == "submit" && (m.Status == 400 || m.Status == 422) && wasAccepted:
+		h.addViolation(m.At, "forgotten", "a repeated submission of %s gets %d", m.Ref, m.Status)
+	case m.Status == 404 && m.Op != "submit" && wasAccepted:
+		h.addViolation(m.At, "forgotten", "%s of %s, which was accepted, gets 404", m.Op, m.Ref)
 	case m.Op == "query" && m.Status != 404 && !ok:
-		h.unanswered(j, m)
+		h.judgeUnanswered(j, m)
 	}
 	if m.Op == "query" && (ok || m.Status == 404) {
-		j.failing = 0
+		j.unansweredSince = 0
 	}
 	if !ok {
 		return
 	}
-	if m.Op == "submit" && j.accepted == 0 {
-		j.accepted = m.At
+	if m.Op == "submit" && j.acceptedAt == 0 {
+		j.acceptedAt = m.At
 	}
-	h.told(j, m)
+	h.judgeReportedPhase(j, m)
 }
 
-// ask notes from when on a job's user asks to cancel it.
-func (j *job) ask(at int64) {
-	if j.asked == 0 || at < j.asked {
-		j.asked = at
+// noteCancelRequest records a request to cancel the job and keeps the earliest time.
+func (j *job) noteCancelRequest(at int64) {
+	if j.cancelRequestedAt == 0 || at < j.cancelRequestedAt {
+		j.cancelRequestedAt = at
 	}
 }
 
-// unanswered judges a question that got no answer. The others that it is compared with
-// are those from its region: users of a region that is apart can reach nobody, whatever
-// the controllers do.
-func (h *Hub) unanswered(j *job, m *wire.Message) {
-	if j.failing == 0 {
-		j.failing = m.Due
+// judgeUnanswered checks a query that got no answer or an error. It is compared only with other
+// queries from the same region, because users of a region that is cut off can't reach any
+// controller, whatever the controllers do.
+func (h *Hub) judgeUnanswered(j *job, m *wire.Message) {
+	if j.unansweredSince == 0 {
+		j.unansweredSince = m.Due
 		return
 	}
-	if j.accepted > 0 && m.At-j.failing >= unanswered && h.polls[m.Region].most(m.At) {
-		h.violated(m.At, "forgotten", "no question about %s was answered for %.0f s, while most others were", m.Ref, float64(m.At-j.failing)/1e6)
-		j.failing = m.Due
+	if j.acceptedAt > 0 && m.At-j.unansweredSince >= maxUnanswered && h.queries[m.Region].mostAnswered(m.At) {
+		h.addViolation(m.At, "forgotten", "no question about %s was answered for %.0f s, while most others were", m.Ref, float64(m.At-j.unansweredSince)/1e6)
+		j.unansweredSince = m.Due
 	}
 }
 
-// told judges the state of a job that its user was told.
-func (h *Hub) told(j *job, m *wire.Message) {
-	for _, was := range []struct {
+// judgeReportedPhase checks the phase of a job in an answer to its user.
+func (h *Hub) judgeReportedPhase(j *job, m *wire.Message) {
+	for _, reported := range []struct {
 		phase string
 		at    int64
-	}{{"done", j.toldDone}, {"cancelled", j.cancelled}} {
-		// What was asked before the user had heard it may be older, but a job can't be
-		// both at any time.
-		if was.at > 0 && m.Phase != was.phase && (m.Due >= was.at || m.Phase == "done" || m.Phase == "cancelled") {
-			h.violated(m.At, "went_back", "%s was called %s and then %s", m.Ref, was.phase, m.Phase)
+	}{{"done", j.doneReportedAt}, {"cancelled", j.cancelReportedAt}} {
+		// A request that was sent before the earlier answer arrived may return an older phase,
+		// but a job can never be both done and cancelled.
+		if reported.at > 0 && m.Phase != reported.phase && (m.Due >= reported.at || m.Phase == "done" || m.Phase == "cancelled") {
+			h.addViolation(m.At, "went_back", "%s was called %s and then %s", m.Ref, reported.phase, m.Phase)
 			return
 		}
 	}
 	switch {
-	case m.Phase == "done" && j.toldDone == 0:
-		j.toldDone = m.At
+	case m.Phase == "done" && j.doneReportedAt == 0:
+		j.doneReportedAt = m.At
 		if j.spec == nil || j.done.n < j.spec.Tasks {
-			h.violated(m.At, "not_done", "%s is called done with %d tasks done", m.Ref, j.done.n)
+			h.addViolation(m.At, "not_done", "%s is called done with %d tasks done", m.Ref, j.done.n)
 		}
-	case m.Phase == "cancelled" && j.cancelled == 0:
-		j.cancelled = m.At
+	case m.Phase == "cancelled" && j.cancelReportedAt == 0:
+		j.cancelReportedAt = m.At
 		deadline := m.At + int64(h.platform.CancelTimeout)
-		h.push(deadline, byDeadline, func() {
-			for _, p := range j.on {
-				h.violated(deadline, "ran_cancelled", "%s is on %s %.3f s after its user was told that it is cancelled", p.name(), p.machine.Name, h.platform.CancelTimeout.Seconds())
+		h.schedule(deadline, orderDeadline, func() {
+			for _, p := range j.placements {
+				h.addViolation(deadline, "ran_cancelled", "%s is on %s %.3f s after its user was told that it is cancelled", p.taskName(), p.machine.Name, h.platform.CancelTimeout.Seconds())
 			}
 		})
-		if j.asked == 0 || j.asked > m.At {
-			h.push(m.At+askedLate, byDeadline, func() {
-				if j.asked == 0 || j.asked > m.At {
-					h.violated(m.At, "went_back", "%s is called cancelled, which its user hadn't asked for", m.Ref)
+		if j.cancelRequestedAt == 0 || j.cancelRequestedAt > m.At {
+			h.schedule(m.At+cancelRequestDelay, orderDeadline, func() {
+				if j.cancelRequestedAt == 0 || j.cancelRequestedAt > m.At {
+					h.addViolation(m.At, "went_back", "%s is called cancelled, which its user hadn't asked for", m.Ref)
 				}
 			})
 		}
 	}
 }
 
-func (p place) name() string { return (&attempt{job: p.job, try: p.try}).name(p.index) }
+func (p placement) taskName() string {
+	return (&gangAttempt{job: p.job, number: p.attempt}).taskName(p.index)
+}
 
-// early is a leave that was judged before its enter.
-type early struct {
-	at  int64
-	why string
+// earlyLeave is the leave of a task that was checked before its enter.
+type earlyLeave struct {
+	at     int64
+	reason string
 }
 
-// polls counts questions from a region in the last 90 s, by second.
-type polls struct {
-	second   [90]int64
+// queryCounts counts the queries from a region in the last 90 s, by second.
+type queryCounts struct {
+	second   [90]int64 // second that the entry is for
 	answered [90]int
-	all      [90]int
+	total    [90]int
 }
 
-func (p *polls) count(at int64, answered bool) {
+func (p *queryCounts) add(at int64, answered bool) {
 	s := at / 1e6
 	i := s % 90
 	if p.second[i] != s {
-		p.second[i], p.answered[i], p.all[i] = s, 0, 0
+		p.second[i], p.answered[i], p.total[i] = s, 0, 0
 	}
-	p.all[i]++
+	p.total[i]++
 	if answered {
 		p.answered[i]++
 	}
 }
 
-// most reports whether most questions of the last 90 s were answered.
-func (p *polls) most(at int64) bool {
-	answered, all := 0, 0
+// mostAnswered reports whether more than half of the queries of the last 90 s were answered.
+func (p *queryCounts) mostAnswered(at int64) bool {
+	answered, total := 0, 0
 	for i, s := range p.second {
 		if s > at/1e6-90 {
-			answered, all = answered+p.answered[i], all+p.all[i]
+			answered, total = answered+p.answered[i], total+p.total[i]
 		}
 	}
-	return 2*answered > all
+	return 2*answered > total
 }
--- a/internal/scale/checker/trace_test.go
+++ b/internal/scale/checker/trace_test.go
@@ -13,7 +13,7 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// A trace is what parts and users have seen, a line each, that people read:
+// A trace is a history of events from parts and users, one per line:
 //
 //	machine m1 big r1-z1 [spot]
 //	0.0 submit req-000001 array tasks=2 gpus=1 one_zone team=red
@@ -21,9 +21,9 @@
 //	0.5 enter req-000001/0#1 m1
 //	9.0 leave req-000001/0#1 m1 done
 //
-// A line that begins with `+` is the fault: with these lines the trace breaks the rule
-// that its first line names, without them it breaks none. One that begins with `-` is there
-// only without the fault.
+// Lines that begin with `+` are the fault: with them the trace violates the rule that its line
+// `breaks RULE` names, without them it violates none. Lines that begin with `-` are played only
+// without the fault.
 type trace struct {
 	rule  string
 	lines []string
@@ -46,7 +46,7 @@
 	return tr
 }
 
-// testHub has two teams, two types and a cancel_s of 20.
+// testHub returns a Hub with two teams, two machine types and a cancel timeout of 20 s.
 func testHub(send func(string, *wire.Message)) *Hub {
 	p := &protocol.Platform{
 		Teams:         map[string]protocol.Team{"red": {Name: "red", Limit: protocol.Resources{GPU: 8000}}, "blue": {Name: "blue", Limit: protocol.Resources{CPU: 16000}}},
@@ -56,7 +56,7 @@
 	return New(p, types, send)
 }
 
-// spec is a job's description: `array tasks=2 gpus=1 one_zone`.
+// spec returns the description of a job from words such as `array tasks=2 gpus=1 one_zone`.
 func spec(ref string, words []string) json.RawMessage {
 	v := map[string]any{
 		"ref": ref, "jobclass": words[0], "owner": "red", "shape": map[string]string{"array": "array", "gang": "ensemble", "service": "daemon"}[words[0]], "rank": "high",
@@ -87,7 +87,7 @@
 			v["apart"] = true
 		case "spot":
 			v["reclaimable"] = true
-		case "run": // the message has it
+		case "run": // the run time is in the message, not in the description
 		default:
 			panic("unknown word " + w)
 		}
@@ -99,7 +99,7 @@
 	return raw
 }
 
-// seconds is an instant of a trace.
+// seconds returns the time, in microseconds, for a time in a trace.
 func seconds(s string) int64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return 1e9 + int64(x*1e6+0.5)
 }
 
-// play gives a line to a hub.
+// play passes the event of a line to a Hub.
 func play(h *Hub, line string) {
 	w := strings.Fields(line)
 	if w[0] == "machine" {
@@ -140,7 +140,7 @@
 			m.Text, m.Phase, _ = strings.Cut(w[4], ",")
 		}
 		h.Take("part-"+w[3], m)
-	case "poll": // REF FROM TO STATUS [REGION]: each 5 s
+	case "poll": // REF FROM TO STATUS [REGION]: a query every 5 s
 		for s := seconds(w[3]); s <= seconds(w[4]); s += 5e6 {
 			status, _ := strconv.Atoi(w[5])
 			h.Take("users", &wire.Message{Kind: wire.Answer, Op: "query", Ref: w[2], Region: strings.Join(w[6:], ""), Status: status, Phase: "running", Due: s - 1e6, At: s})
@@ -150,11 +150,12 @@
 	}
 }
 
-// judge plays the lines that begin with none of the signs, and ends the run.
-func (tr trace) judge(without string) []Violation {
+// judge plays all lines but those that begin with skip, and returns the violations at the
+// end of the run.
+func (tr trace) judge(skip string) []Violation {
 	h := testHub(func(string, *wire.Message) {})
 	for _, line := range tr.lines {
-		if !strings.HasPrefix(line, without) {
+		if !strings.HasPrefix(line, skip) {
 			play(h, strings.TrimLeft(line, "+- "))
 		}
 	}
@@ -162,7 +163,8 @@
 	return h.Broken()
 }
 
-// Each rule: the history with the fault breaks it and no other, without the fault none.
+// For each rule, the traces with the fault violate this rule and no other, and the traces without
+// the fault violate none.
 func TestRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -174,28 +176,28 @@
 			tr := readTrace(t, file)
 			covered[tr.rule] = true
 			if b := tr.judge("+"); len(b) > 0 {
-				t.Errorf("without the fault: %v", b)
+				t.Errorf("violations without the fault: %v", b)
 			}
 			b := tr.judge("-")
 			if len(b) == 0 {
-				t.Fatalf("with the fault nothing is broken, %s is expected", tr.rule)
+				t.Fatalf("no violation with the fault, want %s", tr.rule)
 			}
 			for _, v := range b {
 				if v.Kind != tr.rule {
-					t.Errorf("with the fault: %v, %s is expected", v, tr.rule)
+					t.Errorf("violation %v with the fault, want %s", v, tr.rule)
 				}
 			}
 		})
 	}
 	for _, rule := range []string{"ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back"} {
 		if !covered[rule] {
-			t.Errorf("no trace breaks %s", rule)
+			t.Errorf("no trace violates %s", rule)
 		}
 	}
 }
 
-// The order in which messages of several parts come doesn't matter, and at the same
-// instant a task leaves one machine before it enters another.
+// Messages of several parts may arrive in any order, and of events with the same time a leave is
+// checked before an enter.
 func TestLateMessages(t *testing.T) {
 	h := testHub(func(string, *wire.Message) {})
 	for _, line := range []string{
@@ -211,7 +213,7 @@
 	if c := h.Counts(); len(h.Broken()) > 0 || c.Running != 0 || c.Starts != 2 || c.Done != 1 || c.Late != 0 || c.Leaves["done"] != 1 {
 		t.Errorf("%+v %v", c, h.Broken())
 	}
-	// A task whose result is kept comes and leaves at the same instant.
+	// A task whose result is already stored enters and leaves at the same time.
 	play(h, "20 enter req-000001/0#3 m1")
 	play(h, "20 leave req-000001/0#3 m1 done")
 	play(h, "21 enter req-000001/0#4 m2")
@@ -222,27 +224,28 @@
 	}
 }
 
-// What a worker is told of a task that it has to start.
+// A worker's request for a task that it has to start is answered with the description, the saved
+// progress and whether the result is stored, or with 404 if no user submits the job in time.
 func TestDescribe(t *testing.T) {
-	var said []string
+	var sent []string
 	h := testHub(func(part string, m *wire.Message) {
-		said = append(said, fmt.Sprintf("%s %s %d specs=%d left=%d %s", part, m.Task, m.Status, len(m.Specs), m.For, m.Phase))
+		sent = append(sent, fmt.Sprintf("%s %s %d specs=%d left=%d %s", part, m.Task, m.Status, len(m.Specs), m.For, m.Phase))
 	})
-	ask := func(at int64, task string) {
+	request := func(at int64, task string) {
 		h.Take("p", &wire.Message{Kind: wire.Jobs, Task: task, Name: "m1", Ref: "req", At: at})
 	}
 	play(h, "machine m1 big a")
-	ask(seconds("0"), "req-000001/0#1") // its user is about to submit it
+	request(seconds("0"), "req-000001/0#1") // submitted only after the request
 	play(h, "0.2 submit req-000001 array tasks=2 every=4")
-	ask(seconds("0.3"), "req-000002/0#1") // nobody submits that
+	request(seconds("0.3"), "req-000002/0#1") // never submitted
 	h.Tick(seconds("0.5"))
 	h.Tick(seconds("2"))
 	h.Take("p", &wire.Message{Kind: wire.Progress, Task: "req-000001/0#1", Run: 6e6})
-	ask(seconds("3"), "req-000001/0#2")
+	request(seconds("3"), "req-000001/0#2")
 	play(h, "9 ended req-000001/0#2 m1")
-	ask(seconds("10"), "req-000001/0#3")
+	request(seconds("10"), "req-000001/0#3")
 	want := []string{"p req-000001/0#1 200 specs=1 left=0 ", "p req-000002/0#1 404 specs=0 left=0 ", "p req-000001/0#2 200 specs=1 left=6000000 ", "p req-000001/0#3 200 specs=1 left=6000000 done"}
-	if strings.Join(said, "\n") != strings.Join(want, "\n") {
-		t.Errorf("said\n%s", strings.Join(said, "\n"))
+	if strings.Join(sent, "\n") != strings.Join(want, "\n") {
+		t.Errorf("sent\n%s", strings.Join(sent, "\n"))
 	}
 }
