--- a/internal/simulation/all_away_test.go
+++ b/internal/simulation/all_away_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// All controllers end, and are there again after a time around that of a lease: some
-// workers have lost all by then, some are about to, some keep it. What was lost begins
-// anew, what was not is not started a second time, and nobody is told anything else about
-// what was over.
+// All controllers are killed and start again after about the length of a worker's lease. By
+// then some workers have lost their tasks, some are about to, and some keep them. Lost tasks
+// are started again, the others are not started a second time, and the result that was
+// reported for a finished job does not change.
 func TestAllControllersAwayForAboutALease(t *testing.T) {
-	fewest, most := 100, 0
+	minStarts, maxStarts := 100, 0
 	for i := range 40 {
-		away := 14 + 0.25*float64(i)
+		downtime := 14 + 0.25*float64(i)
 		text := fmt.Sprintf(`
 nodes 3 a b c
 team red gpus=8 max=14
@@ -34,15 +34,16 @@
 at %g expect req-000001 done
 at %g expect req-000002 done
 at %g expect req-000004 done
-`, 17+away, 17+away+4, 17+away+20, 17+away+80, 17+away+80, 17+away+80)
+`, 17+downtime, 17+downtime+4, 17+downtime+20, 17+downtime+80, 17+downtime+80, 17+downtime+80)
 		w, err := playTrace(text, nil)
 		if err != nil {
-			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+			t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
-		fewest, most = min(fewest, w.started), max(most, w.started)
+		minStarts, maxStarts = min(minStarts, w.started), max(maxStarts, w.started)
 	}
-	// Ten starts before, nine of which last; two are on the machine that hangs.
-	if fewest > 12 || most < 19 {
-		t.Errorf("the time of a lease was not met: from %d to %d starts", fewest, most)
+	// Ten tasks start before the downtime, and nine of them still run when it begins; two are
+	// on the machine that hangs.
+	if minStarts > 12 || maxStarts < 19 {
+		t.Errorf("the downtimes were not around the length of a lease: from %d to %d starts", minStarts, maxStarts)
 	}
 }
--- a/internal/simulation/answer_comparison_test.go
+++ b/internal/simulation/answer_comparison_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// lookScene is a deployment that node-2 leads, with a job that ends by itself at about
-// 20.2 and one that is cancelled then. A third and a fourth one are submitted then, the
-// latter at a controller that does not lead, and cancelled as soon as it is accepted.
-const lookScene = `
+// answerComparisonScene is a deployment whose leader is node-2. At about 20.2 s one job ends
+// by itself, another is cancelled, and a third and a fourth are submitted. The fourth is
+// submitted to a follower, and cancelled as soon as it is accepted.
+const answerComparisonScene = `
 nodes 3
 team red
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a
@@ -55,39 +55,39 @@
 at 70 expect at-least 1500 looks
 `
 
-// What a controller told of a job no controller takes back, whatever befalls the leader or
-// another one at the instant at which the record of its acceptance or of its end is made,
-// or between that and the answer that says so.
-func TestCloseLooks(t *testing.T) {
-	befalls := []struct{ name, trouble, over string }{
-		{"nothing", "", ""},
+// No controller retracts what a controller has answered about a job. The leader or a follower
+// fails at the instant at which the record of the job's acceptance or end is written, or
+// between that and the state service's answer to the write.
+func TestAnswersStayConsistent(t *testing.T) {
+	faults := []struct{ name, begins, ends string }{
+		{"no fault", "", ""},
 		{"the leader ends", "kill node-2", ""},
-		{"the leader is back at once", "restart node-2 after=0.05", ""},
+		{"the leader restarts at once", "restart node-2 after=0.05", ""},
 		{"the leader is frozen", "freeze node-2", "thaw node-2"},
-		{"the leader is cut from the state service", "deny node-2", ""},
-		{"the leader is cut from the others", "unlink node-2", ""},
-		{"the leader is cut from both", "away node-2", ""},
-		{"a follower is cut from the state service", "deny node-0", ""},
-		{"a follower is cut from the others", "unlink node-0", ""},
-		{"a follower is cut from both", "away node-0", ""},
-		{"an outage", "state down", "state up"},
-		{"slow answers", "state-slow 0.3", ""},
+		{"the leader is cut off from the state service", "deny node-2", ""},
+		{"the leader is cut off from the followers", "unlink node-2", ""},
+		{"the leader is cut off from both", "away node-2", ""},
+		{"a follower is cut off from the state service", "deny node-0", ""},
+		{"a follower is cut off from the other controllers", "unlink node-0", ""},
+		{"a follower is cut off from both", "away node-0", ""},
+		{"the state service is down", "state down", "state up"},
+		{"the state service answers slowly", "state-slow 0.3", ""},
 	}
-	for _, b := range befalls {
-		t.Run(b.name, func(t *testing.T) {
+	for _, fault := range faults {
+		t.Run(fault.name, func(t *testing.T) {
 			for _, key := range []string{"f/req-000001", "f/req-000002", "j/req-000003", "j/req-000004"} {
-				for _, after := range []float64{0, 0.003} {
-					for _, answered := range []float64{0, 1.4} {
-						lines := fmt.Sprintf("at 12 late-answers with=\"set\":%q by=%g\n", key, answered)
-						if b.trouble != "" {
-							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, after, b.trouble)
+				for _, faultDelay := range []float64{0, 0.003} {
+					for _, answerDelay := range []float64{0, 1.4} {
+						lines := fmt.Sprintf("at 12 late-answers with=\"set\":%q by=%g\n", key, answerDelay)
+						if fault.begins != "" {
+							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, faultDelay, fault.begins)
 						}
-						if b.over != "" {
-							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, after+2.6, b.over)
+						if fault.ends != "" {
+							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, faultDelay+2.6, fault.ends)
 						}
-						text := fmt.Sprintf(lookScene, lines)
+						text := fmt.Sprintf(answerComparisonScene, lines)
 						if w, err := playTrace(text, nil); err != nil {
-							t.Fatalf("%s, after %g, answered %g later: %v\nthe trace:\n%s\nwhat happened:\n%s", key, after, answered, err, text, strings.Join(w.Log, "\n"))
+							t.Fatalf("%s, fault %g s after the write, answer delayed by %g s: %v\ntrace:\n%s\nevent log:\n%s", key, faultDelay, answerDelay, err, text, strings.Join(w.Log, "\n"))
 						}
 					}
 				}
--- a/internal/simulation/changes_test.go
+++ b/internal/simulation/changes_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// drawChanges makes the text of a trace: operators at several controllers change limits,
-// drain and take back, while work comes and goes and troubles overlap. What is checked
-// throughout stands in changes.go.
-func drawChanges(t *rapid.T) string {
+// drawConfigChanges generates a trace in which operators change limits, drain machines and
+// zones, and roll back, through several controllers, while jobs are submitted and end and
+// faults overlap. The rules that are checked throughout are in changes.go.
+func drawConfigChanges(t *rapid.T) string {
 	nodes := rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "nodes")
 	scene := fmt.Sprintf("nodes %d a b c a b\nteam red max=10\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=6 zones=a,b,c\n", nodes)
 	for _, z := range []string{"a", "b", "c"} {
 		scene += fmt.Sprintf("fleet %d big %s\n", rapid.IntRange(1, 4).Draw(t, "machines in "+z), z)
 	}
 	scene += fmt.Sprintf("value-bytes %d\nchanges\n", rapid.SampledFrom([]int{2048, 2048, 8192}).Draw(t, "bytes of a value"))
-	h := &history{}
-	const from, to, over = 8.0, 70.0, 200.0
+	h := &historyBuilder{}
+	const from, to, end = 8.0, 70.0, 200.0
 	at := func(name string) float64 { return from + float64(rapid.IntRange(0, 2400).Draw(t, name))/40 }
 	for i := range rapid.IntRange(3, 14).Draw(t, "jobs") {
 		kind := rapid.SampledFrom([]string{"array", "array", "array", "gang", "service"}).Draw(t, "kind")
@@ -61,9 +61,9 @@
 			h.at(when+float64(rapid.IntRange(0, 40).Draw(t, "so late"))/1000, "restart leader after=%g", rapid.SampledFrom([]float64{0.05, 0.2, 3}).Draw(t, "back after"))
 		}
 	}
-	span := func(name string, most int) (float64, float64) {
+	span := func(name string, maxDuration int) (float64, float64) {
 		b := at(name + " from")
-		return b, min(to, b+float64(rapid.IntRange(1, most).Draw(t, name+" for")))
+		return b, min(to, b+float64(rapid.IntRange(1, maxDuration).Draw(t, name+" for")))
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "nodes in trouble") {
 		who := rapid.SampledFrom([]string{"leader", node(), node()}).Draw(t, "who")
@@ -105,11 +105,11 @@
 	for _, all := range []string{"thaw all", "join all", "back all", "admit all", "start all"} {
 		h.at(to+0.5, "%s", all)
 	}
-	// All is well: whatever was asked is answered, and all of it is in the history.
+	// Without faults every request is answered, and every change is in the history.
 	h.at(to+75, "config team/red/gpus_max=- team/red/retired=false log/level=info")
 	h.at(to+85, "expect config settled")
 	h.at(to+85, "expect config history")
-	h.at(over, "expect leader some")
+	h.at(end, "expect leader some")
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
 	for _, l := range h.lines {
 		scene += fmt.Sprintf("at %g %s\n", l.at, l.text)
@@ -117,14 +117,14 @@
 	return scene
 }
 
-// Nobody decides by a revision older than one that an operator was told is in force; no
-// launch is recorded beyond the newest one; no change is lost, or carried out twice, and
+// No controller decides by a revision older than one reported to an operator as in force. No
+// launch is recorded that exceeds the newest revision, no change is lost or applied twice, and
 // the history has no gaps.
 func TestChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawChanges(t)
+		text := drawConfigChanges(t)
 		if w, err := playTrace(text, nil); err != nil {
-			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+			t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
 }
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// chainDraw draws the history of some chains: when they are submitted and cancelled, and
-// the troubles that they meet.
+// chainDraw generates a history of chains of jobs: when they are submitted and cancelled, and
+// which faults occur meanwhile.
 type chainDraw struct {
-	t        *rapid.T
-	h        history
-	from     float64 // the first job is submitted then at the soonest
-	submitOn string  // words before a submission: when it is due, if not at a time
+	t             *rapid.T
+	h             historyBuilder
+	from          float64 // earliest time of the first submission
+	submitTrigger string  // trigger of the submissions, as a trace has it; "": they are timed
 }
 
 func (d *chainDraw) between(name string, from, to int) float64 {
 	return float64(rapid.IntRange(from, to).Draw(d.t, name))
 }
 
-// jobs draws a graph of jobs. Some are submitted only when those before are long over.
+// jobs draws a graph of jobs. Some are submitted only long after those they await have ended.
 func (d *chainDraw) jobs() (cancelled []string) {
 	count := rapid.IntRange(4, 16).Draw(d.t, "jobs")
 	var refs []string
@@ -32,7 +32,7 @@
 			rapid.IntRange(1, 3).Draw(d.t, "tasks"), rapid.IntRange(0, 1).Draw(d.t, "gpus"), rapid.SampledFrom([]int{2, 8, 30}).Draw(d.t, "run"))
 		var awaits []string
 		for range min(len(refs), rapid.IntRange(0, 3).Draw(d.t, "awaits")) {
-			// Mostly the newest ones: chains rather than fans.
+			// Mostly the newest jobs, so that chains are formed rather than fans.
 			back := rapid.SampledFrom([]int{1, 1, 1, 2, 3, 5}).Draw(d.t, "back")
 			awaits = append(awaits, refs[max(0, len(refs)-back)])
 		}
@@ -43,16 +43,16 @@
 		if rapid.IntRange(0, 4).Draw(d.t, "late") == 0 {
 			at = d.from + 56 + d.between("submitted late", 0, 120)
 		}
-		if d.submitOn == "" {
+		if d.submitTrigger == "" {
 			d.h.at(at, "submit-after %s", line)
 		} else {
-			d.h.at(1, "%s after=%g submit-after %s", d.submitOn, at-d.from, line)
+			d.h.at(1, "%s after=%g submit-after %s", d.submitTrigger, at-d.from, line)
 		}
 		refs = append(refs, ref)
 		if rapid.IntRange(0, 4).Draw(d.t, "cancelled") == 0 {
 			cancelled = append(cancelled, ref)
 			d.h.at(at+d.between("cancel", 1, 50), "cancel-known %s", ref)
-			d.h.at(276+d.from, "cancel-known %s", ref) // a user who gave up asks once more
+			d.h.at(276+d.from, "cancel-known %s", ref) // in case the user gave up on the first request
 		}
 		if rapid.IntRange(0, 4).Draw(d.t, "repeated") == 0 {
 			d.h.at(at+d.between("repeated", 5, 100), "resubmit-known %s", ref)
@@ -61,55 +61,55 @@
 	return cancelled
 }
 
-// span draws from when to when a trouble lasts.
-func (d *chainDraw) span(name string, most int) (from, to float64) {
+// span draws when a fault begins and ends.
+func (d *chainDraw) span(name string, maxDuration int) (from, to float64) {
 	from = 10 + d.between(name+" from", 0, 90)
-	return from, min(troublesTo, from+d.between(name+" for", 1, most))
+	return from, min(faultsTo, from+d.between(name+" for", 1, maxDuration))
 }
 
-func (d *chainDraw) chance(name string, of int) bool {
-	return rapid.IntRange(1, of).Draw(d.t, name) == 1
+func (d *chainDraw) oneIn(name string, n int) bool {
+	return rapid.IntRange(1, n).Draw(d.t, name) == 1
 }
 
-// troubles draws what the chains meet.
-func (d *chainDraw) troubles(nodes, machines int) {
+// faults draws the faults that occur while the chains run.
+func (d *chainDraw) faults(nodes, machines int) {
 	zones := []string{"a", "b", "c"}
-	if d.chance("cut", 2) {
+	if d.oneIn("cut", 2) {
 		from, to := d.span("cut", 60)
 		d.h.at(from, "cut-zone %s", rapid.SampledFrom(zones).Draw(d.t, "zone cut"))
 		d.h.at(to, "heal-zone")
 	}
-	if d.chance("outage", 2) {
+	if d.oneIn("outage", 2) {
 		from, to := d.span("outage", 60)
 		d.h.at(from, "state down")
 		d.h.at(to, "state up")
-	} else if d.chance("refused, then an outage", 4) {
+	} else if d.oneIn("refused, then an outage", 4) {
 		from, _ := d.span("refused", 1)
 		d.h.at(from, "if-leads deny")
 		out := from + d.between("refused for", 6, 20)
 		d.h.at(out, "state down")
 		d.h.at(out+d.between("down for", 5, 50), "state up")
-		d.h.at(troublesTo+20, "state up")
-		d.h.at(troublesTo, "admit all")
+		d.h.at(faultsTo+20, "state up")
+		d.h.at(faultsTo, "admit all")
 	}
 	for range rapid.IntRange(0, 4).Draw(d.t, "restarts") {
 		from, _ := d.span("restart", 1)
 		who := rapid.SampledFrom([]string{"leader", "leader", "all"}).Draw(d.t, "who")
 		for i := range rapid.IntRange(1, 4).Draw(d.t, "times") {
-			d.h.at(min(troublesTo, from+float64(i)*2.7), "restart %s after=%g", who, rapid.SampledFrom([]float64{0.05, 0.5, 3}).Draw(d.t, "back"))
+			d.h.at(min(faultsTo, from+float64(i)*2.7), "restart %s after=%g", who, rapid.SampledFrom([]float64{0.05, 0.5, 3}).Draw(d.t, "back"))
 		}
 	}
-	if d.chance("copies", 2) {
+	if d.oneIn("copies", 2) {
 		d.h.at(1, "copies %g", rapid.SampledFrom([]float64{0.1, 4, 45}).Draw(d.t, "copies after"))
-		d.h.at(troublesTo, "copies 0")
+		d.h.at(faultsTo, "copies 0")
 	}
-	if d.chance("late writes", 2) {
+	if d.oneIn("late writes", 2) {
 		from, to := d.span("late writes", 80)
 		with := rapid.SampledFrom([]string{"", " with=f/req-", " with=j/req-", " with=f/req-000001"}).Draw(d.t, "late with")
 		d.h.at(from, "late-writes every=%d by=%d%s", rapid.IntRange(1, 4).Draw(d.t, "late every"), rapid.SampledFrom([]int{0, 1, 6, 20}).Draw(d.t, "late by"), with)
 		d.h.at(to, "late-writes every=0")
 	}
-	if d.chance("slow", 4) {
+	if d.oneIn("slow", 4) {
 		from, to := d.span("slow", 40)
 		d.h.at(from, "state-slow 0.4")
 		d.h.at(to, "state-slow 0")
@@ -130,7 +130,7 @@
 	}
 }
 
-// drawChains makes the text of a trace.
+// drawChains generates a trace of chains of jobs under faults.
 func drawChains(t *rapid.T) string {
 	d := &chainDraw{t: t, from: 4}
 	nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
@@ -144,12 +144,12 @@
 		text += "limits changes=24\ntxn-changes 4\n"
 	}
 	cancelled := d.jobs()
-	d.troubles(nodes, machines)
+	d.faults(nodes, machines)
 	for _, ref := range cancelled {
-		d.h.at(over+60, "expect-over-known %s", ref)
+		d.h.at(historyEnd+60, "expect-over-known %s", ref)
 	}
-	d.h.at(over+60, "expect nothing-stuck")
-	d.h.at(over+60, "expect unanswered 80")
+	d.h.at(historyEnd+60, "expect nothing-stuck")
+	d.h.at(historyEnd+60, "expect unanswered 80")
 	sort.SliceStable(d.h.lines, func(a, b int) bool { return d.h.lines[a].at < d.h.lines[b].at })
 	for _, l := range d.h.lines {
 		text += fmt.Sprintf("at %g %s\n", l.at, l.text)
@@ -157,14 +157,15 @@
 	return text
 }
 
-// Chains are submitted, cancelled and finished at random over several controllers, while
-// leaders end and writes are late or lost: no task starts too early, no job is left behind
-// by a cancellation, nobody hears anything older, and whatever was accepted ends.
+// Chains are submitted and cancelled through several controllers and run to their end, while
+// leaders are killed and writes are late or lost. No task starts before the jobs that it
+// awaits are done, a cancellation leaves no dependent job behind, no user receives a status
+// older than an earlier one, and every accepted job ends.
 func TestChains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawChains(t)
 		if w, err := playTrace(text, nil); err != nil {
-			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+			t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -13,8 +13,8 @@
 	"mapleslip/internal/controller"
 )
 
-// Every trace that a test of this package plays, kept or drawn, can be written with its
-// digest to a file, to be held beside that of another version of the program:
+// The digest of every trace that a test of this package plays, from testdata or generated, can
+// be written to a file and compared with that of another version of the program:
 //
 //	go test ./internal/simulation -args -rapid.checks=300 -digests FILE
 var digestFile = flag.String("digests", "", "write the digest of each trace that is played to this file")
@@ -24,7 +24,7 @@
 	lines []string
 }
 
-// playTrace plays a trace as RunTrace does, and keeps its digest if they are asked for.
+// playTrace plays a trace as RunTrace does, and keeps its digest if -digests is given.
 func playTrace(text string, prepare func(*World)) (*World, error) {
 	if *digestFile == "" {
 		return RunTrace(text, prepare)
@@ -41,7 +41,7 @@
 	return w, err
 }
 
-// writeDigests writes the digests that were kept, in an order that does not depend on that
+// writeDigests writes the kept digests, sorted, so that the file does not depend on the order
 // of the tests.
 func writeDigests() error {
 	if *digestFile == "" {
--- a/internal/simulation/drawn_jobs_test.go
+++ b/internal/simulation/drawn_jobs_test.go
@@ -9,17 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// When the troubles of drawn jobs begin and end, and when all has to be over.
+// Seconds at which the faults begin and end, from which on waiting is counted, and by which
+// all jobs have to be over.
 const (
-	jobTroublesFrom = 18
-	jobTroublesTo   = 130
-	jobsCounted     = 165
-	jobsOver        = 700
+	jobFaultsFrom   = 18
+	jobFaultsTo     = 130
+	jobsCountedFrom = 165
+	jobsEnd         = 700
 )
 
-// drawJobs draws jobs of all kinds and ranks: bound to a zone, or with all tasks in one,
-// of teams with and without a limit, with images that take long to fetch.
-func (h *history) drawJobs(t *rapid.T) (cancelled []string) {
+// drawJobs draws jobs of all kinds and ranks: bound to a given zone, or with all tasks in any
+// single zone, of teams with and without a limit, and with images that take long to fetch.
+func (h *historyBuilder) drawJobs(t *rapid.T) (cancelled []string) {
 	for i := range rapid.IntRange(4, 14).Draw(t, "jobs") {
 		ref := fmt.Sprintf("req-%06d", i+1)
 		kind := rapid.SampledFrom([]string{"array", "array", "gang", "gang", "service"}).Draw(t, "kind")
@@ -37,37 +38,38 @@
 		if kind == "service" || rapid.IntRange(0, 3).Draw(t, "cancelled") == 0 {
 			cancelled = append(cancelled, ref)
 			h.at(86+float64(rapid.IntRange(0, 30).Draw(t, "cancel")), "cancel %s", ref)
-			h.at(jobsCounted+60, "cancel %s", ref) // a user who gave up asks once more
+			h.at(jobsCountedFrom+60, "cancel %s", ref) // in case the user gave up on the first request
 		}
 	}
 	return cancelled
 }
 
-// drawJobTroubles draws what meets them: mute machines and zones, machines that die, hang
-// or don't hear, a zone cut off, outages, leaders that end, or are refused or away.
-func (h *history) drawJobTroubles(t *rapid.T, machines int) {
-	trouble := func(name string, one, most int, begins, ends string) {
-		if rapid.IntRange(0, one-1).Draw(t, name) > 0 {
+// drawJobFaults draws faults: machines and zones that can't send heartbeats, machines that die,
+// hang or receive neither answers nor commands, a zone that is cut off, outages, and leaders
+// that are killed, refused by the state service, or cut off from it and the other controllers.
+func (h *historyBuilder) drawJobFaults(t *rapid.T, machines int) {
+	fault := func(name string, oneIn, maxDuration int, begins, ends string) {
+		if rapid.IntRange(0, oneIn-1).Draw(t, name) > 0 {
 			return
 		}
-		from := jobTroublesFrom + float64(rapid.IntRange(0, 80).Draw(t, name+" from"))
+		from := jobFaultsFrom + float64(rapid.IntRange(0, 80).Draw(t, name+" from"))
 		h.at(from, "%s", begins)
 		if ends != "" {
-			h.at(min(jobTroublesTo, from+float64(rapid.IntRange(1, most).Draw(t, name+" for"))), "%s", ends)
+			h.at(min(jobFaultsTo, from+float64(rapid.IntRange(1, maxDuration).Draw(t, name+" for"))), "%s", ends)
 		}
 	}
 	mute := rapid.SampledFrom([]string{"all", "zone=a", "zone=b", "n-000002"}).Draw(t, "who is mute")
-	trouble("mute", 2, 80, "mute "+mute, "unmute all")
-	trouble("cut", 3, 80, "cut-zone a", "heal-zone")
-	trouble("outage", 3, 45, "state down", "state up")
-	trouble("cloud", 3, 60, "cloud down", "cloud up")
-	trouble("slow", 3, 60, "state-slow 0.8", "state-slow 0")
-	trouble("away", 3, 60, "if-leads away", "back all")
-	trouble("refused", 3, 60, "if-leads deny", "admit all")
-	trouble("old reports", 3, 60, "late-reports every=2 by=10 to=leader", "late-reports every=0")
+	fault("mute", 2, 80, "mute "+mute, "unmute all")
+	fault("cut", 3, 80, "cut-zone a", "heal-zone")
+	fault("outage", 3, 45, "state down", "state up")
+	fault("cloud", 3, 60, "cloud down", "cloud up")
+	fault("slow", 3, 60, "state-slow 0.8", "state-slow 0")
+	fault("away", 3, 60, "if-leads away", "back all")
+	fault("refused", 3, 60, "if-leads deny", "admit all")
+	fault("old reports", 3, 60, "late-reports every=2 by=10 to=leader", "late-reports every=0")
 	for range rapid.IntRange(0, 4).Draw(t, "restarts") {
 		who := rapid.SampledFrom([]string{"leader", "leader", "all"}).Draw(t, "who ends")
-		trouble("restart", 1, 1, fmt.Sprintf("restart %s after=%g", who, rapid.SampledFrom([]float64{0.1, 3, 25}).Draw(t, "back")), "")
+		fault("restart", 1, 1, fmt.Sprintf("restart %s after=%g", who, rapid.SampledFrom([]float64{0.1, 3, 25}).Draw(t, "back")), "")
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "machines in trouble") {
 		what := rapid.SampledFrom([][2]string{{"die"}, {"hang", "wake"}, {"hang", "wake"}, {"deaf", "hears"}, {"hold-calls", "deliver-calls"}}).Draw(t, "what")
@@ -76,11 +78,11 @@
 		if what[1] != "" {
 			ends = machine + what[1]
 		}
-		trouble("machine", 1, 50, machine+what[0], ends)
+		fault("machine", 1, 50, machine+what[0], ends)
 	}
 }
 
-// drawJobHistory makes the text of a trace. The cloud has what is needed once it is up.
+// drawJobHistory generates a trace. While the cloud is up, it can rent out any number of machines.
 func drawJobHistory(t *rapid.T) string {
 	scene := fmt.Sprintf("nodes %d a b c a b\nworkers cancel=30\n%s\nteam blue gpus=4\ntype big cpus=8 gpus=2 mem=64 boot=8 fetch=%g zones=a,b,c\n",
 		rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes"), rapid.SampledFrom([]string{"team red", "team red gpus=6 max=10"}).Draw(t, "team"),
@@ -91,16 +93,16 @@
 		machines += n
 		scene += fmt.Sprintf("fleet %d big %s\n", n, z)
 	}
-	h := &history{}
+	h := &historyBuilder{}
 	h.at(1, "balance")
 	cancelled := h.drawJobs(t)
-	h.drawJobTroubles(t, machines)
-	h.at(jobsCounted, "count")
+	h.drawJobFaults(t, machines)
+	h.at(jobsCountedFrom, "count")
 	for _, ref := range cancelled {
-		h.at(jobsOver, "expect over %s", ref)
+		h.at(jobsEnd, "expect over %s", ref)
 	}
 	for _, what := range []string{"nothing-stuck", "unanswered 75", "waits-beside-room 90"} {
-		h.at(jobsOver, "expect %s", what)
+		h.at(jobsEnd, "expect %s", what)
 	}
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
 	for _, l := range h.lines {
@@ -109,13 +111,14 @@
 	return scene
 }
 
-// Jobs of all kinds meet troubles at random. No rule is broken; once all is well each job's
-// user is answered, none waits beside room, and whatever was accepted ends.
+// Jobs of all kinds run while faults occur at random. No rule is broken. Once the faults are
+// over, each job's user gets answers, no job waits while there is room for it, and every
+// accepted job ends.
 func TestDrawnJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawJobHistory(t)
 		if w, err := playTrace(text, nil); err != nil {
-			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+			t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
 }
--- a/internal/simulation/handover_test.go
+++ b/internal/simulation/handover_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// Spans of a hand-over that is swept: a job is cancelled at every sweepStep from sweepBefore
-// before it begins to sweepAfter after that, and some end by themselves. Where a lease is
-// given back, and where the next leader takes the key and lists the records, the steps are
-// shorter.
+// Instants of cancellation around a handover, in seconds: a job is cancelled at every sweepStep,
+// from sweepBefore before the handover begins to sweepAfter after that, and some jobs end by
+// themselves. The steps are shorter after the lease is released, and after the next leader
+// claims the leader key and lists the records.
 const (
-	sweepBefore                   = 1.0
-	sweepAfter                    = 5.0
-	sweepStep                     = 0.1
-	givenBackStep, givenBackSteps = 0.01, 25
-	takenStep, takenSteps         = 0.002, 25
+	sweepBefore               = 1.0
+	sweepAfter                = 5.0
+	sweepStep                 = 0.1
+	releaseStep, releaseSteps = 0.01, 25
+	claimStep, claimSteps     = 0.002, 25
 )
 
-// inOrder sorts the lines of a trace by their instants.
+// inOrder sorts the lines of a trace by time.
 func inOrder(text string) string {
 	lines := strings.SplitAfter(text, "\n")
 	instant := func(line string) (at float64) {
@@ -32,15 +32,15 @@
 	return strings.Join(lines, "")
 }
 
-// handOver is what befalls node-2, which leads.
-type handOver struct {
-	name    string
-	before  string // lines, from 12 on
-	at      string // what begins it, "": it gives its lease back when it does
-	yielded bool
+// handoverCase is a fault of node-2, the leader.
+type handoverCase struct {
+	name          string
+	setup         string // lines of the trace, from 12 s on
+	fault         string // what begins the handover, "": the leader releases its lease
+	releasesLease bool
 }
 
-const handOverScene = `
+const handoverScene = `
 nodes 3
 team red
 type big cpus=32 gpus=8 mem=64 boot=10 zones=a
@@ -49,44 +49,45 @@
 at 3 expect leader node-2
 `
 
-// trace is a hand-over that begins at an instant. At each instant of the sweep a user who is
-// connected to one node cancels a job: of three of them two run, and one waits for room.
-func (h handOver) trace(begins float64, user string) (text string, cancelled int) {
-	var submits, whens, sweep strings.Builder
+// trace returns a trace with a handover that begins at the given time, and how many jobs are
+// cancelled in it. At each instant of the sweep a user who is connected to one node cancels a
+// job. Of every three such jobs two run, and one waits for room.
+func (h handoverCase) trace(start float64, user string) (text string, cancelled int) {
+	var submits, triggers, sweep strings.Builder
 	submit := func(options string) string {
 		cancelled++
 		ref := fmt.Sprintf("req-%06d", cancelled)
 		fmt.Fprintf(&submits, "at 4 submit %s array tasks=1 gpus=1 run=300%s\n", ref, options)
 		return ref
 	}
-	fine := func(change string, step float64, steps int) {
+	fineSweep := func(change string, step float64, steps int) {
 		for i := range steps {
-			fmt.Fprintf(&whens, "at 12 when %s after=%g cancel-at %s %s\n", change, float64(i)*step, user, submit(""))
+			fmt.Fprintf(&triggers, "at 12 when %s after=%g cancel-at %s %s\n", change, float64(i)*step, user, submit(""))
 		}
 	}
-	if h.yielded {
-		fine("drop:lead", givenBackStep, givenBackSteps)
+	if h.releasesLease {
+		fineSweep("drop:lead", releaseStep, releaseSteps)
 	}
-	fine("set:lead", takenStep, takenSteps)
-	const starts = 6.2 // what is submitted at 4
+	fineSweep("set:lead", claimStep, claimSteps)
+	const startedAt = 6.2 // when tasks submitted at 4 s start
 	for i := range int((sweepBefore + sweepAfter) / sweepStep) {
-		at := begins - sweepBefore + float64(i)*sweepStep
+		at := start - sweepBefore + float64(i)*sweepStep
 		if i == int(sweepBefore/sweepStep) {
-			fmt.Fprintf(&sweep, "at %.2f expect leader node-2\n", begins-0.06)
-			if h.at != "" {
-				fmt.Fprintf(&sweep, "at %.2f %s\n", begins, h.at)
+			fmt.Fprintf(&sweep, "at %.2f expect leader node-2\n", start-0.06)
+			if h.fault != "" {
+				fmt.Fprintf(&sweep, "at %.2f %s\n", start, h.fault)
 			}
 		}
 		rank := ""
 		if i%3 == 2 {
-			rank = " rank=low tasks=14" // there is no room for all of these
+			rank = " rank=low tasks=14" // there is not enough room for all of these
 		}
 		fmt.Fprintf(&sweep, "at %.2f cancel-at %s %s\n", at, user, submit(rank))
 		if i%4 == 0 {
-			fmt.Fprintf(&submits, "at 4 submit req-%06d array tasks=1 gpus=1 run=%.1f\n", 1000+i, at-starts)
+			fmt.Fprintf(&submits, "at 4 submit req-%06d array tasks=1 gpus=1 run=%.1f\n", 1000+i, at-startedAt)
 		}
 	}
-	return handOverScene + submits.String() + inOrder("at 12 close-looks on\nat 12 count\n"+whens.String()+h.before+sweep.String()) + fmt.Sprintf(`
+	return handoverScene + submits.String() + inOrder("at 12 close-looks on\nat 12 count\n"+triggers.String()+h.setup+sweep.String()) + fmt.Sprintf(`
 at %.2f expect at-least 1 leaders
 at 40 state-slow 0
 at 40 thaw all
@@ -99,15 +100,16 @@
 at 90 expect cancelled-within 60
 at 90 expect at-least %d cancelled
 at 90 expect nothing-stuck
-`, begins+sweepAfter, cancelled), cancelled
+`, start+sweepAfter, cancelled), cancelled
 }
 
-// givesBackAt is when a leader that hears no worker from 12 on gives its lease back: the
-// first cancellation of the same history with a later sweep comes at that instant.
-func (h handOver) givesBackAt(t *testing.T, user string) float64 {
+// leaseReleasedAt returns when a leader that receives no heartbeats from 12 s on releases its
+// lease. It plays the same case with a later sweep, in which the release triggers the first
+// cancellation.
+func (h handoverCase) leaseReleasedAt(t *testing.T, user string) float64 {
 	const later = 35.0
 	text, _ := h.trace(later, user)
-	w, _ := playTrace(text, nil) // it ends at later, where node-2 leads no more
+	w, _ := playTrace(text, nil) // fails at later, where the trace expects node-2 to lead
 	first := "-- cancel-at " + user + " req-000001"
 	for _, line := range w.Log {
 		var at float64
@@ -115,14 +117,14 @@
 			return at
 		}
 	}
-	t.Fatal("it does not")
+	t.Fatal("the leader does not release its lease")
 	return 0
 }
 
-// cannotReachLeader has all machines out of reach from a moment before the hand-over to well after
-// it, while they fetch the image of a job that has just been launched; that one is cancelled
-// before the next leader can have heard of its tasks.
-func outOfReach() string {
+// unreachableMachines returns lines that cut off all machines from just before the handover to
+// well after it, while they fetch the image of a job that has just been launched. The job is
+// cancelled before the next leader can have received a heartbeat that reports its tasks.
+func unreachableMachines() string {
 	var b strings.Builder
 	machines := func(at float64, what string) {
 		for m := range 14 {
@@ -136,34 +138,34 @@
 	return b.String()
 }
 
-// Jobs are cancelled, and end, at every instant around a change of leader, by users who are
-// connected to the old leader, to the next one, and to a third controller: each is answered
-// within a minute, nothing of what was confirmed starts or is left, and nobody is told
-// anything older.
+// Jobs end and are cancelled at many instants around a change of leader, by users connected to
+// the old leader, to the next one, and to a third controller. Each cancellation is answered
+// within a minute, no task of a job reported as cancelled starts or keeps running, and no user
+// receives a status older than an earlier one.
 func TestCancelledInAHandOver(t *testing.T) {
-	for _, h := range []handOver{
-		{name: "yields", before: "at 12 deafen node-2\n", yielded: true},
-		{name: "yields, the answer lost", before: "at 12 deafen node-2\nat 12 late-answers with={\"drop\":\"lead\"} by=1.4\nat 12 when drop:lead unlink node-2\n", yielded: true},
-		{name: "ends", at: "kill node-2"},
-		{name: "is back at once", at: "restart node-2 after=0.05"},
-		{name: "is refused", at: "deny node-2"},
-		{name: "is cut off", at: "away node-2"},
-		{name: "is frozen", before: "at 12 when set:lead after=0.2 thaw node-2\n", at: "freeze node-2"},
-		{name: "ends, machines out of reach", before: outOfReach(), at: "kill node-2"},
-		{name: "ends, slow answers", before: "at 18 state-slow 0.15\n", at: "kill node-2"},
+	for _, h := range []handoverCase{
+		{name: "yields", setup: "at 12 deafen node-2\n", releasesLease: true},
+		{name: "yields, the answer is lost", setup: "at 12 deafen node-2\nat 12 late-answers with={\"drop\":\"lead\"} by=1.4\nat 12 when drop:lead unlink node-2\n", releasesLease: true},
+		{name: "ends", fault: "kill node-2"},
+		{name: "restarts at once", fault: "restart node-2 after=0.05"},
+		{name: "is refused by the state service", fault: "deny node-2"},
+		{name: "is cut off from the other controllers and the state service", fault: "away node-2"},
+		{name: "is frozen", setup: "at 12 when set:lead after=0.2 thaw node-2\n", fault: "freeze node-2"},
+		{name: "ends, machines unreachable", setup: unreachableMachines(), fault: "kill node-2"},
+		{name: "ends, slow answers", setup: "at 18 state-slow 0.15\n", fault: "kill node-2"},
 	} {
 		for _, user := range []string{"node-0", "node-1", "node-2"} {
 			t.Run(h.name+"/"+user, func(t *testing.T) {
 				begins := 20.0
-				if h.yielded {
-					begins = h.givesBackAt(t, user)
+				if h.releasesLease {
+					begins = h.leaseReleasedAt(t, user)
 				}
 				text, cancelled := h.trace(begins, user)
 				w, err := playTrace(text, nil)
 				if err != nil {
-					t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+					t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
-				t.Logf("begins at %.2f s; %d cancelled, the last one answered after %.1f s", begins, cancelled, w.cancelLongest.Seconds())
+				t.Logf("handover begins at %.2f s; %d jobs cancelled, the slowest answer took %.1f s", begins, cancelled, w.cancelLongest.Seconds())
 			})
 		}
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -7,10 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// history is a trace that is drawn: troubles that overlap between troublesFrom and
-// troublesTo, some of which stand still then until standsTo, while what leads must
-// settle; after that everything is well again.
-type history struct {
+// historyBuilder collects the lines of a generated trace.
+type historyBuilder struct {
 	lines []timedLine
 }
 
@@ -19,111 +17,118 @@
 	text string
 }
 
-func (h *history) at(at float64, format string, args ...any) {
+func (h *historyBuilder) at(at float64, format string, args ...any) {
 	h.lines = append(h.lines, timedLine{at, fmt.Sprintf(format, args...)})
 }
 
-// sorted lists what happens in its order.
-func (h *history) sorted() []timedLine {
+// sorted returns the lines in order of time.
+func (h *historyBuilder) sorted() []timedLine {
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
 	return h.lines
 }
 
-// text puts the lines in order of time, after the scene.
-func (h *history) text(scene string) string {
+// text returns the scene, followed by the lines in order of time.
+func (h *historyBuilder) text(scene string) string {
 	for _, l := range h.sorted() {
 		scene += fmt.Sprintf("at %.6g %s\n", l.at, l.text)
 	}
 	return scene
 }
 
+// Faults overlap between faultsFrom and faultsTo. Some then persist unchanged until
+// lastingFaultsTo, while leadership must stay stable from settledAt on. After that there are no
+// faults, and everything has to be over by historyEnd.
 const (
-	troublesFrom = 18.0
-	troublesTo   = 110.0
-	settled      = 135.0 // a few lease times and reports after the last change
-	standsTo     = 215.0
-	over         = 340.0
+	faultsFrom      = 18.0
+	faultsTo        = 110.0
+	settledAt       = 135.0 // a few lease times and heartbeats after the last change
+	lastingFaultsTo = 215.0
+	historyEnd      = 340.0
 )
 
-// drawing draws a history.
-type drawing struct {
+// historyDraw generates a history: a scene, jobs, and the faults that occur meanwhile.
+type historyDraw struct {
 	*rapid.T
-	history
-	zones    []string
-	nodes    int
-	machines int
-	limit    int       // of GPUs of the team red, 0: none
-	largest  int       // number of tasks of a job that starts with troubles
-	meetings []float64 // about when troubles begin
+	historyBuilder
+	zones      []string
+	nodes      int
+	machines   int
+	limit      int       // GPU limit of the team red, 0: none
+	maxTasks   int       // of a job that is submitted about when faults begin
+	faultTimes []float64 // about when most faults begin
 }
 
-// drawHistory makes the text of a trace.
+// drawHistory generates a trace in which many kinds of faults overlap.
 func drawHistory(t *rapid.T) string {
-	d := &drawing{T: t, zones: []string{"a", "b", "c", "d"}, largest: 3}
+	d := &historyDraw{T: t, zones: []string{"a", "b", "c", "d"}, maxTasks: 3}
 	for range 2 {
-		d.meetings = append(d.meetings, troublesFrom+2+float64(d.number("meeting", 0, 560))/10)
+		d.faultTimes = append(d.faultTimes, faultsFrom+2+float64(d.number("meeting", 0, 560))/10)
 	}
 	scene := d.scene()
 	d.jobs()
 	d.smallJobs()
 	d.outages()
-	d.leaders()
-	d.controllers()
-	d.machinesInTrouble()
+	d.leaderChanges()
+	d.controllerFaults()
+	d.machineFaults()
 	d.lateMessages()
-	d.users()
-	for i, at := range d.meetings {
-		d.meet(i, at)
+	d.userRequests()
+	for i, at := range d.faultTimes {
+		d.overlappingFaults(i, at)
 	}
 	if d.oneIn(5, "old session") {
 		d.oldSession(44 + float64(d.number("old session at", 0, 400))/10)
 	}
 	d.at(1, "balance")
-	d.at(settled, "count")
-	d.at(standsTo-0.1, "expect leader some")
-	d.at(standsTo-0.1, "expect at-most 2 leaders")
-	d.at(standsTo+12, "cancel-asked") // users who gave up ask once more
-	d.at(over, "expect nothing-stuck")
-	d.at(over, "expect unanswered 75")
+	d.at(settledAt, "count")
+	d.at(lastingFaultsTo-0.1, "expect leader some")
+	d.at(lastingFaultsTo-0.1, "expect at-most 2 leaders")
+	d.at(lastingFaultsTo+12, "cancel-asked") // in case users gave up on the first request
+	d.at(historyEnd, "expect nothing-stuck")
+	d.at(historyEnd, "expect unanswered 75")
 	return d.text(scene)
 }
 
-func (d *drawing) number(name string, from, to int) int {
+func (d *historyDraw) number(name string, from, to int) int {
 	return rapid.IntRange(from, to).Draw(d.T, name)
 }
 
-// oneIn says yes once in n times.
-func (d *drawing) oneIn(n int, name string) bool { return d.number(name, 1, n) == 1 }
+// oneIn returns true with a probability of one in n.
+func (d *historyDraw) oneIn(n int, name string) bool { return d.number(name, 1, n) == 1 }
 
-func pick[V any](d *drawing, name string, of ...V) V { return rapid.SampledFrom(of).Draw(d.T, name) }
+func pick[V any](d *historyDraw, name string, of ...V) V {
+	return rapid.SampledFrom(of).Draw(d.T, name)
+}
 
-// span is when a trouble begins, mostly about when others do, and ends.
-func (d *drawing) span(name string, most int) (from, to float64) {
-	from = troublesFrom + float64(d.number(name+" from", 0, 600))/10
+// span draws when a fault begins, mostly about when others do, and when it ends.
+func (d *historyDraw) span(name string, maxDuration int) (from, to float64) {
+	from = faultsFrom + float64(d.number(name+" from", 0, 600))/10
 	if !d.oneIn(3, name+" by itself") {
-		from = pick(d, name+" with others", d.meetings...) + float64(d.number(name+" after others", -20, 60))/10
+		from = pick(d, name+" with others", d.faultTimes...) + float64(d.number(name+" after others", -20, 60))/10
 	}
-	return from, min(troublesTo, from+float64(d.number(name+" for", 1, most)))
+	return from, min(faultsTo, from+float64(d.number(name+" for", 1, maxDuration)))
 }
 
-func (d *drawing) node() string { return fmt.Sprintf("node-%d", d.number("node", 0, d.nodes-1)) }
+func (d *historyDraw) node() string { return fmt.Sprintf("node-%d", d.number("node", 0, d.nodes-1)) }
 
-func (d *drawing) machine() string { return fmt.Sprintf("n-%06d", d.number("machine", 1, d.machines)) }
+func (d *historyDraw) machine() string {
+	return fmt.Sprintf("n-%06d", d.number("machine", 1, d.machines))
+}
 
-// ends is when a trouble ends: some stand still.
-func (d *drawing) ends(name string, to float64) float64 {
+// faultEnd returns when a fault ends: some persist until lastingFaultsTo.
+func (d *historyDraw) faultEnd(name string, to float64) float64 {
 	if d.oneIn(3, name+" stands") {
-		return standsTo
+		return lastingFaultsTo
 	}
 	return to
 }
 
-func (d *drawing) scene() string {
+func (d *historyDraw) scene() string {
 	d.nodes = pick(d, "nodes", 3, 5, 7)
 	boot, most := 10.0, 9
-	if d.oneIn(3, "machines up at once") { // within two seconds, and few to begin with
+	if d.oneIn(3, "machines up at once") { // within two seconds; the initial fleet is small then
 		boot, most = pick(d, "boot", 0.5, 1.0, 1.9), 2
-		d.largest = 8
+		d.maxTasks = 8
 	}
 	d.limit = pick(d, "limit", 0, 0, 3, 5, 8)
 	scene := fmt.Sprintf("nodes %d a b c a b c a\nteam red max=%d\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=%g zones=a,b,c,d\n", d.nodes, d.limit, boot)
@@ -135,7 +140,7 @@
 	return scene
 }
 
-func (d *drawing) jobs() {
+func (d *historyDraw) jobs() {
 	for i := range d.number("jobs", 2, 14) {
 		ref := fmt.Sprintf("req-%06d", i+1)
 		kind := pick(d, "kind", "array", "array", "gang", "service")
@@ -158,18 +163,18 @@
 		}
 		submitted := 4 + float64(d.number("submitted", 0, 800))/10
 		if !d.oneIn(3, "submitted by itself") {
-			submitted = pick(d, "submitted with troubles", d.meetings...) + float64(d.number("submitted before", -120, 60))/10
+			submitted = pick(d, "submitted with troubles", d.faultTimes...) + float64(d.number("submitted before", -120, 60))/10
 		}
 		d.at(submitted, "%s", line)
 		if kind == "service" || d.oneIn(2, "cancelled") {
-			at := max(submitted, pick(d, "cancelled with troubles", d.meetings...)+float64(d.number("cancelled after", -30, 300))/10)
+			at := max(submitted, pick(d, "cancelled with troubles", d.faultTimes...)+float64(d.number("cancelled after", -30, 300))/10)
 			d.at(at+0.1, "cancel %s", ref)
 		}
 	}
 }
 
-// smallJobs are four jobs of one task a second, a quarter of them cancelled.
-func (d *drawing) smallJobs() {
+// smallJobs submits four one-task jobs a second for a while; a quarter of them are cancelled.
+func (d *historyDraw) smallJobs() {
 	if !d.oneIn(4, "small jobs") {
 		return
 	}
@@ -185,11 +190,11 @@
 	}
 }
 
-func (d *drawing) outages() {
+func (d *historyDraw) outages() {
 	if d.number("cut", 0, 3) > 0 {
 		from, to := d.span("cut", 90)
 		d.at(from, "cut-zone %s", pick(d, "zone cut", d.zones...))
-		d.at(d.ends("cut", to), "heal-zone")
+		d.at(d.faultEnd("cut", to), "heal-zone")
 	}
 	if d.oneIn(2, "outage") {
 		from, to := d.span("outage", 45)
@@ -216,13 +221,13 @@
 		d.cancelNear(from)
 		d.at(out, "state down")
 		d.at(out+float64(d.number("down for", 5, 60)), "state up")
-		d.at(troublesTo+20, "state up")
-		d.at(troublesTo+20, "admit all")
+		d.at(faultsTo+20, "state up")
+		d.at(faultsTo+20, "admit all")
 	}
 }
 
-// cancelNear has users cancel some jobs that run about then.
-func (d *drawing) cancelNear(at float64) {
+// cancelNear has users cancel some jobs that run at about the given time.
+func (d *historyDraw) cancelNear(at float64) {
 	if d.oneIn(2, "cancelled then") {
 		hang := ""
 		if d.oneIn(2, "hang") {
@@ -232,9 +237,9 @@
 	}
 }
 
-// leaders are changes of the leader: by processes that are back within a fraction of a
-// second, some again and again, some in the middle of an election; and in quick order.
-func (d *drawing) leaders() {
+// leaderChanges draws changes of leader: processes that end and are back within a fraction of a
+// second, some repeatedly, some in the middle of an election; and ten leaders in a row.
+func (d *historyDraw) leaderChanges() {
 	if d.oneIn(2, "all end") {
 		from, _ := d.span("end", 1)
 		d.at(from, "kill all")
@@ -246,7 +251,7 @@
 		back := pick(d, "back", 0.05, 0.2, 0.5)
 		every := pick(d, "every", 0.3, 2.2, 5)
 		for i := range d.number("times", 1, 8) {
-			d.at(min(troublesTo, from+float64(i)*every), "restart %s after=%g", who, back)
+			d.at(min(faultsTo, from+float64(i)*every), "restart %s after=%g", who, back)
 		}
 		d.cancelNear(from)
 	}
@@ -255,34 +260,34 @@
 		d.at(from, "ends-in %s %d after=%g back=%g", pick(d, "role", "leasing", "claiming", "loading", "leading", "doubtful"),
 			d.number("how many", 1, 6), pick(d, "ends after", 0, 0.02, 1), pick(d, "ends back", 0.05, 0.4))
 		d.at(from+0.1, "restart leader")
-		d.at(troublesTo, "ends-in leading 0")
+		d.at(faultsTo, "ends-in leading 0")
 	}
 	if d.oneIn(4, "ten leaders") {
 		how := pick(d, "how they change", [2]string{"freeze", "thaw"}, [2]string{"deny", "admit"}, [2]string{"cut", "join"}, [2]string{"away", "back"}, [2]string{"kill", "start"})
 		for i := range 10 {
-			at := troublesFrom + 9*float64(i)
+			at := faultsFrom + 9*float64(i)
 			d.at(at, "if-leads %s", how[0])
 			d.at(at+8.5, "%s all", how[1])
 		}
 	}
 	if d.oneIn(2, "copies") {
 		d.at(1, "copies %g", pick(d, "copies after", 0.1, 4, 45))
-		d.at(troublesTo, "copies 0")
+		d.at(faultsTo, "copies 0")
 	}
 }
 
-func (d *drawing) controllers() {
+func (d *historyDraw) controllerFaults() {
 	for range d.number("nodes in trouble", 0, 3) {
 		n := d.node()
 		from, to := d.span("node", 40)
 		what := pick(d, "trouble", [2]string{"kill", "start"}, [2]string{"freeze", "thaw"}, [2]string{"deny", "admit"}, [2]string{"deafen", "undeafen"}, [2]string{"cut", "join"})
 		if what[0] == "deafen" {
-			to = d.ends("deaf", to)
+			to = d.faultEnd("deaf", to)
 		}
 		d.at(from, "%s %s", what[0], n)
 		d.at(to, "%s %s", what[1], n)
 	}
-	if d.oneIn(3, "away") { // from the state service and the other controllers
+	if d.oneIn(3, "away") { // cut off from the state service and the other controllers
 		n := pick(d, "who is away", "leader", d.node())
 		from, to := d.span("away", 80)
 		if n == "leader" {
@@ -290,12 +295,12 @@
 		} else {
 			d.at(from, "away %s", n)
 		}
-		d.cancelNear(from + 6) // through the next leader
+		d.cancelNear(from + 6) // when there is a new leader
 		d.at(to, "back all")
 	}
 }
 
-func (d *drawing) machinesInTrouble() {
+func (d *historyDraw) machineFaults() {
 	for range d.number("machines in trouble", 0, 3) {
 		from, to := d.span("machine", 40)
 		m := d.machine()
@@ -327,8 +332,8 @@
 	}
 }
 
-// lateMessages are messages that come late, see actLate.
-func (d *drawing) lateMessages() {
+// lateMessages draws messages that arrive late, see actLate.
+func (d *historyDraw) lateMessages() {
 	late := func(what string, by []int, with string) {
 		if d.oneIn(3, what) {
 			from, to := d.span(what, 60)
@@ -341,8 +346,9 @@
 	late("late-commands", []int{2, 5, 11}, "")
 }
 
-// users cancel many jobs at once, or each at its end, and send odd requests.
-func (d *drawing) users() {
+// userRequests draws users who cancel many jobs at once, or at their end, who query all
+// controllers right after an answer with a new status, and who send unusual or invalid requests.
+func (d *historyDraw) userRequests() {
 	if d.oneIn(3, "cancel now") {
 		from, _ := d.span("cancel now", 1)
 		d.cancelNear(from)
@@ -360,27 +366,27 @@
 	if d.oneIn(2, "odd requests") {
 		from, to := d.span("odd requests", 90)
 		d.at(from, "odd-requests on")
-		d.at(d.ends("odd requests", to), "odd-requests off")
+		d.at(d.faultEnd("odd requests", to), "odd-requests off")
 	}
 }
 
-// meet has several troubles begin within seconds of each other, just as a job starts: what
-// is on its way when the leader ends, and what the next one can't see.
-func (d *drawing) meet(number int, at float64) {
-	about := func(name string) float64 { return at + float64(d.number(name+" at", -20, 40))/20 }
-	lasts := func(name string) float64 { return pick(d, name+" lasts", 2.0, 6, 14, 24, 45) }
-	between := func(name, begin, end string) {
-		from := about(name)
+// overlappingFaults draws several faults that begin within seconds of each other, just as a job
+// starts: messages in flight when the leader ends, and facts that the next leader can't see.
+func (d *historyDraw) overlappingFaults(index int, at float64) {
+	near := func(name string) float64 { return at + float64(d.number(name+" at", -20, 40))/20 }
+	faultDuration := func(name string) float64 { return pick(d, name+" lasts", 2.0, 6, 14, 24, 45) }
+	addFault := func(name, begin, end string) {
+		from := near(name)
 		d.at(from, "%s", begin)
-		d.at(min(troublesTo, from+lasts(name)), "%s", end)
+		d.at(min(faultsTo, from+faultDuration(name)), "%s", end)
 	}
 	if !d.oneIn(4, "no new job") {
 		team, run := pick(d, "new team", "red", "blue"), pick(d, "new run", 2, 20, 50)
 		if team == "red" && d.limit > 0 {
-			run = min(run, 10) // there is time for one at a time
+			run = min(run, 10) // the limit may allow only one task at a time
 		}
-		d.at(about("new job"), "submit req-%06d %s tasks=%d gpus=%d team=%s run=%d", 50+number, pick(d, "new kind", "array", "array", "gang"),
-			d.number("new tasks", 1, d.largest), d.number("new gpus", 1, 2), team, run)
+		d.at(near("new job"), "submit req-%06d %s tasks=%d gpus=%d team=%s run=%d", 50+index, pick(d, "new kind", "array", "array", "gang"),
+			d.number("new tasks", 1, d.maxTasks), d.number("new gpus", 1, 2), team, run)
 	}
 	if !d.oneIn(4, "the leader stays") {
 		switch d.number("how the leader goes", 0, 8) {
@@ -389,62 +395,62 @@
 			if !d.oneIn(4, "misses nothing") {
 				misses = fmt.Sprintf(" misses=%s lasts=%d", pick(d, "misses", "hang", "deaf", "hold-calls", "hold-reports", "hold-reports", "lose-answers", "cut-off", "die"), pick(d, "misses for", 6, 14, 18, 24, 45))
 			}
-			d.at(about("ends on")-0.9, "ends-on %s after=%g back=%g%s", pick(d, "said", `"launch"`, `"launch"`, `"launch"`, `"stop"`, `"forget"`, `"j/req`, `"f/req`, `"lp/`, `"dp/`, `"hp/`),
+			d.at(near("ends on")-0.9, "ends-on %s after=%g back=%g%s", pick(d, "said", `"launch"`, `"launch"`, `"launch"`, `"stop"`, `"forget"`, `"j/req`, `"f/req`, `"lp/`, `"dp/`, `"hp/`),
 				pick(d, "ends so long after", 0, 0.004, 0.02, 0.5, 2.1), pick(d, "ends and is back", 0.05, 0.4, 3), misses)
-			d.at(troublesTo, "ends-on nothing")
+			d.at(faultsTo, "ends-on nothing")
 		case 0:
-			d.at(about("leader ends")+0.5, "restart leader after=%g", pick(d, "leader back", 0.05, 0.4, 3))
+			d.at(near("leader ends")+0.5, "restart leader after=%g", pick(d, "leader back", 0.05, 0.4, 3))
 		case 1:
-			d.at(about("leader ends")+0.5, "if-leads kill")
-			d.at(troublesTo, "start all")
+			d.at(near("leader ends")+0.5, "if-leads kill")
+			d.at(faultsTo, "start all")
 		case 2:
-			between("leader frozen", "if-leads freeze", "thaw all")
+			addFault("leader frozen", "if-leads freeze", "thaw all")
 		case 3:
-			between("leader away", "if-leads away", "back all")
+			addFault("leader away", "if-leads away", "back all")
 		case 4:
-			between("leader refused", "if-leads deny", "admit all")
+			addFault("leader refused", "if-leads deny", "admit all")
 		}
 	}
 	if d.oneIn(2, "writes late there") {
 		with := pick(d, "writes late with", "", "", " with=hp/", " with=hp/", " with=lp/", " with=lp/", " with=dp/", " with=j/", " with=f/", " with=epoch")
-		between("writes late", fmt.Sprintf("late-writes every=%d by=%d%s%s", d.number("writes late every", 1, 3), pick(d, "writes late by", 2, 6, 20), with, pick(d, "writes carried out", "", " at=once")), "late-writes every=0")
+		addFault("writes late", fmt.Sprintf("late-writes every=%d by=%d%s%s", d.number("writes late every", 1, 3), pick(d, "writes late by", 2, 6, 20), with, pick(d, "writes carried out", "", " at=once")), "late-writes every=0")
 	}
 	if d.oneIn(2, "commands late there") {
-		between("commands late", fmt.Sprintf("late-commands every=%d by=%d", d.number("commands late every", 1, 2), pick(d, "commands late by", 2, 5, 11)), "late-commands every=0")
+		addFault("commands late", fmt.Sprintf("late-commands every=%d by=%d", d.number("commands late every", 1, 2), pick(d, "commands late by", 2, 5, 11)), "late-commands every=0")
 	}
 	if d.oneIn(2, "reports late there") {
 		d.at(at-8, "late-reports every=%d by=%d%s", d.number("reports late every", 1, 3), pick(d, "reports late by", 2, 10, 26),
 			pick(d, "reports go to", "", " to=leader", " to=next on=leading", " to=next on=both"))
-		d.at(min(troublesTo, at+lasts("reports late")), "late-reports every=0")
+		d.at(min(faultsTo, at+faultDuration("reports late")), "late-reports every=0")
 	}
 	for i := range d.number("what machines miss", 0, 2) {
 		name := fmt.Sprintf("missing %d", i)
 		what := pick(d, name, [2]string{"deaf", "hears"}, [2]string{"lose-answers", "pass-answers"}, [2]string{"hold-calls", "deliver-calls"}, [2]string{"hold-reports", "deliver-reports"},
 			[2]string{"cut-off", "reach"}, [2]string{"hang", "wake"})
 		zone := pick(d, name+" where", append([]string{"all", "all"}, d.zones...)...)
-		between(name, "in-zone "+zone+" "+what[0], "in-zone "+zone+" "+what[1])
+		addFault(name, "in-zone "+zone+" "+what[0], "in-zone "+zone+" "+what[1])
 	}
 	if d.oneIn(3, "one dies there") {
-		d.at(about("dies"), "if-here %s die", d.machine())
+		d.at(near("dies"), "if-here %s die", d.machine())
 	}
 	if d.oneIn(4, "out there") {
-		between("out", "state down", "state up")
+		addFault("out", "state down", "state up")
 	}
 	if d.oneIn(3, "cancelled there") {
 		d.cancelNear(at + float64(d.number("cancelled from there", 0, 80))/10)
 	}
 }
 
-// oldSession has machines of a zone lose their session, and then launches that are held up
-// on their way as the leader ends; the next one hears copies of the earlier session's
-// reports first. See testdata/meet_old_session.trace.
-func (d *drawing) oldSession(at float64) {
+// oldSession draws machines of a zone that lose their session, followed by launch commands that
+// are delayed in transit while the leader ends. The next leader receives copies of the earlier
+// session's heartbeats first. See testdata/meet_old_session.trace.
+func (d *historyDraw) oldSession(at float64) {
 	zone := pick(d, "old session's zone", d.zones...)
 	in := func(at float64, word string) { d.at(at, "in-zone %s %s", zone, word) }
 	in(at-29, "lose-answers")
 	d.at(at-29, "late-reports every=1 by=2 to=next on=%s", pick(d, "old reports come", "leading", "both"))
 	d.at(at-11, "late-reports every=0")
-	in(at-5, "pass-answers") // it is heard, and counts as deaf no more
+	in(at-5, "pass-answers") // so that the leader no longer takes it for deaf
 	in(at-0.2, "hold-calls")
 	in(at-0.1, "lose-answers")
 	d.at(at, "submit req-000060 array tasks=%d gpus=2 team=blue run=50", d.number("old session's tasks", 2, 8))
@@ -455,5 +461,5 @@
 	in(ended+float64(d.number("calls again", 60, 160))/10, "deliver-calls")
 	in(ended+17, "pass-answers")
 	d.at(ended+20, "thaw all")
-	d.at(troublesTo, "start all")
+	d.at(faultsTo, "start all")
 }
--- a/internal/simulation/live_test.go
+++ b/internal/simulation/live_test.go
@@ -16,7 +16,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// freeAddr is an address on loopback that nobody uses.
+// freeAddr returns a loopback address that is not in use.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -27,8 +27,8 @@
 	return l.Addr().String()
 }
 
-// liveSettings are those of a network that nobody else on this machine has: two runs of
-// these tests side by side took each other's addresses of workers.
+// liveSettings returns settings with a network of the test's own: without it, two test runs on
+// one machine took each other's worker addresses.
 func liveSettings(t *testing.T, controller string) LiveSettings {
 	t.Helper()
 	network, err := loopback.Reserve()
@@ -42,7 +42,7 @@
 	}
 }
 
-func ask(t *testing.T, method, url, body string) (int, string) {
+func doRequest(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -60,10 +60,10 @@
 	return resp.StatusCode, string(text)
 }
 
-// The stand-ins serve real connections as they do simulated ones: a machine that is
-// rented has a worker on an address of its own, which reports to the controller, takes
-// commands, and is gone with its machine. The instance of a service that it starts
-// answers its checks as it is told to.
+// The simulated services serve real connections as they do simulated ones: a rented machine has
+// a worker on its own address, which sends heartbeats to the controller, accepts commands, and
+// is gone when its machine is released. A service instance that it starts answers health checks
+// as configured with Behave.
 func TestLive(t *testing.T) {
 	reports := make(chan string, 100)
 	controller := &http.Server{Addr: freeAddr(t), Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -84,56 +84,56 @@
 		t.Fatal(err)
 	}
 	job := `{"at":1,"epoch":1,"job":{"ref":"req-000001","jobclass":"c","owner":"red","shape":"daemon","rank":"high","shards":1,"cores":1,"gpus":0,"memoryGb":1,"bundle":"img-1","sizeGb":0.001,"samePlace":false,"apart":false,"reclaimable":false,"expectS":0,"snapshotEveryS":0,"snapshotS":0}}`
-	if status, text := ask(t, "POST", "http://"+s.State+"/commit", `{"when":[{"path":"j/req-000001","stamp":0}],"then":[{"set":"j/req-000001","data":`+job+`}]}`); status != 200 {
+	if status, text := doRequest(t, "POST", "http://"+s.State+"/commit", `{"when":[{"path":"j/req-000001","stamp":0}],"then":[{"set":"j/req-000001","data":`+job+`}]}`); status != 200 {
 		t.Fatal(status, text)
 	}
-	if status, text := ask(t, "GET", "http://"+s.State+"/store/j/req-000001", ""); status != 200 || fastjson.GetString([]byte(text), "path") != "j/req-000001" {
+	if status, text := doRequest(t, "GET", "http://"+s.State+"/store/j/req-000001", ""); status != 200 || fastjson.GetString([]byte(text), "path") != "j/req-000001" {
 		t.Fatal(status, text)
 	}
-	_, text := ask(t, "POST", "http://"+s.Cloud+"/machines", `{"claim":"r-1","flavor":"small","region":"a","reclaimable":false,"count":1}`)
+	_, text := doRequest(t, "POST", "http://"+s.Cloud+"/machines", `{"claim":"r-1","flavor":"small","region":"a","reclaimable":false,"count":1}`)
 	host := fastjson.GetString([]byte(text), "hosts", "0")
 	report := <-reports
 	worker := fastjson.GetString([]byte(report), "addr")
 	if host == "" || fastjson.GetString([]byte(report), "host") != host || !strings.HasPrefix(worker, s.Network) {
 		t.Fatal(text, report)
 	}
-	if status, text := ask(t, "POST", "http://"+worker+"/commands", `{"epoch":1,"tenure":1,"orders":[{"verb":"launch","shard":"req-000001/0","try":1}]}`); status != 200 || !strings.Contains(text, "req-000001/0") {
+	if status, text := doRequest(t, "POST", "http://"+worker+"/commands", `{"epoch":1,"tenure":1,"orders":[{"verb":"launch","shard":"req-000001/0","try":1}]}`); status != 200 || !strings.Contains(text, "req-000001/0") {
 		t.Fatal(status, text)
 	}
 	for !strings.Contains(report, `"running"`) {
 		report = <-reports
 	}
 	check := fmt.Sprintf("http://%s:%d/healthz", strings.TrimSuffix(worker, ":9000"), instancePort("req-000001", 0))
-	if status, _ := ask(t, "GET", check, ""); status != 200 {
+	if status, _ := doRequest(t, "GET", check, ""); status != 200 {
 		t.Error(status)
 	}
 	l.Behave("img-1", "fails", 0)
-	if status, _ := ask(t, "GET", check, ""); status != 500 || l.Healthy("img-1") != 0 {
+	if status, _ := doRequest(t, "GET", check, ""); status != 500 || l.Healthy("img-1") != 0 {
 		t.Error(status, l.Healthy("img-1"))
 	}
-	ask(t, "POST", "http://"+s.Cloud+"/machines/release", `{"hosts":["`+host+`"]}`)
-	until(t, "the worker is gone", func() bool { _, err := net.Dial("tcp4", worker); return err != nil })
+	doRequest(t, "POST", "http://"+s.Cloud+"/machines/release", `{"hosts":["`+host+`"]}`)
+	waitFor(t, "the worker to be gone", func() bool { _, err := net.Dial("tcp4", worker); return err != nil })
 	if err := l.Err(); err != nil {
 		t.Error(err)
 	}
 	cancel()
-	until(t, "nothing listens", func() bool { _, err := net.Dial("tcp4", s.State); return err != nil })
+	waitFor(t, "the state service to stop listening", func() bool { _, err := net.Dial("tcp4", s.State); return err != nil })
 }
 
-// until waits for what is certain to come.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until the condition holds, and fails the test after about ten seconds.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 1000 {
-		if ok() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not so: " + what)
+	t.Fatal("timed out waiting for: " + what)
 }
 
-// Where nobody writes a trace, an image's name says what its instances do.
-func TestImagesSayWhatTheyDo(t *testing.T) {
+// Without a trace, the name of an image selects how its instances behave.
+func TestImageNameSelectsBehaviour(t *testing.T) {
 	w := NewWorld(0)
 	w.live = &Live{}
 	for image, want := range map[string]behaviour{
@@ -150,7 +150,7 @@
 	}
 }
 
-// A port in use is an error that says which, and nothing is left listening.
+// StartLive reports an address in use by name, and leaves nothing listening.
 func TestLivePortInUse(t *testing.T) {
 	s := liveSettings(t, "127.0.0.1:1")
 	used, err := net.Listen("tcp4", s.Cloud)
@@ -161,5 +161,5 @@
 	if _, err := StartLive(context.Background(), s); err == nil || !strings.Contains(err.Error(), "stand-in of the cloud") || !strings.Contains(err.Error(), s.Cloud) {
 		t.Error(err)
 	}
-	until(t, "nothing listens", func() bool { _, err := net.Dial("tcp4", s.State); return err != nil })
+	waitFor(t, "the state service to stop listening", func() bool { _, err := net.Dial("tcp4", s.State); return err != nil })
 }
--- a/internal/simulation/old_heartbeats_test.go
+++ b/internal/simulation/old_heartbeats_test.go
@@ -8,9 +8,9 @@
 	"mapleslip/internal/leadership"
 )
 
-// oldReportsTrace is a trace with reports of an earlier session (n-000005), of attempts that
-// ended since (of n-000002, which is gone, of jobs that are over, and of one that failed) and
-// of earlier terms, which come when leaders change.
+// oldReportsTrace is a trace in which outdated heartbeats arrive when leaders change: from an
+// earlier session (n-000005), from earlier terms, and about attempts that have ended since (on
+// a machine that has died, of jobs that are over, and one that failed).
 const oldReportsTrace = `nodes 3
 team red max=12
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a,b
@@ -46,56 +46,56 @@
 at 120 expect unanswered 30
 `
 
-// Copies of old reports reach every controller just as a new leader begins: before it has
-// read the records, after that, or both. Nothing starts that would not without them, and no
-// rule breaks. Where the leader is back at once the new one may give its lease back for them,
-// at most leadership.MaxTransfers times: a controller that has just begun can't tell copies of
-// a worker's reports, and then its own, from a worker that was sent to the leader and came
-// back.
+// Copies of old heartbeats reach every controller just as a new leader begins: before it has read
+// the records, after that, or both. The copies cause no additional starts, and no rule is broken.
+// If the old leader is back at once, the copies may make the new one release its lease, at most
+// leadership.MaxTransfers times: a controller that has just started can't tell copies of a
+// worker's heartbeats, followed by the worker's own, from a worker that was redirected to the
+// leader and came back.
 func TestOldReportsAtTakeOver(t *testing.T) {
 	type outcome struct{ started, leaders int }
-	ways := map[string][2]string{
-		"it ends":               {"kill leader", "if-leads kill"},
-		"it ends, back at once": {"restart leader after=0.05", "restart leader after=0.05"},
+	leaderEnds := map[string][2]string{
+		"the leader ends":               {"kill leader", "if-leads kill"},
+		"the leader ends, back at once": {"restart leader after=0.05", "restart leader after=0.05"},
 	}
-	for name, way := range ways {
-		for _, slow := range []float64{0, 0.15} {
-			for _, dies := range []string{"n-000001", "n-000002"} {
-				t.Run(fmt.Sprintf("%s, state slow by %g, %s dies", name, slow, dies), func(t *testing.T) {
+	for name, leaderEnd := range leaderEnds {
+		for _, stateDelay := range []float64{0, 0.15} {
+			for _, failedMachine := range []string{"n-000001", "n-000002"} {
+				t.Run(fmt.Sprintf("%s, state slow by %g, %s dies", name, stateDelay, failedMachine), func(t *testing.T) {
 					t.Parallel()
-					came := make(map[string]int)
+					delivered := make(map[string]int)
 					play := func(on string, after float64, order string) outcome {
-						text := fmt.Sprintf(oldReportsTrace, dies, on, after, order, slow, way[0], way[1])
+						text := fmt.Sprintf(oldReportsTrace, failedMachine, on, after, order, stateDelay, leaderEnd[0], leaderEnd[1])
 						w, err := playTrace(text, nil)
 						if err != nil {
-							t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+							t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 						}
 						if on == "none" {
 							return outcome{w.started, w.leaders}
 						}
 						got := w.oldReports.delivered
 						for role, n := range got {
-							came[role] += n
+							delivered[role] += n
 						}
 						return outcome{w.started, w.leaders}
 					}
-					usual := play("none", 0, "oldest")
+					withoutCopies := play("none", 0, "oldest")
 					for _, on := range []string{"claiming", "loading", "leading", "loading,leading"} {
 						for _, after := range []float64{0, 0.1, 1.5} {
 							for _, order := range []string{"oldest", "newest"} {
 								got := play(on, after, order)
-								if strings.Contains(name, "back") && got.leaders <= usual.leaders+leadership.MaxTransfers {
-									got.leaders = usual.leaders
+								if strings.Contains(name, "back") && got.leaders <= withoutCopies.leaders+leadership.MaxTransfers {
+									got.leaders = withoutCopies.leaders
 								}
-								if got != usual {
-									t.Errorf("on %s after %g, %s first: %+v, without copies %+v", on, after, order, got, usual)
+								if got != withoutCopies {
+									t.Errorf("copies on %s after %g s, %s first: got %+v, without copies %+v", on, after, order, got, withoutCopies)
 								}
 							}
 						}
 					}
 					for _, role := range []string{"following", "claiming", "loading", "leading"} {
-						if came[role] == 0 && !(role == "loading" && slow == 0) {
-							t.Errorf("no copy came to a controller that was %s", role)
+						if delivered[role] == 0 && !(role == "loading" && stateDelay == 0) {
+							t.Errorf("no copy reached a controller in the role %s", role)
 						}
 					}
 				})
--- a/internal/simulation/overlap_test.go
+++ b/internal/simulation/overlap_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same histories are drawn at every run, unless others are asked for:
+// TestMain makes every run draw the same cases, unless flags select others:
 //
 //	go test ./internal/simulation -run Overlap -args -rapid.seed=7 -rapid.checks=5000
 func TestMain(m *testing.M) {
@@ -29,40 +29,41 @@
 
 const defaultChecks = 60
 
-// historiesPerCheck: a history takes a tenth of a second, and they are played in parallel.
+// historiesPerCheck multiplies the default number of checks in TestOverlap: a history takes only
+// a tenth of a second, and histories are played in parallel.
 const historiesPerCheck = 5
 
-// Troubles overlap at random. While those that stay stand still, some leader lasts; no
-// cancelled task outlives what its user was told; when all is well again whatever was
-// accepted ends, and every cancellation is answered. Each history is drawn with a seed of
-// its own, which is the name of its test: to play the one of seed 47 again
+// Faults overlap at random. While persistent faults don't change, leadership is stable. No task
+// keeps running once its job has been reported as cancelled. When the faults are over, every
+// accepted job ends and every cancellation is answered. Each history is drawn with its own
+// seed, which is the name of its subtest. To play the history of seed 47 again:
 //
 //	go test ./internal/simulation -run 'Overlap$' -args -rapid.seed=47 -rapid.checks=1
 //
-// By itself TestOverlap plays several histories for each check; a number of checks that was
-// asked for is the number of histories.
+// By default TestOverlap plays several histories for each check. If -rapid.checks is given, it
+// is the number of histories.
 func TestOverlap(t *testing.T) {
 	seed, checks := flagNumber(t, "rapid.seed"), flagNumber(t, "rapid.checks")
 	if checks == defaultChecks {
 		checks *= historiesPerCheck
 	}
-	drawn := rapid.Custom(drawHistory)
-	var shrunk atomic.Bool // one of those that fail is made smaller, which takes many plays
+	generator := rapid.Custom(drawHistory)
+	var shrunk atomic.Bool // only one failing history is shrunk, since that takes many plays
 	for i := range checks {
 		t.Run(strconv.Itoa(seed+i), func(t *testing.T) {
 			t.Parallel()
-			text := drawn.Example(seed + i)
+			text := generator.Example(seed + i)
 			w, err := playTrace(text, nil)
 			if err == nil {
 				return
 			}
-			t.Errorf("seed %d: %v\nthe trace:\n%s\nwhat happened:\n%s", seed+i, err, text, strings.Join(w.Log, "\n"))
+			t.Errorf("seed %d: %v\ntrace:\n%s\nevent log:\n%s", seed+i, err, text, strings.Join(w.Log, "\n"))
 			if shrunk.Swap(true) {
 				return
 			}
-			small := shrinkTrace(text, kindOf(err))
-			w, err = playTrace(small, nil)
-			t.Errorf("seed %d, shrunk: %v\nthe trace:\n%s\nwhat happened:\n%s", seed+i, err, small, strings.Join(w.Log, "\n"))
+			shrunkTrace := shrinkTrace(text, failureKind(err))
+			w, err = playTrace(shrunkTrace, nil)
+			t.Errorf("seed %d, shrunk: %v\ntrace:\n%s\nevent log:\n%s", seed+i, err, shrunkTrace, strings.Join(w.Log, "\n"))
 		})
 	}
 }
--- a/internal/simulation/service_test.go
+++ b/internal/simulation/service_test.go
@@ -8,7 +8,7 @@
 	"mapleslip/internal/protocol"
 )
 
-// The state service by itself, with its limits, by a clock of the test's own.
+// The simulated state service enforces its limits, by a clock that the test sets.
 func TestStateServiceKeepsItsLimits(t *testing.T) {
 	now := protocol.Second
 	p := &protocol.Platform{StateRequestRate: 20, StateWriteRate: 4, MaxValueBytes: 64, MaxTxnChanges: 4}
@@ -29,7 +29,7 @@
 	expect(200, `"generation":1`, "POST", "/commit", `{"when":[],"then":[{"set":"b/1","data":1,"hold":1}]}`)
 	expect(409, `"failed":["b/1"]`, "POST", "/commit", `{"when":[{"path":"b/1","stamp":0}],"then":[{"set":"b/1","data":2}]}`)
 	expect(400, "bytes of 64", "POST", "/commit", `{"then":[{"set":"b/2","data":"`+strings.Repeat("x", 70)+`"}]}`)
-	// Failed and malformed ones have taken their part of the four changes too.
+	// Failed and malformed transactions have also used up part of the four changes a second.
 	expect(200, `"generation":2`, "POST", "/commit", set("b/2"))
 	expect(429, "", "POST", "/commit", set("b/3"))
 	now += protocol.Second / 2
@@ -38,15 +38,15 @@
 	expect(200, `{"path":"b/1","data":1,"stamp":1}],"truncated":true`, "GET", "/store?under=b/&page=1", "")
 	expect(200, `"news":[{"set":"b/2","data":1,"stamp":2}]`, "GET", "/follow?under=b/&since=1&blockMs=0", "")
 
-	// A watch waits for a change below its prefix, and through an outage, after which the
-	// lease has its whole time again.
+	// A watch waits for a change below its prefix. It survives an outage, after which leases
+	// are valid for their whole time again.
 	var woken string
 	s.Serve("GET", "/follow?under=b/&since=3&blockMs=60000", nil, func(_ int, text string) { woken = text })
 	now += protocol.Second / 4
 	expect(200, "", "POST", "/commit", set("c"))
 	s.Tick()
 	if woken != "" {
-		t.Fatalf("woken by another prefix: %s", woken)
+		t.Fatalf("the watch was woken by another prefix: %s", woken)
 	}
 	s.SetDown(true)
 	expect(503, "", "GET", "/store/a", "")
@@ -59,11 +59,11 @@
 	now += 200 * protocol.Millisecond
 	s.Tick()
 	if woken != `{"generation":5,"news":[{"drop":"b/1","stamp":5}]}` {
-		t.Fatalf("woken by %q", woken)
+		t.Fatalf("the watch was woken by %q", woken)
 	}
 	expect(404, "", "POST", "/leases/1/extend", "")
 
-	// Requests have a rate of their own; a burst is one second's worth.
+	// Requests have a separate rate limit, with a burst of one second's requests.
 	now += 10 * protocol.Second
 	for range 20 {
 		expect(404, "", "GET", "/store/none", "")
@@ -77,7 +77,7 @@
 	}
 }
 
-// Of the changes the last 10,000 are kept.
+// The state service keeps the last 10,000 changes for watches, and refuses to go further back.
 func TestStateServiceForgetsOldChanges(t *testing.T) {
 	now := protocol.Second
 	p := &protocol.Platform{StateRequestRate: 1e6, StateWriteRate: 1e6, MaxValueBytes: 64, MaxTxnChanges: 4}
@@ -90,7 +90,7 @@
 		var got int
 		s.Serve("GET", fmt.Sprintf("/follow?under=k&since=%d", since), nil, func(status int, _ string) { got = status })
 		if got != want {
-			t.Errorf("since %d: %d", since, got)
+			t.Errorf("since %d: got status %d", since, got)
 		}
 	}
 }
--- a/internal/simulation/shrink_test.go
+++ b/internal/simulation/shrink_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// mostTrials bounds how often a history that failed is played again to make it smaller.
-const mostTrials = 400
+// maxTrials limits how often a failed trace is played again in order to shrink it.
+const maxTrials = 400
 
 var numbers = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
 
-// kindOf is what a failure is about: the rule that was broken first, or the expectation
-// and what was found.
-func kindOf(err error) string {
+// failureKind identifies a failure without its numbers: by the rule that was broken first, or by
+// the failed expectation and the value found instead.
+func failureKind(err error) string {
 	text := numbers.ReplaceAllString(err.Error(), "")
 	if rule, found := strings.CutPrefix(text, "rules broken: : "); found {
 		rule, _, _ = strings.Cut(rule, ":")
@@ -23,8 +23,8 @@
 	return text
 }
 
-// shrinkTrace leaves out what happens in a trace for as long as it still fails in the same
-// way: first many lines at a time, then single ones. The scene stays.
+// shrinkTrace removes timed lines from a trace as long as it still fails in the same way: first
+// many lines at a time, then single ones. The lines of the scene stay.
 func shrinkTrace(text, kind string) string {
 	var scene, lines []string
 	for line := range strings.Lines(text) {
@@ -35,30 +35,30 @@
 		}
 	}
 	trials := 0
-	whole := func(lines []string) string { return strings.Join(slices.Concat(scene, lines), "") }
+	join := func(lines []string) string { return strings.Join(slices.Concat(scene, lines), "") }
 	fails := func(lines []string) bool {
 		trials++
-		_, err := playTrace(whole(lines), nil)
-		return err != nil && kindOf(err) == kind
+		_, err := playTrace(join(lines), nil)
+		return err != nil && failureKind(err) == kind
 	}
-	for size := len(lines) / 2; size > 0 && trials < mostTrials; {
-		smaller := false
-		for i := 0; i < len(lines) && trials < mostTrials; {
+	for size := len(lines) / 2; size > 0 && trials < maxTrials; {
+		removed := false
+		for i := 0; i < len(lines) && trials < maxTrials; {
 			rest := slices.Concat(lines[:i], lines[min(len(lines), i+size):])
 			if fails(rest) {
-				lines, smaller = rest, true
+				lines, removed = rest, true
 			} else {
 				i += size
 			}
 		}
-		if !smaller || size > 1 {
+		if !removed || size > 1 {
 			size /= 2
 		}
 	}
-	return whole(lines)
+	return join(lines)
 }
 
-// What does not matter goes, what does stays.
+// shrinkTrace removes lines that don't contribute to the failure, and keeps those that do.
 func TestShrinkTrace(t *testing.T) {
 	const text = `nodes 3
 team red
@@ -75,13 +75,13 @@
 	if err == nil {
 		t.Fatal("the trace does not fail")
 	}
-	small := shrinkTrace(text, kindOf(err))
+	small := shrinkTrace(text, failureKind(err))
 	for _, line := range []string{"state-slow", "balance", "req-000001"} {
 		if strings.Contains(small, line) {
-			t.Errorf("%s is still there:\n%s", line, small)
+			t.Errorf("%s was not removed:\n%s", line, small)
 		}
 	}
 	if _, err = playTrace(small, nil); err == nil || !strings.Contains(small, "submit req-000002") {
-		t.Errorf("what fails is gone:\n%s", small)
+		t.Errorf("the failing lines were removed:\n%s", small)
 	}
 }
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -11,20 +11,20 @@
 	"mapleslip/internal/rollout"
 )
 
-// fleetSize is about the largest deployment that its users run.
+// fleetSize is the number of machines of a large deployment: about the largest that is in use.
 const fleetSize = 1200
 
-// grown is a deployment of full size in the middle of its work: services and
-// arrays on all machines, and more arrays and gangs that wait.
-func grown(tb testing.TB, nodes int) *World {
+// loadedFleet returns a deployment of full size under load: services and arrays run on all
+// machines, and more arrays and gangs wait.
+func loadedFleet(tb testing.TB, nodes int) *World {
 	tb.Helper()
-	return grownIn(tb, NewWorld(nodes))
+	return loadedFleetIn(tb, NewWorld(nodes))
 }
 
-func grownIn(tb testing.TB, w *World) *World { return grownTo(tb, w, fleetSize) }
+func loadedFleetIn(tb testing.TB, w *World) *World { return loadedFleetOf(tb, w, fleetSize) }
 
-// grownTo is the same with so many machines.
-func grownTo(tb testing.TB, w *World, machines int) *World {
+// loadedFleetOf is loadedFleet in a given world and with a given number of machines.
+func loadedFleetOf(tb testing.TB, w *World, machines int) *World {
 	tb.Helper()
 	w.quiet = true
 	w.Platform.HeartbeatInterval = 5 * protocol.Second
@@ -60,20 +60,20 @@
 	return w
 }
 
-// A take-over of the whole fleet under the state service's limits: each machine
-// is asked about once, hardly anything is written, and what waited for the old
-// leader is placed by the new one. Nothing runs twice.
+// A new leader takes over the whole fleet under the state service's limits: it queries each
+// machine about once, writes hardly anything, and places the jobs that waited under the old
+// leader. No task runs twice.
 func TestTakeOverAtFullSize(t *testing.T) {
-	w := grown(t, 2)
+	w := loadedFleet(t, 2)
 	w.limited = true
 	for _, n := range w.nodes {
 		w.share(n, n == w.leader())
 	}
-	written, asked := w.store.written, w.questions
+	writtenBefore, questionsBefore := w.store.written, w.questions
 	w.leader().alive = false
 	w.Run(w.now + 8*protocol.Second)
 	if w.leader() == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("there is no leader")
 	}
 	stale := 0
 	for _, m := range w.machines {
@@ -84,10 +84,10 @@
 	if stale > 0 {
 		t.Errorf("%d machines have not seen the new epoch", stale)
 	}
-	if n := w.questions - asked; n > fleetSize {
-		t.Errorf("%d machines were asked %d times", fleetSize, n)
+	if n := w.questions - questionsBefore; n > fleetSize {
+		t.Errorf("%d machines were queried %d times", fleetSize, n)
 	}
-	if n := w.store.written - written; n > 60 {
+	if n := w.store.written - writtenBefore; n > 60 {
 		t.Errorf("%d changes written", n)
 	}
 	if w.store.refused > 0 {
@@ -98,10 +98,10 @@
 	}
 }
 
-// A fleet of full size takes a few dozen records, not one for each machine,
-// booking and launch.
+// A fleet of full size is stored in a few dozen records, not one for each machine, booking and
+// launch.
 func TestRecordsAtFullSize(t *testing.T) {
-	w := grown(t, 1)
+	w := loadedFleet(t, 1)
 	count := map[string]int{}
 	for key, e := range w.store.keys {
 		prefix, _, _ := strings.Cut(key, "/")
@@ -116,19 +116,19 @@
 	}
 }
 
-// reportOf is what a machine reports next.
-func reportOf(w *World, i int) controller.WorkerHeartbeat {
+// nextHeartbeat returns the next heartbeat of a machine's worker.
+func nextHeartbeat(w *World, i int) controller.WorkerHeartbeat {
 	w.nextConn++
 	return controller.WorkerHeartbeat{Reply: controller.ReplyAddress{Conn: w.nextConn}, Body: []byte(w.report(w.sortedMachines()[i]))}
 }
 
-// BenchmarkHeartbeat is a worker's report that says nothing new.
+// BenchmarkHeartbeat measures a worker's heartbeat that reports no change.
 func BenchmarkHeartbeat(b *testing.B) {
-	w := grown(b, 1)
+	w := loadedFleet(b, 1)
 	n := w.leader()
 	events := make([]controller.WorkerHeartbeat, b.N)
 	for i := range events {
-		events[i] = reportOf(w, i%fleetSize)
+		events[i] = nextHeartbeat(w, i%fleetSize)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -137,10 +137,10 @@
 	}
 }
 
-// BenchmarkSchedulingStep is a tick with a round in it, while a hundred jobs wait and
-// one machine in sixty has changed.
+// BenchmarkSchedulingStep measures a tick that runs a scheduling cycle, while a hundred jobs wait
+// and one machine in sixty has changed.
 func BenchmarkSchedulingStep(b *testing.B) {
-	w := grown(b, 1)
+	w := loadedFleet(b, 1)
 	n := w.leader()
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -148,33 +148,33 @@
 		w.now += w.Operator.MaxCycleInterval
 		b.StopTimer()
 		for k := range 20 {
-			n.ctl.Step(w.timeOf(n), reportOf(w, (i*20+k)%fleetSize))
+			n.ctl.Step(w.timeOf(n), nextHeartbeat(w, (i*20+k)%fleetSize))
 		}
 		b.StartTimer()
 		n.ctl.Step(w.timeOf(n), controller.Tick{})
 	}
 }
 
-// BenchmarkFailover is a new leader's work until every host is accounted for,
-// with that of all stand-ins.
+// BenchmarkFailover measures the work of a new leader until every host is accounted for,
+// including that of the simulation.
 func BenchmarkFailover(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
 		b.StopTimer()
-		w := grown(b, 2)
+		w := loadedFleet(b, 2)
 		w.leader().alive = false
 		var spent time.Duration
 		w.stepped = func(_ *node, d time.Duration) { spent += d }
 		b.StartTimer()
 		w.Run(w.now + 8*protocol.Second)
 		if w.leader() == nil {
-			b.Fatal("nobody leads")
+			b.Fatal("there is no leader")
 		}
 		b.ReportMetric(spent.Seconds()*1000, "controller_ms")
 	}
 }
 
-// longArray is one array of 25,000 short tasks, all alike, on twelve machines.
+// longArray returns a world with one array of 25,000 identical short tasks on twelve machines.
 func longArray(tb testing.TB) *World {
 	tb.Helper()
 	w := NewWorld(1)
@@ -191,13 +191,13 @@
 	return w
 }
 
-// BenchmarkLongArray is a second in the middle of an array of 25,000 short tasks,
-// with all stand-ins: about three hundred launches and as many completions.
+// BenchmarkLongArray measures a second in the middle of an array of 25,000 short tasks, including
+// the simulation: about three hundred launches and as many completions.
 func BenchmarkLongArray(b *testing.B) {
 	b.ReportAllocs()
 	var w *World
 	for i := range b.N {
-		if i%30 == 0 { // it is over after a minute
+		if i%30 == 0 { // the array is over after a minute
 			b.StopTimer()
 			w = longArray(b)
 			b.StartTimer()
@@ -206,10 +206,10 @@
 	}
 }
 
-// BenchmarkBurst is a second of a burst of small jobs, ten of one task each, on a
-// fleet of full size, with all stand-ins.
+// BenchmarkBurst measures a second of a burst of small jobs, ten one-task jobs, on a fleet of
+// full size, including the simulation.
 func BenchmarkBurst(b *testing.B) {
-	w := grown(b, 1)
+	w := loadedFleet(b, 1)
 	w.limited = true
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -223,16 +223,16 @@
 	}
 }
 
-// BenchmarkRolloutTurns is what a leader of a full fleet spends in a simulated second,
-// without a roll-out and with one of 1,000 instances that are all checked, 50 a second,
-// by the other controllers; and its longest turn.
+// BenchmarkRolloutTurns measures the time that a leader of a full fleet takes for a simulated
+// second, and its longest step, without a roll-out and with one of 1,000 instances, all of which
+// the other controllers check, 50 a second.
 func BenchmarkRolloutTurns(b *testing.B) {
 	for _, count := range []int{0, 1000} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
 			for range b.N {
 				w := NewWorld(3)
 				w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 64, MaxServices: 4}
-				grownIn(b, w)
+				loadedFleetIn(b, w)
 				if count > 0 {
 					if err := w.actRollout(strings.Fields(fmt.Sprintf("rollout r-1 picker image=pick-2 size=0.1 gpus=0 count=%d floor=0 stages=%d soak=3600 healthy=600", count, count))); err != nil {
 						b.Fatal(err)
--- a/internal/simulation/smallest_limits_test.go
+++ b/internal/simulation/smallest_limits_test.go
@@ -11,11 +11,11 @@
 	"mapleslip/internal/protocol"
 )
 
-// walk plays what makes leaders write records of every kind: hosts with many images,
-// launches, bookings, completions of arrays that share records and of one that has three for
-// itself, cancelled and finished jobs, a lease that is given back, silent machines, revisions
-// of the configuration until its history takes pages, and a roll-out.
-func walk() string {
+// traceOfAllRecordKinds returns a trace in which leaders write records of every kind: hosts with
+// many images, launches, bookings, completions of arrays that share records and of one that has
+// three for itself, cancelled and finished jobs, a lease that is released, silent machines, so
+// many revisions of the configuration that its history takes several pages, and a roll-out.
+func traceOfAllRecordKinds() string {
 	var b strings.Builder
 	b.WriteString(`
 nodes 3
@@ -64,20 +64,20 @@
 	return b.String()
 }
 
-// Every record and every transaction fits the smallest limits that the settings may have:
-// the state service's stand-in has an alarm for what does not.
+// Every record and every transaction fits the smallest limits that the settings allow. The
+// simulated state service raises an alarm for any that doesn't.
 func TestEveryRecordAtTheSmallestLimits(t *testing.T) {
-	written := make(map[string]int) // the largest value, by kind of record
-	most := 0
-	w, err := playTrace(walk(), func(w *World) {
+	largest := make(map[string]int) // size of the largest value, by kind of record
+	maxChanges := 0
+	w, err := playTrace(traceOfAllRecordKinds(), func(w *World) {
 		w.quiet = true
 		w.Platform.MaxValueBytes, w.Platform.MaxTxnChanges = protocol.MinValueBytes, protocol.MinTxnChanges
 		w.Platform.StateRequestRate, w.Platform.StateWriteRate = 1000, 200
 		w.limited, w.store.strict = true, true
-		inner := w.store.applied
+		previous := w.store.applied
 		w.store.applied = func(then []*fastjson.Value) {
-			inner(then)
-			most = max(most, len(then))
+			previous(then)
+			maxChanges = max(maxChanges, len(then))
 			for _, c := range then {
 				key := string(c.GetStringBytes("set"))
 				kind := key
@@ -91,7 +91,7 @@
 					kind = key
 				}
 				if !c.Exists("drop") {
-					written[kind] = max(written[kind], len(c.Get("data").MarshalTo(nil)))
+					largest[kind] = max(largest[kind], len(c.Get("data").MarshalTo(nil)))
 				}
 			}
 		}
@@ -99,14 +99,14 @@
 	if err != nil {
 		t.Errorf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
-	t.Logf("largest transaction %d changes, largest records %v", most, written)
+	t.Logf("largest transaction %d changes, largest records %v", maxChanges, largest)
 	for _, kind := range []string{"lead", "epoch", "types", "seen", "j", "f", "d", "hp", "bp", "dp", "lp", "cfg/head", "cfg/p", "ro"} {
-		if written[kind] == 0 {
+		if largest[kind] == 0 {
 			t.Errorf("no record %s was written", kind)
 		}
 	}
 	if yielded := strings.Contains(w.store.keys["epoch"].value, `"yields"`); !yielded {
-		t.Error("no lease was given back")
+		t.Error("no leader released its lease")
 	}
 	if slices.ContainsFunc(w.store.order, func(key string) bool { return len(w.store.keys[key].value) > protocol.MinValueBytes }) {
 		t.Error("a record is too large")
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -10,8 +10,8 @@
 	"mapleslip/internal/state"
 )
 
-// busyFleet is a deployment in the middle of its work, of machines with 24 or 25 tasks
-// each, written under the larger limits.
+// busyFleet returns a deployment in which all tasks run, 24 or 25 on each machine, and whose
+// records were written under the larger limits.
 func busyFleet(tb testing.TB, machines, tasks int) *World {
 	tb.Helper()
 	w := NewWorld(3)
@@ -36,7 +36,8 @@
 	return w
 }
 
-// largeRecords is how many records that leaders write take more than a size.
+// largeRecords counts the records written by leaders, and those among them that are larger than
+// a size.
 func (w *World) largeRecords(bytes int) (large, all int) {
 	for key, e := range w.store.keys {
 		if strings.HasPrefix(key, records.JobPrefix) {
@@ -50,16 +51,16 @@
 	return large, all
 }
 
-// shrunk is what a take-over under lower limits took.
-type shrunk struct {
-	leads, fits, started micros // since all controllers ended
-	commits, written     int
-	largeBefore, records int
+// takeOverResult has the times and writes of a take-over under lower limits.
+type takeOverResult struct {
+	leaderAfter, fitsAfter, startedAfter micros // time since all controllers ended
+	commits, written                     int
+	largeBefore, records                 int
 }
 
-// takeOverShrunk lets the limits of the state service fall and all controllers end, and
-// has work submitted from then on.
-func takeOverShrunk(tb testing.TB, w *World, announced bool) (s shrunk) {
+// takeOverWithLowerLimits lowers the limits of the state service, restarts all controllers, and
+// submits jobs from then on.
+func takeOverWithLowerLimits(tb testing.TB, w *World, announced bool) (s takeOverResult) {
 	tb.Helper()
 	s.largeBefore, _ = w.largeRecords(2048)
 	if err := w.actLimitsFall(nil); err != nil {
@@ -73,7 +74,7 @@
 		w.end(n, 3*protocol.Second)
 	}
 	written, commits, started, began := w.store.written, w.store.commits, w.started, w.now
-	for step := 0; (s.fits == 0 || s.started == 0) && w.now < began+300*protocol.Second; step++ {
+	for step := 0; (s.fitsAfter == 0 || s.startedAfter == 0) && w.now < began+300*protocol.Second; step++ {
 		if step < 40 {
 			for k := range 5 {
 				job := fmt.Sprintf("submit req-%06d array tasks=4 cpus=0.1 mem=0.1 gpus=0 run=3000 estimate=3000 size=0.1 image=rerun-1", 900001+5*step+k)
@@ -83,14 +84,14 @@
 			}
 		}
 		w.Run(w.now + protocol.Second/2)
-		if s.leads == 0 && w.leader() != nil {
-			s.leads = w.now - began
+		if s.leaderAfter == 0 && w.leader() != nil {
+			s.leaderAfter = w.now - began
 		}
-		if s.started == 0 && w.started >= started+800 {
-			s.started = w.now - began
+		if s.startedAfter == 0 && w.started >= started+800 {
+			s.startedAfter = w.now - began
 		}
-		if n, all := w.largeRecords(2048); n == 0 && s.fits == 0 {
-			s.fits, s.records = w.now-began, all
+		if n, all := w.largeRecords(2048); n == 0 && s.fitsAfter == 0 {
+			s.fitsAfter, s.records = w.now-began, all
 			s.commits, s.written = w.store.commits-commits, w.store.written-written
 		}
 	}
@@ -100,35 +101,36 @@
 	return s
 }
 
-// All controllers of a fleet end after the limits of the state service fell, announced
-// and not. The next leader leads as soon as ever, divides what is stored, and what is
-// submitted meanwhile starts.
+// All controllers of a fleet end after the limits of the state service were lowered, with or
+// without an announcement. The next leader takes over as fast as usual and splits the records
+// that are too large, and jobs submitted meanwhile start.
 func TestTakeOverAfterTheLimitsFell(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		t.Run(fmt.Sprintf("announced=%v", announced), func(t *testing.T) {
 			w := busyFleet(t, 300, 7200)
-			s := takeOverShrunk(t, w, announced)
-			most := 8 // refused for their size before all limits are known
+			s := takeOverWithLowerLimits(t, w, announced)
+			maxRefused := 8 // transactions refused for their size until all limits are known
 			if announced {
-				most = 1 // the first that divides a record: all of it would have gone at once
+				maxRefused = 1 // the first that splits a record, which would have written all its parts at once
 			}
-			if s.fits == 0 || s.fits > 40*protocol.Second || s.leads > 9*protocol.Second || s.started == 0 || w.store.fallen.count > most || s.largeBefore < 30 {
-				t.Errorf("%+v, %d refused for their size", s, w.store.fallen.count)
+			if s.fitsAfter == 0 || s.fitsAfter > 40*protocol.Second || s.leaderAfter > 9*protocol.Second || s.startedAfter == 0 || w.store.fallen.count > maxRefused || s.largeBefore < 30 {
+				t.Errorf("%+v, %d transactions refused for their size", s, w.store.fallen.count)
 			}
 		})
 	}
 }
 
-// BenchmarkFailoverAfterLimitsWereLowered is that at 1,238 machines and 30,000 tasks.
+// BenchmarkFailoverAfterLimitsWereLowered measures such a take-over of 1,238 machines and 30,000
+// tasks.
 func BenchmarkFailoverAfterLimitsWereLowered(b *testing.B) {
 	for _, announced := range []bool{true, false} {
 		b.Run(fmt.Sprintf("announced=%v", announced), func(b *testing.B) {
 			for range b.N {
 				w := busyFleet(b, 1238, 30_000)
-				s := takeOverShrunk(b, w, announced)
-				b.ReportMetric(s.leads.Seconds(), "leads_s")
-				b.ReportMetric(s.fits.Seconds(), "fits_s")
-				b.ReportMetric(s.started.Seconds(), "started_s")
+				s := takeOverWithLowerLimits(b, w, announced)
+				b.ReportMetric(s.leaderAfter.Seconds(), "leads_s")
+				b.ReportMetric(s.fitsAfter.Seconds(), "fits_s")
+				b.ReportMetric(s.startedAfter.Seconds(), "started_s")
 				b.ReportMetric(float64(s.largeBefore), "large_records")
 				b.ReportMetric(float64(s.records), "records")
 				b.ReportMetric(float64(s.commits), "transactions")
@@ -140,8 +142,8 @@
 	}
 }
 
-// BenchmarkStartsUnderShrunkLimits is how many tasks a second start, and jobs a second are
-// accepted, for a minute of more submissions than 24 changes a second carry.
+// BenchmarkStartsUnderShrunkLimits measures how many tasks start and how many jobs are accepted
+// per second, during a minute of more submissions than 24 changes a second allow for.
 func BenchmarkStartsUnderShrunkLimits(b *testing.B) {
 	for _, tasks := range []int{1, 4, 25} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
@@ -180,15 +182,15 @@
 	}
 }
 
-// earlierRecords are those of an earlier leader, written under the larger limits: one of
-// sixty hosts, one of where 120 tasks are, one of which tasks of 60 arrays are done, and one
-// of their bookings. Each takes more than 2 KiB.
+// earlierRecords returns lines with the records of an earlier leader, written under the larger
+// limits: one of sixty hosts, one of the launches of 120 tasks, one of the completions of 60
+// arrays, and one of bookings. Each takes more than 2 KiB.
 func earlierRecords(t *testing.T) (text string) {
 	t.Helper()
 	var b strings.Builder
 	add := func(key string, value []byte) {
 		if !strings.HasPrefix(key, "j/") && key != records.KeyEpoch && len(value) <= protocol.MinValueBytes {
-			t.Fatalf("%s takes %d bytes only", key, len(value))
+			t.Fatalf("%s takes only %d bytes", key, len(value))
 		}
 		fmt.Fprintf(&b, "record %s %s\n", key, value)
 	}
@@ -224,36 +226,37 @@
 	}
 	add("lp/1", records.EncodeLaunches(launches))
 	add("dp/1", records.EncodeCompletions(jobs))
-	for len(refs) < 90 { // of jobs that are over
+	for len(refs) < 90 { // bookings of jobs that have ended
 		refs = append(refs, fmt.Sprintf("req-%06d", 1+len(refs)))
 	}
 	add("bp/1", records.EncodeBookings(refs, func(string) protocol.Micros { return 1_700_000_100 * protocol.Second }))
 	return b.String()
 }
 
-// The records of an earlier leader are larger than the state service takes now. Leaders
-// end again and again while they divide them, some writes come late. Nothing that was done
-// runs again, what was not runs, and in the end every record fits.
+// The records of an earlier leader are larger than the state service accepts now. Leaders are
+// killed repeatedly while they split the records, and some writes are late. Completed tasks don't
+// run again, the others run, and in the end every record fits the limit.
 func TestLargeRecordsOfAnEarlierLeader(t *testing.T) {
 	for _, scene := range []string{"next\n", ""} {
-		for _, ends := range []string{"", "at 1 ends-in leading 3 after=0.3 back=0.2\n", "at 1 ends-in leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
+		for _, faults := range []string{"", "at 1 ends-in leading 3 after=0.3 back=0.2\n", "at 1 ends-in leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
 			text := "nodes 3\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nlimits changes=35\n" + scene + "fleet 60 large a\n" + earlierRecords(t) +
-				"at 0 limits-fall\n" + ends + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
+				"at 0 limits-fall\n" + faults + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
 			w, err := playTrace(text, nil)
 			if err != nil {
-				t.Errorf("%q %q: %v\n%s", scene, ends, err, strings.Join(w.Log, "\n"))
+				t.Errorf("%q %q: %v\n%s", scene, faults, err, strings.Join(w.Log, "\n"))
 			}
 			for key := range w.store.keys {
 				if strings.HasPrefix(key, "j/") {
-					t.Errorf("%q %q: %s is not over", scene, ends, key)
+					t.Errorf("%q %q: %s has not ended", scene, faults, key)
 				}
 			}
 		}
 	}
 }
 
-// Two records name the same array while one is divided: the one that comes last in order is
-// not the one that was written last. What either says is done stays done.
+// While a record of completions is split, two records name the same array, and the last one in
+// the order of keys is not the last one that was written. A task that is completed in either
+// record stays completed.
 func TestCompletionsInTwoRecords(t *testing.T) {
 	spec := &protocol.JobSpec{
 		Ref: "req-000001", Class: "work", Team: "red", Kind: protocol.Array, Tasks: 8,
--- a/internal/simulation/trace_test.go
+++ b/internal/simulation/trace_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Every kept trace is played in simulated time.
+// Every trace of testdata is played in simulated time.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
@@ -28,15 +28,15 @@
 				}
 			})
 			if err != nil {
-				t.Errorf("%v\nwhat happened:\n%s", err, strings.Join(w.Log, "\n"))
+				t.Errorf("%v\nevent log:\n%s", err, strings.Join(w.Log, "\n"))
 			}
 		})
 	}
 }
 
-// A record that can't be read is told of once by each controller that comes upon it, not
-// at every try to lead, and it stays as it is.
-func TestDamagedRecordIsToldOnce(t *testing.T) {
+// Each controller that reads a damaged record logs it once, not at every attempt to become the
+// leader, and leaves the record unchanged.
+func TestDamagedRecordIsLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	w, err := playTrace(`
 nodes 2
@@ -50,6 +50,6 @@
 		t.Fatalf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
 	if n := strings.Count(log.String(), "damaged record"); n != 2 {
-		t.Errorf("told %d times by two controllers:\n%s", n, log.String())
+		t.Errorf("logged %d times by two controllers:\n%s", n, log.String())
 	}
 }
--- a/internal/simulation/upgrade_in_trouble_test.go
+++ b/internal/simulation/upgrade_in_trouble_test.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// upgradesInTrouble is how many histories are played, unless another number is asked for.
-	upgradesInTrouble = 40
-	// upgradeOver is when the last chains of an upgrade in trouble have to be over.
-	upgradeOver = 500.0
-	// lowerLimits are those that the state service's fall to.
+	// upgradeHistories is how many histories are played unless -rapid.checks is given.
+	upgradeHistories = 40
+	// upgradeHistoryEnd is the time in seconds by which the last chains have to be over.
+	upgradeHistoryEnd = 500.0
+	// lowerLimits are the limits of the state service after they were lowered.
 	lowerLimits = "value=2048 ops=4 changes=24"
 )
 
-// drawUpgradeInTrouble makes the text of a trace: all controllers run the version in
-// production and jobs run; they get this version, the limits of the state service fall, and
-// chains are submitted once the level is active, or as soon as the last one is upgraded.
+// drawUpgradeInTrouble generates a trace that begins with all controllers on the production
+// version, and jobs running. The controllers are upgraded to this version, the limits of the
+// state service are lowered, and chains of jobs are submitted once the feature level is active,
+// or as soon as the last controller is upgraded.
 func drawUpgradeInTrouble(t *rapid.T) string {
 	const machines = 9
 	nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
@@ -29,50 +30,50 @@
 		scene += fmt.Sprintf("fleet %d big %s\n", machines/3, zone)
 	}
 
-	roll := &rolling{T: t}
-	roll.upgrade(nodes, 8, 45)
-	chains := &chainDraw{t: t, h: roll.history, from: roll.to}
+	upgrade := &upgradeDraw{T: t}
+	upgrade.upgrade(nodes, 8, 45)
+	chains := &chainDraw{t: t, h: upgrade.historyBuilder, from: upgrade.to}
 	if rapid.Bool().Draw(t, "once the level is active") {
-		chains.submitOn = "when set:level"
+		chains.submitTrigger = "when set:level"
 	}
-	scene += chains.limitsFall(roll.from, roll.to)
-	chains.jobsBefore()
+	scene += chains.limitsFall(upgrade.from, upgrade.to)
+	chains.jobsBeforeUpgrade()
 	cancelled := chains.jobs()
-	chains.troubles(nodes, machines)
+	chains.faults(nodes, machines)
 
 	h := &chains.h
 	for _, ref := range cancelled {
-		h.at(upgradeOver, "expect-over-known %s", ref)
+		h.at(upgradeHistoryEnd, "expect-over-known %s", ref)
 	}
-	h.at(upgradeOver, "expect level 1")
-	h.at(upgradeOver, "expect leader some")
-	h.at(upgradeOver, "expect nothing-stuck")
-	h.at(upgradeOver, "expect unanswered 80")
-	h.at(upgradeOver, "expect fits 2048")
-	h.at(upgradeOver, "expect unfit 8")
+	h.at(upgradeHistoryEnd, "expect level 1")
+	h.at(upgradeHistoryEnd, "expect leader some")
+	h.at(upgradeHistoryEnd, "expect nothing-stuck")
+	h.at(upgradeHistoryEnd, "expect unanswered 80")
+	h.at(upgradeHistoryEnd, "expect fits 2048")
+	h.at(upgradeHistoryEnd, "expect unfit 8")
 	return h.text(scene)
 }
 
-// jobsBefore draws jobs that run when the upgrade begins: many small tasks on each machine,
-// so that records are larger than the lower limits allow.
-func (d *chainDraw) jobsBefore() {
+// jobsBeforeUpgrade draws jobs that run when the upgrade begins: many small tasks on each
+// machine, so that records are larger than the lower limits allow.
+func (d *chainDraw) jobsBeforeUpgrade() {
 	count := rapid.IntRange(4, 8).Draw(d.t, "jobs before")
 	d.h.at(1, "burst %d req-000901 array tasks=30 cpus=1 mem=1 gpus=0 run=%d size=1", count,
 		rapid.SampledFrom([]int{20, 60, 100}).Draw(d.t, "run before"))
 }
 
-// limitsFall has the limits of the state service fall before, in or after an upgrade, and
-// returns what the scene says of it: they are announced from the start, to the controllers
-// that start from some time on, or not.
+// limitsFall lowers the limits of the state service before, during or after an upgrade. They
+// are announced from the start, by a line of the scene that limitsFall returns, or to the
+// controllers that start from some time on, or not at all.
 func (d *chainDraw) limitsFall(from, to float64) (scene string) {
 	var at float64
 	switch rapid.SampledFrom([]string{"before", "in", "after"}).Draw(d.t, "limits fall") {
 	case "before":
-		at = max(8, from-d.between("fall before", 0, 20)) // the jobs run by then
+		at = max(8, from-d.between("fall before", 0, 20)) // the jobs run from 8 s on at the latest
 	case "in":
 		at = from + (to-from)*d.between("fall in", 0, 10)/10
 	case "after":
-		at = min(troublesTo, to+d.between("fall after", 0, 40))
+		at = min(faultsTo, to+d.between("fall after", 0, 40))
 	}
 	d.h.at(at, "limits-fall %s", lowerLimits)
 	switch rapid.SampledFrom([]string{"from the start", "to new ones", "no"}).Draw(d.t, "announced") {
@@ -84,15 +85,15 @@
 	return scene
 }
 
-// A whole deployment gets this version while the limits of the state service fall and
-// troubles meet: the level becomes active only when all have it, and in the end it is; no
-// task starts too early, no job is left behind by a cancellation, and whatever was accepted
-// before, in and after the upgrade ends. Each history is drawn with a seed of its own, as
-// those of TestOverlap.
+// A whole deployment is upgraded to this version while the limits of the state service are
+// lowered and faults overlap. The feature level becomes active only when all controllers serve
+// it, and is active in the end. No task starts before the jobs that it awaits are done, a
+// cancellation leaves no dependent job behind, and every job accepted before, during or after
+// the upgrade ends. As in TestOverlap, each history is drawn with its own seed.
 func TestUpgradeInTrouble(t *testing.T) {
 	seed, checks := flagNumber(t, "rapid.seed"), flagNumber(t, "rapid.checks")
 	if checks == defaultChecks {
-		checks = upgradesInTrouble
+		checks = upgradeHistories
 	}
 	drawn := rapid.Custom(drawUpgradeInTrouble)
 	for i := range checks {
@@ -100,35 +101,35 @@
 			t.Parallel()
 			text := drawn.Example(seed + i)
 			if w, err := playTrace(text, nil); err != nil {
-				t.Errorf("seed %d: %v\nthe trace:\n%s\nwhat happened:\n%s", seed+i, err, text, strings.Join(w.Log, "\n"))
+				t.Errorf("seed %d: %v\ntrace:\n%s\nevent log:\n%s", seed+i, err, text, strings.Join(w.Log, "\n"))
 			}
 		})
 	}
 }
 
-// A refused transaction that a controller sends again breaks the rules; a copy of it that
-// the network makes does not, and is refused as well.
+// A controller that sends a refused transaction again breaks the rules. A copy of the transaction
+// made by the network does not, and is refused as well.
 func TestRefusedTransactionComesAgain(t *testing.T) {
 	w := NewWorld(3)
 	if err := w.play("at 1 limits-fall " + lowerLimits + "\n"); err != nil {
 		t.Fatal(err)
 	}
 	large := []byte(`{"when":[],"then":[{"set":"x","data":"` + strings.Repeat("x", 2048) + `"}]}`)
-	sends := func(want int) {
+	send := func(want int) {
 		t.Helper()
 		w.store.serve("POST", "/commit", large, func(status int, _ string) {
 			if status != 400 {
-				t.Errorf("got %d", status)
+				t.Errorf("got status %d, want 400", status)
 			}
 		})
 		if len(w.Broken) != want {
 			t.Errorf("rules broken: %q", w.Broken)
 		}
 	}
-	sends(0)
+	send(0)
 	w.store.serveCopy("POST", "/commit", large)
 	if len(w.Broken) > 0 || w.store.keys["x"] != nil {
-		t.Errorf("a copy: %q, %v", w.Broken, w.store.keys["x"])
+		t.Errorf("after a copy: rules broken: %q, record %v", w.Broken, w.store.keys["x"])
 	}
-	sends(1)
+	send(1)
 }
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawUpgrade adds a change of versions to a drawn history: some controllers run the version
-// in production, and get this one while the troubles last.
+// drawUpgrade adds an upgrade to a generated history: some controllers run the production
+// version, and are upgraded to this one while faults occur.
 func drawUpgrade(t *rapid.T, history string) string {
 	scene, _, _ := strings.Cut(history, "\n")
 	nodes, err := strconv.Atoi(strings.Fields(scene)[1])
@@ -23,29 +23,29 @@
 	old := rapid.IntRange(1, nodes).Draw(t, "production")
 	lines := strings.Split(strings.TrimSuffix(history, "\n"), "\n")
 	lines = slices.Insert(lines, 1, fmt.Sprintf("production %d", old))
-	r := &rolling{T: t}
+	r := &upgradeDraw{T: t}
 	r.upgrade(old, 2, 50)
 	for _, l := range r.lines {
 		lines = append(lines, fmt.Sprintf("at %g %s", l.at, l.text))
 	}
-	lines = append(lines, fmt.Sprintf("at %g expect level 1", over))
-	slices.SortStableFunc(lines, func(a, b string) int { return cmp.Compare(instant(a), instant(b)) })
+	lines = append(lines, fmt.Sprintf("at %g expect level 1", historyEnd))
+	slices.SortStableFunc(lines, func(a, b string) int { return cmp.Compare(lineInstant(a), lineInstant(b)) })
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// rolling draws a change of versions.
-type rolling struct {
+// upgradeDraw generates an upgrade of controllers.
+type upgradeDraw struct {
 	*rapid.T
-	history
-	from, to float64 // the first and the last controller get this version
+	historyBuilder
+	from, to float64 // when the first and the last controller are upgraded
 }
 
-// upgrade has the first so many controllers, which run the version in production, get this
-// one, beginning between two times: in any order, a few at a time or close together; some end
-// before their turn and come back old.
-func (r *rolling) upgrade(old, beginsFrom, beginsBy int) {
+// upgrade draws the upgrade of the first count controllers from the production version to this one.
+// It begins between beginsFrom and beginsBy, the order is random, and the pace slow or fast. Some
+// controllers restart with the production version before their upgrade.
+func (r *upgradeDraw) upgrade(count, beginsFrom, beginsBy int) {
 	var nodes []int
-	for i := range old {
+	for i := range count {
 		nodes = append(nodes, i)
 	}
 	order := rapid.Permutation(nodes).Draw(r.T, "order")
@@ -57,14 +57,14 @@
 			r.at(max(2, at-rapid.SampledFrom([]float64{0.3, 4, 20}).Draw(r.T, "sooner")), "restart node-%d after=%g", i,
 				rapid.SampledFrom([]float64{0.05, 0.5, 3}).Draw(r.T, "back after"))
 		}
-		r.to = min(troublesTo-4, at)
+		r.to = min(faultsTo-4, at)
 		r.at(r.to, "upgrade node-%d after=%g", i, rapid.SampledFrom([]float64{0.05, 0.5, 3}).Draw(r.T, "new after"))
 		at += pace
 	}
 }
 
-// instant is when a line of a trace is due, -1 for the scene.
-func instant(line string) float64 {
+// lineInstant returns the time of a line of a trace, or -1 for a line of the scene.
+func lineInstant(line string) float64 {
 	words := strings.Fields(line)
 	if words[0] != "at" {
 		return -1
@@ -76,26 +76,28 @@
 	return at
 }
 
-// Controllers of two versions serve side by side while troubles overlap: the level becomes
-// active only when all have it, and in the end it is; nothing that is due before differs.
+// Controllers of two versions serve side by side while faults overlap. The feature level becomes
+// active only when all controllers serve it, and is active in the end. Until then nothing that
+// depends on the level is written.
 func TestOverlapOfVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawUpgrade(t, drawHistory(t))
 		if w, err := playTrace(text, nil); err != nil {
-			t.Fatalf("%v\nthe trace:\n%s\nwhat happened:\n%s", err, text, strings.Join(w.Log, "\n"))
+			t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 		}
 	})
 }
 
-// Without what an upgrade is about, an old process would go on as before: the judge's own
-// check. The epoch's record of the earlier form lets the version in production lead.
+// The simulation must detect a controller that leads though it doesn't serve the active feature
+// level. An epoch record in the earlier format, which does not keep the production version from
+// leading, brings this about.
 func TestOldProcessIsNoticed(t *testing.T) {
 	text, err := os.ReadFile("testdata/upgrade_old_comes_back.trace")
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := strings.Replace(string(text), "at 7 downgrade node-2\n", "at 7 downgrade node-2\nat 8 spoil-record epoch {\"form\":2,\"epoch\":9}\n", 1)
-	if w, err := playTrace(spoilt, nil); err == nil || !strings.Contains(strings.Join(w.Broken, "\n"), "serves up to 0 and leads") {
+	changed := strings.Replace(string(text), "at 7 downgrade node-2\n", "at 7 downgrade node-2\nat 8 spoil-record epoch {\"form\":2,\"epoch\":9}\n", 1)
+	if w, err := playTrace(changed, nil); err == nil || !strings.Contains(strings.Join(w.Broken, "\n"), "serves up to 0 and leads") {
 		t.Errorf("%v, %s", err, w.Broken)
 	}
 }
