--- a/internal/scale/addresses.go
+++ b/internal/scale/addresses.go
@@ -7,11 +7,13 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// Where the parts of a run listen: addresses by region, and what goes through relays.
+// Addresses of the processes of a run, by region, and the targets of the relays between regions.
 
-// Addresses of the run, but those of machines, which package wire has. Each IP has one
-// that its process listens on and one, in the relay, that other regions know.
-func (s *supervisor) ip(rest string) string { return s.network.Prefix + rest }
+// ip returns the address prefix of the run's loopback network followed by suffix. Addresses of
+// machines come from wire.Addresses. Controllers, the state service and the cloud have two ports
+// for each listener: the process itself listens on the private one, and the relay of its region
+// on the public one, which is 1000 higher and is used from other regions.
+func (s *supervisor) ip(suffix string) string { return s.network.Prefix + suffix }
 
 func (s *supervisor) stateAddr(private bool) string { return s.ip("0.10:") + port(private, 7100) }
 
@@ -24,40 +26,41 @@
 	return fmt.Sprint(n)
 }
 
-func (c *controllerAt) client(private bool) string { return c.ip + ":" + port(private, 7000) }
+func (c *controllerState) clientAddr(private bool) string { return c.ip + ":" + port(private, 7000) }
 
-func (c *controllerAt) cluster(private bool) string { return c.ip + ":" + port(private, 7001) }
+func (c *controllerState) clusterAddr(private bool) string { return c.ip + ":" + port(private, 7001) }
 
-func (c *controllerAt) telemetry() string { return c.ip + ":9464" }
+func (c *controllerState) telemetryAddr() string { return c.ip + ":9464" }
 
-// regionsOf says in which region each IP is.
+// regionsOf maps the IP address of each machine, controller and user process to its region.
 func (s *supervisor) regionsOf(machines []wire.Machine) map[string]string {
-	of := make(map[string]string)
+	byIP := make(map[string]string)
 	for _, m := range machines {
-		of[m.Source] = m.Region
+		byIP[m.Source] = m.Region
 	}
 	for _, c := range s.controllers {
-		of[c.ip] = c.region
+		byIP[c.ip] = c.region
 	}
-	for _, r := range s.f.Regions {
-		of[s.userIP(r.Name)] = r.Name
+	for _, r := range s.file.Regions {
+		byIP[s.userIP(r.Name)] = r.Name
 	}
-	return of
+	return byIP
 }
 
 func (s *supervisor) userIP(region string) string {
-	return s.ip(fmt.Sprintf("2.%d", 1+slices.IndexFunc(s.f.Regions, func(r Region) bool { return r.Name == region })))
+	return s.ip(fmt.Sprintf("2.%d", 1+slices.IndexFunc(s.file.Regions, func(r Region) bool { return r.Name == region })))
 }
 
-// listen is what a region's relay listens on, and where it goes.
-func (s *supervisor) listen(region string, machines []wire.Machine) map[string]string {
+// relayTargets maps each address on which the relay of a region listens to the address that it
+// forwards to.
+func (s *supervisor) relayTargets(region string, machines []wire.Machine) map[string]string {
 	out := make(map[string]string)
 	for _, c := range s.controllers {
 		if c.region == region {
-			out[c.client(false)], out[c.cluster(false)] = c.client(true), c.cluster(true)
+			out[c.clientAddr(false)], out[c.clusterAddr(false)] = c.clientAddr(true), c.clusterAddr(true)
 		}
 	}
-	if region == s.f.State.Region {
+	if region == s.file.State.Region {
 		out[s.stateAddr(false)], out[s.cloudAddr(false)] = s.stateAddr(true), s.cloudAddr(true)
 	}
 	for _, m := range machines {
@@ -68,15 +71,15 @@
 	return out
 }
 
-// delays are those from other regions to one, one way, microseconds.
+// delays returns the one-way delay from each other region to the given one, in microseconds.
 func (s *supervisor) delays(region string) map[string]int64 {
 	out := make(map[string]int64)
-	for _, r := range s.f.Regions {
+	for _, r := range s.file.Regions {
 		if r.Name != region {
-			out[r.Name] = int64(s.f.Network.DelayMS * 1000)
+			out[r.Name] = int64(s.file.Network.DelayMS * 1000)
 		}
 	}
-	for _, l := range s.f.Links {
+	for _, l := range s.file.Links {
 		for i := range 2 {
 			if l.Between[i] == region {
 				out[l.Between[1-i]] = int64(l.DelayMS * 1000)
@@ -86,24 +89,26 @@
 	return out
 }
 
-// known are the controllers as workers and users know them.
-func (s *supervisor) known() []wire.Controller {
+// controllerAddrs lists the controllers, each with the address at which workers and users of
+// each region reach it.
+func (s *supervisor) controllerAddrs() []wire.Controller {
 	var out []wire.Controller
 	for _, c := range s.controllers {
-		k := wire.Controller{Name: c.name, Zone: c.zone, Region: c.region, Public: make(map[string]string)}
-		for _, r := range s.f.Regions {
-			k.Public[r.Name] = c.client(r.Name == c.region)
+		controller := wire.Controller{Name: c.name, Zone: c.zone, Region: c.region, Public: make(map[string]string)}
+		for _, r := range s.file.Regions {
+			controller.Public[r.Name] = c.clientAddr(r.Name == c.region)
 		}
-		out = append(out, k)
+		out = append(out, controller)
 	}
 	return out
 }
 
-func (s *supervisor) telemetry() map[string]string {
+// telemetryAddrs returns the metrics address of each controller that runs and is not frozen.
+func (s *supervisor) telemetryAddrs() map[string]string {
 	out := make(map[string]string)
 	for _, c := range s.controllers {
-		if c.proc != nil && !c.proc.over() && !c.frozen {
-			out[c.name] = c.telemetry()
+		if c.proc != nil && !c.proc.hasExited() && !c.frozen {
+			out[c.name] = c.telemetryAddr()
 		}
 	}
 	return out
--- a/internal/scale/launch.go
+++ b/internal/scale/launch.go
@@ -17,26 +17,26 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// Start of a run: settings, processes in their order, and the wait until a controller leads.
+// Start of a run: settings files, the processes in their order, and the wait for a leader.
 
-// play starts everything in its order, and runs the load.
-func (s *supervisor) play(ctx context.Context) error {
-	for i, z := range s.f.Controllers.Zones {
-		s.controllers = append(s.controllers, &controllerAt{name: s.f.controllerNames()[i], zone: z, region: s.f.regionOf(z), ip: s.ip(fmt.Sprintf("1.%d", 10+i))})
+// run starts all processes in their order, waits for a leader and runs the load.
+func (s *supervisor) run(ctx context.Context) error {
+	for i, z := range s.file.Controllers.Zones {
+		s.controllers = append(s.controllers, &controllerState{name: s.file.controllerNames()[i], zone: z, region: s.file.regionOf(z), ip: s.ip(fmt.Sprintf("1.%d", 10+i))})
 	}
-	platform, err := s.settings()
+	platform, err := s.writeSettings()
 	if err != nil {
 		return err
 	}
-	machines := s.drawMachines()
-	config := func(role, part string) *wire.Config {
-		return &wire.Config{Role: role, Part: part, Seed: s.f.Seed, Platform: platform, Types: s.f.machineTypes(), Network: s.network.Prefix, EndsUS: s.until + 10*int64(protocol.Second)}
+	machines := s.placeMachines()
+	partConfig := func(role, part string) *wire.Config {
+		return &wire.Config{Role: role, Part: part, Seed: s.file.Seed, Platform: platform, Types: s.file.machineTypes(), Network: s.network.Prefix, EndsUS: s.deadline + 10*int64(protocol.Second)}
 	}
 	p, err := protocol.ParsePlatform([]byte(platform))
 	if err != nil {
 		return err
 	}
-	s.hub = checker.New(p, s.f.machineTypes(), func(part string, m *wire.Message) {
+	s.hub = checker.New(p, s.file.machineTypes(), func(part string, m *wire.Message) {
 		if p := s.parts[part]; p != nil {
 			p.send(m)
 		}
@@ -45,30 +45,30 @@
 		if s.firstStart == 0 {
 			s.firstStart = st.At
 		}
-		s.meter.start(st)
+		s.meter.addStart(st)
 	})
 
-	s.say("starting %d machines in %d zones of %d regions, %d controllers, %d processes", len(machines), len(p.Zones), len(s.f.Regions), len(s.controllers), s.processes())
-	if s.standins, err = s.startPart("standins", wire.RoleStandins, s.f.State.Region); err != nil {
+	s.printProgress("starting %d machines in %d zones of %d regions, %d controllers, %d processes", len(machines), len(p.Zones), len(s.file.Regions), len(s.controllers), s.processes())
+	if s.standins, err = s.startPart("standins", wire.RoleStandins, s.file.State.Region); err != nil {
 		return err
 	}
-	c := config(wire.RoleStandins, "standins")
-	c.Machines, c.State, c.Cloud, c.LatencyUS, c.Spare = machines, s.stateAddr(true), s.cloudAddr(true), int64(s.f.State.LatencyMS*1000), s.spare()
+	c := partConfig(wire.RoleStandins, "standins")
+	c.Machines, c.State, c.Cloud, c.LatencyUS, c.Spare = machines, s.stateAddr(true), s.cloudAddr(true), int64(s.file.State.LatencyMS*1000), s.spareMachines()
 	s.standins.send(&wire.Message{Kind: wire.Setup, Setup: c})
-	of := s.regionsOf(machines)
-	for _, r := range s.f.Regions {
+	regionByIP := s.regionsOf(machines)
+	for _, r := range s.file.Regions {
 		name := "relay-" + r.Name
 		relay, err := s.startPart(name, wire.RoleRelay, r.Name)
 		if err != nil {
 			return err
 		}
-		c := config(wire.RoleRelay, name)
+		c := partConfig(wire.RoleRelay, name)
 		c.Types = nil
-		c.Links = &wire.Links{Region: r.Name, Listen: s.listen(r.Name, machines), Of: of, Delay: s.delays(r.Name), Loss: s.f.Network.Loss, Jitter: s.f.Network.Jitter}
+		c.Links = &wire.Links{Region: r.Name, Listen: s.relayTargets(r.Name, machines), Of: regionByIP, Delay: s.delays(r.Name), Loss: s.file.Network.Loss, Jitter: s.file.Network.Jitter}
 		relay.send(&wire.Message{Kind: wire.Setup, Setup: c})
 		s.relays = append(s.relays, relay)
 	}
-	if err := s.allReady(ctx); err != nil {
+	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
 	for _, c := range s.controllers {
@@ -76,13 +76,13 @@
 			return err
 		}
 	}
-	if err := s.startWorkers(machines, config); err != nil {
+	if err := s.startWorkers(machines, partConfig); err != nil {
 		return err
 	}
-	if err := s.allReady(ctx); err != nil {
+	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
-	s.say("machines report")
+	s.printProgress("machines report")
 	if err := s.awaitLeader(ctx); err != nil {
 		return err
 	}
@@ -90,39 +90,41 @@
 	if s.users, err = s.startPart("users", wire.RoleUsers, ""); err != nil {
 		return err
 	}
-	c = config(wire.RoleUsers, "users")
+	c = partConfig(wire.RoleUsers, "users")
 	c.Types = nil
-	c.Controllers = s.known()
+	c.Controllers = s.controllerAddrs()
 	begin := wire.Now() + 3*int64(protocol.Second)
-	if c.Load, err = json.Marshal(s.plan(begin)); err != nil {
+	if c.Load, err = json.Marshal(s.usersPlan(begin)); err != nil {
 		return err
 	}
 	s.users.send(&wire.Message{Kind: wire.Setup, Setup: c})
-	if err := s.allReady(ctx); err != nil {
+	if err := s.awaitReady(ctx); err != nil {
 		return err
 	}
-	s.meter.begin(begin, s.f)
-	return s.loop(ctx, begin)
+	s.meter.begin(begin, s.file)
+	return s.eventLoop(ctx, begin)
 }
 
-// historyPages is how much history controllers keep, as in deploy/configuration.toml.
+// historyPages is the number of pages of configuration history that controllers keep, as in
+// deploy/configuration.toml.
 const historyPages = 256
 
-// settings writes the controllers' files, and returns the text of the first one.
-func (s *supervisor) settings() (string, error) {
-	first := ""
-	write := func(name, text string) (string, error) {
-		path := filepath.Join(s.o.Out, name)
+// writeSettings writes the settings files of the controllers and of the run, and returns the
+// platform settings of the first controller.
+func (s *supervisor) writeSettings() (string, error) {
+	firstText := ""
+	writeFile := func(name, text string) (string, error) {
+		path := filepath.Join(s.options.Out, name)
 		return path, os.WriteFile(path, []byte(text), 0o644)
 	}
 	for i, c := range s.controllers {
-		p := s.f.platform()
-		home := c.region == s.f.State.Region
-		p.ControllerName, p.Zone, p.ClientListen, p.ClusterListen = c.name, c.zone, c.client(true), c.cluster(true)
-		p.StateAddr, p.CloudAddr = s.stateAddr(home), s.cloudAddr(home)
-		for _, o := range s.controllers {
-			if o != c {
-				p.Peers = append(p.Peers, protocol.Peer{Name: o.name, Zone: o.zone, Address: o.cluster(o.region == c.region)})
+		p := s.file.platform()
+		inStateRegion := c.region == s.file.State.Region
+		p.ControllerName, p.Zone, p.ClientListen, p.ClusterListen = c.name, c.zone, c.clientAddr(true), c.clusterAddr(true)
+		p.StateAddr, p.CloudAddr = s.stateAddr(inStateRegion), s.cloudAddr(inStateRegion)
+		for _, other := range s.controllers {
+			if other != c {
+				p.Peers = append(p.Peers, protocol.Peer{Name: other.name, Zone: other.zone, Address: other.clusterAddr(other.region == c.region)})
 			}
 		}
 		text, err := protocol.SettingsFile(&p)
@@ -130,22 +132,22 @@
 			return "", err
 		}
 		if i == 0 {
-			first = string(text)
+			firstText = string(text)
 		}
 		for _, file := range []struct{ flag, name, text string }{
 			{"--config", c.name + ".toml", string(text)},
-			{"--operator", c.name + "-operator.toml", fmt.Sprintf("source_address = %q\nidle_return_s = %g\ncut_keep_s = %g\n", c.ip, s.f.Controllers.IdleReturnS, s.f.Controllers.CutKeepS)},
-			{"--telemetry", c.name + "-telemetry.toml", fmt.Sprintf("listen = %q\nsnapshot_s = 1.0\n", c.telemetry())},
+			{"--operator", c.name + "-operator.toml", fmt.Sprintf("source_address = %q\nidle_return_s = %g\ncut_keep_s = %g\n", c.ip, s.file.Controllers.IdleReturnS, s.file.Controllers.CutKeepS)},
+			{"--telemetry", c.name + "-telemetry.toml", fmt.Sprintf("listen = %q\nsnapshot_s = 1.0\n", c.telemetryAddr())},
 		} {
-			path, err := write(file.name, file.text)
+			path, err := writeFile(file.name, file.text)
 			if err != nil {
 				return "", err
 			}
 			c.args = append(c.args, file.flag, path)
 		}
 	}
-	if s.f.Changes != nil {
-		path, err := write("configuration.toml", fmt.Sprintf("history_pages = %d\n", historyPages))
+	if s.file.Changes != nil {
+		path, err := writeFile("configuration.toml", fmt.Sprintf("history_pages = %d\n", historyPages))
 		if err != nil {
 			return "", err
 		}
@@ -153,31 +155,31 @@
 			c.args = append(c.args, "--configuration", path)
 		}
 	}
-	text, err := s.f.Text()
+	text, err := s.file.Text()
 	if err != nil {
 		return "", err
 	}
-	_, err = write("settings.toml", string(text))
-	return first, err
+	_, err = writeFile("settings.toml", string(text))
+	return firstText, err
 }
 
-// plan is what the users are told.
-func (s *supervisor) plan(begin int64) *users.Plan {
+// usersPlan returns the plan of the load that is sent to the users process.
+func (s *supervisor) usersPlan(begin int64) *users.Plan {
 	us := func(v float64) int64 { return int64(protocol.FromSeconds(v)) }
 	p := &users.Plan{
-		BeginUS: begin, DurationUS: us(s.f.DurationS), SettleUS: us(s.f.SettleS), FillUS: us(s.f.FillS), PollUS: us(s.f.Users.PollS),
-		MaxConnections: s.f.Users.MaxConnections, Teams: s.f.teamNames(), Classes: s.f.Jobs, Changes: s.f.Load, Sources: make(map[string]string), Strangers: 0.5,
+		BeginUS: begin, DurationUS: us(s.file.DurationS), SettleUS: us(s.file.SettleS), FillUS: us(s.file.FillS), PollUS: us(s.file.Users.PollS),
+		MaxConnections: s.file.Users.MaxConnections, Teams: s.file.teamNames(), Classes: s.file.Jobs, Changes: s.file.Load, Sources: make(map[string]string), Strangers: 0.5,
 	}
-	for _, r := range s.f.Regions {
+	for _, r := range s.file.Regions {
 		p.Regions = append(p.Regions, r.Name)
 		p.Sources[r.Name] = s.userIP(r.Name)
 	}
-	if s.f.Changes == nil {
+	if s.file.Changes == nil {
 		return p
 	}
-	p.Operators = s.f.Changes
-	platform := s.f.platform()
-	for _, name := range s.f.teamNames() {
+	p.Operators = s.file.Changes
+	platform := s.file.platform()
+	for _, name := range s.file.teamNames() {
 		p.Bounds.Teams = append(p.Bounds.Teams, platform.Teams[name])
 	}
 	p.Bounds.Machines = slices.Sorted(maps.Keys(s.machines))
@@ -188,12 +190,13 @@
 	return p
 }
 
-// startWorkers starts the hollow processes and the real workers.
-func (s *supervisor) startWorkers(machines []wire.Machine, config func(role, part string) *wire.Config) error {
-	shares := make(map[string][]wire.Machine)
-	per := s.hollowPerRegion()
-	for _, r := range s.f.Regions {
-		for i := range per {
+// startWorkers starts the hollow processes, which simulate many workers each, and a process for
+// each real worker.
+func (s *supervisor) startWorkers(machines []wire.Machine, partConfig func(role, part string) *wire.Config) error {
+	machinesByPart := make(map[string][]wire.Machine)
+	perRegion := s.hollowPerRegion()
+	for _, r := range s.file.Regions {
+		for i := range perRegion {
 			name := fmt.Sprintf("hollow-%s-%d", r.Name, i)
 			p, err := s.startPart(name, wire.RoleHollow, r.Name)
 			if err != nil {
@@ -202,7 +205,7 @@
 			s.hollow[r.Name] = append(s.hollow[r.Name], p)
 		}
 	}
-	n := make(map[string]int)
+	assigned := make(map[string]int)
 	for _, m := range machines {
 		var p *process
 		if m.Real {
@@ -211,25 +214,25 @@
 				return err
 			}
 		} else {
-			p = s.hollow[m.Region][n[m.Region]%per]
-			n[m.Region]++
+			p = s.hollow[m.Region][assigned[m.Region]%perRegion]
+			assigned[m.Region]++
 		}
-		shares[p.name] = append(shares[p.name], m)
-		s.machines[m.Name] = &machineAt{m, p}
+		machinesByPart[p.name] = append(machinesByPart[p.name], m)
+		s.machines[m.Name] = &machineState{m, p}
 		s.hub.Machine(m, p.name)
 	}
 	for name, p := range s.parts {
 		if p.role == wire.RoleHollow || p.role == wire.RoleWorker {
-			c := config(p.role, name)
-			c.Machines, c.Controllers = shares[name], s.known()
+			c := partConfig(p.role, name)
+			c.Machines, c.Controllers = machinesByPart[name], s.controllerAddrs()
 			p.send(&wire.Message{Kind: wire.Setup, Setup: c})
 		}
 	}
 	return nil
 }
 
-func (s *supervisor) startController(c *controllerAt) error {
-	p, err := s.start(startController(s.o.Controller, s.o.Out, c.name, c.region, c.args...))
+func (s *supervisor) startController(c *controllerState) error {
+	p, err := s.track(startController(s.options.Controller, s.options.Out, c.name, c.region, c.args...))
 	if err != nil {
 		return err
 	}
@@ -237,9 +240,9 @@
 	return nil
 }
 
-// allReady waits until every part has said that it listens.
-func (s *supervisor) allReady(ctx context.Context) error {
-	late := time.After(60 * time.Second)
+// awaitReady waits until every part has reported that it listens, for at most 60 s.
+func (s *supervisor) awaitReady(ctx context.Context) error {
+	timeout := time.After(60 * time.Second)
 	for {
 		missing := ""
 		for _, name := range slices.Sorted(maps.Keys(s.parts)) {
@@ -248,52 +251,52 @@
 				break
 			}
 		}
-		if missing == "" || s.problem != nil {
-			return s.problem
+		if missing == "" || s.partErr != nil {
+			return s.partErr
 		}
 		select {
 		case m := <-s.in:
-			s.message(m)
+			s.handleMessage(m)
 		case <-ctx.Done():
-			return s.ended(ctx)
-		case <-late:
+			return s.contextError(ctx)
+		case <-timeout:
 			return fmt.Errorf("%s is not ready after 60 s", missing)
 		}
 	}
 }
 
-// ended is why a context is over.
-func (s *supervisor) ended(ctx context.Context) error {
+// contextError returns the reason why a context has ended: the time limit or an interruption.
+func (s *supervisor) contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return &limitError{fmt.Sprintf("not over after limits.max_s = %g s", s.f.Limits.MaxS)}
+		return &limitError{fmt.Sprintf("not over after limits.max_s = %g s", s.file.Limits.MaxS)}
 	}
 	return errors.New("interrupted")
 }
 
-// awaitLeader waits until a controller leads.
+// awaitLeader waits until the metrics of a controller show it as leader, for at most 60 s.
 func (s *supervisor) awaitLeader(ctx context.Context) error {
-	look := sampler{}
-	late := time.After(60 * time.Second)
+	reader := sampler{}
+	timeout := time.After(60 * time.Second)
 	tick := time.NewTicker(300 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case m := <-s.in:
-			s.message(m)
-			if s.problem != nil {
-				return s.problem
+			s.handleMessage(m)
+			if s.partErr != nil {
+				return s.partErr
 			}
 		case <-tick.C:
-			if err := s.watch(); err != nil {
+			if err := s.checkProcesses(); err != nil {
 				return err
 			}
-			if l := leaderOf(look.take(nil, s.telemetry()).scraped); l != "" {
-				s.say("%s leads", l)
+			if l := leaderOf(reader.collect(nil, s.telemetryAddrs()).scraped); l != "" {
+				s.printProgress("%s leads", l)
 				return nil
 			}
 		case <-ctx.Done():
-			return s.ended(ctx)
-		case <-late:
+			return s.contextError(ctx)
+		case <-timeout:
 			return errors.New("no controller leads after 60 s")
 		}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -21,49 +21,50 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// sample is what was seen at a time of all processes.
+// sample contains the measurements of all processes at one time.
 type sample struct {
 	at      int64
 	usage   map[*process]usage
 	scraped map[string]*scrape // by controller
-	busy    time.Duration      // of the machine, since its start
-	all     time.Duration
+	busy    time.Duration      // processor time of the machine since its boot, without idle time
+	all     time.Duration      // total processor time of the machine since its boot
 }
 
-// scrape is what a controller's metrics said.
+// scrape contains the metrics of a controller at one time.
 type scrape struct {
-	role    string
-	calls   map[string]float64 // service, kind and outcome
-	steps   map[string]float64 // events handled, by kind
-	stepS   map[string]float64 // seconds in all, by kind
-	refused map[string]float64
-	other   map[string]float64             // gauges and counters without labels
-	times   map[string]map[float64]float64 // of steps and calls: how many took at most so many seconds
+	role        string
+	calls       map[string]float64 // count by service, call and, if it is not 200, outcome
+	steps       map[string]float64 // number of handled events by kind
+	stepSeconds map[string]float64 // total handling time by kind of event
+	refused     map[string]float64
+	other       map[string]float64             // gauges and counters that have no labels
+	histograms  map[string]map[float64]float64 // of steps and calls: cumulative counts by upper bound in seconds
 }
 
-// sampler looks at processes once a second.
+// sampler measures the processes and scrapes the metrics of the controllers.
 type sampler struct {
 	client http.Client
 	count  int
 }
 
-// socketsEvery is how often sockets are counted, in samples: it takes a look at each.
+// socketsEvery is the interval, in samples, at which sockets are counted: counting reads every
+// file descriptor of a process.
 const socketsEvery = 5
 
-func (s *sampler) take(procs []*process, telemetry map[string]string) *sample {
+func (s *sampler) collect(procs []*process, telemetry map[string]string) *sample {
 	out := &sample{at: wire.Now(), usage: make(map[*process]usage), scraped: make(map[string]*scrape)}
 	withSockets := s.count%socketsEvery == 0
 	s.count++
 	for _, p := range procs {
-		if u, err := readUsage(p.pid, withSockets); err == nil && !p.over() {
+		if u, err := readUsage(p.pid, withSockets); err == nil && !p.hasExited() {
 			out.usage[p] = u
 		}
 	}
-	out.busy, out.all = machineTime()
+	out.busy, out.all = machineCPUTime()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for name, addr := range telemetry {
-		all.Go(func() {
+		wg.Go(func() {
 			if got := s.scrape(addr); got != nil {
 				mu.Lock()
 				out.scraped[name] = got
@@ -71,11 +72,11 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return out
 }
 
-// scrape reads a controller's metrics; nil: it doesn't answer.
+// scrape reads the metrics of a controller. It returns nil if they cannot be read.
 func (s *sampler) scrape(addr string) *scrape {
 	ctx, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 	defer cancel()
@@ -93,13 +94,13 @@
 	if err != nil {
 		return nil
 	}
-	out := &scrape{calls: make(map[string]float64), steps: make(map[string]float64), stepS: make(map[string]float64), refused: make(map[string]float64), other: make(map[string]float64), times: make(map[string]map[float64]float64)}
+	out := &scrape{calls: make(map[string]float64), steps: make(map[string]float64), stepSeconds: make(map[string]float64), refused: make(map[string]float64), other: make(map[string]float64), histograms: make(map[string]map[float64]float64)}
 	buckets := func(what string, h *dto.Histogram) {
 		by := map[float64]float64{math.Inf(1): float64(h.GetSampleCount())}
 		for _, b := range h.Bucket {
 			by[b.GetUpperBound()] = float64(b.GetCumulativeCount())
 		}
-		out.times[what] = by
+		out.histograms[what] = by
 	}
 	for name, f := range families {
 		for _, m := range f.Metric {
@@ -119,7 +120,7 @@
 			case name == "mapleslip_role" && value == 1:
 				out.role = label
 			case name == "mapleslip_calls_total":
-				// Labels come in the order of their names: call, outcome, service.
+				// Labels are sorted by name: call, outcome, service.
 				if len(labels) == 3 {
 					label = labels[2] + " " + labels[0]
 					if labels[1] != "200" {
@@ -128,7 +129,7 @@
 				}
 				out.calls[label] += value
 			case name == "mapleslip_step_seconds" && m.Histogram != nil:
-				out.steps[label], out.stepS[label] = float64(m.Histogram.GetSampleCount()), m.Histogram.GetSampleSum()
+				out.steps[label], out.stepSeconds[label] = float64(m.Histogram.GetSampleCount()), m.Histogram.GetSampleSum()
 				buckets(label, m.Histogram)
 			case name == "mapleslip_call_seconds" && m.Histogram != nil && len(labels) == 2:
 				buckets(labels[1]+" "+labels[0], m.Histogram)
@@ -142,23 +143,24 @@
 	return out
 }
 
-// longest is an upper bound of what was counted between two scrapes, seconds; 0: nothing
-// was. It is the end of the highest bucket that grew.
-func longest(now, before map[float64]float64) float64 {
+// highestGrownBucket returns the upper bound, in seconds, of the highest bucket whose count has
+// grown between two scrapes: nothing that was recorded between them took longer. It returns 0 if
+// no count has grown.
+func highestGrownBucket(now, before map[float64]float64) float64 {
 	ends := slices.Sorted(maps.Keys(now))
-	top, below := 0.0, 0.0
+	highest, grownBelow := 0.0, 0.0
 	for _, end := range ends {
 		grown := now[end] - before[end]
-		if grown > below {
-			top, below = end, grown
+		if grown > grownBelow {
+			highest, grownBelow = end, grown
 		}
 	}
-	return top
+	return highest
 }
 
-// lastBucket is the end of the highest bucket that has one.
-func lastBucket(times map[float64]float64) (end float64) {
-	for b := range times {
+// highestFiniteBucket returns the highest upper bound that is not infinite.
+func highestFiniteBucket(histogram map[float64]float64) (end float64) {
+	for b := range histogram {
 		if !math.IsInf(b, 1) {
 			end = max(end, b)
 		}
@@ -166,7 +168,8 @@
 	return end
 }
 
-// Histograms are of microseconds, from 1 to an hour, with so many figures.
+// newHistogram returns a histogram of microseconds, from 1 to one hour, with the given number of
+// significant figures.
 func newHistogram(figures int) *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, 3600_000_000, figures)
 }
@@ -175,22 +178,23 @@
 	_ = h.RecordValue(max(1, min(us, h.HighestTrackableValue())))
 }
 
-// latency keeps times of one kind, in all and by when they were due.
+// latency contains the latencies of one kind, in total and by the time at which the measured
+// action was due.
 type latency struct {
-	all    *hdrhistogram.Histogram
-	spans  []*hdrhistogram.Histogram // of spanS seconds each
-	within int64                     // at most that long, see Within
-	good   int64
+	all       *hdrhistogram.Histogram
+	spans     []*hdrhistogram.Histogram // one for each spanS seconds of the run
+	aim       int64                     // objective in microseconds, 0 if there is none; see Percentiles.Within
+	withinAim int64                     // number of values in all that meet the objective
 }
 
-// spanS is how long a span of a latency's series is, seconds.
+// spanS is the length of one span of a latency series, in seconds.
 const spanS = 5
 
 func newLatency() *latency { return &latency{all: newHistogram(3)} }
 
-// add takes a time that was due at a second of the run; before warmup it counts in the
-// series only.
-func (l *latency) add(second int, us int64, counts bool) {
+// add records a latency of an action that was due in the given second of the run. Latencies
+// outside the measurement window, such as those of the warm-up, are in the series only.
+func (l *latency) add(second int, us int64, inWindow bool) {
 	if second < 0 {
 		return
 	}
@@ -198,73 +202,73 @@
 		l.spans = append(l.spans, nil)
 	}
 	if l.spans[second/spanS] == nil {
-		l.spans[second/spanS] = newHistogram(2) // there are many of them
+		l.spans[second/spanS] = newHistogram(2) // only 2 figures, since there are many of them
 	}
 	record(l.spans[second/spanS], us)
-	if counts {
+	if inWindow {
 		record(l.all, us)
-		if us <= l.within {
-			l.good++
+		if us <= l.aim {
+			l.withinAim++
 		}
 	}
 }
 
-// jobSeen is a job as the measurements need it.
-type jobSeen struct {
+// jobRecord contains what the measurements need of a job.
+type jobRecord struct {
 	class     string
 	due       int64
-	cancelDue int64 // first request to cancel it
+	cancelDue int64 // time at which the first request to cancel the job was due
 	tasks     int
 	started   int
-	ended     bool // cancelled, refused, or given up
+	ended     bool // cancelled by its user, or rejected
 	accepted  bool
 }
 
-// meter gathers what the report says.
+// meter collects the measurements for the report.
 type meter struct {
-	began   int64 // of the load, wire time
-	warmup  int64
-	ends    int64 // of the load
-	jobs    map[string]*jobSeen
-	lat     map[string]*latency // submit, query, cancel, and of each class: command, fetch, wait
-	aims    map[string]int64    // class to its shortest aim on waiting, microseconds
-	peaks   [][2]int64          // spans in which rates are raised
-	slowest map[string][]Slow   // by class
-	cuts    []cut               // spans in which a region is apart
-	seconds []Second
-	samples []*sample
-	gauges  map[string][]gauge // by part
-	parts   map[string]*process
-	peakRSS int64
+	began     int64 // start of the load, wire time
+	warmup    int64 // end of the warm-up, wire time
+	ends      int64 // end of the load, wire time
+	jobs      map[string]*jobRecord
+	latencies map[string]*latency // by name: submit, query, cancel, config changes; command, fetch and wait of each class
+	aims      map[string]int64    // shortest wait objective of each class, microseconds
+	peaks     [][2]int64          // periods in which the load is raised
+	slowest   map[string][]Slow   // tasks with the longest waits, by class
+	cuts      []cut               // periods in which a region is cut off
+	seconds   []Second
+	samples   []*sample
+	gauges    map[string][]gauge // by part
+	parts     map[string]*process
+	peakRSS   int64
 }
 
-// cut is a span in which a region is apart, microseconds.
+// cut is a period in which a region is cut off from the others, microseconds.
 type cut struct {
 	region   string
 	from, to int64
 }
 
-// gauge is what a part said of itself at a time.
+// gauge contains the values that a part reported about itself at one time.
 type gauge struct {
 	at     int64
 	values map[string]float64
 }
 
-// Second is what happened in a second of the run, counted from the load's beginning.
+// Second contains the measurements of one second of the run, counted from the start of the load.
 type Second struct {
 	T       int                `json:"t"`
 	Starts  int                `json:"starts"`
 	Running int                `json:"running"`
 	Leader  string             `json:"leader,omitempty"`
-	CPU     map[string]float64 `json:"cpu,omitempty"`     // cores by role, all its processes
-	RSS     map[string]float64 `json:"rss_mb,omitempty"`  // by role, all its processes
-	Busy    float64            `json:"busy,omitempty"`    // share of the machine's processors
-	LagMS   float64            `json:"lag_ms,omitempty"`  // the largest that a part of the tool said
-	Regions map[string]float64 `json:"regions,omitempty"` // tasks that run, as the workers say
+	CPU     map[string]float64 `json:"cpu,omitempty"`     // cores by role, summed over its processes
+	RSS     map[string]float64 `json:"rss_mb,omitempty"`  // by role, summed over its processes
+	Busy    float64            `json:"busy,omitempty"`    // busy share of the machine's processors
+	LagMS   float64            `json:"lag_ms,omitempty"`  // largest lag reported by a part of the tool
+	Regions map[string]float64 `json:"regions,omitempty"` // running tasks, as reported by the workers
 }
 
 func newMeter(f *File) *meter {
-	m := &meter{jobs: make(map[string]*jobSeen), lat: make(map[string]*latency), aims: make(map[string]int64), gauges: make(map[string][]gauge), parts: make(map[string]*process), slowest: make(map[string][]Slow)}
+	m := &meter{jobs: make(map[string]*jobRecord), latencies: make(map[string]*latency), aims: make(map[string]int64), gauges: make(map[string][]gauge), parts: make(map[string]*process), slowest: make(map[string][]Slow)}
 	for _, a := range f.Aims {
 		within := int64(protocol.FromSeconds(a.WithinS))
 		if a.Kind == "wait" && (m.aims[a.Class] == 0 || within < m.aims[a.Class]) {
@@ -282,22 +286,22 @@
 			m.peaks = append(m.peaks, [2]int64{at + us(l.AtS), at + us(l.AtS+l.ForS)})
 		}
 	}
-	for _, t := range f.Faults {
-		if t.Kind == FaultRegionCut {
-			m.cuts = append(m.cuts, cut{t.Region, at + us(t.AtS), at + us(t.AtS+t.ForS)})
+	for _, fault := range f.Faults {
+		if fault.Kind == FaultRegionCut {
+			m.cuts = append(m.cuts, cut{fault.Region, at + us(fault.AtS), at + us(fault.AtS+fault.ForS)})
 		}
 	}
 }
 
-// second is the second of the run in which a time is; -1: before the load.
-func (m *meter) second(at int64) int {
+// secondOf returns the second of the run that contains a time, or -1 before the load.
+func (m *meter) secondOf(at int64) int {
 	if m.began == 0 || at < m.began {
 		return -1
 	}
 	return int((at - m.began) / int64(protocol.Second))
 }
 
-func (m *meter) at(second int) *Second {
+func (m *meter) secondAt(second int) *Second {
 	if second < 0 {
 		return &Second{}
 	}
@@ -308,19 +312,20 @@
 }
 
 func (m *meter) latency(name string) *latency {
-	l := m.lat[name]
+	l := m.latencies[name]
 	if l == nil {
 		l = newLatency()
-		m.lat[name] = l
+		m.latencies[name] = l
 	}
 	return l
 }
 
-func (m *meter) counts(due int64) bool { return due >= m.warmup && due < m.ends }
+func (m *meter) inWindow(due int64) bool { return due >= m.warmup && due < m.ends }
 
-// add takes a time of something that was due. If the load has a peak, what was due in it
-// is counted by itself as well, and so is the rest.
-func (m *meter) add(name string, due, us int64, counts bool) {
+// addTime records a latency of an action that was due at the given time. If the load has peaks,
+// a latency in the measurement window is also recorded under a separate name for actions due in
+// a peak or for the rest.
+func (m *meter) addTime(name string, due, us int64, inWindow bool) {
 	names := []string{name}
 	if len(m.peaks) > 0 {
 		part := ", rest"
@@ -333,19 +338,20 @@
 	}
 	class, _, wait := strings.Cut(name, " wait")
 	for i, n := range names {
-		if i > 0 && !counts {
+		if i > 0 && !inWindow {
 			continue
 		}
 		l := m.latency(n)
 		if wait {
-			l.within = m.aims[class]
+			l.aim = m.aims[class]
 		}
-		l.add(m.second(due), us, counts)
+		l.add(m.secondOf(due), us, inWindow)
 	}
 }
 
-// addChange takes a time of a change of the configuration. What was due while a region is
-// apart, in it or elsewhere, in a peak, and at rest, is counted by itself as well.
+// addChange records a latency of a configuration change. In the measurement window it is also
+// recorded under a separate name for the conditions at the time the change was due: a region cut
+// off (changes made in that region or elsewhere), a peak, or neither.
 func (m *meter) addChange(name, region string, due, us int64) {
 	part := "at rest"
 	for _, p := range m.peaks {
@@ -361,27 +367,27 @@
 			}
 		}
 	}
-	counts := m.counts(due)
-	m.latency(name).add(m.second(due), us, counts)
-	if counts {
-		m.latency(name+", "+part).add(m.second(due), us, true)
+	inWindow := m.inWindow(due)
+	m.latency(name).add(m.secondOf(due), us, inWindow)
+	if inWindow {
+		m.latency(name+", "+part).add(m.secondOf(due), us, true)
 	}
 }
 
-// take looks at a part's message for what is measured.
-func (m *meter) take(p *process, msg *wire.Message) {
+// observe updates the measurements from a message of a part.
+func (m *meter) observe(p *process, msg *wire.Message) {
 	switch msg.Kind {
 	case wire.Submit:
 		for _, body := range msg.Specs {
 			if s, err := protocol.ParseJob(body); err == nil {
-				m.jobs[s.Ref] = &jobSeen{class: s.Class, due: msg.Due, tasks: s.Tasks}
+				m.jobs[s.Ref] = &jobRecord{class: s.Class, due: msg.Due, tasks: s.Tasks}
 			}
 		}
 	case wire.Answer:
 		j := m.jobs[msg.Ref]
 		switch {
 		case msg.Op == "query" && msg.Status == 200:
-			m.add("query", msg.Due, msg.At-msg.Due, m.counts(msg.Due))
+			m.addTime("query", msg.Due, msg.At-msg.Due, m.inWindow(msg.Due))
 		case msg.Op == "config" && msg.Phase == "made":
 			m.addChange("config change", msg.Region, msg.Due, msg.At-msg.Due)
 		case msg.Op == "config" && msg.Phase == "in_force":
@@ -390,31 +396,31 @@
 		case j == nil:
 		case msg.Op == "submit" && (msg.Status == 200 || msg.Status == 201):
 			if !j.accepted {
-				m.add("submit", j.due, msg.At-j.due, m.counts(j.due))
+				m.addTime("submit", j.due, msg.At-j.due, m.inWindow(j.due))
 			}
 			j.accepted = true
 		case msg.Op == "submit" && (msg.Status == 400 || msg.Status == 422):
 			j.ended = true
 		case msg.Op == "cancel" && msg.Status == 200:
-			m.add("cancel", j.cancelDue, msg.At-j.cancelDue, m.counts(j.cancelDue))
+			m.addTime("cancel", j.cancelDue, msg.At-j.cancelDue, m.inWindow(j.cancelDue))
 		}
 	case wire.Cancel:
 		if j := m.jobs[msg.Ref]; j != nil {
-			j.ended = true // what has not started by now needn't
+			j.ended = true // tasks that have not started by now no longer have to
 			j.cancelDue = msg.Due
 		}
 	case wire.Gauge:
 		m.gauges[p.name] = append(m.gauges[p.name], gauge{msg.At, msg.Values})
 		m.parts[p.name] = p
-		if s := m.at(m.second(msg.At)); s.LagMS < msg.Values["lag_ms_max"] {
+		if s := m.secondAt(m.secondOf(msg.At)); s.LagMS < msg.Values["lag_ms_max"] {
 			s.LagMS = msg.Values["lag_ms_max"]
 		}
 	}
 }
 
-// start takes a task that began, or a gang.
-func (m *meter) start(s checker.Start) {
-	m.at(m.second(s.At)).Starts += max(1, s.Tasks)
+// addStart records the start of a task or a gang.
+func (m *meter) addStart(s checker.Start) {
+	m.secondAt(m.secondOf(s.At)).Starts += max(1, s.Tasks)
 	if s.Again || s.Spec == nil {
 		return
 	}
@@ -422,45 +428,46 @@
 		j.started += max(1, s.Tasks)
 	}
 	wait := max(0, s.At-s.Due-s.Fetch)
-	m.add(s.Spec.Class+" wait", s.Due, wait, m.counts(s.Due))
-	if m.counts(s.Due) {
-		m.slow(s.Spec.Class, Slow{s.Task, float64(s.Due-m.began) / 1e6, float64(wait) / 1e6})
+	m.addTime(s.Spec.Class+" wait", s.Due, wait, m.inWindow(s.Due))
+	if m.inWindow(s.Due) {
+		m.addSlow(s.Spec.Class, Slow{s.Task, float64(s.Due-m.began) / 1e6, float64(wait) / 1e6})
 	}
-	m.add(s.Spec.Class+" fetch", s.Due, s.Fetch, m.counts(s.Due) && s.Fetch > 0)
+	m.addTime(s.Spec.Class+" fetch", s.Due, s.Fetch, m.inWindow(s.Due) && s.Fetch > 0)
 	if s.Asked > 0 {
-		m.add(s.Spec.Class+" command", s.Due, max(0, s.Asked-s.Due), m.counts(s.Due))
+		m.addTime(s.Spec.Class+" command", s.Due, max(0, s.Asked-s.Due), m.inWindow(s.Due))
 	}
 }
 
-// Slow is a task that waited long.
+// Slow is a task that waited long for its start.
 type Slow struct {
 	Task  string  `json:"task"`
-	DueT  float64 `json:"due_t"` // seconds of the run
+	DueT  float64 `json:"due_t"` // seconds since the start of the load
 	WaitS float64 `json:"wait_s"`
 }
 
-// mostSlow is how many of a class are kept.
-const mostSlow = 5
+// maxSlow is the number of slow tasks kept for each class.
+const maxSlow = 5
 
-// slow keeps the tasks of a class that waited longest.
-func (m *meter) slow(class string, s Slow) {
+// addSlow adds a task if it is among those of its class that waited longest.
+func (m *meter) addSlow(class string, s Slow) {
 	list := m.slowest[class]
 	at, _ := slices.BinarySearchFunc(list, s, func(a, b Slow) int { return cmp.Compare(b.WaitS, a.WaitS) })
-	if at < mostSlow {
+	if at < maxSlow {
 		list = slices.Insert(list, at, s)
-		m.slowest[class] = list[:min(len(list), mostSlow)]
+		m.slowest[class] = list[:min(len(list), maxSlow)]
 	}
 }
 
-// rest counts what has not started by the end as having waited until then.
-func (m *meter) rest(end int64) (unstarted map[string]int) {
+// addUnstarted records each task that has not started by the end as having waited until then,
+// and returns the number of these tasks by class.
+func (m *meter) addUnstarted(end int64) (unstarted map[string]int) {
 	unstarted = make(map[string]int)
 	for _, j := range m.jobs {
-		if j.ended || !m.counts(j.due) {
+		if j.ended || !m.inWindow(j.due) {
 			continue
 		}
 		for range j.tasks - j.started {
-			m.add(j.class+" wait", j.due, end-j.due, true)
+			m.addTime(j.class+" wait", j.due, end-j.due, true)
 		}
 		if n := j.tasks - j.started; n > 0 {
 			unstarted[j.class] += n
@@ -469,7 +476,7 @@
 	return unstarted
 }
 
-// leaderOf is the controller that leads, as it says itself.
+// leaderOf returns the controller whose metrics show it as leader, or "" if there is none.
 func leaderOf(scraped map[string]*scrape) string {
 	for _, name := range slices.Sorted(maps.Keys(scraped)) {
 		if scraped[name].role == "leading" {
@@ -479,8 +486,8 @@
 	return ""
 }
 
-// sampled takes a look at all processes, and says how much memory they take.
-func (m *meter) sampled(s *sample, running int) (rss int64) {
+// addSample adds a sample of all processes and returns their total resident memory in bytes.
+func (m *meter) addSample(s *sample, running int) (rss int64) {
 	for _, u := range s.usage {
 		rss += u.rss
 	}
@@ -488,7 +495,7 @@
 	if m.began == 0 || s.at < m.began {
 		return rss
 	}
-	sec := m.at(m.second(s.at))
+	sec := m.secondAt(m.secondOf(s.at))
 	sec.Running, sec.Leader = running, leaderOf(s.scraped)
 	sec.CPU, sec.RSS, sec.Regions = make(map[string]float64), make(map[string]float64), make(map[string]float64)
 	for name, list := range m.gauges {
@@ -497,14 +504,14 @@
 		}
 	}
 	for p, u := range s.usage {
-		sec.RSS[roleIn(p, sec.Leader)] += float64(u.rss) / 1e6
+		sec.RSS[roleOf(p, sec.Leader)] += float64(u.rss) / 1e6
 	}
 	if n := len(m.samples); n > 0 {
 		before := m.samples[n-1]
 		if span := float64(s.at-before.at) / 1e6; span > 0 {
 			for p, u := range s.usage {
-				if was, ok := before.usage[p]; ok {
-					sec.CPU[roleIn(p, sec.Leader)] += (u.cpu - was.cpu).Seconds() / span
+				if previous, ok := before.usage[p]; ok {
+					sec.CPU[roleOf(p, sec.Leader)] += (u.cpu - previous.cpu).Seconds() / span
 				}
 			}
 			if all := s.all - before.all; all > 0 {
@@ -516,8 +523,9 @@
 	return rss
 }
 
-// roleIn is a process's role in a second: of the controllers, one leads.
-func roleIn(p *process, leader string) string {
+// roleOf returns the role of a process in one second: the controller that leads then has the
+// role "leader".
+func roleOf(p *process, leader string) string {
 	if p.role == roleController && p.name == leader {
 		return "leader"
 	}
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -22,14 +22,14 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// curve is a line of a picture.
+// curve is one line of a plot.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
-// plot draws the run's pictures into a folder.
-func (r *Report) plot(dir string) error {
+// writePlots writes the plots of the run into a folder.
+func (r *Report) writePlots(dir string) error {
 	if len(r.Seconds) < 2 {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		}
 		return out
 	}
-	pictures := []struct {
+	plots := []struct {
 		file, title, unit string
 		curves            []curve
 	}{
@@ -86,21 +86,21 @@
 			p99.points = append(p99.points, plotter.XY{X: t, Y: s.P99 / 1000})
 			p999.points = append(p999.points, plotter.XY{X: t, Y: s.P999 / 1000})
 		}
-		pictures = append(pictures, struct {
+		plots = append(plots, struct {
 			file, title, unit string
 			curves            []curve
 		}{strings.ReplaceAll(name, " ", "-") + ".svg", title, "s, by when it was due", []curve{p50, p99, p999}})
 	}
-	for _, p := range pictures {
-		if err := r.picture(filepath.Join(dir, p.file), p.title, p.unit, p.curves); err != nil {
+	for _, p := range plots {
+		if err := r.writePlot(filepath.Join(dir, p.file), p.title, p.unit, p.curves); err != nil {
 			return fmt.Errorf("%s: %w", p.file, err)
 		}
 	}
 	return nil
 }
 
-// picture draws curves over the run's time, and a line where a fault was played.
-func (r *Report) picture(path, title, unit string, curves []curve) error {
+// writePlot draws curves over the time of the run, with a vertical line at each injected fault.
+func (r *Report) writePlot(path, title, unit string, curves []curve) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s (%s, part %g)", title, r.Name, r.Part)
 	p.X.Label.Text, p.Y.Label.Text = "seconds of the run", unit
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -15,50 +15,51 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// roleController is that of controllers; the parts' are package wire's.
+// roleController is the role of controllers. The roles of the parts are in package wire.
 const roleController = "controller"
 
-// process is a child of the supervisor.
+// process is a child process of the supervisor.
 type process struct {
 	name, role, region string
 	cmd                *exec.Cmd
 	pid                int
-	ended              chan struct{} // closed once it was waited for
-	err                error         // how it ended, once ended is closed
+	exited             chan struct{} // closed once the process has been waited for
+	err                error         // result of the wait, set before exited is closed
 
-	mu   sync.Mutex
-	out  []*wire.Message // to be sent: a part that doesn't read must not hold up the others
-	wake chan struct{}
+	mu    sync.Mutex
+	queue []*wire.Message // messages to be sent; queued, so that a part that doesn't read can't block the others
+	wake  chan struct{}
 }
 
-// inbound is a message of a part; without one, the part's output has ended.
+// inbound is a message from a part. m is nil once the output of the part has ended.
 type inbound struct {
 	from *process
 	m    *wire.Message
 }
 
-// attributes of a child: it ends with the supervisor, however that ends, and Ctrl-C is
-// for the supervisor alone.
-func attributes() *syscall.SysProcAttr {
+// childAttributes makes a child end with the supervisor, however that ends, and gives it its own
+// process group, so that Ctrl-C reaches the supervisor alone.
+func childAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 }
 
-// startPart starts a process of this program in a role. Its messages go to in.
-func startPart(self, dir, name, role, region string, in chan<- inbound, over <-chan struct{}) (*process, error) {
-	p := &process{name: name, role: role, region: region, ended: make(chan struct{}), wake: make(chan struct{}, 1)}
+// startPart starts a process of this program with the given role. Its messages are sent to in.
+func startPart(executable, dir, name, role, region string, in chan<- inbound, stopped <-chan struct{}) (*process, error) {
+	p := &process{name: name, role: role, region: region, exited: make(chan struct{}), wake: make(chan struct{}, 1)}
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	p.cmd = exec.Command(self, "scale", "part", role)
+	p.cmd = exec.Command(executable, "scale", "part", role)
 	p.cmd.Stderr = log
-	p.cmd.SysProcAttr = attributes()
+	p.cmd.SysProcAttr = childAttributes()
 	stdin, err := p.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	// The pipe is ours, so that its end is the part's and not that of Wait.
+	// The pipe is not one of package exec, which Wait would close before all output has been
+	// read: reading ends when the part closes its output.
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -73,34 +74,34 @@
 	p.pid = p.cmd.Process.Pid
 	go func() {
 		defer r.Close()
-		hand := func(m *wire.Message) bool {
+		deliver := func(m *wire.Message) bool {
 			select {
 			case in <- inbound{p, m}:
 				return true
-			case <-over:
+			case <-stopped:
 				return false
 			}
 		}
-		if err := wire.Read(r, hand); err != nil {
-			hand(&wire.Message{Kind: wire.Note, Text: name + ": " + err.Error()})
+		if err := wire.Read(r, deliver); err != nil {
+			deliver(&wire.Message{Kind: wire.Note, Text: name + ": " + err.Error()})
 		}
-		hand(nil)
+		deliver(nil)
 	}()
 	go func() {
 		defer stdin.Close()
-		out := wire.NewWriter(stdin)
+		writer := wire.NewWriter(stdin)
 		for {
 			select {
 			case <-p.wake:
-			case <-p.ended:
+			case <-p.exited:
 				return
 			}
 			p.mu.Lock()
-			list := p.out
-			p.out = nil
+			list := p.queue
+			p.queue = nil
 			p.mu.Unlock()
 			for _, m := range list {
-				if out.Send(m) != nil || m.Kind == wire.Stop {
+				if writer.Send(m) != nil || m.Kind == wire.Stop {
 					return
 				}
 			}
@@ -110,9 +111,9 @@
 	return p, nil
 }
 
-// startController starts a controller; its log goes on after an earlier process.
+// startController starts a controller, which appends to the log of an earlier process.
 func startController(binary, dir, name, region string, args ...string) (*process, error) {
-	p := &process{name: name, role: roleController, region: region, ended: make(chan struct{})}
+	p := &process{name: name, role: roleController, region: region, exited: make(chan struct{})}
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -121,7 +122,7 @@
 	p.cmd = exec.Command(binary, args...)
 	p.cmd.Stderr = log
 	p.cmd.Env = append(os.Environ(), "LOG_LEVEL=info")
-	p.cmd.SysProcAttr = attributes()
+	p.cmd.SysProcAttr = childAttributes()
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -132,12 +133,12 @@
 
 func (p *process) wait() {
 	p.err = p.cmd.Wait()
-	close(p.ended)
+	close(p.exited)
 }
 
-func (p *process) over() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -147,7 +148,7 @@
 // send queues a message to a part.
 func (p *process) send(m *wire.Message) {
 	p.mu.Lock()
-	p.out = append(p.out, m)
+	p.queue = append(p.queue, m)
 	p.mu.Unlock()
 	select {
 	case p.wake <- struct{}{}:
@@ -155,15 +156,15 @@
 	}
 }
 
-// signal sends a signal to the process, if it has not been waited for.
+// signal sends a signal to the process if it has not been waited for.
 func (p *process) signal(s syscall.Signal) error {
-	if p.over() {
+	if p.hasExited() {
 		return os.ErrProcessDone
 	}
 	return p.cmd.Process.Signal(s)
 }
 
-// lastLine is the last line of a process's log, cut to a length that one can read.
+// lastLine returns the last line of the log of a process, cut to 300 bytes to be readable.
 func lastLine(dir, name string) string {
 	text, err := os.ReadFile(filepath.Join(dir, name+".log"))
 	if err != nil {
@@ -174,25 +175,26 @@
 	return last[:min(len(last), 300)]
 }
 
-// usage is what a process has taken so far.
+// usage contains the resources that a process has used so far.
 type usage struct {
-	cpu     time.Duration // user and system
+	cpu     time.Duration // user and system time
 	rss     int64         // bytes
-	in, out int64         // bytes that it read and wrote, nearly all of them on sockets and pipes
-	sockets int           // -1: not counted
+	in, out int64         // bytes read and written, nearly all of them on sockets and pipes
+	sockets int           // -1 if not counted
 }
 
-// clockTick is the unit of processor time in /proc, on every Linux.
+// clockTick is the unit of processor time in /proc, the same on every Linux system.
 const clockTick = 10 * time.Millisecond
 
-// readUsage reads a process's processor time, memory and, if asked to, its sockets.
+// readUsage reads the processor time, memory and transferred bytes of a process and, if sockets
+// is true, counts its sockets.
 func readUsage(pid int, sockets bool) (u usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return u, err
 	}
-	// The name in brackets may have spaces.
+	// The process name in parentheses may contain spaces.
 	f := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(f) < 22 {
 		return u, fmt.Errorf("%s/stat: %d fields", dir, len(f))
@@ -218,7 +220,7 @@
 	}
 	fds, err := os.ReadDir(dir + "/fd")
 	if err != nil {
-		return u, nil //nolint:nilerr // the process has ended meanwhile: what was read before counts
+		return u, nil //nolint:nilerr // the process has just ended: the values read so far are valid
 	}
 	u.sockets = 0
 	for _, fd := range fds {
@@ -229,8 +231,8 @@
 	return u, nil
 }
 
-// memory is the machine's in all and what is available, bytes.
-func memory() (total, available int64, err error) {
+// machineMemory returns the total and the available memory of the machine in bytes.
+func machineMemory() (total, available int64, err error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, 0, err
@@ -251,8 +253,9 @@
 	return total, available, nil
 }
 
-// machineTime is the processor time of the whole machine, busy and in all.
-func machineTime() (busy, all time.Duration) {
+// machineCPUTime returns the processor time of the whole machine since its boot, without idle
+// time and in total.
+func machineCPUTime() (busy, all time.Duration) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0
@@ -260,11 +263,11 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	for i, v := range strings.Fields(line) {
 		n, _ := strconv.ParseInt(v, 10, 64)
-		if i == 0 || i > 8 { // guests' time is in that of users
+		if i == 0 || i > 8 { // guest time is included in user time
 			continue
 		}
 		all += time.Duration(n) * clockTick
-		if i != 4 && i != 5 { // idle, waiting for disks
+		if i != 4 && i != 5 { // idle, iowait
 			busy += time.Duration(n) * clockTick
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -22,56 +22,56 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// Report is what a run has shown.
+// Report contains the results of a run.
 type Report struct {
 	Name        string                 `json:"name"`
 	Part        float64                `json:"part"`
 	Seed        uint64                 `json:"seed"`
-	Controller  string                 `json:"controller,omitempty"` // another program than the tool's own
+	Controller  string                 `json:"controller,omitempty"` // name of the controller program, if it isn't the tool itself
 	Began       time.Time              `json:"began"`
 	TookS       float64                `json:"took_s"`
 	Exit        int                    `json:"exit"`
-	Reasons     []string               `json:"reasons"` // why it is not good
+	Reasons     []string               `json:"reasons"` // why the exit code is not 0
 	Machine     Host                   `json:"machine"`
-	Workers     int                    `json:"workers"` // at the beginning
+	Workers     int                    `json:"workers"` // number of machines at the start
 	Controllers int                    `json:"controllers"`
 	Zones       int                    `json:"zones"`
 	Teams       int                    `json:"teams"`
-	WindowS     [2]float64             `json:"window_s"` // of what is averaged and of percentiles, seconds of the run
+	WindowS     [2]float64             `json:"window_s"` // measurement window of averages and percentiles, seconds since the start of the load
 	Counts      checker.Counts         `json:"counts"`
 	Broken      []checker.Violation    `json:"broken"`
 	Faults      []Played               `json:"faults"`
 	Latency     map[string]Percentiles `json:"latency"`
-	Slowest     map[string][]Slow      `json:"slowest"`   // of each class, first starts
-	Unstarted   map[string]int         `json:"unstarted"` // tasks by class that were due in the window and never started
-	Rows        map[string]float64     `json:"rows"`      // means and rates in the window, see docs/scale.md
+	Slowest     map[string][]Slow      `json:"slowest"`   // tasks with the longest waits for their first start, by class
+	Unstarted   map[string]int         `json:"unstarted"` // by class: tasks that were due in the window and never started
+	Rows        map[string]float64     `json:"rows"`      // averages and rates in the window, see docs/scale.md
 	Notes       []string               `json:"notes"`
 	Seconds     []Second               `json:"seconds"`
-	Series      map[string][]Span      `json:"series"` // percentiles by when it was due
+	Series      map[string][]Span      `json:"series"` // percentiles by the time at which the action was due
 }
 
-// Host is the machine on which the run was.
+// Host describes the machine that the run used.
 type Host struct {
 	Processors int     `json:"processors"`
 	MemoryMB   int64   `json:"memory_mb"`
-	PeakMB     int64   `json:"peak_mb"` // of all processes together
+	PeakMB     int64   `json:"peak_mb"` // largest memory of all processes together
 	BusyP95    float64 `json:"busy_p95"`
-	LagMSP99   float64 `json:"lag_ms_p99"` // of the seconds' largest lags
+	LagMSP99   float64 `json:"lag_ms_p99"` // of the largest lag in each second
 	LagMSMax   float64 `json:"lag_ms_max"`
 }
 
-// Percentiles are of times in milliseconds.
+// Percentiles contains percentiles of latencies in milliseconds.
 type Percentiles struct {
 	Count  int64   `json:"count"`
 	P50    float64 `json:"p50_ms"`
 	P99    float64 `json:"p99_ms"`
 	P999   float64 `json:"p99_9_ms"`
 	Max    float64 `json:"max_ms"`
-	AimS   float64 `json:"aim_s,omitempty"`
-	Within float64 `json:"within,omitempty"` // share within the aim
+	AimS   float64 `json:"aim_s,omitempty"`  // objective, seconds
+	Within float64 `json:"within,omitempty"` // share of values within the objective
 }
 
-// Span is a part of a series: what was due from second T on, for spanS seconds.
+// Span is one entry of a series: the latencies of actions due in the spanS seconds from second T.
 type Span struct {
 	T int `json:"t"`
 	Percentiles
@@ -82,7 +82,7 @@
 	return Percentiles{Count: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), P999: ms(h.ValueAtQuantile(99.9)), Max: ms(h.Max())}
 }
 
-// quantile of values that need not be in order; 0 of none.
+// quantile returns a quantile of values in any order, or 0 if there are none.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -92,36 +92,36 @@
 	return v[min(len(v)-1, int(math.Ceil(q*float64(len(v))))-1+btoi(q == 0))]
 }
 
-// report sums up a run that ended with err.
+// report makes the report of a run that ended with err.
 func (s *supervisor) report(began time.Time, err error) *Report {
 	m := s.meter
 	r := &Report{
-		Name: s.f.Name, Part: s.o.Part, Seed: s.f.Seed, Began: began.UTC().Truncate(time.Second), TookS: math.Round(time.Since(began).Seconds()*10) / 10,
-		Workers: s.f.Machines(), Controllers: len(s.controllers), Teams: s.f.Teams.Count, Faults: s.played, Notes: s.notes,
+		Name: s.file.Name, Part: s.options.Part, Seed: s.file.Seed, Began: began.UTC().Truncate(time.Second), TookS: math.Round(time.Since(began).Seconds()*10) / 10,
+		Workers: s.file.Machines(), Controllers: len(s.controllers), Teams: s.file.Teams.Count, Faults: s.injected, Notes: s.notes,
 		Latency: make(map[string]Percentiles), Rows: make(map[string]float64), Series: make(map[string][]Span), Seconds: m.seconds, Slowest: m.slowest,
 	}
-	if s.o.Controller != s.self {
-		r.Controller = filepath.Base(s.o.Controller)
+	if s.options.Controller != s.executable {
+		r.Controller = filepath.Base(s.options.Controller)
 	}
-	for _, g := range s.f.Regions {
+	for _, g := range s.file.Regions {
 		r.Zones += len(g.Zones)
 	}
-	total, _, _ := memory()
+	total, _, _ := machineMemory()
 	r.Machine = Host{Processors: processors(), MemoryMB: total >> 20, PeakMB: m.peakRSS >> 20}
 	if s.hub != nil {
-		// All parts have ended: nothing comes any more.
+		// All parts have ended and no more messages arrive, so that all events can be checked.
 		s.hub.Tick(wire.Now() + 3*int64(protocol.Second))
 		r.Counts, r.Broken = s.hub.Counts(), s.hub.Broken()
 	}
 	if m.began > 0 {
-		last := min(wire.Now(), m.ends+int64(protocol.FromSeconds(s.f.SettleS)))
-		r.WindowS = [2]float64{s.f.WarmupS, min(s.f.DurationS, float64(last-m.began)/1e6)}
-		r.Unstarted = m.rest(last)
+		last := min(wire.Now(), m.ends+int64(protocol.FromSeconds(s.file.SettleS)))
+		r.WindowS = [2]float64{s.file.WarmupS, min(s.file.DurationS, float64(last-m.began)/1e6)}
+		r.Unstarted = m.addUnstarted(last)
 	}
-	for name, l := range m.lat {
+	for name, l := range m.latencies {
 		p := percentiles(l.all)
-		if l.within > 0 && p.Count > 0 {
-			p.AimS, p.Within = float64(l.within)/1e6, float64(l.good)/float64(p.Count)
+		if l.aim > 0 && p.Count > 0 {
+			p.AimS, p.Within = float64(l.aim)/1e6, float64(l.withinAim)/float64(p.Count)
 		}
 		if p.Count > 0 {
 			r.Latency[name] = p
@@ -133,12 +133,12 @@
 		}
 	}
 	m.rows(r)
-	r.judge(s.f, err)
+	r.setVerdict(s.file, err)
 	return r
 }
 
-// judge sets the exit code.
-func (r *Report) judge(f *File, err error) {
+// setVerdict sets the exit code and its reasons, and the lag and load of the machine.
+func (r *Report) setVerdict(f *File, err error) {
 	var limit *limitError
 	switch {
 	case len(r.Broken) > 0:
@@ -175,22 +175,22 @@
 	}
 }
 
-// rows adds up the window's means and rates: of each role, of controllers' counters, and
-// of what the parts say of themselves.
+// rows computes the averages and rates in the window: the resource usage of each role, the
+// counters of the controllers, and the values that parts reported about themselves.
 func (m *meter) rows(r *Report) {
 	if m.began == 0 {
 		return
 	}
 	from, to := m.began+int64(r.WindowS[0]*1e6), m.began+int64(r.WindowS[1]*1e6)
 	type sum struct {
-		cpu, span, top  float64 // seconds of processor time and of processes, largest cores of one
+		cpu, span, top  float64 // processor time and observed time in seconds, largest number of cores of one process
 		rss, rssTop, n  float64
 		in, out         float64 // bytes
 		sockets, socksN float64
 		socksTop        float64
 	}
 	roles := make(map[string]*sum)
-	tops := make(map[string]float64)
+	largest := make(map[string]float64)
 	rate := make(map[string]float64)
 	leaderSpan, otherSpan, stateCalls := 0.0, 0.0, 0.0
 	var before *sample
@@ -200,7 +200,7 @@
 		}
 		leader := leaderOf(s.scraped)
 		for p, u := range s.usage {
-			role := roleIn(p, leader)
+			role := roleOf(p, leader)
 			a := roles[role]
 			if a == nil {
 				a = &sum{}
@@ -230,12 +230,12 @@
 		if before != nil {
 			span := float64(s.at-before.at) / 1e6
 			for name, c := range s.scraped {
-				was := before.scraped[name]
+				previous := before.scraped[name]
 				role := "controller"
 				if name == leader {
 					role = "leader"
 				}
-				if was == nil {
+				if previous == nil {
 					continue
 				}
 				if role == "leader" {
@@ -243,28 +243,28 @@
 				} else {
 					otherSpan += span
 				}
-				for what, pair := range map[string][2]map[string]float64{"calls": {c.calls, was.calls}, "events": {c.steps, was.steps}, "step seconds": {c.stepS, was.stepS}, "refused": {c.refused, was.refused}} {
+				for what, pair := range map[string][2]map[string]float64{"calls": {c.calls, previous.calls}, "events": {c.steps, previous.steps}, "step seconds": {c.stepSeconds, previous.stepSeconds}, "refused": {c.refused, previous.refused}} {
 					for k, v := range pair[0] {
 						d := v - pair[1][k]
 						if d < 0 {
-							d = v // it started anew
+							d = v // the counter restarted at 0 with its process
 						}
 						rate[role+" "+what+" "+k] += d
 					}
 				}
 				for k, what := range map[string]string{"config_changes_total": "config revisions", "config_outdated_total": "config outdated"} {
-					if d := c.other[k] - was.other[k]; d > 0 {
+					if d := c.other[k] - previous.other[k]; d > 0 {
 						rate[role+" "+what] += d
 					}
 				}
-				stateCalls += grown(c.calls, was.calls, "state ")
+				stateCalls += increase(c.calls, previous.calls, "state ")
 				for _, what := range []string{"tick", "report", "state lease", "state commit"} {
-					// Counts of a process that began anew have fallen: nothing has grown.
-					k, d := role+" longest "+what+" s, at most", longest(c.times[what], was.times[what])
-					if math.IsInf(d, 1) { // beyond the last bucket
-						k, d = role+" longest "+what+" s, over", lastBucket(c.times[what])
+					// After a restart of the process, counts are lower and no bucket has grown.
+					k, d := role+" longest "+what+" s, at most", highestGrownBucket(c.histograms[what], previous.histograms[what])
+					if math.IsInf(d, 1) { // above the highest finite bucket
+						k, d = role+" longest "+what+" s, over", highestFiniteBucket(c.histograms[what])
 					}
-					tops[k] = max(tops[k], d)
+					largest[k] = max(largest[k], d)
 				}
 			}
 		}
@@ -292,14 +292,15 @@
 			r.Rows[k+" per s"] = v / span
 		}
 	}
-	for k, v := range tops {
+	for k, v := range largest {
 		if v > 0 {
 			r.Rows[k] = v
 		}
 	}
 	m.partRows(r, from, to)
 	if n := rate["leader config revisions"]; n > 0 && leaderSpan > 0 {
-		// Of all that goes on: what changes alone take is the difference to a run without.
+		// These rows contain all calls and writes of the run. The cost of the changes alone is
+		// the difference from a run without changes.
 		r.Rows["run state calls by change, all of them"] = stateCalls / n
 		r.Rows["run state writes by change, all of them"] = r.Rows[wire.RoleStandins+" state_writes per s"] / (n / leaderSpan)
 	}
@@ -323,9 +324,9 @@
 	}
 }
 
-// grown is by how much counters whose names begin so have grown; those of a process that
-// began anew from nothing.
-func grown(now, before map[string]float64, prefix string) (sum float64) {
+// increase returns the total growth of the counters whose names have the prefix. A counter that
+// is lower than before restarted at 0 with its process.
+func increase(now, before map[string]float64, prefix string) (sum float64) {
 	for k, v := range now {
 		if strings.HasPrefix(k, prefix) {
 			d := v - before[k]
@@ -338,17 +339,17 @@
 	return sum
 }
 
-// levels are what parts say of themselves that goes up and down; of names that end with
-// _max or _p99 the largest is kept, and everything else is a counter.
-var levels = map[string]bool{
+// gaugeNames are the values reported by parts that are gauges. All others are counters, except
+// for names that end with _max or _p99, of which the largest value is kept.
+var gaugeNames = map[string]bool{
 	"state_keys": true, "state_bytes": true, "state_leases": true, "state_watches": true, "state_connections": true,
 	"cloud_machines": true, "cloud_free_slots": true, "cloud_connections": true, "connections": true, "in_flight": true, "healthy": true,
 	"workers": true, "tasks_on": true, "tasks_running": true, "tasks_reported": true, "listeners": true, "links_open": true,
 }
 
-// partRows adds what parts said of themselves: the mean of levels, the rates of counters.
-// Values of processes of a role are added up, but those of real workers are averaged:
-// they show what one costs.
+// partRows adds the values that parts reported about themselves: averages of gauges and rates of
+// counters. They are summed over the processes of a role, but averaged for real workers, to show
+// the cost of a single worker.
 func (m *meter) partRows(r *Report, from, to int64) {
 	type agg struct{ sum, n float64 }
 	out := make(map[string]*agg)
@@ -387,7 +388,7 @@
 				if a := out[k]; a == nil || a.sum < top {
 					out[k] = &agg{top, 1}
 				}
-			case levels[key]:
+			case gaugeNames[key]:
 				add(role+" "+key, sum/float64(len(in)), role == wire.RoleWorker)
 			default:
 				add(role+" "+key+" per s", (last.values[key]-first.values[key])/(float64(last.at-first.at)/1e6), role == wire.RoleWorker)
@@ -401,7 +402,7 @@
 	}
 }
 
-// Write puts the report and its plots into a folder.
+// Write writes the report and its plots into a folder.
 func (r *Report) Write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -410,10 +411,10 @@
 	if err := os.WriteFile(filepath.Join(dir, "report.json"), append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	return r.plot(dir)
+	return r.writePlots(dir)
 }
 
-// ReadReport reads a report.json, or that of a folder.
+// ReadReport reads a report from a report.json file or from the folder that contains it.
 func ReadReport(path string) (*Report, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, "report.json")
@@ -429,7 +430,7 @@
 	return r, nil
 }
 
-// verdicts by exit code.
+// verdicts are the printed results, by exit code.
 var verdicts = []string{"good", "RULE BROKEN", "FAILED", "VOID"}
 
 // Print writes the report as a table.
@@ -439,8 +440,8 @@
 		fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
 	line("verdict", "%s", verdicts[r.Exit])
-	for _, why := range r.Reasons[:min(len(r.Reasons), 10)] {
-		line("", "%s", why)
+	for _, reason := range r.Reasons[:min(len(r.Reasons), 10)] {
+		line("", "%s", reason)
 	}
 	line("run", "%s, part %g, seed %d, %.0f s; averages and percentiles of %.0f s to %.0f s", r.Name, r.Part, r.Seed, r.TookS, r.WindowS[0], r.WindowS[1])
 	line("size", "%d workers in %d zones, %d teams, %d controllers", r.Workers, r.Zones, r.Teams, r.Controllers)
@@ -489,7 +490,7 @@
 		if p.AimS > 0 {
 			within = fmt.Sprintf("%.4f of %g s", p.Within, p.AimS)
 		}
-		if class, ok := strings.CutSuffix(k, " wait"); ok { // not of the peak and the rest
+		if class, ok := strings.CutSuffix(k, " wait"); ok { // not for the rows of the peak and the rest
 			never = fmt.Sprint(r.Unstarted[class])
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", k, p.Count, ms(p.P50), ms(p.P99), ms(p.P999), ms(p.Max), within, never)
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -28,61 +28,62 @@
 	return m, f
 }
 
-func submitted(m *meter, ref string, tasks int, due int64) *protocol.JobSpec {
+func submitJob(m *meter, ref string, tasks int, due int64) *protocol.JobSpec {
 	s := &protocol.JobSpec{Ref: ref, Class: "urgent", Team: "team-00", Priority: protocol.PriorityCritical, Tasks: tasks, Image: "i", TaskResources: protocol.Resources{CPU: 1000}}
-	m.take(&process{}, &wire.Message{Kind: wire.Submit, Ref: ref, Due: due, Specs: []json.RawMessage{protocol.AppendJob(nil, s)}})
+	m.observe(&process{}, &wire.Message{Kind: wire.Submit, Ref: ref, Due: due, Specs: []json.RawMessage{protocol.AppendJob(nil, s)}})
 	return s
 }
 
-// A wait counts from when its job was due, without the fetch of its image; what has not
-// started by the end counts as having waited until then, unless its user gave it up.
+// A wait counts from the time at which its job was due, without the fetch of its image. A task
+// that has not started by the end counts as having waited until then, unless its user cancelled
+// the job: without it the longest waits would be missing.
 func TestWaits(t *testing.T) {
 	m, _ := meterFor(t)
 	at := func(s float64) int64 { return m.began + int64(s*1e6) }
-	early := submitted(m, "req-000001", 1, at(1))
-	late := submitted(m, "req-000002", 3, at(100))
-	submitted(m, "req-000003", 1, at(110))
-	submitted(m, "req-000004", 1, at(110))
-	m.take(nil, &wire.Message{Kind: wire.Cancel, Ref: "req-000004"})
-	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 503, Due: at(100), At: at(100.5)})
-	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 201, Due: at(100), At: at(102)})
-	m.take(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 200, Due: at(100), At: at(109)})
-	m.start(checker.Start{Spec: early, Tasks: 1, Due: at(1), Asked: at(30), At: at(31)})
-	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(102), At: at(103), Fetch: 1_000_000})
-	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(103), At: at(103.5), Fetch: 0})
-	m.start(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(130), At: at(131), Again: true})
-	if got := m.rest(at(160)); got["urgent"] != 2 {
+	early := submitJob(m, "req-000001", 1, at(1))
+	late := submitJob(m, "req-000002", 3, at(100))
+	submitJob(m, "req-000003", 1, at(110))
+	submitJob(m, "req-000004", 1, at(110))
+	m.observe(nil, &wire.Message{Kind: wire.Cancel, Ref: "req-000004"})
+	m.observe(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 503, Due: at(100), At: at(100.5)})
+	m.observe(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 201, Due: at(100), At: at(102)})
+	m.observe(nil, &wire.Message{Kind: wire.Answer, Op: "submit", Ref: "req-000002", Status: 200, Due: at(100), At: at(109)})
+	m.addStart(checker.Start{Spec: early, Tasks: 1, Due: at(1), Asked: at(30), At: at(31)})
+	m.addStart(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(102), At: at(103), Fetch: 1_000_000})
+	m.addStart(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(103), At: at(103.5), Fetch: 0})
+	m.addStart(checker.Start{Spec: late, Tasks: 1, Due: at(100), Asked: at(130), At: at(131), Again: true})
+	if got := m.addUnstarted(at(160)); got["urgent"] != 2 {
 		t.Errorf("%v never started", got)
 	}
-	l := m.lat["urgent wait"]
-	near := func(what string, got, want float64) {
+	l := m.latencies["urgent wait"]
+	checkNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > want/500 {
-			t.Errorf("%s: %g, want %g", what, got, want)
+			t.Errorf("%s: %g, want %g", name, got, want)
 		}
 	}
 	p := percentiles(l.all)
-	if p.Count != 4 || l.good != 1 {
-		t.Errorf("%d waits, %d within %d", p.Count, l.good, l.within)
-	}
-	near("largest wait", p.Max, 60_000)
-	near("p50", p.P50, 3500)
-	near("submission", percentiles(m.lat["submit"].all).Max, 2000)
-	near("command", percentiles(m.lat["urgent command"].all).Max, 3000)
-	near("fetch", percentiles(m.lat["urgent fetch"].all).Max, 1000)
+	if p.Count != 4 || l.withinAim != 1 {
+		t.Errorf("%d waits, %d within %d", p.Count, l.withinAim, l.aim)
+	}
+	checkNear("largest wait", p.Max, 60_000)
+	checkNear("p50", p.P50, 3500)
+	checkNear("submission", percentiles(m.latencies["submit"].all).Max, 2000)
+	checkNear("command", percentiles(m.latencies["urgent command"].all).Max, 3000)
+	checkNear("fetch", percentiles(m.latencies["urgent fetch"].all).Max, 1000)
 	if got := m.slowest["urgent"]; len(got) != 2 || got[0] != (Slow{"", 100, 3.5}) || got[1] != (Slow{"", 100, 2}) {
 		t.Errorf("slowest: %v", got)
 	}
-	if peak, rest := m.lat["urgent wait, peak"], m.lat["urgent wait, rest"]; peak.all.TotalCount() != 4 || rest != nil {
-		t.Errorf("%+v %+v, of four that were due in the peak", peak, rest)
+	if peak, rest := m.latencies["urgent wait, peak"], m.latencies["urgent wait, rest"]; peak.all.TotalCount() != 4 || rest != nil {
+		t.Errorf("peak %+v, rest %+v; want 4 values in the peak and none in the rest", peak, rest)
 	}
 	if m.seconds[31].Starts != 1 || m.seconds[103].Starts != 2 || m.seconds[131].Starts != 1 {
-		t.Error("starts a second are wrong")
+		t.Error("the starts in seconds 31, 103 and 131 are wrong")
 	}
 }
 
-// What each process takes goes to the role that it is in at the time; counters that began
-// anew count from 0.
+// Resource usage is attributed to the role that a process has at the time of the sample, and the
+// counters of a restarted process count from 0.
 func TestRows(t *testing.T) {
 	m, f := meterFor(t)
 	a, b := &process{name: "node-0", role: roleController}, &process{name: "node-1", role: roleController}
@@ -95,8 +96,8 @@
 	}
 	for i, s := range []struct{ a, b, commits float64 }{{1, 5, 100}, {1.5, 5.1, 110}, {2, 5.2, 4}} {
 		at := m.warmup + int64(i)*1e6 + 1
-		m.sampled(&sample{at: at, usage: map[*process]usage{a: cpu(s.a), b: cpu(s.b), w: cpu(0.01 * float64(i))}, scraped: map[string]*scrape{"node-0": scraped("leading", s.commits), "node-1": scraped("following", 3)}}, 50)
-		m.take(w, &wire.Message{Kind: wire.Gauge, At: at, Values: map[string]float64{"hello_out_bytes": 1000 + 500*float64(i), "tasks_running": 18, "lag_ms_max": float64(i)}})
+		m.addSample(&sample{at: at, usage: map[*process]usage{a: cpu(s.a), b: cpu(s.b), w: cpu(0.01 * float64(i))}, scraped: map[string]*scrape{"node-0": scraped("leading", s.commits), "node-1": scraped("following", 3)}}, 50)
+		m.observe(w, &wire.Message{Kind: wire.Gauge, At: at, Values: map[string]float64{"hello_out_bytes": 1000 + 500*float64(i), "tasks_running": 18, "lag_ms_max": float64(i)}})
 	}
 	r := &Report{Rows: make(map[string]float64), Seconds: m.seconds, WindowS: [2]float64{f.WarmupS, f.DurationS}}
 	m.rows(r)
@@ -113,8 +114,8 @@
 	}
 }
 
-// The longest step between two scrapes is that of the highest bucket that grew.
-func TestLongest(t *testing.T) {
+// The longest step between two scrapes is bounded by the highest bucket that grew.
+func TestHighestGrownBucket(t *testing.T) {
 	inf := math.Inf(1)
 	before := map[float64]float64{0.1: 5, 0.3: 6, 0.9: 6, inf: 6}
 	for _, c := range []struct {
@@ -125,16 +126,16 @@
 		{map[float64]float64{0.1: 7, 0.3: 8, 0.9: 8, inf: 8}, 0.1},
 		{map[float64]float64{0.1: 7, 0.3: 8, 0.9: 9, inf: 9}, 0.9},
 		{map[float64]float64{0.1: 7, 0.3: 8, 0.9: 9, inf: 10}, inf},
-		{map[float64]float64{0.1: 1, 0.3: 1, 0.9: 1, inf: 1}, 0}, // it began anew
+		{map[float64]float64{0.1: 1, 0.3: 1, 0.9: 1, inf: 1}, 0}, // the process was restarted
 	} {
-		if got := longest(c.now, before); got != c.want {
+		if got := highestGrownBucket(c.now, before); got != c.want {
 			t.Errorf("%v: %g, want %g", c.now, got, c.want)
 		}
 	}
 }
 
-// A broken rule comes before all else, a lag makes a good run void, and a run in which
-// nothing started is no good one.
+// A broken rule takes precedence over everything else, a high lag makes an otherwise good run
+// void, and a run in which nothing started is not good.
 func TestVerdict(t *testing.T) {
 	f, err := Parse([]byte(deployFile(t, "ahead.toml")))
 	if err != nil {
@@ -157,14 +158,14 @@
 		{"nothing in time", Report{}, errors.New("rule broken: nothing_ran: x"), ExitBroken},
 	} {
 		c.r.WindowS = [2]float64{f.WarmupS, f.DurationS}
-		c.r.judge(f, c.err)
+		c.r.setVerdict(f, c.err)
 		if c.r.Exit != c.exit || c.exit != ExitGood && len(c.r.Reasons) == 0 {
 			t.Errorf("%s: exit %d, %q", c.what, c.r.Exit, c.r.Reasons)
 		}
 	}
 }
 
-// Lines are found through sizes and repeats; runs that are not good have no say.
+// Lines are fitted over all sizes and repeats; runs that are not good are ignored.
 func TestSlopes(t *testing.T) {
 	var reports []*Report
 	for _, part := range []float64{0.1, 0.25, 0.5} {
@@ -201,7 +202,7 @@
 				t.Errorf("%+v", s)
 			}
 		case "leader longest x":
-			t.Error("a row that some runs don't have")
+			t.Error("a line was fitted to a row that some runs don't have")
 		case "noisy":
 			found++
 			if math.Abs(s.Spread-1/10.5) > 1e-9 || math.Abs(s.Residual-0.5/10.5) > 1e-9 {
@@ -210,7 +211,7 @@
 		}
 	}
 	if found != 3 {
-		t.Errorf("%d rows", found)
+		t.Errorf("%d of 3 rows", found)
 	}
 	var out bytes.Buffer
 	PrintSlopes(&out, reports, slopes, "")
@@ -218,12 +219,12 @@
 		t.Error(out.String())
 	}
 	if _, err := Slopes(reports[:2], ""); err == nil {
-		t.Error("a line through one size")
+		t.Error("a line was fitted to runs of one size")
 	}
 }
 
-// Times of changes of the configuration count from when a change was due, and by what went
-// on then; those that were due before the warm-up count for none.
+// Latencies of configuration changes count from the time at which the change was due, and are
+// grouped by the conditions at that time. Changes due during the warm-up do not count.
 func TestChangeTimes(t *testing.T) {
 	f, err := Parse([]byte(deployFile(t, "changes.toml")))
 	if err != nil {
@@ -231,18 +232,18 @@
 	}
 	m := newMeter(f)
 	m.begin(1_000_000_000, f)
-	told := func(region, phase string, due, made, at float64) {
+	answer := func(region, phase string, due, made, at float64) {
 		us := func(s float64) int64 { return m.began + int64(s*1e6) }
-		m.take(nil, &wire.Message{Kind: wire.Answer, Op: "config", Ref: "c-1", Region: region, Status: 200, Phase: phase, Due: us(due), Run: us(made), At: us(at)})
-	}
-	told("r0", "made", 10, 11, 11) // before the warm-up
-	told("r0", "made", 40, 41, 41)
-	told("r0", "in_force", 40, 41, 43)
-	told("r1", "in_force", 70, 70.5, 75) // r5 is apart from 60 s to 100 s
-	told("r5", "in_force", 70, 101, 102)
-	told("r1", "in_force", 110, 110, 110.5) // the peak begins at 105 s
+		m.observe(nil, &wire.Message{Kind: wire.Answer, Op: "config", Ref: "c-1", Region: region, Status: 200, Phase: phase, Due: us(due), Run: us(made), At: us(at)})
+	}
+	answer("r0", "made", 10, 11, 11) // during the warm-up
+	answer("r0", "made", 40, 41, 41)
+	answer("r0", "in_force", 40, 41, 43)
+	answer("r1", "in_force", 70, 70.5, 75) // r5 is cut off from 60 s to 100 s
+	answer("r5", "in_force", 70, 101, 102)
+	answer("r1", "in_force", 110, 110, 110.5) // the peak begins at 105 s
 	got := make(map[string]float64)
-	for name, l := range m.lat {
+	for name, l := range m.latencies {
 		if n := l.all.TotalCount(); n > 0 {
 			got[name] = math.Round(percentiles(l.all).Max/100) / 10
 		}
@@ -258,7 +259,7 @@
 	}
 }
 
-// A report is read as it was written, and has its pictures beside it.
+// A report is the same after it was written and read, and its plots are in the same folder.
 func TestWriteReport(t *testing.T) {
 	dir := t.TempDir()
 	r := &Report{
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,6 +1,6 @@
-// Package scale runs a deployment of full size on one machine: real controllers, stand-ins
-// of what is around them, a load of users, faults, and an observer of the protocol's rules.
-// It measures what each process takes.
+// Package scale runs a deployment of full size on one machine: real controllers, stand-ins for
+// the services around them, simulated users, injected faults, and a checker of the protocol's
+// rules. It measures the resources that each process uses.
 package scale
 
 import (
@@ -18,15 +18,15 @@
 	"mapleslip/internal/scale/users"
 )
 
-// File is a file of settings of a scale run, deploy/scale/*.toml. Times are in seconds
-// from the moment at which the load begins, rates and sizes those of part 1.
+// File contains the settings of a scale run, deploy/scale/*.toml. Times are seconds since the
+// start of the load. Rates and sizes are those of part 1, the full size.
 type File struct {
 	Name        string          `toml:"name"`
 	Seed        uint64          `toml:"seed"`
-	DurationS   float64         `toml:"duration_s"` // of the load
-	SettleS     float64         `toml:"settle_s"`   // after it, without new jobs: polls go on
-	WarmupS     float64         `toml:"warmup_s"`   // what was due before it counts for no percentile
-	FillS       float64         `toml:"fill_s"`     // in which the initial jobs come
+	DurationS   float64         `toml:"duration_s"` // length of the load
+	SettleS     float64         `toml:"settle_s"`   // time after the load without new jobs, in which users go on polling
+	WarmupS     float64         `toml:"warmup_s"`   // actions that were due before this time count for no percentile
+	FillS       float64         `toml:"fill_s"`     // time in which the initial jobs are submitted
 	Deployment  Deployment      `toml:"deployment"`
 	Controllers Controllers     `toml:"controllers"`
 	Workers     WorkerTimes     `toml:"workers"`
@@ -43,31 +43,31 @@
 	Faults      []Fault         `toml:"faults"`
 	Limits      Limits          `toml:"limits"`
 	Users       UserSettings    `toml:"users"`
-	// Changes of the configuration; nil: controllers run without --configuration.
+	// Changes of the configuration; if nil, controllers run without --configuration.
 	Changes *users.Operators `toml:"changes"`
 }
 
-// Deployment is how the processes that play workers are shared out.
+// Deployment is the distribution of machines over worker processes and racks.
 type Deployment struct {
-	RealWorkers int     `toml:"real_workers"` // machines with a process of their own
-	PerProcess  int     `toml:"per_process"`  // machines to a hollow process
-	SpareShare  float64 `toml:"spare_share"`  // machines that the cloud still has, of those that are there
-	RackSize    int     `toml:"rack_size"`    // machines to a rack
+	RealWorkers int     `toml:"real_workers"` // machines with a worker process of their own
+	PerProcess  int     `toml:"per_process"`  // machines for each hollow process
+	SpareShare  float64 `toml:"spare_share"`  // machines that the cloud can still rent out, as a share of those at the start
+	RackSize    int     `toml:"rack_size"`    // machines in each rack
 }
 
-// Controllers says what the controllers are given.
+// Controllers contains the settings of the controllers.
 type Controllers struct {
-	Zones          []string `toml:"zones"` // one controller each
+	Zones          []string `toml:"zones"` // zone of each controller
 	CPUShare       float64  `toml:"cpu_share"`
 	MemoryMB       float64  `toml:"memory_mb"`
 	MaxConnections int      `toml:"max_connections"`
 	RestartDelayS  float64  `toml:"restart_delay_s"`
 	ClockOffMS     float64  `toml:"clock_off_ms"`
-	IdleReturnS    float64  `toml:"idle_return_s"` // the operators' setting
-	CutKeepS       float64  `toml:"cut_keep_s"`    // the operators' setting
+	IdleReturnS    float64  `toml:"idle_return_s"` // written to the operator settings
+	CutKeepS       float64  `toml:"cut_keep_s"`    // written to the operator settings
 }
 
-// WorkerTimes are those of the platform's file.
+// WorkerTimes contains the intervals and timeouts of workers in the platform settings.
 type WorkerTimes struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -76,7 +76,7 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// State is the state service.
+// State contains the settings of the state service.
 type State struct {
 	Region    string  `toml:"region"`
 	RPS       float64 `toml:"rps"`
@@ -86,33 +86,33 @@
 	LatencyMS float64 `toml:"latency_ms"`
 }
 
-// Cloud is the cloud; it is in the region of the state service.
+// Cloud contains the settings of the cloud, which is in the region of the state service.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// NetworkSettings are those of all links between regions that [[links]] doesn't name.
+// NetworkSettings apply to the links between regions. [[links]] can set another delay for a link.
 type NetworkSettings struct {
 	DelayMS float64 `toml:"delay_ms"` // one way
-	Jitter  float64 `toml:"jitter"`   // share of the delay by which it varies
+	Jitter  float64 `toml:"jitter"`   // variation, as a share of the delay
 	Loss    float64 `toml:"loss"`     // share of the connections that are reset
 }
 
-// Link is one between two regions, both ways.
+// Link sets the delay between two regions, in both directions.
 type Link struct {
 	Between []string `toml:"between"`
 	DelayMS float64  `toml:"delay_ms"`
 }
 
-// Region has zones.
+// Region is a region with its zones.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
 }
 
-// MachineType is one that the cloud rents, with Count that are there from the beginning,
-// shared out evenly over regions and their zones.
+// MachineType is a machine type that the cloud rents out. Count machines of it exist at the
+// start, spread evenly over the regions and their zones.
 type MachineType struct {
 	Name        string  `toml:"name"`
 	CPUs        float64 `toml:"cpus"`
@@ -126,16 +126,16 @@
 	Count       int     `toml:"count"`
 }
 
-// Teams are alike: each has an equal part of all CPUs and GPUs, of which Guarantee and
-// Limit are multiples. A limit is at least what the largest gang or service that can be
-// drawn needs, so that all sizes of a deployment have the same jobs.
+// Teams contains the settings of the teams, which are all alike. Guarantee and Limit are
+// multiples of an equal share of all CPUs and GPUs. A limit is at least what the largest gang
+// or service that can be drawn needs, so that deployments of all sizes have the same jobs.
 type Teams struct {
 	Count     int     `toml:"count"`
 	Guarantee float64 `toml:"guarantee"`
 	Limit     float64 `toml:"limit"`
 }
 
-// Aim is an objective of the platform's file.
+// Aim is an objective of the platform settings.
 type Aim struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -143,45 +143,45 @@
 	Share   float64 `toml:"share"`
 }
 
-// UserSettings are those of the load that no class has for itself.
+// UserSettings contains the settings of the load that are the same for all job classes.
 type UserSettings struct {
 	PollS          float64 `toml:"poll_s"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Limits end a run.
+// Limits contains the limits of a run.
 type Limits struct {
-	MaxS      float64 `toml:"max_s"`      // the whole run, from its first process to its last
-	LagMS     float64 `toml:"lag_ms"`     // of load and hollow workers, 99th percentile of seconds: above it the run is void
-	CPUShare  float64 `toml:"cpu_share"`  // of the machine's processors, 95th percentile of seconds: above it the report says so
+	MaxS      float64 `toml:"max_s"`      // duration of the whole run, from its first process to its last
+	LagMS     float64 `toml:"lag_ms"`     // lag of the tool's parts, 99th percentile over seconds; above it the run is void
+	CPUShare  float64 `toml:"cpu_share"`  // busy share of the machine's processors, 95th percentile over seconds; above it the report has a note
 	Memory    float64 `toml:"memory"`     // share of the machine's memory, at most a half
 	Processes int     `toml:"processes"`  // at most 300
-	QuietS    float64 `toml:"liveness_s"` // the run fails if no task starts by then
+	QuietS    float64 `toml:"liveness_s"` // the run fails if no task starts within this time
 }
 
-// Faults that a file can have.
+// Kinds of faults in a settings file.
 const (
-	FaultControllerEnd    = "controller_end"    // a controller is killed; it starts again after restart_delay_s, or for_s if that is set
-	FaultControllerFreeze = "controller_freeze" // a controller stands still for for_s
-	FaultWorkerEnd        = "worker_end"        // machines end, with all on them
-	FaultWorkerHang       = "worker_hang"       // machines stand still for for_s
-	FaultWorkerRestart    = "worker_restart"    // workers start anew without their tasks
-	FaultRegionCut        = "region_cut"        // a region is apart from the others for for_s
-	FaultRegionLoss       = "region_loss"       // a share of the connections of a region with others is reset, for for_s
-	FaultRegionDelay      = "region_delay"      // a region's delays times factor, for for_s
-	FaultStateRefuse      = "state_refuse"      // the state service answers 503, to all or one controller, for for_s
-	FaultStateSlow        = "state_slow"        // its latency times factor, for for_s
+	FaultControllerEnd    = "controller_end"    // kills a controller, which restarts after for_s if that is set, else after restart_delay_s
+	FaultControllerFreeze = "controller_freeze" // suspends a controller for for_s
+	FaultWorkerEnd        = "worker_end"        // ends machines and everything on them
+	FaultWorkerHang       = "worker_hang"       // suspends machines for for_s
+	FaultWorkerRestart    = "worker_restart"    // restarts workers without their tasks
+	FaultRegionCut        = "region_cut"        // cuts a region off from the others for for_s
+	FaultRegionLoss       = "region_loss"       // resets a share of the connections between a region and others for for_s
+	FaultRegionDelay      = "region_delay"      // multiplies the delays of a region by factor for for_s
+	FaultStateRefuse      = "state_refuse"      // makes the state service answer 503 to all controllers or one for for_s
+	FaultStateSlow        = "state_slow"        // multiplies the latency of the state service by factor for for_s
 )
 
-// Fault is played at a time.
+// Fault is a fault that is injected at a given time.
 type Fault struct {
 	AtS        float64 `toml:"at_s" json:"at_s"`
 	Kind       string  `toml:"kind" json:"kind"`
 	ForS       float64 `toml:"for_s" json:"for_s,omitempty"`
 	Factor     float64 `toml:"factor" json:"factor,omitempty"`
-	Controller string  `toml:"controller" json:"controller,omitempty"` // its name, or leader, or all
-	Count      int     `toml:"count" json:"count,omitempty"`           // of machines, of part 1; 0: all that the rest names
-	Rack       bool    `toml:"rack" json:"rack,omitempty"`             // a whole rack, drawn
+	Controller string  `toml:"controller" json:"controller,omitempty"` // name of a controller, leader, or all
+	Count      int     `toml:"count" json:"count,omitempty"`           // number of machines at part 1; 0: all that match the other fields
+	Rack       bool    `toml:"rack" json:"rack,omitempty"`             // one whole rack, chosen at random
 	Zone       string  `toml:"zone" json:"zone,omitempty"`
 	Region     string  `toml:"region" json:"region,omitempty"`
 }
@@ -208,7 +208,7 @@
 	return s
 }
 
-// defaults are the settings that a file may leave out.
+// defaults returns the values of settings that a file may omit.
 func defaults() *File {
 	return &File{
 		Seed: 1, WarmupS: 0, FillS: 1, SettleS: 5,
@@ -221,7 +221,7 @@
 	}
 }
 
-// Load reads and checks a file. Errors are of one line that names file, line and key.
+// Load reads and checks a settings file. Errors are one line that names file, line and key.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -234,26 +234,26 @@
 	return f, nil
 }
 
-// Parse reads and checks the text of a file.
+// Parse parses and checks the text of a settings file.
 func Parse(text []byte) (*File, error) {
 	f := defaults()
 	if err := protocol.DecodeStrict(text, f); err != nil {
 		var key *protocol.KeyError
 		if errors.As(err, &key) {
-			return nil, atLine(text, key)
+			return nil, withLine(text, key)
 		}
 		return nil, protocol.OneLine(err)
 	}
 	if err := f.check(); err != nil {
-		return nil, atLine(text, err)
+		return nil, withLine(text, err)
 	}
 	return f, nil
 }
 
-// MostProcesses is how many processes a run may have.
-const MostProcesses = 300
+// MaxProcesses is the highest value of limits.processes.
+const MaxProcesses = 300
 
-// controllerNames are the names of the controllers.
+// controllerNames returns the names of the controllers.
 func (f *File) controllerNames() []string {
 	var names []string
 	for i := range f.Controllers.Zones {
@@ -262,9 +262,9 @@
 	return names
 }
 
-// Part is the same deployment of another size: machines, initial jobs, rates and counts
-// of faults times part, and the teams' quotas with the machines. Regions, zones, teams,
-// controllers, gangs and times stay.
+// Part returns the settings of the same deployment in another size. Machines, initial jobs,
+// rates and the counts of faults are multiplied by part, and the teams' quotas follow the
+// machines. Regions, zones, teams, controllers, gangs and times stay the same.
 func (f *File) Part(part float64) *File {
 	g := *f
 	scaled := func(n int) int {
@@ -290,7 +290,7 @@
 	return &g
 }
 
-// Machines counts those that are there from the beginning.
+// Machines returns the number of machines that exist at the start.
 func (f *File) Machines() (n int) {
 	for _, t := range f.Types {
 		n += t.Count
@@ -298,7 +298,7 @@
 	return n
 }
 
-// regionOf is the region of a zone.
+// regionOf returns the region of a zone, or "" if no region has it.
 func (f *File) regionOf(zone string) string {
 	for _, r := range f.Regions {
 		if slices.Contains(r.Zones, zone) {
@@ -308,7 +308,7 @@
 	return ""
 }
 
-// platform is the controllers' file, but for names and addresses.
+// platform returns the platform settings of the controllers, without names and addresses.
 func (f *File) platform() protocol.Platform {
 	s := protocol.FromSeconds
 	p := protocol.Platform{
@@ -323,7 +323,7 @@
 	}
 	var all protocol.Resources
 	for _, t := range f.Types {
-		all = all.Add(offer(t), int64(t.Count))
+		all = all.Add(capacity(t), int64(t.Count))
 	}
 	n := float64(f.Teams.Count)
 	amount := func(times float64) protocol.Resources {
@@ -355,12 +355,12 @@
 	return names
 }
 
-func offer(t MachineType) protocol.Resources {
+func capacity(t MachineType) protocol.Resources {
 	v := func(x float64) int64 { return int64(math.Round(x * 1000)) }
 	return protocol.Resources{CPU: v(t.CPUs), GPU: v(t.GPUs), Memory: v(t.MemoryGB)}
 }
 
-// machineTypes are the cloud's.
+// machineTypes returns the machine types of the cloud.
 func (f *File) machineTypes() []*protocol.MachineType {
 	var all []string
 	for _, r := range f.Regions {
@@ -369,7 +369,7 @@
 	var types []*protocol.MachineType
 	for _, t := range f.Types {
 		types = append(types, &protocol.MachineType{
-			Name: t.Name, Capacity: offer(t), CacheSize: int64(t.CacheGB * 1000),
+			Name: t.Name, Capacity: capacity(t), CacheSize: int64(t.CacheGB * 1000),
 			FetchRate: t.FetchGBPerS * 1000 / float64(protocol.Second), Price: t.Price, SpotPrice: t.SpotPrice,
 			BootTime: protocol.FromSeconds(t.BootS), Zones: all,
 		})
@@ -377,5 +377,5 @@
 	return types
 }
 
-// Text writes a file's settings as TOML, for the run's folder.
+// Text returns the settings as TOML. A run writes them to its output folder.
 func (f *File) Text() ([]byte, error) { return toml.Marshal(f) }
--- a/internal/scale/settings_check.go
+++ b/internal/scale/settings_check.go
@@ -8,9 +8,9 @@
 	"mapleslip/internal/protocol"
 )
 
-// Checks of a settings file: the first value that is impossible is named.
+// Checks of a settings file. The first invalid value is reported.
 
-// check finds the first value that is impossible.
+// check returns an error for the first invalid value, or nil.
 func (f *File) check() *protocol.KeyError {
 	c := &validator{}
 	f.checkTimes(c)
@@ -35,7 +35,7 @@
 	return c.first
 }
 
-// checkTimes checks the name and the times of the run itself.
+// checkTimes checks the name of the run and its times.
 func (f *File) checkTimes(c *validator) {
 	if f.Name == "" || strings.ContainsAny(f.Name, "/ ") {
 		c.fail("name", "must be a word without a slash")
@@ -46,7 +46,7 @@
 	c.number("fill_s", f.FillS, 0, f.DurationS)
 }
 
-// checkDeployment checks workers and controllers.
+// checkDeployment checks the settings of workers and controllers.
 func (f *File) checkDeployment(c *validator) {
 	c.number("deployment.real_workers", float64(f.Deployment.RealWorkers), 0, 100)
 	c.number("deployment.per_process", float64(f.Deployment.PerProcess), 1, 4000)
@@ -104,7 +104,7 @@
 	return regions, zones
 }
 
-// checkPlaces checks where the state service, controllers and links are.
+// checkPlaces checks the locations of the state service, the controllers and the links.
 func (f *File) checkPlaces(c *validator, regions, zones []string) {
 	if !slices.Contains(regions, f.State.Region) {
 		c.fail("state.region", "must name a region")
@@ -150,14 +150,14 @@
 	return types
 }
 
-// checkTeams checks teams.
+// checkTeams checks the settings of the teams.
 func (f *File) checkTeams(c *validator) {
 	c.number("teams.count", float64(f.Teams.Count), 1, 10000)
 	c.number("teams.guarantee", f.Teams.Guarantee, 0, 1000)
 	c.number("teams.limit", f.Teams.Limit, 0, 1000)
 }
 
-// checkJobs checks classes of jobs and returns their names.
+// checkJobs checks the job classes and returns their names.
 func (f *File) checkJobs(c *validator, types []string) (classes []string) {
 	for i, j := range f.Jobs {
 		key := fmt.Sprintf("jobs[%d].", i)
@@ -175,7 +175,7 @@
 	return classes
 }
 
-// checkAims checks what the run is judged by.
+// checkAims checks the objectives.
 func (f *File) checkAims(c *validator, classes []string) {
 	for i, a := range f.Aims {
 		key := fmt.Sprintf("aims[%d].", i)
@@ -190,7 +190,7 @@
 	}
 }
 
-// checkLoad checks changes of the load.
+// checkLoad checks the changes of the load.
 func (f *File) checkLoad(c *validator, classes []string) {
 	for i, l := range f.Load {
 		key := fmt.Sprintf("load[%d].", i)
@@ -207,67 +207,67 @@
 
 // checkLimits checks the limits of the run and the settings of its users.
 func (f *File) checkLimits(c *validator) {
-	least := f.DurationS + f.SettleS
-	c.number("limits.max_s", f.Limits.MaxS, least, 86400)
+	minimum := f.DurationS + f.SettleS
+	c.number("limits.max_s", f.Limits.MaxS, minimum, 86400)
 	c.number("limits.lag_ms", f.Limits.LagMS, 1, 60000)
 	c.number("limits.cpu_share", f.Limits.CPUShare, 0.01, 1)
 	c.number("limits.memory", f.Limits.Memory, 0.01, 0.5)
-	c.number("limits.processes", float64(f.Limits.Processes), 1, MostProcesses)
+	c.number("limits.processes", float64(f.Limits.Processes), 1, MaxProcesses)
 	c.number("limits.liveness_s", f.Limits.QuietS, 1, 86400)
 	c.number("users.poll_s", f.Users.PollS, 0.1, 3600)
 	c.number("users.max_connections", float64(f.Users.MaxConnections), 8, 15000)
 }
 
-// checkFault checks one fault.
-func (f *File) checkFault(c *validator, key string, t *Fault, regions, zones []string) {
-	c.number(key+"at_s", t.AtS, 0, f.DurationS+f.SettleS)
-	c.number(key+"for_s", t.ForS, 0, 86400)
-	c.number(key+"factor", t.Factor, 0, 10000)
-	c.number(key+"count", float64(t.Count), 0, 20000)
-	if t.Zone != "" && !slices.Contains(zones, t.Zone) {
+// checkFault checks a fault. key is the prefix of its keys in errors.
+func (f *File) checkFault(c *validator, key string, fault *Fault, regions, zones []string) {
+	c.number(key+"at_s", fault.AtS, 0, f.DurationS+f.SettleS)
+	c.number(key+"for_s", fault.ForS, 0, 86400)
+	c.number(key+"factor", fault.Factor, 0, 10000)
+	c.number(key+"count", float64(fault.Count), 0, 20000)
+	if fault.Zone != "" && !slices.Contains(zones, fault.Zone) {
 		c.fail(key+"zone", "must name a zone")
 	}
-	if t.Region != "" && !slices.Contains(regions, t.Region) {
+	if fault.Region != "" && !slices.Contains(regions, fault.Region) {
 		c.fail(key+"region", "must name a region")
 	}
 	names := append(f.controllerNames(), "", "leader", "all")
-	if !slices.Contains(names, t.Controller) {
+	if !slices.Contains(names, fault.Controller) {
 		c.fail(key+"controller", "must be leader, all, or one of "+strings.Join(f.controllerNames(), ", "))
 	}
 	need := func(name string, ok bool) {
 		if !ok {
-			c.fail(key+name, "missing: "+t.Kind+" needs it")
+			c.fail(key+name, "missing: "+fault.Kind+" needs it")
 		}
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case FaultControllerEnd:
-		need("controller", t.Controller != "")
+		need("controller", fault.Controller != "")
 	case FaultControllerFreeze:
-		need("controller", t.Controller != "")
-		need("for_s", t.ForS > 0)
+		need("controller", fault.Controller != "")
+		need("for_s", fault.ForS > 0)
 	case FaultWorkerEnd, FaultWorkerRestart:
-		need("count", t.Count > 0 || t.Rack || t.Zone != "" || t.Region != "")
+		need("count", fault.Count > 0 || fault.Rack || fault.Zone != "" || fault.Region != "")
 	case FaultWorkerHang:
-		need("count", t.Count > 0 || t.Rack || t.Zone != "" || t.Region != "")
-		need("for_s", t.ForS > 0)
+		need("count", fault.Count > 0 || fault.Rack || fault.Zone != "" || fault.Region != "")
+		need("for_s", fault.ForS > 0)
 	case FaultRegionCut:
-		need("region", t.Region != "")
-		need("for_s", t.ForS > 0)
+		need("region", fault.Region != "")
+		need("for_s", fault.ForS > 0)
 	case FaultRegionLoss, FaultRegionDelay:
-		need("region", t.Region != "")
-		need("for_s", t.ForS > 0)
-		need("factor", t.Factor > 0)
+		need("region", fault.Region != "")
+		need("for_s", fault.ForS > 0)
+		need("factor", fault.Factor > 0)
 	case FaultStateRefuse:
-		need("for_s", t.ForS > 0)
+		need("for_s", fault.ForS > 0)
 	case FaultStateSlow:
-		need("for_s", t.ForS > 0)
-		need("factor", t.Factor > 0)
+		need("for_s", fault.ForS > 0)
+		need("factor", fault.Factor > 0)
 	default:
 		c.fail(key+"kind", "unknown fault")
 	}
 }
 
-// validator keeps the first problem.
+// validator keeps the first error.
 type validator struct{ first *protocol.KeyError }
 
 func (c *validator) fail(key, problem string) {
@@ -277,7 +277,7 @@
 }
 
 func (c *validator) number(key string, v, low, high float64) {
-	if !(v >= low && v <= high) { // also what is no number
+	if !(v >= low && v <= high) { // also rejects NaN
 		c.fail(key, fmt.Sprintf("must be from %g to %g", low, high))
 	}
 }
--- a/internal/scale/settings_lines.go
+++ b/internal/scale/settings_lines.go
@@ -9,11 +9,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Lines of a settings file, so that an error says where it is.
+// Line numbers of the keys of a settings file, for errors.
 
-// atLine says where in a file the key of an error is. A key that the file doesn't have
-// is looked for where its table begins.
-func atLine(text []byte, e *protocol.KeyError) error {
+// withLine adds the line of its key to an error. A key that is missing in the file gets the line
+// of the closest enclosing table, or line 1 if there is none.
+func withLine(text []byte, e *protocol.KeyError) error {
 	lines := keyLines(text)
 	for key := e.Key; key != ""; {
 		if n, ok := lines[key]; ok {
@@ -28,8 +28,8 @@
 	return fmt.Errorf("line 1: %w", e)
 }
 
-// keyLines finds the line of each key of a file, named as in jobs[2].run_s.median. The
-// first of several keys of an unknown path without indexes is kept.
+// keyLines returns the line of each key of a file. Keys are paths such as jobs[2].run_s.median.
+// Each key is also listed without indexes, for errors that have none; the first line counts.
 func keyLines(text []byte) map[string]int {
 	lines := make(map[string]int)
 	counts := make(map[string]int)
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	// path joins a key's parts to a prefix, each array of tables with its last index.
+	// path appends the parts of a key to a prefix, and to each array of tables its last index.
 	path := func(prefix string, keys unstable.Iterator) (string, unstable.Range) {
 		var at unstable.Range
 		for keys.Next() {
--- a/internal/scale/settings_test.go
+++ b/internal/scale/settings_test.go
@@ -20,8 +20,9 @@
 	return string(text)
 }
 
-// The files that are delivered are of the size that they say, whatever the part.
-func TestDeliveredFiles(t *testing.T) {
+// The settings files in deploy/scale can be parsed, written and parsed again, and controllers
+// accept the settings made from them. ahead.toml has the expected size, and its parts too.
+func TestDeployFiles(t *testing.T) {
 	for _, name := range []string{"ahead.toml", "tenth.toml", "region.toml", "changes.toml", "small.toml"} {
 		f, err := Parse([]byte(deployFile(t, name)))
 		if err != nil {
@@ -63,12 +64,12 @@
 	}
 }
 
-// Whatever is wrong in a file ends with its line and key.
+// Each error in a settings file is reported with its line and key.
 func TestBadFiles(t *testing.T) {
 	ahead, changes := deployFile(t, "ahead.toml"), deployFile(t, "changes.toml")
 	for _, c := range []struct {
 		from, to, key, problem string
-		below                  int // lines from the first changed one
+		below                  int // lines from the first changed line to the reported one
 	}{
 		{`lease_s = 31.0`, `lease_z = 31.0`, "workers.lease_z", "unknown key", 0},
 		{`lease_s = 31.0`, `lease_s = "long"`, "lease_s", "", 0},
@@ -110,7 +111,7 @@
 		want := fmt.Sprintf("line %d", line+c.below)
 		_, err := Parse([]byte(text))
 		if err == nil {
-			t.Errorf("%s was taken", c.to)
+			t.Errorf("%s was accepted", c.to)
 			continue
 		}
 		got := err.Error()
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// figures are all numbers of a report that runs of several sizes are compared by: its
-// rows, and the percentiles of its times.
+// figures returns all numbers by which reports are compared: the rows, the percentiles of the
+// latencies, and the memory, lag and load of the machine.
 func (r *Report) figures() map[string]float64 {
 	out := maps.Clone(r.Rows)
 	for name, p := range r.Latency {
@@ -23,28 +23,29 @@
 	return out
 }
 
-// Slope is how a row grows with the size of a deployment.
+// Slope is the linear fit of a row over the size of the deployment.
 type Slope struct {
 	Row       string    `json:"row"`
 	At        []float64 `json:"at"`        // sizes
-	Means     []float64 `json:"means"`     // over the repeats of a size
-	Slope     float64   `json:"slope"`     // by unit of size
+	Means     []float64 `json:"means"`     // averages over the runs of each size
+	Slope     float64   `json:"slope"`     // per unit of size
 	Intercept float64   `json:"intercept"` // at size 0
-	Residual  float64   `json:"residual"`  // root mean square of what the line misses, of the mean
-	Spread    float64   `json:"spread"`    // largest (highest - lowest)/mean of a size's repeats
-	AtOne     float64   `json:"at_one"`    // the line at part 1
-	AtTwo     float64   `json:"at_two"`
+	Residual  float64   `json:"residual"`  // root mean square of the residuals, divided by the mean
+	Spread    float64   `json:"spread"`    // largest (highest - lowest)/mean of the runs of one size
+	AtOne     float64   `json:"at_one"`    // value of the line at part 1
+	AtTwo     float64   `json:"at_two"`    // value of the line at part 2
 }
 
-// Slopes fits a line to each row that all good runs have, and to each rate that one has. by names the figure that is
-// the size: "" is the number of workers. Runs that are not good are left out.
+// Slopes fits a line to each row that all good runs have, and to each rate that at least one of
+// them has. by is the figure that serves as size; if it is "", the number of workers does. Runs
+// that are not good are ignored.
 func Slopes(reports []*Report, by string) ([]Slope, error) {
 	type point struct {
 		x float64
 		r map[string]float64
 	}
 	var points []point
-	one := 0.0
+	sizeAtOne := 0.0
 	sums, counts := make(map[float64]float64), make(map[float64]int)
 	for _, r := range reports {
 		if r.Exit != ExitGood {
@@ -62,21 +63,21 @@
 		points = append(points, point{x, f})
 		sums[r.Part] += x
 		counts[r.Part]++
-		one = max(one, float64(r.Workers)/r.Part)
+		sizeAtOne = max(sizeAtOne, float64(r.Workers)/r.Part)
 	}
 	if len(counts) < 2 {
 		return nil, fmt.Errorf("%d good runs of %d sizes: a line needs two sizes", len(points), len(counts))
 	}
 	if by != "" {
-		// The size at part 1 is that of the line through the parts.
+		// The size at part 1 is read from a line through the sizes of all parts.
 		var parts, sizes []float64
 		for part, sum := range sums {
 			parts, sizes = append(parts, part), append(sizes, sum/float64(counts[part]))
 		}
 		a, b := stat.LinearRegression(parts, sizes, nil, false)
-		one = a + b
+		sizeAtOne = a + b
 	}
-	// Of a rate that a run doesn't have, nothing happened in it.
+	// A rate that is missing in a run is 0: the counted event did not occur.
 	rows := make(map[string]float64)
 	for _, p := range points {
 		maps.Copy(rows, p.r)
@@ -90,23 +91,23 @@
 	var out []Slope
 	for _, row := range slices.Sorted(maps.Keys(rows)) {
 		var x, y []float64
-		same := make(map[float64][]float64)
+		repeats := make(map[float64][]float64)
 		for _, p := range points {
 			x, y = append(x, p.x), append(y, p.r[row])
-			same[p.x] = append(same[p.x], p.r[row])
+			repeats[p.x] = append(repeats[p.x], p.r[row])
 		}
 		a, b := stat.LinearRegression(x, y, nil, false)
-		s := Slope{Row: row, Slope: b, Intercept: a, AtOne: a + b*one, AtTwo: a + 2*b*one}
-		missed := 0.0
+		s := Slope{Row: row, Slope: b, Intercept: a, AtOne: a + b*sizeAtOne, AtTwo: a + 2*b*sizeAtOne}
+		squares := 0.0
 		for i := range x {
 			d := y[i] - a - b*x[i]
-			missed += d * d
+			squares += d * d
 		}
 		if mean := stat.Mean(y, nil); mean != 0 {
-			s.Residual = math.Sqrt(missed/float64(len(x))) / math.Abs(mean)
+			s.Residual = math.Sqrt(squares/float64(len(x))) / math.Abs(mean)
 		}
-		for _, at := range slices.Sorted(maps.Keys(same)) {
-			v := same[at]
+		for _, at := range slices.Sorted(maps.Keys(repeats)) {
+			v := repeats[at]
 			mean := stat.Mean(v, nil)
 			s.At, s.Means = append(s.At, at), append(s.Means, mean)
 			if mean != 0 {
@@ -118,7 +119,7 @@
 	return out, nil
 }
 
-// PrintSlopes writes a table in Markdown.
+// PrintSlopes writes a list of the runs and a table of the slopes in Markdown.
 func PrintSlopes(out io.Writer, reports []*Report, slopes []Slope, by string) {
 	if by == "" {
 		by = "worker"
@@ -135,29 +136,29 @@
 	}
 	fmt.Fprintf(out, "\n| row |")
 	for _, at := range slopes[0].At {
-		fmt.Fprintf(out, " at %s |", short(at))
+		fmt.Fprintf(out, " at %s |", formatNumber(at))
 	}
 	fmt.Fprintf(out, " by %s | at 0 | at part 1 | at 2 | residual | spread |\n|%s\n", by, strings.Repeat(" --- |", len(slopes[0].At)+7))
 	for _, s := range slopes {
 		fmt.Fprintf(out, "| %s |", s.Row)
 		for _, v := range s.Means {
-			fmt.Fprintf(out, " %s |", short(v))
+			fmt.Fprintf(out, " %s |", formatNumber(v))
 		}
-		fmt.Fprintf(out, " %s | %s | %s | %s | %.0f%% | %.0f%% |\n", short(s.Slope), short(s.Intercept), short(s.AtOne), short(s.AtTwo), s.Residual*100, s.Spread*100)
+		fmt.Fprintf(out, " %s | %s | %s | %s | %.0f%% | %.0f%% |\n", formatNumber(s.Slope), formatNumber(s.Intercept), formatNumber(s.AtOne), formatNumber(s.AtTwo), s.Residual*100, s.Spread*100)
 	}
 }
 
-// short is a number with three figures.
-func short(v float64) string {
+// formatNumber formats a number with three significant digits, from 1000 on as an integer.
+func formatNumber(v float64) string {
 	if math.Abs(v) >= 1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// Compare writes what two runs have shown side by side: verdicts, and each figure that
-// differs by at least a share of the first.
-func Compare(out io.Writer, a, b *Report, least float64) {
+// Compare writes two reports side by side: the verdicts, and each figure that differs by at least
+// the share minShare of its value in the first report.
+func Compare(out io.Writer, a, b *Report, minShare float64) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	name := func(r *Report) string {
 		return fmt.Sprintf("%s, part %g, seed %d, %s", r.Name, r.Part, r.Seed, verdicts[r.Exit])
@@ -174,9 +175,9 @@
 			if !ok {
 				return "-"
 			}
-			return short(v)
+			return formatNumber(v)
 		}
-		if inA && inB && math.Abs(vb-va) < least*math.Abs(va) || va == vb && inA && inB {
+		if inA && inB && math.Abs(vb-va) < minShare*math.Abs(va) || va == vb && inA && inB {
 			same++
 			continue
 		}
@@ -187,7 +188,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", k, cell(va, inA), cell(vb, inB), ratio)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "%d figures differ by less than %g of A\n", same, least)
+	fmt.Fprintf(out, "%d figures differ by less than %g of A\n", same, minShare)
 	for _, r := range []*Report{a, b} {
 		for _, why := range r.Reasons {
 			fmt.Fprintf(out, "%s: %s\n", name(r), why)
--- a/internal/scale/supervise.go
+++ b/internal/scale/supervise.go
@@ -11,18 +11,20 @@
 	"mapleslip/internal/scale/wire"
 )
 
-// What the supervisor does while the load runs: it plays faults, watches processes and
-// passes machines between the stand-in of the cloud and the workers.
+// What the supervisor does while the load runs: it injects faults, checks processes and passes
+// machines between the stand-in of the cloud and the workers.
 
-// watch looks whether all processes are there. A controller that ended by itself starts
-// again as one that was ended does, and is noted.
-func (s *supervisor) watch() error {
+// checkProcesses checks that all processes run, and starts the controllers whose restart is due.
+// A controller that ended by itself is noted in the report and restarted after restart_delay_s.
+// The run fails if a controller ends by itself more than 20 times or before the load, or if a
+// part ends.
+func (s *supervisor) checkProcesses() error {
 	for _, c := range s.controllers {
-		if c.proc != nil && c.proc.over() && c.restartAt == 0 {
-			s.note("%s ended by itself: %v: %s", c.name, c.proc.err, lastLine(s.o.Out, c.name))
-			c.restartAt = wire.Now() + int64(protocol.FromSeconds(s.f.Controllers.RestartDelayS))
+		if c.proc != nil && c.proc.hasExited() && c.restartAt == 0 {
+			s.addNote("%s ended by itself: %v: %s", c.name, c.proc.err, lastLine(s.options.Out, c.name))
+			c.restartAt = wire.Now() + int64(protocol.FromSeconds(s.file.Controllers.RestartDelayS))
 			if c.restarts++; c.restarts > 20 || s.meter.began == 0 {
-				return fmt.Errorf("%s: %s", c.name, lastLine(s.o.Out, c.name))
+				return fmt.Errorf("%s: %s", c.name, lastLine(s.options.Out, c.name))
 			}
 		}
 		if c.restartAt > 0 && wire.Now() >= c.restartAt {
@@ -32,54 +34,54 @@
 		}
 	}
 	for name, p := range s.parts {
-		if p.over() {
-			return fmt.Errorf("%s ended by itself: %w: %s", name, p.err, lastLine(s.o.Out, name))
+		if p.hasExited() {
+			return fmt.Errorf("%s ended by itself: %w: %s", name, p.err, lastLine(s.options.Out, name))
 		}
 	}
 	return nil
 }
 
-// message takes one of a part's.
-func (s *supervisor) message(i inbound) {
-	m, p := i.m, i.from
+// handleMessage handles a message from a part.
+func (s *supervisor) handleMessage(msg inbound) {
+	m, p := msg.m, msg.from
 	if m == nil {
-		s.silent[p.name] = true
+		s.outputClosed[p.name] = true
 		return
 	}
 	switch m.Kind {
 	case wire.Ready:
 		s.ready[p.name] = true
-		if m.Text != "" && s.problem == nil {
-			s.problem = fmt.Errorf("%s: %s", p.name, m.Text)
+		if m.Text != "" && s.partErr == nil {
+			s.partErr = fmt.Errorf("%s: %s", p.name, m.Text)
 		}
 	case wire.Note:
-		s.note("%s: %s", p.name, m.Text)
+		s.addNote("%s: %s", p.name, m.Text)
 	case wire.Boot:
 		if m.Machine != nil {
-			s.boot(m)
+			s.assignMachine(m)
 		}
 	case wire.Gone:
-		s.gone(m)
+		s.releaseMachines(m)
 	case wire.GoneDone:
-		s.goneDone(p, m.ID)
+		s.confirmRelease(p, m.ID)
 	case wire.Gauge:
-		s.meter.take(p, m)
+		s.meter.observe(p, m)
 	default:
 		s.hub.Take(p.name, m)
-		s.meter.take(p, m)
+		s.meter.observe(p, m)
 	}
 }
 
-// boot hands a machine that the cloud rented out to the hollow process of its region
-// that has the fewest.
-func (s *supervisor) boot(m *wire.Message) {
+// assignMachine assigns a machine that the cloud rented out to the hollow process of its region
+// that has the fewest machines.
+func (s *supervisor) assignMachine(m *wire.Message) {
 	mc := *m.Machine
 	if mc.Region == "" {
-		mc.Region = s.f.regionOf(mc.Zone)
+		mc.Region = s.file.regionOf(mc.Zone)
 	}
 	counts := make(map[*process]int)
-	for _, at := range s.machines {
-		counts[at.proc]++
+	for _, machine := range s.machines {
+		counts[machine.proc]++
 	}
 	var p *process
 	for _, h := range s.hollow[mc.Region] {
@@ -88,10 +90,10 @@
 		}
 	}
 	if p == nil {
-		s.note("machine %s in zone %s has no region", mc.Name, mc.Zone)
+		s.addNote("machine %s in zone %s has no region", mc.Name, mc.Zone)
 		return
 	}
-	s.machines[mc.Name] = &machineAt{mc, p}
+	s.machines[mc.Name] = &machineState{mc, p}
 	s.hub.Machine(mc, p.name)
 	out := &wire.Message{Kind: wire.Boot, At: m.At, Machine: &mc}
 	for _, r := range s.relays {
@@ -100,19 +102,19 @@
 	p.send(out)
 }
 
-// gone has machines end that were released; the stand-in of the cloud answers only when
-// their workers' processes have said that they are gone.
-func (s *supervisor) gone(m *wire.Message) {
-	by := make(map[*process][]string)
+// releaseMachines ends released machines. The stand-in of the cloud answers the release only
+// after the processes of their workers have confirmed it.
+func (s *supervisor) releaseMachines(m *wire.Message) {
+	namesByProcess := make(map[*process][]string)
 	var public []string
 	for _, name := range m.Names {
-		if at := s.machines[name]; at != nil {
-			by[at.proc] = append(by[at.proc], name)
-			public = append(public, at.Public)
+		if machine := s.machines[name]; machine != nil {
+			namesByProcess[machine.proc] = append(namesByProcess[machine.proc], name)
+			public = append(public, machine.Public)
 		}
 	}
 	waiting := make(map[string]bool)
-	for p, names := range by {
+	for p, names := range namesByProcess {
 		waiting[p.name] = true
 		p.send(&wire.Message{Kind: wire.Gone, ID: m.ID, Names: names, At: m.At})
 	}
@@ -124,11 +126,13 @@
 		delete(s.machines, name)
 	}
 	if len(waiting) == 0 {
-		s.goneDone(nil, m.ID)
+		s.confirmRelease(nil, m.ID)
 	}
 }
 
-func (s *supervisor) goneDone(p *process, id uint64) {
+// confirmRelease removes a process from those that must confirm a release. Once none is left,
+// it sends the confirmation to the stand-in of the cloud.
+func (s *supervisor) confirmRelease(p *process, id uint64) {
 	waiting := s.releases[id]
 	if p != nil {
 		delete(waiting, p.name)
@@ -139,107 +143,109 @@
 	}
 }
 
-func (s *supervisor) note(format string, args ...any) {
+// addNote adds a note to the report, which has at most 200 of them, and prints it.
+func (s *supervisor) addNote(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if len(s.notes) < 200 {
 		s.notes = append(s.notes, text)
 	}
-	s.say("note: %s", text)
+	s.printProgress("note: %s", text)
 }
 
-func (s *supervisor) say(format string, args ...any) {
-	if s.o.Progress == nil {
+// printProgress prints a line with the time since the start of the load.
+func (s *supervisor) printProgress(format string, args ...any) {
+	if s.options.Progress == nil {
 		return
 	}
 	t := "      "
 	if s.meter.began > 0 {
 		t = fmt.Sprintf("%5.0fs", float64(wire.Now()-s.meter.began)/1e6)
 	}
-	fmt.Fprintf(s.o.Progress, "%s  %s\n", t, fmt.Sprintf(format, args...))
+	fmt.Fprintf(s.options.Progress, "%s  %s\n", t, fmt.Sprintf(format, args...))
 }
 
-// judgeLate is how long the hub waits, beyond its second, for messages of parts that are
-// on their way while this machine is busy, microseconds.
-const judgeLate = 2_000_000
+// checkDelayUS is the time for which checks wait, in addition to the delay of the checker itself,
+// for messages that parts send late because this machine is busy, microseconds.
+const checkDelayUS = 2_000_000
 
-// loop plays the load and the faults until the time is over.
-func (s *supervisor) loop(ctx context.Context, begin int64) error {
-	end := begin + int64(protocol.FromSeconds(s.f.DurationS+s.f.SettleS))
+// eventLoop injects the faults and handles messages until the load and its settle time have passed.
+func (s *supervisor) eventLoop(ctx context.Context, begin int64) error {
+	end := begin + int64(protocol.FromSeconds(s.file.DurationS+s.file.SettleS))
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	samples := make(chan *sample, 1)
-	go s.sample(samples)
-	progress := begin
-	var resume []func(now int64) bool // false: not yet
+	go s.sampleProcesses(samples)
+	lastStatus := begin
+	var pending []func(now int64) bool // functions that end faults; each is called until it returns true
 	for {
 		select {
 		case m := <-s.in:
-			s.message(m)
+			s.handleMessage(m)
 			for n := 0; n < 4096 && len(s.in) > 0; n++ {
-				s.message(<-s.in)
+				s.handleMessage(<-s.in)
 			}
-			if s.problem != nil {
-				return s.problem
+			if s.partErr != nil {
+				return s.partErr
 			}
 		case sm := <-samples:
-			rss := s.meter.sampled(sm, s.hub.Counts().Running)
-			if n := len(sm.usage); n > s.f.Limits.Processes {
-				return &limitError{fmt.Sprintf("%d processes, limits.processes is %d", n, s.f.Limits.Processes)}
+			rss := s.meter.addSample(sm, s.hub.Counts().Running)
+			if n := len(sm.usage); n > s.file.Limits.Processes {
+				return &limitError{fmt.Sprintf("%d processes, limits.processes is %d", n, s.file.Limits.Processes)}
 			}
-			if total, _, err := memory(); err == nil && float64(rss) > s.f.Limits.Memory*float64(total) {
-				return &limitError{fmt.Sprintf("processes take %d MB, more than limits.memory = %g of %d MB", rss>>20, s.f.Limits.Memory, total>>20)}
+			if total, _, err := machineMemory(); err == nil && float64(rss) > s.file.Limits.Memory*float64(total) {
+				return &limitError{fmt.Sprintf("processes take %d MB, more than limits.memory = %g of %d MB", rss>>20, s.file.Limits.Memory, total>>20)}
 			}
 		case <-tick.C:
 			now := wire.Now()
-			s.hub.Tick(now - judgeLate)
+			s.hub.Tick(now - checkDelayUS)
 			if b := s.hub.Broken(); len(b) > 0 {
 				return fmt.Errorf("rule broken: %s: %s", b[0].Kind, b[0].Text)
 			}
-			if err := s.watch(); err != nil {
+			if err := s.checkProcesses(); err != nil {
 				return err
 			}
 			for len(s.faults) > 0 && now >= begin+int64(protocol.FromSeconds(s.faults[0].AtS)) {
-				t := s.faults[0]
+				fault := s.faults[0]
 				s.faults = s.faults[1:]
-				more, err := s.play1(t)
+				more, err := s.injectFault(fault)
 				if err != nil {
 					return err
 				}
-				resume = append(resume, more...)
+				pending = append(pending, more...)
 			}
-			kept := resume[:0]
-			for _, r := range resume {
-				if !r(now) {
-					kept = append(kept, r)
+			kept := pending[:0]
+			for _, resume := range pending {
+				if !resume(now) {
+					kept = append(kept, resume)
 				}
 			}
-			resume = kept
-			if s.firstStart == 0 && now > begin+int64(protocol.FromSeconds(s.f.Limits.QuietS)) {
-				return fmt.Errorf("rule broken: nothing_ran: no task started within limits.liveness_s = %g s", s.f.Limits.QuietS)
+			pending = kept
+			if s.firstStart == 0 && now > begin+int64(protocol.FromSeconds(s.file.Limits.QuietS)) {
+				return fmt.Errorf("rule broken: nothing_ran: no task started within limits.liveness_s = %g s", s.file.Limits.QuietS)
 			}
-			if now >= progress+5*int64(protocol.Second) {
-				progress = now
-				s.progress()
+			if now >= lastStatus+5*int64(protocol.Second) {
+				lastStatus = now
+				s.printStatus()
 			}
 			if now >= end {
 				return nil
 			}
 		case <-ctx.Done():
-			return s.ended(ctx)
+			return s.contextError(ctx)
 		}
 	}
 }
 
-// sample looks at the processes once a second until the run ends.
-func (s *supervisor) sample(to chan<- *sample) {
-	look := sampler{}
+// sampleProcesses samples all processes once a second until the run ends.
+func (s *supervisor) sampleProcesses(to chan<- *sample) {
+	reader := sampler{}
 	next := time.Now()
-	self := &process{name: "supervisor", role: "supervisor", pid: os.Getpid(), ended: make(chan struct{})}
+	self := &process{name: "supervisor", role: "supervisor", pid: os.Getpid(), exited: make(chan struct{})}
 	for {
 		if d := time.Until(next); d > 0 {
 			select {
 			case <-time.After(d):
-			case <-s.over:
+			case <-s.stopped:
 				return
 			}
 		}
@@ -247,7 +253,7 @@
 		s.mu.Lock()
 		kept := s.procs[:0]
 		for _, p := range s.procs {
-			if !p.over() {
+			if !p.hasExited() {
 				kept = append(kept, p)
 			}
 		}
@@ -256,29 +262,29 @@
 		s.mu.Unlock()
 		telemetry := make(map[string]string)
 		for _, p := range procs {
-			if i := slices.Index(s.f.controllerNames(), p.name); i >= 0 {
-				telemetry[p.name] = s.controllers[i].telemetry()
+			if i := slices.Index(s.file.controllerNames(), p.name); i >= 0 {
+				telemetry[p.name] = s.controllers[i].telemetryAddr()
 			}
 		}
 		select {
-		case to <- look.take(procs, telemetry):
-		case <-s.over:
+		case to <- reader.collect(procs, telemetry):
+		case <-s.stopped:
 			return
 		}
 	}
 }
 
-// progress prints a line of how it goes.
-func (s *supervisor) progress() {
+// printStatus prints a summary of the current state.
+func (s *supervisor) printStatus() {
 	n := len(s.meter.seconds)
 	if n < 5 {
 		return
 	}
 	last := s.meter.seconds[n-2]
-	for i := n - 3; i >= 0 && last.CPU == nil; i-- { // the sampler is behind
+	for i := n - 3; i >= 0 && last.CPU == nil; i-- { // there is no sample of that second yet
 		last = s.meter.seconds[i]
 	}
-	starts := 0 // in five seconds that are judged
+	starts := 0 // in five seconds that have been checked
 	for _, sec := range s.meter.seconds[max(0, n-9) : n-4] {
 		starts += sec.Starts
 	}
@@ -290,7 +296,7 @@
 		rss += v
 	}
 	c := s.hub.Counts()
-	s.say("leader %s, %d jobs, %d tasks running, %.0f starts/s, submit p99 %s, lag %.0f ms, %.1f cores (machine %.0f%%), %.0f MB", orNone(last.Leader), c.Jobs, c.Running,
+	s.printProgress("leader %s, %d jobs, %d tasks running, %.0f starts/s, submit p99 %s, lag %.0f ms, %.1f cores (machine %.0f%%), %.0f MB", orNone(last.Leader), c.Jobs, c.Running,
 		float64(starts)/5, milliseconds(s.meter.latency("submit").all.ValueAtQuantile(99)), last.LagMS, cpu, last.Busy*100, rss)
 }
 
