--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs_test checks that the documentation names what exists.
+// Package docs_test checks that the files, declarations and tests to which the documentation refers
+// exist.
 package docs_test
 
 import (
@@ -20,7 +21,8 @@
 	typeName = regexp.MustCompile(`^(Controller|leaderTerm)$`)
 )
 
-// declarations are the names that the code declares: Type.Method, package.Name and Type.
+// declarations returns the names that the non-test code declares, as Type.Method, Type.Field,
+// package.Name and Name.
 func declarations(t *testing.T) map[string]bool {
 	t.Helper()
 	names := make(map[string]bool)
@@ -66,7 +68,7 @@
 	}
 }
 
-// addSpec adds a type with its fields, or constants and variables.
+// addSpec adds a type and its fields, or constants or variables.
 func addSpec(names map[string]bool, pkg string, spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
@@ -75,11 +77,11 @@
 		}
 	case *ast.TypeSpec:
 		names[s.Name.Name], names[pkg+"."+s.Name.Name] = true, true
-		structure, ok := s.Type.(*ast.StructType)
+		structType, ok := s.Type.(*ast.StructType)
 		if !ok {
 			return
 		}
-		for _, field := range structure.Fields.List {
+		for _, field := range structType.Fields.List {
 			for _, name := range field.Names {
 				names[s.Name.Name+"."+name.Name] = true
 			}
@@ -87,7 +89,7 @@
 	}
 }
 
-func TestArchitectureNamesWhatExists(t *testing.T) {
+func TestReferencedNamesExist(t *testing.T) {
 	names := declarations(t)
 	for _, page := range []string{"ARCHITECTURE.md", "glossary.md"} {
 		t.Run(page, func(t *testing.T) {
@@ -101,11 +103,11 @@
 				switch {
 				case pathName.MatchString(name):
 					if _, err := os.Stat(filepath.Join("..", name)); err != nil {
-						t.Errorf("%s: there is no such file or package", name)
+						t.Errorf("%s: no such file or package", name)
 					}
 				case memberOf.MatchString(name), typeName.MatchString(name):
 					if !names[name] {
-						t.Errorf("%s: the code declares no such thing", name)
+						t.Errorf("%s: not declared in the code", name)
 					}
 				default:
 					continue
@@ -119,8 +121,8 @@
 	}
 }
 
-// The table of meetings.md translates names of earlier versions to those of today.
-func TestNamesOfTodayExist(t *testing.T) {
+// The table in meetings.md maps names of earlier versions to current names, which have to exist.
+func TestCurrentNamesExist(t *testing.T) {
 	names := declarations(t)
 	text, err := os.ReadFile("meetings.md")
 	if err != nil {
@@ -128,7 +130,7 @@
 	}
 	_, section, found := strings.Cut(string(text), "## Names of today")
 	if !found {
-		t.Fatal("there is no table of names")
+		t.Fatal("meetings.md has no section \"## Names of today\"")
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	checked := 0
@@ -140,7 +142,7 @@
 		for _, span := range codeSpan.FindAllStringSubmatch(columns[1], -1) {
 			checked++
 			if !names[span[1]] {
-				t.Errorf("%s: the code declares no such thing", span[1])
+				t.Errorf("%s: not declared in the code", span[1])
 			}
 		}
 	}
@@ -149,8 +151,8 @@
 	}
 }
 
-// The pages point to tests by name.
-func TestPagesNameExistingTests(t *testing.T) {
+// The tests that the pages refer to by name exist.
+func TestReferencedTestsExist(t *testing.T) {
 	tests := make(map[string]bool)
 	declared := regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)\w+)\(`)
 	err := filepath.WalkDir("..", func(path string, e fs.DirEntry, err error) error {
@@ -178,26 +180,26 @@
 		}
 		for _, name := range named.FindAllString(string(text), -1) {
 			if !tests[name] {
-				t.Errorf("%s: there is no test %s", page, name)
+				t.Errorf("%s: refers to test %s, which does not exist", page, name)
 			}
 		}
 	}
 }
 
-// The names that the packages' drawing shows exist as well.
-func TestArchitectureDrawsExistingPackages(t *testing.T) {
+// The packages that the diagram in ARCHITECTURE.md shows exist.
+func TestDiagramPackagesExist(t *testing.T) {
 	text, err := os.ReadFile("ARCHITECTURE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	drawn := regexp.MustCompile(`(?m)^    .*?\b((?:cmd|internal)/[\w/]+)`)
-	found := drawn.FindAllStringSubmatch(string(text), -1)
+	diagramLine := regexp.MustCompile(`(?m)^    .*?\b((?:cmd|internal)/[\w/]+)`)
+	found := diagramLine.FindAllStringSubmatch(string(text), -1)
 	if len(found) < 15 {
-		t.Errorf("only %d packages are drawn", len(found))
+		t.Errorf("only %d packages in the diagram", len(found))
 	}
 	for _, m := range found {
 		if _, err := os.Stat(filepath.Join("..", m[1])); err != nil {
-			t.Errorf("%s: there is no such package", m[1])
+			t.Errorf("%s: no such package", m[1])
 		}
 	}
 }
