--- a/internal/simulation/alarm.go
+++ b/internal/simulation/alarm.go
@@ -21,7 +21,7 @@
 func (c logChecker) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == "task is on two hosts" {
 		record.Attrs(func(attr slog.Attr) bool {
-			c.w.broken("%s: %s", record.Message, attr)
+			c.w.reportViolation("%s: %s", record.Message, attr)
 			return false
 		})
 	}
--- a/internal/simulation/answer_comparison.go
+++ b/internal/simulation/answer_comparison.go
@@ -10,25 +10,25 @@
 )
 
 // Comparison of the answers that users get. Each answer to a submission, query or cancellation
-// is compared with the earlier answers about the same job. With close looks switched on, users
+// is compared with the earlier answers about the same job. With close-looks switched on, users
 // also send follow-up requests: within milliseconds after any controller reported that a job
 // is accepted, done or cancelled, they query all controllers and repeat the submission.
 
-// closeLooks has the states of all jobs that controllers reported to users, and the settings of the
-// follow-up requests.
-type closeLooks struct {
+// answerComparison has the states of all jobs that controllers reported to users, and the settings
+// of the follow-up requests.
+type answerComparison struct {
 	enabled     bool
 	cancelEvery int    // one of this many accepted jobs is cancelled at once; 0: none
 	accepted    int    // jobs accepted while follow-up requests were enabled
 	answers     int    // answers compared while follow-up requests were enabled
 	sequence    uint64 // number of the last request or answer
-	jobs        map[string]*told
+	jobs        map[string]*reportedState
 }
 
-// told is the state of one job that any controller reported to any user. Requests and answers are
-// numbered in the order in which they were sent and received, so that two at the same instant
-// have an order too.
-type told struct {
+// reportedState is the state of one job that any controller reported to any user. Requests and
+// answers are numbered in the order in which they were sent and received, so that two at the same
+// instant have an order too.
+type reportedState struct {
 	accepted   uint64 // number of the first answer that confirms the job, 0 if none
 	finished   uint64 // number of the first answer that the job is done or cancelled, 0 if none
 	finalPhase string // phase in that answer, "done" or "cancelled"
@@ -43,17 +43,17 @@
 	if len(words) < 2 || words[1] != "on" && words[1] != "off" {
 		return fmt.Errorf("close-looks on|off [cancel=N]")
 	}
-	w.looks.enabled = words[1] == "on"
-	w.looks.cancelEvery = int(number(options(words[2:]), "cancel", 0))
+	w.comparison.enabled = words[1] == "on"
+	w.comparison.cancelEvery = int(number(options(words[2:]), "cancel", 0))
 	return nil
 }
 
 // userOperations are the requests of users whose answers are compared.
 var userOperations = []string{"submit", "query", "cancel"}
 
-// compared wraps the handler of the answer to a user's request: the answer is first compared with
-// the answers that users got before the request was sent.
-func (w *World) compared(n *node, what, body string, answer func(int, []byte)) func(int, []byte) {
+// comparingHandler wraps the handler of the answer to a user's request: the answer is first
+// compared with the answers that users got before the request was sent.
+func (w *World) comparingHandler(n *node, what, body string, answer func(int, []byte)) func(int, []byte) {
 	if w.live != nil || !slices.Contains(userOperations, what) {
 		return answer
 	}
@@ -61,28 +61,28 @@
 	if what == "submit" {
 		ref = fastjson.GetString([]byte(body), "ref")
 	}
-	w.looks.sequence++
-	sent := w.looks.sequence
+	w.comparison.sequence++
+	sent := w.comparison.sequence
 	return func(status int, body []byte) {
-		isNew := w.compare(n, what, ref, sent, status, fastjson.GetString(body, "phase"))
+		isNew := w.compareAnswer(n, what, ref, sent, status, fastjson.GetString(body, "phase"))
 		answer(status, body)
-		if isNew && w.looks.enabled {
+		if isNew && w.comparison.enabled {
 			w.scheduleFollowUps(ref)
 		}
 	}
 }
 
-// compare checks one answer. isNew reports that it is the first answer that the job is
+// compareAnswer checks one answer. isNew reports that it is the first answer that the job is
 // accepted, or the first that it is done or cancelled.
-func (w *World) compare(n *node, what, ref string, sent uint64, status int, phase string) (isNew bool) {
-	l := &w.looks
+func (w *World) compareAnswer(n *node, what, ref string, sent uint64, status int, phase string) (isNew bool) {
+	l := &w.comparison
 	l.sequence++
 	if l.jobs == nil {
-		l.jobs = make(map[string]*told)
+		l.jobs = make(map[string]*reportedState)
 	}
 	t := l.jobs[ref]
 	if t == nil {
-		t = &told{}
+		t = &reportedState{}
 		l.jobs[ref] = t
 	}
 	if l.enabled {
@@ -91,22 +91,22 @@
 	acceptedBefore := t.accepted > 0 && t.accepted < sent
 	switch {
 	case status == 404 && acceptedBefore, acceptedBefore && what == "submit" && (status == 400 || status == 422):
-		w.broken("forgotten: %s, %s at %s got %d", ref, what, n.name, status)
+		w.reportViolation("forgotten: %s, %s at %s got %d", ref, what, n.name, status)
 		return false
 	case status != 200 && status != 201:
 		return false
 	}
 	j := w.jobs[ref]
 	if j == nil && w.described[ref] == nil {
-		w.broken("invented: %s at %s", ref, n.name)
+		w.reportViolation("invented: %s at %s", ref, n.name)
 		return false
 	}
 	final := phase == "done" || phase == "cancelled"
 	switch {
 	case t.finished > 0 && final && phase != t.finalPhase, t.finished > 0 && t.finished < sent && phase != t.finalPhase:
-		w.broken("went_back: %s was %s and is %s, %s at %s", ref, t.finalPhase, phase, what, n.name)
+		w.reportViolation("went_back: %s was %s and is %s, %s at %s", ref, t.finalPhase, phase, what, n.name)
 	case phase == "cancelled" && j != nil && !w.askedToCancel(j):
-		w.broken("went_back: nobody cancelled %s, %s at %s", ref, what, n.name)
+		w.reportViolation("went_back: nobody cancelled %s, %s at %s", ref, what, n.name)
 	}
 	if t.accepted == 0 {
 		t.accepted, isNew = l.sequence, true
@@ -152,7 +152,7 @@
 	ignoreAnswer := func(int, []byte) {}
 	w.request(n, "query", ref, ignoreAnswer)
 	w.request(n, "submit", string(w.jobs[ref].body), ignoreAnswer)
-	if t := w.looks.jobs[ref]; t != nil && t.finished > 0 && t.finalPhase == "cancelled" {
+	if t := w.comparison.jobs[ref]; t != nil && t.finished > 0 && t.finalPhase == "cancelled" {
 		w.request(n, "cancel", ref, ignoreAnswer)
 	}
 }
@@ -164,10 +164,10 @@
 	if j == nil {
 		return
 	}
-	l := &w.looks
+	l := &w.comparison
 	if t := l.jobs[ref]; t != nil && t.accepted > 0 && t.finished == 0 {
 		l.accepted++
-		if l.cancelEvery > 0 && l.accepted%l.cancelEvery == 0 && !j.asked {
+		if l.cancelEvery > 0 && l.accepted%l.cancelEvery == 0 && !j.cancelRequested {
 			w.after(0, func() { w.cancel(j) })
 		}
 	}
--- a/internal/simulation/answer_comparison_test.go
+++ b/internal/simulation/answer_comparison_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// answerComparisonScene is a deployment whose leader is node-2. At about 20.2 s one job ends
+// answerComparisonSetup is a deployment whose leader is node-2. At about 20.2 s one job ends
 // by itself, another is cancelled, and a third and a fourth are submitted. The fourth is
 // submitted to a follower, and cancelled as soon as it is accepted.
-const answerComparisonScene = `
+const answerComparisonSetup = `
 nodes 3
 team red
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a
@@ -85,7 +85,7 @@
 						if fault.ends != "" {
 							lines += fmt.Sprintf("at 12 when set:%s after=%g %s\n", key, faultDelay+2.6, fault.ends)
 						}
-						text := fmt.Sprintf(answerComparisonScene, lines)
+						text := fmt.Sprintf(answerComparisonSetup, lines)
 						if w, err := playTrace(text, nil); err != nil {
 							t.Fatalf("%s, fault %g s after the write, answer delayed by %g s: %v\ntrace:\n%s\nevent log:\n%s", key, faultDelay, answerDelay, err, text, strings.Join(w.Log, "\n"))
 						}
--- a/internal/simulation/cancel_at_end_test.go
+++ b/internal/simulation/cancel_at_end_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// lastTaskEnd plays a scene in which the job is not cancelled, and returns when the job's last
+// lastTaskEnd plays a trace in which the job is not cancelled, and returns when the job's last
 // task ends, or when a service's replica first exits by itself.
-func lastTaskEnd(t *testing.T, scene string) float64 {
+func lastTaskEnd(t *testing.T, setup string) float64 {
 	t.Helper()
-	w, err := playTrace(scene+"at 40 expect leader some\n", nil)
+	w, err := playTrace(setup+"at 40 expect leader some\n", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,12 +41,12 @@
 	}
 	for _, kind := range kinds {
 		t.Run(kind.name, func(t *testing.T) {
-			scene := "nodes 3\nteam red\ntype big cpus=8 gpus=2 mem=64 boot=10 zones=a\nno-capacity\nfleet 2 big a\n" +
+			setup := "nodes 3\nteam red\ntype big cpus=8 gpus=2 mem=64 boot=10 zones=a\nno-capacity\nfleet 2 big a\n" +
 				"at 1 image fragile crashes after=6\nat 4 submit req-000001 " + kind.job + "\n"
-			end := lastTaskEnd(t, scene)
+			end := lastTaskEnd(t, setup)
 			phases := make(map[string]int)
 			playCancelAt := func(cancelAt float64) {
-				text := scene + fmt.Sprintf("at %.4f ask-everywhere req-000001\nat %.4f cancel req-000001\n", cancelAt, cancelAt)
+				text := setup + fmt.Sprintf("at %.4f ask-everywhere req-000001\nat %.4f cancel req-000001\n", cancelAt, cancelAt)
 				for _, delay := range []float64{0.001, 0.004, 0.008, 0.012, 0.02, 0.05, 0.2, 0.6, 2, 3} {
 					text += fmt.Sprintf("at %.4f ask-everywhere req-000001\n", cancelAt+delay)
 				}
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -28,17 +28,18 @@
 	revisions       int                                // committed revisions
 	completed       int                                // requests that were made, refused or given up
 	lastMade        uint64                             // revision made by the last request
-	level           map[string]string                  // log level by node, "" as at its start
-	// spoilt is set once the trace has overwritten a record. A controller that has just started can
-	// then have a revision older than the one reported as in force, so that is not checked any more.
-	spoilt bool
+	logLevel        map[string]string                  // log level by node, "" as at its start
+	// recordOverwritten is set once the trace has overwritten a record. A controller that has just
+	// started can then have a revision older than the one reported as in force, so that is not
+	// checked any more.
+	recordOverwritten bool
 }
 
-// judgeChanges enables changes of the configuration, and their checks.
-func (w *World) judgeChanges() {
+// enableConfigChanges enables changes of the configuration, and their checks.
+func (w *World) enableConfigChanges() {
 	w.changes = &changes{
 		options: configuration.Options{HistoryPages: 3}, settings: make(map[uint64]*configuration.Settings), ids: make(map[string]uint64),
-		confirmed: make(map[string]uint64), launched: make(map[string]bool), level: make(map[string]string),
+		confirmed: make(map[string]uint64), launched: make(map[string]bool), logLevel: make(map[string]string),
 	}
 	w.changes.settings[0] = configuration.Resolve(w.configBounds(), nil)
 }
@@ -75,9 +76,9 @@
 	return sum
 }
 
-// committed is called with the changes of each committed transaction. It carries out the lines of
-// the trace that wait for them and checks the records that they write.
-func (w *World) committed(writes []*fastjson.Value) {
+// handleCommit is called with the changes of each committed transaction. It carries out the lines
+// of the trace that wait for them and checks the records that they write.
+func (w *World) handleCommit(writes []*fastjson.Value) {
 	w.runTriggers(writes)
 	w.recorded.update(writes)
 	w.committedLevels(writes)
@@ -99,7 +100,7 @@
 		case strings.HasPrefix(key, records.JobPrefix):
 			j, err := records.DecodeJob(value)
 			if err == nil && w.jobs[j.Spec.Ref] != nil && !w.jobs[j.Spec.Ref].accepted && g.settings[g.lastCommitted].Teams[j.Spec.Team].Retired {
-				w.broken("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.lastCommitted)
+				w.reportViolation("old revision: %s accepted, its team is retired by revision %d", j.Spec.Ref, g.lastCommitted)
 			}
 		case strings.HasPrefix(key, records.LaunchShardPrefix):
 			w.committedLaunches(value)
@@ -114,22 +115,22 @@
 	g.writes++
 	h, err := configuration.DecodeHead(value)
 	if err != nil {
-		w.broken("configuration: a head that can't be read was written: %v", err)
+		w.reportViolation("configuration: a head that can't be read was written: %v", err)
 		return
 	}
 	e := h.Entries[len(h.Entries)-1]
 	if h.Revision != g.lastCommitted+1 && (h.FirstRevision != h.Revision || h.Revision <= g.lastCommitted) {
-		w.broken("configuration: revision %d after %d", h.Revision, g.lastCommitted)
+		w.reportViolation("configuration: revision %d after %d", h.Revision, g.lastCommitted)
 	}
 	if r, twice := g.ids[e.ID]; twice {
-		w.broken("configuration: request %s applied twice, as %d and %d", e.ID, r, h.Revision)
+		w.reportViolation("configuration: request %s applied twice, as %d and %d", e.ID, r, h.Revision)
 	}
 	g.ids[e.ID], g.lastCommitted = h.Revision, h.Revision
 	g.revisions++
 	g.settings[h.Revision] = configuration.Resolve(w.configBounds(), h.Document)
 	for name, t := range g.settings[h.Revision].Teams {
 		if p := w.Platform.Teams[name].Limit; !withinLimit(p, t.Limit) || p.GPU > 0 && t.Limit.GPU == 0 || p.CPU > 0 && t.Limit.CPU == 0 {
-			w.broken("configuration: the limit of %s is above the platform's", name)
+			w.reportViolation("configuration: the limit of %s is above the platform's", name)
 		}
 	}
 	w.note("revision %d: %s", h.Revision, configuration.AppendChanges(nil, e.Changes))
@@ -157,19 +158,19 @@
 		}
 		newUsage[j.spec.Team] = newUsage[j.spec.Team].Add(j.spec.TaskResources, 1)
 		if m := w.machines[l.Host]; m != nil && s.DrainOf(m.name, m.zone, w.workerAddr(m)) != configuration.NotDrained {
-			w.broken("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.lastCommitted)
+			w.reportViolation("old revision: launch of %s on %s recorded, which revision %d drains", name, m.name, g.lastCommitted)
 		}
 	}
 	for team, sum := range newUsage {
 		if used := w.teamUsage(team).Add(sum, 1); !withinLimit(s.Teams[team].Limit, used) {
-			w.broken("old revision: launches of %s recorded up to %v, the limit of revision %d is %v", team, used, g.lastCommitted, s.Teams[team].Limit)
+			w.reportViolation("old revision: launches of %s recorded up to %v, the limit of revision %d is %v", team, used, g.lastCommitted, s.Teams[team].Limit)
 		}
 	}
 }
 
-// sends checks commands that a controller sends to a machine. Each launch must be allowed by a
-// revision at least as new as the one reported to an operator as in force.
-func (w *World) sends(m *machine, body []byte) {
+// checkCommands checks commands that a controller sends to a machine. Each launch must be allowed
+// by a revision at least as new as the one reported to an operator as in force.
+func (w *World) checkCommands(m *machine, body []byte) {
 	w.checkRecorded(m, body)
 	g := w.changes
 	if g == nil || g.reportedInForce == 0 || !strings.Contains(string(body), `"launch"`) {
@@ -199,15 +200,15 @@
 		if !g.allowedSince(g.reportedInForce, func(s *configuration.Settings) bool {
 			return withinLimit(s.Teams[j.spec.Team].Limit, used) && s.DrainOf(m.name, m.zone, w.workerAddr(m)) == configuration.NotDrained
 		}) {
-			w.broken("old revision: launch of %s on %s, which no revision since %d allows", name, m.name, g.reportedInForce)
+			w.reportViolation("old revision: launch of %s on %s, which no revision since %d allows", name, m.name, g.reportedInForce)
 		}
 	}
 }
 
-// rents checks a rental request that a controller sends to the cloud: the machines of that kind,
-// with the requested ones, must be allowed by a revision at least as new as the one reported to
-// an operator as in force.
-func (w *World) rents(body []byte) {
+// checkRental checks a rental request that a controller sends to the cloud: the machines of that
+// kind, with the requested ones, must be allowed by a revision at least as new as the one reported
+// to an operator as in force.
+func (w *World) checkRental(body []byte) {
 	g := w.changes
 	if g == nil || g.reportedInForce == 0 {
 		return
@@ -223,19 +224,19 @@
 		}
 	}
 	if !g.allowedSince(g.reportedInForce, func(s *configuration.Settings) bool { ceiling, ok := s.Ceilings[kind]; return !ok || total <= ceiling }) {
-		w.broken("old revision: %d machines of %v with those asked for, which no revision since %d allows", total, kind, g.reportedInForce)
+		w.reportViolation("old revision: %d machines of %v with those asked for, which no revision since %d allows", total, kind, g.reportedInForce)
 	}
 }
 
-// decides checks, after a step of a controller, that its revision is not older than the one
+// checkRevision checks, after a step of a controller, that its revision is not older than the one
 // reported to an operator as in force.
-func (w *World) decides(n *node) {
+func (w *World) checkRevision(n *node) {
 	g := w.changes
 	if g == nil {
 		return
 	}
-	if r, ok := n.ctl.EffectiveRevision(); ok && r < g.reportedInForce && !g.spoilt {
-		w.broken("old revision: %s goes by %d, and %d was told to be in force", n.name, r, g.reportedInForce)
+	if r, ok := n.ctl.EffectiveRevision(); ok && r < g.reportedInForce && !g.recordOverwritten {
+		w.reportViolation("old revision: %s goes by %d, and %d was told to be in force", n.name, r, g.reportedInForce)
 	}
 }
 
@@ -247,7 +248,7 @@
 	try = func(left int) {
 		n := via
 		if n == nil {
-			n = w.upNode()
+			n = w.nextReachableNode()
 		}
 		answered := false
 		finish := func(status int, answer []byte) {
@@ -326,11 +327,11 @@
 				attempt.Expected = expect
 			}
 			if attempt.Expected < g.reportedInForce && expect == 0 {
-				w.broken("old revision: an operator was shown %d, and %d was told to be in force", attempt.Expected, g.reportedInForce)
+				w.reportViolation("old revision: an operator was shown %d, and %d was told to be in force", attempt.Expected, g.reportedInForce)
 			}
 			w.operatorRequest(via, op, "", configuration.AppendRequest(nil, &attempt), func(status int, answer []byte) {
 				if made := g.ids[attempt.ID]; status == 409 && made > 0 {
-					w.broken("configuration: request %s is revision %d, and its operator was told that it was refused", attempt.ID, made)
+					w.reportViolation("configuration: request %s is revision %d, and its operator was told that it was refused", attempt.ID, made)
 				}
 				switch {
 				case status == 409 && left > 0 && expect == 0 && !r.Repair:
@@ -346,7 +347,7 @@
 				if fastjson.GetBool(answer, "changed") {
 					g.confirmed[attempt.ID], g.lastMade = revision, revision
 					if g.ids[attempt.ID] != revision {
-						w.broken("configuration: an operator was told that its request is revision %d, and it is %d", revision, g.ids[attempt.ID])
+						w.reportViolation("configuration: an operator was told that its request is revision %d, and it is %d", revision, g.ids[attempt.ID])
 					}
 				}
 				w.awaitRevision(via, revision)
@@ -396,7 +397,7 @@
 			got = "some"
 		}
 	case "log": // log NODE LEVEL; "-": the level that the process was started with
-		got = w.changes.level[words[1]]
+		got = w.changes.logLevel[words[1]]
 		if got == "" {
 			got = "-"
 		}
--- a/internal/simulation/changes_test.go
+++ b/internal/simulation/changes_test.go
@@ -14,11 +14,11 @@
 // faults overlap. The rules that are checked throughout are in changes.go.
 func drawConfigChanges(t *rapid.T) string {
 	nodes := rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "nodes")
-	scene := fmt.Sprintf("nodes %d a b c a b\nteam red max=10\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=6 zones=a,b,c\n", nodes)
+	setup := fmt.Sprintf("nodes %d a b c a b\nteam red max=10\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=6 zones=a,b,c\n", nodes)
 	for _, z := range []string{"a", "b", "c"} {
-		scene += fmt.Sprintf("fleet %d big %s\n", rapid.IntRange(1, 4).Draw(t, "machines in "+z), z)
+		setup += fmt.Sprintf("fleet %d big %s\n", rapid.IntRange(1, 4).Draw(t, "machines in "+z), z)
 	}
-	scene += fmt.Sprintf("value-bytes %d\nchanges\n", rapid.SampledFrom([]int{2048, 2048, 8192}).Draw(t, "bytes of a value"))
+	setup += fmt.Sprintf("value-bytes %d\nchanges\n", rapid.SampledFrom([]int{2048, 2048, 8192}).Draw(t, "bytes of a value"))
 	h := &historyBuilder{}
 	const from, to, end = 8.0, 70.0, 200.0
 	at := func(name string) float64 { return from + float64(rapid.IntRange(0, 2400).Draw(t, name))/40 }
@@ -112,9 +112,9 @@
 	h.at(end, "expect leader some")
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
 	for _, l := range h.lines {
-		scene += fmt.Sprintf("at %g %s\n", l.at, l.text)
+		setup += fmt.Sprintf("at %g %s\n", l.at, l.text)
 	}
-	return scene
+	return setup
 }
 
 // No controller decides by a revision older than one reported to an operator as in force. No
--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -42,13 +42,13 @@
 	return list
 }
 
-// checkEarly checks that a task that starts on a machine does not do so before all jobs that its
-// job depends on are done. It uses the results on the machines, not the answers to users.
-func (w *World) checkEarly(j *userJob, task string) {
+// checkDependenciesDone checks that a task starts on a machine only after all jobs that its job
+// depends on are done. It uses the results on the machines, not the answers to users.
+func (w *World) checkDependenciesDone(j *userJob, task string) {
 	for _, o := range w.dependenciesOf(j) {
 		for i, done := range o.results {
 			if !done {
-				w.broken("too_early: %s starts before %s/%d is done", task, o.spec.Ref, i)
+				w.reportViolation("too_early: %s starts before %s/%d is done", task, o.spec.Ref, i)
 				return
 			}
 		}
@@ -62,8 +62,8 @@
 		return
 	}
 	for _, o := range w.allDependenciesOf(j) {
-		if o.toldCancelled > 0 && w.now > o.toldCancelled+w.Platform.CancelTimeout {
-			w.broken("orphaned: %s is %s, %s was cancelled at %.2f", j.spec.Ref, phase, o.spec.Ref, o.toldCancelled.Seconds())
+		if o.cancelReportedAt > 0 && w.now > o.cancelReportedAt+w.Platform.CancelTimeout {
+			w.reportViolation("orphaned: %s is %s, %s was cancelled at %.2f", j.spec.Ref, phase, o.spec.Ref, o.cancelReportedAt.Seconds())
 		}
 	}
 }
@@ -71,16 +71,16 @@
 // askedToCancel reports whether a user asked to cancel the job or one that it depends on.
 func (w *World) askedToCancel(j *userJob) bool {
 	for _, o := range w.allDependenciesOf(j) {
-		if o.asked {
+		if o.cancelRequested {
 			return true
 		}
 	}
-	return j.asked
+	return j.cancelRequested
 }
 
-// nameable reports whether a job may depend on all the jobs that it names: they were accepted,
-// and none is a service.
-func (w *World) nameable(j *userJob) bool {
+// dependenciesAccepted reports whether a job may depend on all the jobs that it names: they were
+// accepted, and none is a service.
+func (w *World) dependenciesAccepted(j *userJob) bool {
 	for _, ref := range j.spec.DependsOn {
 		if o := w.jobs[ref]; o == nil || !o.accepted || o.spec.Kind == protocol.Service {
 			return false
@@ -89,26 +89,26 @@
 	return true
 }
 
-// checkChained checks the answer to the submission of a job that depends on others. nameable is
-// what World.nameable returned when it was submitted.
-func (w *World) checkChained(j *userJob, nameable bool, status int, body []byte) {
+// checkChained checks the answer to the submission of a job that depends on others. The parameter
+// dependenciesAccepted is what World.dependenciesAccepted returned when it was submitted.
+func (w *World) checkChained(j *userJob, dependenciesAccepted bool, status int, body []byte) {
 	if len(j.spec.DependsOn) == 0 {
 		return
 	}
 	switch status {
 	case 200, 201:
-		if !w.nameable(j) && !nameable {
-			w.broken("invented: %s was accepted and awaits a job that was not", j.spec.Ref)
+		if !w.dependenciesAccepted(j) && !dependenciesAccepted {
+			w.reportViolation("invented: %s was accepted and awaits a job that was not", j.spec.Ref)
 		}
 		// A phase that is not final may be older than one reported in the meantime.
 		if phase := fastjson.GetString(body, "phase"); phase == "cancelled" || phase == "done" {
-			w.heard(j, phase)
-		} else if j.toldAt == 0 {
+			w.checkReportedPhase(j, phase)
+		} else if j.endReportedAt == 0 {
 			w.checkOrphaned(j, phase)
 		}
 	case 422:
-		if nameable {
-			w.broken("refused: %s, all that it awaits was accepted", j.spec.Ref)
+		if dependenciesAccepted {
+			w.reportViolation("refused: %s, all that it awaits was accepted", j.spec.Ref)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	case words[0] == "expect-over-known":
 		return w.expect([]string{"over", words[1]})
 	}
-	return w.act([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
+	return w.runVerb([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
 }
 
 // actResubmit carries out resubmit REF: the job's user repeats the submission.
--- a/internal/simulation/drawn_jobs_test.go
+++ b/internal/simulation/drawn_jobs_test.go
@@ -84,14 +84,14 @@
 
 // drawJobHistory generates a trace. While the cloud is up, it can rent out any number of machines.
 func drawJobHistory(t *rapid.T) string {
-	scene := fmt.Sprintf("nodes %d a b c a b\nworkers cancel=30\n%s\nteam blue gpus=4\ntype big cpus=8 gpus=2 mem=64 boot=8 fetch=%g zones=a,b,c\n",
+	setup := fmt.Sprintf("nodes %d a b c a b\nworkers cancel=30\n%s\nteam blue gpus=4\ntype big cpus=8 gpus=2 mem=64 boot=8 fetch=%g zones=a,b,c\n",
 		rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes"), rapid.SampledFrom([]string{"team red", "team red gpus=6 max=10"}).Draw(t, "team"),
 		rapid.SampledFrom([]float64{1, 0.3}).Draw(t, "fetch"))
 	machines := 0
 	for _, z := range []string{"a", "b", "c"} {
 		n := rapid.IntRange(3, 6).Draw(t, "machines in "+z)
 		machines += n
-		scene += fmt.Sprintf("fleet %d big %s\n", n, z)
+		setup += fmt.Sprintf("fleet %d big %s\n", n, z)
 	}
 	h := &historyBuilder{}
 	h.at(1, "balance")
@@ -106,9 +106,9 @@
 	}
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
 	for _, l := range h.lines {
-		scene += fmt.Sprintf("at %g %s\n", l.at, l.text)
+		setup += fmt.Sprintf("at %g %s\n", l.at, l.text)
 	}
-	return scene
+	return setup
 }
 
 // Jobs of all kinds run while faults occur at random. No rule is broken. Once the faults are
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -23,7 +23,7 @@
 	"at-least":    (*World).expectCount,
 	"all":         (*World).expectAll,
 	// ended-loading N: so many nodes ended because of ends-loading or ends-in.
-	"ended-loading": func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.endedLoading), words[1]) },
+	"ended-loading": func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.nodesEnded), words[1]) },
 	"config":        func(w *World, words []string) error { return w.expectConfig(words[1:]) },
 	"rollout":       func(w *World, words []string) error { return w.expectRollout(words[1:]) },
 	"due":           (*World).expectDue,
@@ -158,9 +158,9 @@
 func (w *World) countOf(words []string) int {
 	switch words[0] {
 	case "questions":
-		return w.questions - w.asked
+		return w.emptyCalls - w.emptyCallsAtCount
 	case "leaders":
-		return w.leaders - w.led
+		return w.leaders - w.leadersAtCount
 	case "refusals": // invalid submissions that were refused, see sendRefusable
 		return w.refusals
 	case "refused": // transactions refused because they exceeded the rate of changes
@@ -169,22 +169,22 @@
 		return w.rented
 	case "starts":
 		return w.started
-	case "looks": // answers compared while close looks were on
-		return w.looks.answers
+	case "looks": // answers compared while close-looks was on
+		return w.comparison.answers
 	case "cancelled": // jobs reported to a user as cancelled
 		cancelled := 0
 		for _, j := range w.jobs {
-			if j.toldCancelled > 0 {
+			if j.cancelReportedAt > 0 {
 				cancelled++
 			}
 		}
 		return cancelled
 	case "in-vain": // queries of storms that got neither 200 nor 404
-		return w.inVain
+		return w.unansweredQueries
 	case "tries": // tries REF: attempts of a job's tasks that machines accepted
-		return w.jobs[words[1]].tries
+		return w.jobs[words[1]].launches
 	}
-	return w.store.written - w.written
+	return w.store.written - w.writtenAtCount
 }
 
 // expectAll checks all N PHASE: N jobs are in a phase.
@@ -209,7 +209,7 @@
 // expectOver checks over REF: if the job was accepted, it was reported to its user as done or
 // cancelled.
 func (w *World) expectOver(words []string) error {
-	if j := w.jobs[words[1]]; j.accepted && !j.toldDone && j.toldCancelled == 0 {
+	if j := w.jobs[words[1]]; j.accepted && !j.reportedDone && j.cancelReportedAt == 0 {
 		return fmt.Errorf("it is %q", j.phase)
 	}
 	return nil
@@ -219,8 +219,8 @@
 // runs and that no user asked to cancel.
 func (w *World) expectNothingStuck([]string) error {
 	for ref, j := range w.jobs {
-		finished := j.toldDone || j.toldCancelled > 0
-		serving := j.phase == "running" && j.spec.Kind == protocol.Service && !j.asked
+		finished := j.reportedDone || j.cancelReportedAt > 0
+		serving := j.phase == "running" && j.spec.Kind == protocol.Service && !j.cancelRequested
 		if j.accepted && !finished && !serving {
 			return fmt.Errorf("%s is %q, done %d, running %d", ref, j.phase, j.done, j.running)
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,23 +12,23 @@
 	"mapleslip/internal/protocol"
 )
 
-// troubles has the state of these faults: users who cancel many jobs at once, or jobs at the
+// faults has the state of these faults: users who cancel many jobs at once, or jobs at the
 // moment that they end, users who send requests that must be refused, and messages that reach
 // the next leader or a worker late. The other faults are in late_messages.go.
-type troubles struct {
+type faults struct {
 	lateCommands     lateness // direct commands that are carried out later and get no answer
 	keptReports      []keptReport
 	cancelAtEnd      int      // every N-th job that ends is cancelled at that moment; 0: none
 	endedJobs        int      // jobs that ended while cancelAtEnd was set
-	oddRequests      bool     // odd requests are sent, see beOdd
+	oddRequests      bool     // odd requests are sent, see sendOddRequests
 	oddRequestRounds int      // seconds in which odd requests were sent
 	refusedRefs      []string // refs of invalid submissions, which must not be accepted
 	refusals         int      // invalid submissions that were refused
 }
 
 // keptReport is a copy of a worker's report that is delivered when the next leader begins.
-// on is "loading", "leading" or "both", see actLate.
-type keptReport struct{ body, on string }
+// onRole is "loading", "leading" or "both", see actLate.
+type keptReport struct{ body, onRole string }
 
 // maxKeptReports limits the copies that are kept for the next leader.
 const maxKeptReports = 300
@@ -48,8 +48,8 @@
 func (w *World) actLate(words []string) error {
 	o := options(words[1:])
 	l := lateness{
-		every: int(number(o, "every", 1)), by: protocol.FromSeconds(number(o, "by", 6)), with: o["with"], most: int(number(o, "most", 1e9)),
-		anywhere: o["to"] == "leader", atOnce: o["at"] == "once", forNext: o["to"] == "next", on: o["on"],
+		every: int(number(o, "every", 1)), by: protocol.FromSeconds(number(o, "by", 6)), with: o["with"], limit: int(number(o, "most", 1e9)),
+		toLeader: o["to"] == "leader", atOnce: o["at"] == "once", forNext: o["to"] == "next", onRole: o["on"],
 	}
 	switch words[0] {
 	case "late-writes":
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// actTrouble carries out the verbs in-zone, cancel-now, cancel-at-end, cancel-asked and
+// actFault carries out the verbs in-zone, cancel-now, cancel-at-end, cancel-asked and
 // odd-requests.
-func (w *World) actTrouble(words []string) error {
+func (w *World) actFault(words []string) error {
 	switch words[0] {
 	case "in-zone": // in-zone ZONE|all VERB: VERB for all machines of the zone
 		for _, m := range w.sortedMachines() {
@@ -86,11 +86,11 @@
 		w.cancelAtEnd = every
 	case "cancel-asked": // users whose job has not been reported as over repeat the cancellation
 		for _, ref := range w.sortedJobs() {
-			if j := w.jobs[ref]; j.asked && !j.toldDone && j.toldCancelled == 0 {
+			if j := w.jobs[ref]; j.cancelRequested && !j.reportedDone && j.cancelReportedAt == 0 {
 				w.cancel(j)
 			}
 		}
-	case "odd-requests": // odd-requests on|off, see beOdd
+	case "odd-requests": // odd-requests on|off, see sendOddRequests
 		w.oddRequests = words[1] == "on"
 	}
 	return nil
@@ -117,7 +117,7 @@
 	machines := map[*userJob][]*machine{}
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && t.state == "running" && (t.job.spec.Kind == protocol.Service || t.ends > w.now+minRemainingRuntime) {
+			if t.onMachine && t.state == "running" && (t.job.spec.Kind == protocol.Service || t.ends > w.now+minRemainingRuntime) {
 				machines[t.job] = append(machines[t.job], m)
 			}
 		}
@@ -125,7 +125,7 @@
 	hung, chosen := 0, 0
 	for _, ref := range w.sortedJobs() {
 		j := w.jobs[ref]
-		if chosen == count || j.asked || !j.accepted || len(machines[j]) == 0 {
+		if chosen == count || j.cancelRequested || !j.accepted || len(machines[j]) == 0 {
 			continue
 		}
 		w.after(cancelPeriod*micros(chosen)/micros(count), func() { w.cancel(j) })
@@ -144,7 +144,7 @@
 // jobEnded is called when a task of a job has completed. When it was the last one, the job may be
 // cancelled at that moment, see cancelAtEnd.
 func (w *World) jobEnded(j *userJob) {
-	if w.cancelAtEnd == 0 || j.asked || !j.accepted {
+	if w.cancelAtEnd == 0 || j.cancelRequested || !j.accepted {
 		return
 	}
 	for _, ok := range j.results {
@@ -160,17 +160,17 @@
 // keepForNext keeps a copy of a worker's report for the next leader.
 func (w *World) keepForNext(body string) {
 	if len(w.keptReports) < maxKeptReports {
-		w.keptReports = append(w.keptReports, keptReport{body, w.lateReports.on})
+		w.keptReports = append(w.keptReports, keptReport{body, w.lateReports.onRole})
 	}
 }
 
-// roleChanged is called when a controller takes a role. It delivers to all controllers the
+// deliverKeptReports is called when a controller takes a role. It delivers to all controllers the
 // reports that were kept for a leader in that role.
-func (w *World) roleChanged(role controller.Role) {
+func (w *World) deliverKeptReports(role controller.Role) {
 	var rest []keptReport
 	for _, r := range w.keptReports {
-		due := role == controller.RoleRecovering && r.on != "leading" || role == controller.RoleLeader && r.on != "loading"
-		if !due || role == controller.RoleRecovering && r.on == "both" {
+		due := role == controller.RoleRecovering && r.onRole != "leading" || role == controller.RoleLeader && r.onRole != "loading"
+		if !due || role == controller.RoleRecovering && r.onRole == "both" {
 			rest = append(rest, r)
 		}
 		if !due {
@@ -191,15 +191,15 @@
 		return false
 	}
 	w.after(by, func() {
-		w.cross(n.zone, m.zone, func() { w.callWorker(m, c, func(int, string) {}) })
+		w.deliverAcrossZones(n.zone, m.zone, func() { w.callWorker(m, c, func(int, string) {}) })
 	})
 	return true
 }
 
-// beOdd has users send odd requests, called once a second: one submission of an unfinished job
-// is repeated, one job that is done or cancelled is cancelled, one invalid submission is sent,
-// and one of the invalid jobs is queried.
-func (w *World) beOdd() {
+// sendOddRequests has users send odd requests, called once a second: one submission of an
+// unfinished job is repeated, one job that is done or cancelled is cancelled, one invalid
+// submission is sent, and one of the invalid jobs is queried.
+func (w *World) sendOddRequests() {
 	if !w.oddRequests {
 		return
 	}
@@ -208,13 +208,13 @@
 	for _, ref := range w.sortedJobs() {
 		switch j := w.jobs[ref]; {
 		case !j.accepted:
-		case j.toldDone || j.toldCancelled > 0:
+		case j.reportedDone || j.cancelReportedAt > 0:
 			finished = append(finished, j)
 		default:
 			unfinished = append(unfinished, j)
 		}
 	}
-	n := w.upNode()
+	n := w.nextReachableNode()
 	if n == nil {
 		return
 	}
@@ -249,7 +249,7 @@
 		case 400, 422:
 			w.refusals++
 		case 200, 201:
-			w.broken("accepted_invalid: %s (%s) got %d", s.ref, s.reason, status)
+			w.reportViolation("accepted_invalid: %s (%s) got %d", s.ref, s.reason, status)
 		}
 	})
 }
@@ -314,14 +314,14 @@
 	}
 	total := protocol.Resources{}.Add(s.TaskResources, tasks)
 	if !known || !fits || team.Limit.GPU > 0 && total.GPU > team.Limit.GPU || team.Limit.CPU > 0 && total.CPU > team.Limit.CPU {
-		w.broken("accepted_invalid: %s can never run", s.Ref)
+		w.reportViolation("accepted_invalid: %s can never run", s.Ref)
 	}
 }
 
 // checkStart is called when a task is launched or starts, and checks that its job has not been
 // reported as cancelled. action is which of the two it is.
 func (w *World) checkStart(action string, m *machine, t *runningTask) {
-	if t.job.toldCancelled > 0 {
-		w.broken("started_cancelled: %s/%d %s on %s", t.job.spec.Ref, t.index, action, m.name)
+	if t.job.cancelReportedAt > 0 {
+		w.reportViolation("started_cancelled: %s/%d %s on %s", t.job.spec.Ref, t.index, action, m.name)
 	}
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -33,7 +33,7 @@
 	var list []string
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && fmt.Sprintf("%s/%d", t.job.spec.Ref, t.index) == task {
+			if t.onMachine && fmt.Sprintf("%s/%d", t.job.spec.Ref, t.index) == task {
 				list = append(list, m.name)
 			}
 		}
--- a/internal/simulation/handover_test.go
+++ b/internal/simulation/handover_test.go
@@ -40,7 +40,7 @@
 	releasesLease bool
 }
 
-const handoverScene = `
+const handoverSetup = `
 nodes 3
 team red
 type big cpus=32 gpus=8 mem=64 boot=10 zones=a
@@ -87,7 +87,7 @@
 			fmt.Fprintf(&submits, "at 4 submit req-%06d array tasks=1 gpus=1 run=%.1f\n", 1000+i, at-startedAt)
 		}
 	}
-	return handoverScene + submits.String() + inOrder("at 12 close-looks on\nat 12 count\n"+triggers.String()+h.setup+sweep.String()) + fmt.Sprintf(`
+	return handoverSetup + submits.String() + inOrder("at 12 close-looks on\nat 12 count\n"+triggers.String()+h.setup+sweep.String()) + fmt.Sprintf(`
 at %.2f expect at-least 1 leaders
 at 40 state-slow 0
 at 40 thaw all
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -27,12 +27,12 @@
 	return h.lines
 }
 
-// text returns the scene, followed by the lines in order of time.
-func (h *historyBuilder) text(scene string) string {
+// text returns the setup lines, followed by the lines in order of time.
+func (h *historyBuilder) text(setup string) string {
 	for _, l := range h.sorted() {
-		scene += fmt.Sprintf("at %.6g %s\n", l.at, l.text)
+		setup += fmt.Sprintf("at %.6g %s\n", l.at, l.text)
 	}
-	return scene
+	return setup
 }
 
 // Faults overlap between faultsFrom and faultsTo. Some then persist unchanged until
@@ -46,7 +46,7 @@
 	historyEnd      = 340.0
 )
 
-// historyDraw generates a history: a scene, jobs, and the faults that occur meanwhile.
+// historyDraw generates a history: a deployment, jobs, and the faults that occur meanwhile.
 type historyDraw struct {
 	*rapid.T
 	historyBuilder
@@ -64,7 +64,7 @@
 	for range 2 {
 		d.faultTimes = append(d.faultTimes, faultsFrom+2+float64(d.number("meeting", 0, 560))/10)
 	}
-	scene := d.scene()
+	setup := d.setup()
 	d.jobs()
 	d.smallJobs()
 	d.outages()
@@ -86,7 +86,7 @@
 	d.at(lastingFaultsTo+12, "cancel-asked") // in case users gave up on the first request
 	d.at(historyEnd, "expect nothing-stuck")
 	d.at(historyEnd, "expect unanswered 75")
-	return d.text(scene)
+	return d.text(setup)
 }
 
 func (d *historyDraw) number(name string, from, to int) int {
@@ -123,7 +123,7 @@
 	return to
 }
 
-func (d *historyDraw) scene() string {
+func (d *historyDraw) setup() string {
 	d.nodes = pick(d, "nodes", 3, 5, 7)
 	boot, most := 10.0, 9
 	if d.oneIn(3, "machines up at once") { // within two seconds; the initial fleet is small then
@@ -131,13 +131,13 @@
 		d.maxTasks = 8
 	}
 	d.limit = pick(d, "limit", 0, 0, 3, 5, 8)
-	scene := fmt.Sprintf("nodes %d a b c a b c a\nteam red max=%d\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=%g zones=a,b,c,d\n", d.nodes, d.limit, boot)
+	setup := fmt.Sprintf("nodes %d a b c a b c a\nteam red max=%d\nteam blue\ntype big cpus=8 gpus=2 mem=64 boot=%g zones=a,b,c,d\n", d.nodes, d.limit, boot)
 	for _, z := range d.zones {
 		n := d.number("machines in "+z, 1, most)
 		d.machines += n
-		scene += fmt.Sprintf("fleet %d big %s\n", n, z)
+		setup += fmt.Sprintf("fleet %d big %s\n", n, z)
 	}
-	return scene
+	return setup
 }
 
 func (d *historyDraw) jobs() {
@@ -450,7 +450,7 @@
 	in(at-29, "lose-answers")
 	d.at(at-29, "late-reports every=1 by=2 to=next on=%s", pick(d, "old reports come", "leading", "both"))
 	d.at(at-11, "late-reports every=0")
-	in(at-5, "pass-answers") // so that the leader no longer takes it for deaf
+	in(at-5, "pass-answers") // so that the leader no longer considers it unreachable
 	in(at-0.2, "hold-calls")
 	in(at-0.1, "lose-answers")
 	d.at(at, "submit req-000060 array tasks=%d gpus=2 team=blue run=50", d.number("old session's tasks", 2, 8))
--- a/internal/simulation/late_answers.go
+++ b/internal/simulation/late_answers.go
@@ -21,9 +21,9 @@
 	remaining int
 }
 
-// answeredLater is the delay between carrying out a request to the state service and its answer,
+// answerDelay is the delay between carrying out a request to the state service and its answer,
 // 0 unless a rule of w.lateAnswers selects the request.
-func (w *World) answeredLater(path string, body []byte) micros {
+func (w *World) answerDelay(path string, body []byte) micros {
 	for i := range w.lateAnswers {
 		if l := &w.lateAnswers[i]; l.remaining > 0 && strings.Contains(path+" "+string(body), l.text) {
 			l.remaining--
@@ -62,20 +62,20 @@
 		return fmt.Errorf("cancel-at NODE REF")
 	}
 	n, j := w.nodeNamed(words[1]), w.jobs[words[2]]
-	j.asked, j.askedAt = true, w.now
+	j.cancelRequested, j.cancelRequestedAt = true, w.now
 	var try func(remaining int)
 	try = func(remaining int) {
 		target := n
-		if !w.reachable(target) || target.out {
-			target = w.upNode()
+		if !w.reachable(target) || target.outOfRotation {
+			target = w.nextReachableNode()
 		}
 		if remaining == 0 || target == nil {
 			return
 		}
 		w.request(target, "cancel", j.spec.Ref, func(status int, body []byte) {
 			if status == 200 {
-				w.heard(j, fastjson.GetString(body, "phase"))
-				w.cancelLongest = max(w.cancelLongest, w.now-j.askedAt)
+				w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
+				w.cancelLongest = max(w.cancelLongest, w.now-j.cancelRequestedAt)
 				return
 			}
 			w.after(protocol.Second, func() { try(remaining - 1) })
@@ -85,11 +85,11 @@
 	return nil
 }
 
-// startsCancelled is called when a task starts, and checks that no controller has reported its job
-// to a user as cancelled.
-func (w *World) startsCancelled(t *runningTask) {
-	if reported := w.looks.jobs[t.job.spec.Ref]; reported != nil && reported.finished > 0 && reported.finalPhase == "cancelled" {
-		w.broken("ran_cancelled: %s/%d starts after that was told", t.job.spec.Ref, t.index)
+// checkStartAfterCancel is called when a task starts, and checks that no controller has reported
+// its job to a user as cancelled.
+func (w *World) checkStartAfterCancel(t *runningTask) {
+	if reported := w.comparison.jobs[t.job.spec.Ref]; reported != nil && reported.finished > 0 && reported.finalPhase == "cancelled" {
+		w.reportViolation("ran_cancelled: %s/%d starts after that was told", t.job.spec.Ref, t.index)
 	}
 }
 
@@ -136,8 +136,8 @@
 			continue
 		}
 		w.after(c.after, func() {
-			if err := w.act(c.words); err != nil {
-				w.broken("the trace: when %s: %v", c.change, err)
+			if err := w.runVerb(c.words); err != nil {
+				w.reportViolation("the trace: when %s: %v", c.change, err)
 			}
 		})
 	}
--- a/internal/simulation/late_messages.go
+++ b/internal/simulation/late_messages.go
@@ -3,23 +3,23 @@
 import "strings"
 
 // lateness selects messages to delay or copy. Of the messages that contain a text, the field with,
-// it selects each n-th, n being the field every, until there were as many as the field most. The
+// it selects each n-th, n being the field every, until there were as many as the field limit. The
 // delay is the time in the field by, plus up to 3/8 of it.
 type lateness struct {
-	every, most      int
+	every, limit     int
 	by               micros
 	with             string
-	anywhere         bool   // copies of heartbeats go to the node that leads when they are delivered
+	toLeader         bool   // copies of heartbeats go to the node that leads when they are delivered
 	atOnce           bool   // transactions are carried out at once and only their answer is lost
 	forNext          bool   // copies of heartbeats are kept for the next leader
-	on               string // role at the entry of which they are delivered then, see actLate
+	onRole           string // role at the entry of which they are delivered then, see actLate
 	matched, delayed int
 }
 
 // next counts a message and returns whether it is delayed, and by how much. Only messages for which
 // kind is true count.
 func (l *lateness) next(kind bool, body string) (bool, micros) {
-	if l.every == 0 || !kind || !strings.Contains(body, l.with) || l.delayed >= l.most {
+	if l.every == 0 || !kind || !strings.Contains(body, l.with) || l.delayed >= l.limit {
 		return false, 0
 	}
 	l.matched++
@@ -31,9 +31,9 @@
 }
 
 // copyReport delivers a copy of a worker's heartbeat, even if the machine is gone, and discards the
-// answer. The copy goes to the leader, if there is one, instead of n if anywhere is set.
-func (w *World) copyReport(n *node, anywhere bool, body string) {
-	if anywhere && w.leader() != nil {
+// answer. The copy goes to the leader, if there is one, instead of n if toLeader is set.
+func (w *World) copyReport(n *node, toLeader bool, body string) {
+	if toLeader && w.leader() != nil {
 		n = w.leader()
 	}
 	if n.alive && !n.cut {
@@ -42,21 +42,21 @@
 }
 
 // deliverOrHold delivers a message between the controllers n and other, or holds it while one of
-// them is away.
+// them is disconnected.
 func deliverOrHold(n, other *node, deliver func()) {
 	switch {
-	case n.away:
+	case n.disconnected:
 		n.heldMessages = append(n.heldMessages, deliver)
-	case other.away:
+	case other.disconnected:
 		other.heldMessages = append(other.heldMessages, deliver)
 	default:
 		deliver()
 	}
 }
 
-// comesBack reconnects a node that was away and delivers the messages that were held.
-func (w *World) comesBack(n *node) {
-	n.away = false
+// reconnect reconnects a node that was disconnected and delivers the messages that were held.
+func (w *World) reconnect(n *node) {
+	n.disconnected = false
 	messages := n.heldMessages
 	n.heldMessages = nil
 	for _, deliver := range messages {
--- a/internal/simulation/leader_end.go
+++ b/internal/simulation/leader_end.go
@@ -44,19 +44,19 @@
 	return nil
 }
 
-// said is called with each call that a controller makes. If it is the one selected by endsOn, the
-// end of the leader and the fault of the called machine are scheduled.
-func (w *World) said(n *node, c controller.Call) {
+// triggerLeaderEnd is called with each call that a controller makes. If it is the one selected by
+// endsOn, the end of the leader and the fault of the called machine are scheduled.
+func (w *World) triggerLeaderEnd(n *node, c controller.Call) {
 	e := w.endsOn
 	if e.text == "" || !strings.Contains(string(c.Body), e.text) || w.leader() != n {
 		return
 	}
 	w.endsOn = endsOn{}
-	life := n.life
+	incarnation := n.incarnation
 	w.after(e.after, func() {
-		if n.alive && n.life == life {
+		if n.alive && n.incarnation == incarnation {
 			w.note("%s ends after it said %s", n.name, e.text)
-			w.end(n, e.restartAfter)
+			w.stopNode(n, e.restartAfter)
 		}
 	})
 	m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -10,19 +10,19 @@
 	"mapleslip/internal/records"
 )
 
-// fallenLimits are limits that the state service enforces from some moment on. They are lower than
+// loweredLimits are limits that the state service enforces from some moment on. They are lower than
 // those in the platform's settings.
-type fallenLimits struct {
+type loweredLimits struct {
 	protocol.StateLimits
 	reportViolation func(format string, args ...any)
 	refused         map[string]bool // bodies of the transactions that got 400
 	fromCopy        bool            // the current request is a copy or was delayed by the network
-	count           int             // transactions that were refused
+	refusedCount    int             // transactions that were refused
 }
 
 // refuses returns why a transaction exceeds the limits, or "". A controller that sends a refused
 // transaction again unchanged violates a rule.
-func (l *fallenLimits) refuses(body []byte, writes []*fastjson.Value) string {
+func (l *loweredLimits) refuses(body []byte, writes []*fastjson.Value) string {
 	problem := ""
 	if len(writes) > l.MaxTxnChanges {
 		problem = "too many changes"
@@ -39,7 +39,7 @@
 		l.reportViolation("a transaction that was refused (%s) comes again as it was", problem)
 	}
 	l.refused[string(body)] = true
-	l.count++
+	l.refusedCount++
 	return problem
 }
 
@@ -47,17 +47,17 @@
 // was refused in the meantime; that a controller sends none of those is checked when it sends,
 // see checkSends.
 func (s *store) serveCopy(method, path string, body []byte) {
-	if s.fallen != nil {
-		s.fallen.fromCopy = true
-		defer func() { s.fallen.fromCopy = false }()
+	if s.loweredLimits != nil {
+		s.loweredLimits.fromCopy = true
+		defer func() { s.loweredLimits.fromCopy = false }()
 	}
 	s.serve(method, path, body, func(int, string) {})
 }
 
 // writeRate is the number of changes per second that the state service accepts.
 func (s *store) writeRate() float64 {
-	if s.fallen != nil {
-		return s.fallen.WriteRate
+	if s.loweredLimits != nil {
+		return s.loweredLimits.WriteRate
 	}
 	return s.platform.StateWriteRate
 }
@@ -68,9 +68,9 @@
 	return protocol.StateLimits{MaxValueBytes: int(number(o, "value", 2048)), MaxTxnChanges: int(number(o, "ops", 4)), WriteRate: number(o, "changes", 24)}
 }
 
-// sceneNext carries out next value=2048 ops=4 changes=24: the platform's settings announce these
-// future limits of the state service.
-func (w *World) sceneNext(words []string) error {
+// setupAnnouncedLimits carries out next value=2048 ops=4 changes=24: the platform's settings
+// announce these future limits of the state service.
+func (w *World) setupAnnouncedLimits(words []string) error {
 	l := parseLimits(words)
 	w.Platform.AnnouncedStateLimits = &l
 	return nil
@@ -80,8 +80,8 @@
 // these lower limits from now on, without notice.
 func (w *World) actLimitsFall(words []string) error {
 	w.limited = true
-	w.store.fallen = &fallenLimits{StateLimits: parseLimits(words), reportViolation: w.broken, refused: make(map[string]bool)}
-	w.store.writes.room = min(w.store.writes.room, w.store.fallen.WriteRate)
+	w.store.loweredLimits = &loweredLimits{StateLimits: parseLimits(words), reportViolation: w.reportViolation, refused: make(map[string]bool)}
+	w.store.writes.tokens = min(w.store.writes.tokens, w.store.loweredLimits.WriteRate)
 	return nil
 }
 
@@ -91,12 +91,12 @@
 func (w *World) expectLimits(words []string) error {
 	limit := int(number(options([]string{"x=" + words[1]}), "x", 0))
 	if words[0] == "unfit" {
-		if w.store.fallen == nil || w.store.fallen.count > limit {
-			return fmt.Errorf("%d were refused", w.store.fallen.count)
+		if w.store.loweredLimits == nil || w.store.loweredLimits.refusedCount > limit {
+			return fmt.Errorf("%d were refused", w.store.loweredLimits.refusedCount)
 		}
 		return nil
 	}
-	for _, key := range w.store.order {
+	for _, key := range w.store.sortedKeys {
 		if strings.HasPrefix(key, records.JobPrefix) {
 			continue // its size depends on what its user submitted
 		}
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -12,11 +12,11 @@
 	"mapleslip/internal/records"
 )
 
-// limitScene has three teams. Each is at its limit with one job in zone b, and has a second job,
+// limitSetup has three teams. Each is at its limit with one job in zone b, and has a second job,
 // in zone a, that waits for the same room under the limit. The jobs are an array, a gang and a
 // service, in a different order for each team. There are enough machines for all jobs, so that
 // only the limits make a job wait.
-const limitScene = `
+const limitSetup = `
 nodes 3 a b c
 team red max=8
 team blue max=8
@@ -88,7 +88,7 @@
 	var names []string
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && t.job.spec.Ref == ref {
+			if t.onMachine && t.job.spec.Ref == ref {
 				names = append(names, m.name)
 				break
 			}
@@ -101,7 +101,7 @@
 func (w *World) playMore(lines []timedLine) error {
 	for _, l := range lines {
 		w.Run(protocol.FromSeconds(l.at))
-		if err := w.act(strings.Fields(l.text)); err != nil {
+		if err := w.runVerb(strings.Fields(l.text)); err != nil {
 			return fmt.Errorf("at %g %s: %w", l.at, l.text, err)
 		}
 	}
@@ -112,7 +112,7 @@
 func (w *World) tasksOnMachines(ref string) (n int) {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.tasks {
-			if t.on && t.job.spec.Ref == ref {
+			if t.onMachine && t.job.spec.Ref == ref {
 				n++
 			}
 		}
@@ -130,7 +130,7 @@
 // playLimits plays a case and returns the times of the three teams.
 func playLimits(t *testing.T, c limitCase) (*World, [3]limitTimes) {
 	t.Helper()
-	w, err := playTrace(limitScene, nil)
+	w, err := playTrace(limitSetup, nil)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, strings.Join(w.Log, "\n"))
 	}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -178,8 +178,9 @@
 	}
 }
 
-// hello sends a worker's report to a controller. answer gets status 0 if there is no answer.
-func (l *Live) hello(node int, body string, answer func(int, []byte)) {
+// sendHeartbeat sends a worker's heartbeat to a controller. answer gets status 0 if there is no
+// answer.
+func (l *Live) sendHeartbeat(node int, body string, answer func(int, []byte)) {
 	addr := l.clients[node%len(l.clients)]
 	go func() {
 		status, resp := 0, []byte(nil)
@@ -199,8 +200,8 @@
 	return l.ipOf(m) + ":" + strconv.Itoa(instancePort(t.job.spec.Ref, t.index))
 }
 
-// run opens the address at which a service's instance answers health checks.
-func (l *Live) run(m *machine, t *runningTask) {
+// startInstance opens the address at which a service's instance answers health checks.
+func (l *Live) startInstance(m *machine, t *runningTask) {
 	err := l.listen(l.instance(m, t), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
 		status := l.w.healthStatus(t)
@@ -216,7 +217,7 @@
 	}
 }
 
-func (l *Live) leave(m *machine, t *runningTask) {
+func (l *Live) stopInstance(m *machine, t *runningTask) {
 	if t.job.spec.Kind == protocol.Service {
 		l.stop(l.instance(m, t))
 	}
@@ -262,7 +263,7 @@
 	for _, m := range l.w.sortedMachines() {
 		for _, t := range m.sorted() {
 			for _, image := range images {
-				if t.on && t.state == "running" && t.job.spec.Image == image && l.w.healthStatus(t) == 200 {
+				if t.onMachine && t.state == "running" && t.job.spec.Image == image && l.w.healthStatus(t) == 200 {
 					n++
 				}
 			}
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -12,7 +12,7 @@
 // after it took it out. Connections of users to the node are closed once it has been out for 5 s.
 type balancerState struct {
 	failed, passed int // latest checks in a row
-	out            bool
+	outOfRotation  bool
 	outSince       micros
 }
 
@@ -33,10 +33,10 @@
 			n.passed, n.failed = 0, n.failed+1
 		}
 		switch {
-		case !n.out && n.failed >= 2:
-			n.out, n.outSince = true, w.now
-		case n.out && n.passed >= 2 && w.now-n.outSince >= 3*protocol.Second:
-			n.out = false
+		case !n.outOfRotation && n.failed >= 2:
+			n.outOfRotation, n.outSince = true, w.now
+		case n.outOfRotation && n.passed >= 2 && w.now-n.outSince >= 3*protocol.Second:
+			n.outOfRotation = false
 		}
 	}
 }
@@ -45,11 +45,11 @@
 // stickyUsers, the node that the user is connected to while the connection lasts.
 func (w *World) nodeForUser(j *userJob) *node {
 	if !w.stickyUsers {
-		return w.upNode()
+		return w.nextReachableNode()
 	}
-	if n := j.connectedNode; n != nil && w.reachable(n) && (!n.out || w.now-n.outSince < 5*protocol.Second) {
+	if n := j.connectedNode; n != nil && w.reachable(n) && (!n.outOfRotation || w.now-n.outSince < 5*protocol.Second) {
 		return n
 	}
-	j.connectedNode = w.upNode()
+	j.connectedNode = w.nextReachableNode()
 	return j.connectedNode
 }
--- a/internal/simulation/lost_answers.go
+++ b/internal/simulation/lost_answers.go
@@ -34,7 +34,7 @@
 type lostAnswers struct {
 	rules []*answerLoss
 	count int               // answers lost or delayed
-	keys  map[string]uint64 // stamps of the keys written by these calls
+	keys  map[string]uint64 // revisions of the keys written by these calls
 }
 
 // matches counts a call that fits the rule and reports whether it is selected.
@@ -97,22 +97,22 @@
 		w.after(l.delay, deliver)
 	}
 	w.pollAllUntil(w.now + 3*protocol.Second)
-	switch life := n.life; l.action {
+	switch incarnation := n.incarnation; l.action {
 	case "ends":
 		w.note("%s ends", n.name)
-		w.end(n, l.returnAfter)
+		w.stopNode(n, l.returnAfter)
 	case "away":
-		n.away = true
+		n.disconnected = true
 		w.after(l.returnAfter, func() {
-			if n.life == life {
-				w.comesBack(n)
+			if n.incarnation == incarnation {
+				w.reconnect(n)
 			}
 		})
 	}
 	return true
 }
 
-// recordWrittenKeys keeps the keys that a transaction wrote, with their stamps.
+// recordWrittenKeys keeps the keys that a transaction wrote, with their revisions.
 func (w *World) recordWrittenKeys(body []byte) {
 	if w.lost.keys == nil {
 		w.lost.keys = make(map[string]uint64)
@@ -163,13 +163,13 @@
 // repeatRequests queries an accepted job at one controller and, if resubmit is set, repeats the
 // submission. The answer must not be older than the answers that users had when it was requested.
 func (w *World) repeatRequests(n *node, j *userJob, resubmit bool) {
-	asked := w.now
+	sentAt := w.now
 	w.request(n, "query", j.spec.Ref, func(status int, body []byte) {
 		switch {
 		case status == 404:
-			w.broken("forgotten: %s at %s", j.spec.Ref, n.name)
-		case status == 200 && (j.toldAt == 0 || j.toldAt <= asked):
-			w.heard(j, fastjson.GetString(body, "phase"))
+			w.reportViolation("forgotten: %s at %s", j.spec.Ref, n.name)
+		case status == 200 && (j.endReportedAt == 0 || j.endReportedAt <= sentAt):
+			w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 		}
 	})
 	if !resubmit {
@@ -178,11 +178,11 @@
 	w.request(n, "submit", string(j.body), func(status int, body []byte) {
 		switch {
 		case status == 201:
-			w.broken("accepted twice: %s at %s", j.spec.Ref, n.name)
+			w.reportViolation("accepted twice: %s at %s", j.spec.Ref, n.name)
 		case status == 400 || status == 422:
-			w.broken("forgotten: %s got %d at %s", j.spec.Ref, status, n.name)
-		case status == 200 && (j.toldAt == 0 || j.toldAt <= asked):
-			w.heard(j, fastjson.GetString(body, "phase"))
+			w.reportViolation("forgotten: %s got %d at %s", j.spec.Ref, status, n.name)
+		case status == 200 && (j.endReportedAt == 0 || j.endReportedAt <= sentAt):
+			w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 		}
 	})
 }
@@ -203,15 +203,15 @@
 		return err
 	case "conflicts":
 		most, err := strconv.Atoi(words[1])
-		if err == nil && w.store.conflict > most {
-			err = fmt.Errorf("%d", w.store.conflict)
+		if err == nil && w.store.conflicts > most {
+			err = fmt.Errorf("%d", w.store.conflicts)
 		}
 		return err
 	}
-	for key, stamp := range w.lost.keys {
+	for key, revision := range w.lost.keys {
 		e := w.store.keys[key]
 		final := strings.HasPrefix(key, records.FinalPrefix) || key == records.KeyMachineTypes
-		if final && e == nil || !final && e != nil && e.stamp <= stamp {
+		if final && e == nil || !final && e != nil && e.revision <= revision {
 			return fmt.Errorf("%s has not been written since the answer was lost", key)
 		}
 	}
--- a/internal/simulation/lost_answers_test.go
+++ b/internal/simulation/lost_answers_test.go
@@ -13,7 +13,7 @@
 // lostAnswerCase is one kind of call to the state service whose answer is lost.
 type lostAnswerCase struct {
 	name           string
-	scene          string // lines of the scene besides lostScene
+	setup          string // lines without a time besides those of lostSetup
 	lines          string // events, each line with its time
 	lost           string // a time, and which answers are lost from then on
 	maxLost        int    // how many answers are lost, 0: one
@@ -21,7 +21,7 @@
 	linesIfRunning string // further lines, for when the writer keeps running
 }
 
-const lostScene = `nodes 3 a b c
+const lostSetup = `nodes 3 a b c
 team red max=12
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a,b,d
 type huge cpus=800 gpus=1000 mem=6400 boot=10 zones=a
@@ -83,7 +83,7 @@
 	{name: "completions of small arrays", lost: `5 with={"set":"dp/`, lines: `
 4 submit req-000001 array tasks=20 gpus=1 run=8
 4 submit req-000002 array tasks=3 gpus=1 run=8`, expected: `starts 23`},
-	{name: "completions of a large array", lost: `5 with={"set":"d/`, scene: "fleet 1 huge a\n", lines: `
+	{name: "completions of a large array", lost: `5 with={"set":"d/`, setup: "fleet 1 huge a\n", lines: `
 4 submit req-000001 array tasks=2500 gpus=0.004 cpus=1 mem=1 run=6 types=huge`, expected: `starts 2500`},
 	{name: "done", lost: `5 with={"set":"f/`, maxLost: 2, lines: `
 4 submit req-000001 array tasks=4 gpus=1 run=8
@@ -103,11 +103,11 @@
 65 submit req-000004 array tasks=4 gpus=1 run=5 deadline=90`},
 	{name: "machine types", lost: `0 with={"set":"types"`, lines: `
 3 submit req-000001 array tasks=8 gpus=1 run=10`, expected: `starts 8`},
-	{name: "handover state", lost: `5 with={"set":"seen"`, scene: "fleet 4 big d\n", lines: `
+	{name: "handover state", lost: `5 with={"set":"seen"`, setup: "fleet 4 big d\n", lines: `
 4 submit req-000001 array tasks=6 gpus=2 run=30
 14 cut-zone d
 32 heal-zone`},
-	{name: "configuration", lost: `5 with={"set":"cfg/head"`, scene: "changes\n", lines: `
+	{name: "configuration", lost: `5 with={"set":"cfg/head"`, setup: "changes\n", lines: `
 4 submit req-000001 array tasks=30 gpus=1 run=3
 8 config team/red/gpus_max=3
 20 config team/red/gpus_max=6
@@ -115,18 +115,18 @@
 80 expect config settled
 80 expect config revision 3
 80 expect config history`},
-	{name: "configuration, nothing else going on", lost: `5 with={"set":"cfg/head"`, scene: "changes\n", lines: `
+	{name: "configuration, nothing else going on", lost: `5 with={"set":"cfg/head"`, setup: "changes\n", lines: `
 8 config team/red/gpus_max=3
 140 expect config settled`},
-	{name: "roll-out", lost: `11 with={"set":"ro/`, maxLost: 2, scene: "rollouts\n", lines: `
+	{name: "roll-out", lost: `11 with={"set":"ro/`, maxLost: 2, setup: "rollouts\n", lines: `
 2 submit req-000001 service tasks=2 image=img-1
 12 rollout r-1 picker image=img-2 count=2 floor=2 surge=2 stages=1,2 soak=5 adopt=req-000001
 90 expect rollout picker done new=2`},
-	{name: "orphans dropped", lost: `0 with={"drop":"b/req`, scene: orphanRecords(20), lines: `
+	{name: "orphans dropped", lost: `0 with={"drop":"b/req`, setup: orphanRecords(20), lines: `
 3 submit req-000001 array tasks=8 gpus=1 run=10
 60 expect kept b/req-000501 no
 60 expect kept b/req-000520 no`},
-	{name: "all launches recorded", lost: `0 with="epoch":7}}]}`, scene: "record epoch 6\n", lines: `
+	{name: "all launches recorded", lost: `0 with="epoch":7}}]}`, setup: "record epoch 6\n", lines: `
 3 submit req-000001 array tasks=8 gpus=1 run=10`, expected: `starts 8`},
 }
 
@@ -184,7 +184,7 @@
 		add("140 expect " + c.expected)
 	}
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
-	text := lostScene + c.scene
+	text := lostSetup + c.setup
 	for _, l := range h.lines {
 		text += fmt.Sprintf("at %g %s\n", l.at, l.text)
 	}
@@ -214,7 +214,7 @@
 // the writer has dropped the job, in the same term or in a later one. The late answer must not
 // revive the job.
 func TestLateAnswerToSubmission(t *testing.T) {
-	scene := `nodes 2
+	setup := `nodes 2
 team red
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a
 no-capacity
@@ -236,12 +236,12 @@
 		t.Run(name, func(t *testing.T) {
 			arrivedLate := 0
 			for by := 0.3; by < 1.45; by += 0.05 {
-				text := fmt.Sprintf(scene, by) + lines + "at 30 expect lost-answers 1\nat 30 expect req-000001 cancelled\nat 30 expect starts 0\n"
+				text := fmt.Sprintf(setup, by) + lines + "at 30 expect lost-answers 1\nat 30 expect req-000001 cancelled\nat 30 expect starts 0\n"
 				w, err := playTrace(text, nil)
 				if err != nil {
 					t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
-				if w.jobs["req-000001"].toldAt < protocol.FromSeconds(4.1+by) {
+				if w.jobs["req-000001"].endReportedAt < protocol.FromSeconds(4.1+by) {
 					arrivedLate++
 				}
 			}
@@ -256,7 +256,7 @@
 // Another leader has ended the job meanwhile, and the new one has not yet read which jobs are
 // over.
 func TestLateAnswerAcrossLeaders(t *testing.T) {
-	scene := `nodes 3
+	setup := `nodes 3
 team red
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a
 capacity big/b=1
@@ -284,7 +284,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for by := 0.9; by < 1.3; by += 0.01 {
-				text := fmt.Sprintf(scene, fmt.Sprintf(lines, by))
+				text := fmt.Sprintf(setup, fmt.Sprintf(lines, by))
 				if w, err := playTrace(text, nil); err != nil {
 					t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
 				}
--- a/internal/simulation/machine_verbs.go
+++ b/internal/simulation/machine_verbs.go
@@ -30,7 +30,7 @@
 	"hang":            func(_ *World, m *machine) { m.hung = true },
 	"wake":            (*World).deliverCalls,
 	"die":             (*World).failMachine,
-	"spoil":           func(_ *World, m *machine) { m.spoilt = true },
+	"spoil":           func(_ *World, m *machine) { m.failsTasks = true },
 	"deaf":            func(_ *World, m *machine) { m.inboundCut = true },
 	"hears":           func(_ *World, m *machine) { m.inboundCut = false },
 	"lose-answers":    func(_ *World, m *machine) { m.answersLost = true },
@@ -106,10 +106,10 @@
 	if m == nil || n == nil {
 		return errors.New("no such machine or node")
 	}
-	if m.apart == nil {
-		m.apart = make(map[string]bool)
+	if m.unreachableNodes == nil {
+		m.unreachableNodes = make(map[string]bool)
 	}
-	m.apart[n.name] = words[0] == "part"
+	m.unreachableNodes[n.name] = words[0] == "part"
 	return nil
 }
 
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -23,8 +23,8 @@
 	hung               bool            // the worker does nothing; direct commands wait until it resumes
 	inboundCut         bool            // heartbeats arrive; answers to them and direct commands are lost
 	outboundCut        bool            // the worker can't connect to controllers; direct commands reach it
-	spoilt             bool            // every task on the machine fails
-	apart              map[string]bool // controllers that can't exchange messages with the worker
+	failsTasks         bool            // every task on the machine fails
+	unreachableNodes   map[string]bool // controllers that can't exchange messages with the worker
 	holdReports        bool            // heartbeats are held on the way
 	heldReports        []func()
 	holdCalls          bool     // direct commands are held on the way
@@ -50,7 +50,7 @@
 	checkpointed      bool
 	imageReady, ends  micros
 	started           micros
-	on                bool // the task occupies the machine: it has started and not exited
+	onMachine         bool // the task occupies the machine: it has started and not exited
 }
 
 // sorted returns the tasks of a machine, sorted by key.
@@ -178,7 +178,7 @@
 			w.exitTask(m, t, "done")
 			return
 		}
-		if t.job.fails || m.spoilt {
+		if t.job.fails || m.failsTasks {
 			w.exitTask(m, t, "error")
 			return
 		}
@@ -189,7 +189,7 @@
 		}
 		t.state, t.started, t.ends = "running", w.now, w.now+t.job.run
 		if w.live != nil && t.job.spec.Kind == protocol.Service {
-			w.live.run(m, t)
+			w.live.startInstance(m, t)
 		}
 	case "waiting":
 		if w.now > t.started+w.Platform.GangWaitTimeout {
@@ -220,7 +220,7 @@
 func (w *World) tasksOfAttempt(j *userJob, attempt uint64) (list []*runningTask, hosts []*machine) {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.tasks {
-			if t.job == j && t.attempt == attempt && t.on {
+			if t.job == j && t.attempt == attempt && t.onMachine {
 				list, hosts = append(list, t), append(hosts, m)
 			}
 		}
@@ -260,25 +260,25 @@
 // taskStarted records that a task occupies its machine and checks the rules for its start:
 // placement, that it runs nowhere else, the limit of its team, and that its job is not cancelled.
 func (w *World) taskStarted(m *machine, t *runningTask) {
-	t.on = true
+	t.onMachine = true
 	w.started++
 	spec := t.job.spec
 	name := fmt.Sprintf("%s/%d", spec.Ref, t.index)
 	w.note("%s starts on %s", name, m.name)
-	w.checkEarly(t.job, name)
+	w.checkDependenciesDone(t.job, name)
 	typ := w.typeOf(m)
 	if !spec.AllowsType(m.typ) || spec.Zone != "" && spec.Zone != m.zone || m.spot && !spec.AllowSpot || !typ.Capacity.Covers(spec.TaskResources) {
-		w.broken("wrong_place: %s on %s", name, m.name)
+		w.reportViolation("wrong_place: %s on %s", name, m.name)
 	}
 	zones := map[string]int{}
 	var used protocol.Resources
 	for _, other := range w.sortedMachines() {
 		for _, running := range other.tasks {
-			if !running.on {
+			if !running.onMachine {
 				continue
 			}
 			if running != t && running.job == t.job && running.index == t.index {
-				w.broken("ran_twice: %s on %s and %s", name, m.name, other.name)
+				w.reportViolation("ran_twice: %s on %s and %s", name, m.name, other.name)
 			}
 			if running.job == t.job {
 				zones[other.zone]++
@@ -289,28 +289,28 @@
 		}
 	}
 	if spec.SingleZone && len(zones) > 1 {
-		w.broken("wrong_place: %s is not with the others", name)
+		w.reportViolation("wrong_place: %s is not with the others", name)
 	}
 	if spec.SpreadZones && zones[m.zone] > (spec.Tasks+1)/2 {
-		w.broken("wrong_place: %s, too many in zone %s", name, m.zone)
+		w.reportViolation("wrong_place: %s, too many in zone %s", name, m.zone)
 	}
 	limit := w.Platform.Teams[spec.Team].Limit
 	if limit.GPU > 0 && used.GPU > limit.GPU || limit.CPU > 0 && used.CPU > limit.CPU {
-		w.broken("quota: %s with %s", spec.Team, name)
+		w.reportViolation("quota: %s with %s", spec.Team, name)
 	}
-	w.startsCancelled(t)
-	if t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
-		w.broken("ran_cancelled: %s", name)
+	w.checkStartAfterCancel(t)
+	if t.job.cancelReportedAt > 0 && w.now > t.job.cancelReportedAt+w.Platform.CancelTimeout {
+		w.reportViolation("ran_cancelled: %s", name)
 	}
 	w.checkStart("starts", m, t)
 }
 
 // taskStopped records that a task no longer occupies its machine.
 func (w *World) taskStopped(m *machine, t *runningTask) {
-	if t.on {
-		t.on = false
+	if t.onMachine {
+		t.onMachine = false
 		if w.live != nil {
-			w.live.leave(m, t)
+			w.live.stopInstance(m, t)
 		}
 		w.note("%s leaves %s", fmt.Sprintf("%s/%d", t.job.spec.Ref, t.index), m.name)
 	}
@@ -346,7 +346,7 @@
 	}
 	if w.live != nil { // the controllers are real processes
 		w.live.openWorker(m)
-		w.live.hello(m.nodeIndex, body, func(status int, resp []byte) {
+		w.live.sendHeartbeat(m.nodeIndex, body, func(status int, resp []byte) {
 			if m.answersLost || m.hung || answered || m.phase != "running" {
 				return
 			}
@@ -363,7 +363,7 @@
 	}
 	node := w.nodes[m.nodeIndex%len(w.nodes)]
 	deliver := func() {
-		if node.deaf || m.apart[node.name] {
+		if node.workersUnreachable || m.unreachableNodes[node.name] {
 			return
 		}
 		if !node.alive || node.cut {
@@ -373,13 +373,13 @@
 		w.request(node, "hello", body, func(status int, resp []byte) {
 			// An answer that another node passes on is checked at the leader that made it.
 			if node.ctl.Role() == controller.RoleLeader {
-				w.sends(m, resp)
+				w.checkCommands(m, resp)
 			}
 			if m.answersLost || m.hung || m.inboundCut {
 				return // the answer is lost
 			}
 			w.after(w.delay(), func() {
-				w.cross(node.zone, m.zone, func() {
+				w.deliverAcrossZones(node.zone, m.zone, func() {
 					if answered || m.phase != "running" {
 						return
 					}
@@ -390,12 +390,12 @@
 			})
 		})
 	}
-	send := func() { w.cross(m.zone, node.zone, deliver) }
+	send := func() { w.deliverAcrossZones(m.zone, node.zone, deliver) }
 	if copied, delay := w.lateReports.next(true, body); copied && w.lateReports.forNext {
 		w.keepForNext(body)
 	} else if copied {
-		anywhere := w.lateReports.anywhere
-		w.after(delay, func() { w.copyReport(node, anywhere, body) })
+		toLeader := w.lateReports.toLeader
+		w.after(delay, func() { w.copyReport(node, toLeader, body) })
 	}
 	if m.holdReports {
 		m.heldReports = append(m.heldReports, send)
@@ -454,7 +454,7 @@
 		defer protocol.Parsers.Put(p)
 		v, err := p.ParseBytes(c.Body)
 		if err != nil {
-			w.broken("malformed commands: %v", err)
+			w.reportViolation("malformed commands: %v", err)
 			return
 		}
 		status := 409
@@ -481,14 +481,14 @@
 	defer protocol.Parsers.Put(p)
 	v, err := p.ParseBytes(body)
 	if err != nil {
-		w.broken("malformed commands: %v", err)
+		w.reportViolation("malformed commands: %v", err)
 		return
 	}
 	for _, c := range v.GetArray("orders") {
 		ref, indexText, _ := strings.Cut(string(c.GetStringBytes("shard")), "/")
 		index, _ := strconv.Atoi(indexText)
 		attempt := c.GetUint64("try")
-		j := w.describe(ref)
+		j := w.findJob(ref)
 		key := fmt.Sprintf("%s/%d#%d", ref, index, attempt)
 		t := m.tasks[key]
 		switch string(c.GetStringBytes("verb")) {
@@ -517,7 +517,7 @@
 func (w *World) launchTask(m *machine, j *userJob, index int, attempt uint64, key string) {
 	t := &runningTask{job: j, index: index, attempt: attempt, state: "fetching"}
 	w.checkStart("is launched", m, t)
-	j.tries++
+	j.launches++
 	m.tasks[key], m.sortedTasks = t, nil
 	m.stateChanged = true
 	var used protocol.Resources
@@ -578,7 +578,7 @@
 		var names []string
 		count := fastjson.GetInt(body, "count")
 		if count > 50 {
-			w.broken("%d machines asked for at once", count)
+			w.reportViolation("%d machines asked for at once", count)
 		}
 		if w.capacity != nil {
 			kind := fastjson.GetString(body, "flavor") + "/" + fastjson.GetString(body, "region")
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -10,9 +10,9 @@
 	"mapleslip/internal/protocol"
 )
 
-// cross delivers a message from zone a to zone b, or holds it while one of them is cut off and the
-// other isn't. The zone of components that are in none is "".
-func (w *World) cross(a, b string, deliver func()) {
+// deliverAcrossZones delivers a message from zone a to zone b, or holds it while one of them is cut
+// off and the other isn't. The zone of components that are in none is "".
+func (w *World) deliverAcrossZones(a, b string, deliver func()) {
 	if slices.Contains(w.cutZones, a) != slices.Contains(w.cutZones, b) {
 		w.heldMessages = append(w.heldMessages, deliver)
 		return
@@ -36,19 +36,19 @@
 	w.checkSends(n, c)
 	if c.Target == controller.ToWorker {
 		if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil {
-			w.sends(m, c.Body)
+			w.checkCommands(m, c.Body)
 		}
 	}
 	if w.changes != nil && c.Target == controller.ToCloud && c.Path == "/machines" && c.Method == "POST" {
-		w.rents(c.Body)
+		w.checkRental(c.Body)
 	}
 	if c.Target == controller.ToWorker && strings.Contains(string(c.Body), `"orders":[]`) {
-		w.questions++
+		w.emptyCalls++
 	}
-	w.said(n, c)
-	life, answered := n.life, false
+	w.triggerLeaderEnd(n, c)
+	incarnation, answered := n.incarnation, false
 	finish := func(d controller.CallResult) {
-		if !answered && n.alive && n.life == life {
+		if !answered && n.alive && n.incarnation == incarnation {
 			answered = true
 			d.ID = c.ID
 			w.step(n, d)
@@ -57,7 +57,7 @@
 	replyFrom := func(zone string) func(int, string) {
 		return func(status int, body string) {
 			w.after(w.delay(), func() {
-				w.cross(zone, n.zone, func() {
+				w.deliverAcrossZones(zone, n.zone, func() {
 					if !n.cut {
 						finish(controller.CallResult{Status: status, Body: []byte(body)})
 					}
@@ -73,7 +73,7 @@
 		n.peerCalls++
 		finishCall := finish
 		finish = func(d controller.CallResult) {
-			if !answered && n.life == life {
+			if !answered && n.incarnation == incarnation {
 				n.peerCalls--
 			}
 			finishCall(d)
@@ -96,7 +96,7 @@
 	w.after(w.delay(), func() {
 		switch c.Target {
 		case controller.ToState:
-			if n.away {
+			if n.disconnected {
 				n.heldMessages = append(n.heldMessages, func() { w.store.serve(c.Method, c.Path, c.Body, func(int, string) {}) })
 				return
 			}
@@ -110,21 +110,21 @@
 				}
 				w.note("a transaction of %s is held up", n.name)
 				w.after(delay, func() {
-					w.cross(n.zone, "", func() { w.store.serveCopy(c.Method, c.Path, c.Body) })
+					w.deliverAcrossZones(n.zone, "", func() { w.store.serveCopy(c.Method, c.Path, c.Body) })
 				})
 				return
 			}
-			w.cross(n.zone, "", func() {
-				answeredLater := w.answeredLater(c.Path, c.Body)
+			w.deliverAcrossZones(n.zone, "", func() {
+				answerDelay := w.answerDelay(c.Path, c.Body)
 				w.store.serve(c.Method, c.Path, c.Body, func(status int, body string) {
 					reply := func() { replyFrom("")(status, body) }
 					if w.losesAnswer(n, c, status, reply) {
 						return
 					}
 					switch {
-					case answeredLater > 0:
-						w.after(answeredLater, reply)
-					case n.away: // the answer to an open watch, for example
+					case answerDelay > 0:
+						w.after(answerDelay, reply)
+					case n.disconnected: // the answer to an open watch, for example
 						n.heldMessages = append(n.heldMessages, reply)
 					case w.stateDelay == 0:
 						reply()
@@ -134,7 +134,7 @@
 				})
 			})
 		case controller.ToCloud:
-			w.cross(n.zone, "", func() {
+			w.deliverAcrossZones(n.zone, "", func() {
 				status, body := w.serveCloud(c.Method, c.Path, c.Body)
 				extra := micros(0)
 				if c.Path == "/machines" {
@@ -148,7 +148,7 @@
 					continue
 				}
 				deliverOrHold(n, other, func() {
-					w.cross(n.zone, other.zone, func() {
+					w.deliverAcrossZones(n.zone, other.zone, func() {
 						w.deliverPeerCall(other, c, func(status int, body string) {
 							deliverOrHold(n, other, func() { replyFrom(other.zone)(status, body) })
 						}, finish)
@@ -158,8 +158,8 @@
 		case controller.ToInstance:
 			w.checkInstance(n, c, replyFrom)
 		case controller.ToWorker:
-			if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil && !n.deaf && !m.inboundCut && !m.apart[n.name] && !w.holdCommand(n, m, c) {
-				w.cross(n.zone, m.zone, func() { w.callWorker(m, c, replyFrom(m.zone)) })
+			if m := w.machines[strings.TrimSuffix(c.Addr, ":9000")]; m != nil && !n.workersUnreachable && !m.inboundCut && !m.unreachableNodes[n.name] && !w.holdCommand(n, m, c) {
+				w.deliverAcrossZones(n.zone, m.zone, func() { w.callWorker(m, c, replyFrom(m.zone)) })
 			}
 		}
 	})
@@ -199,12 +199,12 @@
 	}
 	frame, _, err := protocol.SplitPeer(c.Body)
 	if err != nil {
-		w.broken("malformed frame: %v", err)
+		w.reportViolation("malformed frame: %v", err)
 		return
 	}
 	msg, err := protocol.ParsePeer(frame)
 	if err != nil {
-		w.broken("malformed frame: %v", err)
+		w.reportViolation("malformed frame: %v", err)
 		return
 	}
 	w.nextConn++
@@ -214,7 +214,7 @@
 			return
 		}
 		if m := w.machines[fastjson.GetString(msg.Body, "host")]; msg.Kind == protocol.PeerHeartbeat && m != nil {
-			w.sends(m, body)
+			w.checkCommands(m, body)
 		}
 		out := protocol.AppendPeer(nil, &protocol.PeerMessage{Kind: protocol.PeerResponse, Status: uint16(status), Body: body})
 		frame, _, _ := protocol.SplitPeer(out)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -14,8 +14,8 @@
 	zone  string
 	alive bool
 	cut   bool // all messages from and to the node are lost
-	// deaf: heartbeats and commands between the node and the workers are lost.
-	deaf bool
+	// workersUnreachable: heartbeats and commands between the node and the workers are lost.
+	workersUnreachable bool
 	// denied: the state service answers this node, and no other, with 503.
 	denied bool
 	// unlinked: calls between the node and the other controllers are lost.
@@ -24,18 +24,18 @@
 	// are handled when it thaws.
 	frozen     bool
 	heldEvents []controller.Event
-	// away: the node is cut off from the state service and the other controllers, but not from
-	// workers, users and the cloud. Messages are held until it is back.
-	away         bool
+	// disconnected: the node is cut off from the state service and the other controllers, but not
+	// from workers, users and the cloud. Messages are held until it is back.
+	disconnected bool
 	heldMessages []func()
 	balancerState
-	generation
-	startedAt micros
-	life      int              // number of starts; callbacks of an earlier start are ignored
-	peerCalls int              // calls to other controllers in flight
-	meter     *transport.Meter // meter of the node's calls to the state service
-	ctl       *controller.Controller
-	seed      uint64
+	nodeVersions
+	startedAt   micros
+	incarnation int              // number of starts; callbacks of an earlier start are ignored
+	peerCalls   int              // calls to other controllers in flight
+	meter       *transport.Meter // meter of the node's calls to the state service
+	ctl         *controller.Controller
+	seed        uint64
 }
 
 // startNode starts a node with a new controller, unless it is alive.
@@ -44,7 +44,7 @@
 		return
 	}
 	n.alive, n.startedAt, n.peerCalls = true, w.now, 0
-	n.life++
+	n.incarnation++
 	n.seed += 100
 	p := w.Platform
 	p.ControllerName, p.Zone = n.name, n.zone
@@ -55,7 +55,7 @@
 		}
 	}
 	n.meter = transport.NewMeter(p.StateRequestRate, p.StateWriteRate, 1, p.MaxTxnChanges)
-	w.share(n, false)
+	w.setRateShare(n, false)
 	n.ctl = controller.New(&p, w.Operator, n.seed, w.Logger.With("node", n.name))
 	w.configure(n)
 	if w.rollouts != nil {
@@ -63,13 +63,13 @@
 	}
 	if w.changes != nil {
 		n.ctl.EnableConfiguration(w.changes.options)
-		w.changes.level[n.name] = ""
+		w.changes.logLevel[n.name] = ""
 	}
-	life := n.life
+	incarnation := n.incarnation
 	w.perform(n, n.ctl.Start(w.timeOf(n)))
 	var tick func()
 	tick = func() {
-		if n.alive && n.life == life {
+		if n.alive && n.incarnation == incarnation {
 			w.step(n, controller.Tick{Backlog: w.backlog})
 			n.meter.Run(w.now)
 			w.after(50*protocol.Millisecond, tick)
@@ -78,21 +78,22 @@
 	tick()
 }
 
-// end stops a node. It starts again after restartDelay or, if that is 0, when the trace starts
+// stopNode stops a node. It starts again after restartDelay or, if that is 0, when the trace starts
 // it. Messages that it has sent are still delivered.
-func (w *World) end(n *node, restartDelay micros) {
+func (w *World) stopNode(n *node, restartDelay micros) {
 	n.alive, n.frozen, n.heldEvents = false, false, nil
-	if life := n.life; restartDelay > 0 {
+	if incarnation := n.incarnation; restartDelay > 0 {
 		w.after(restartDelay, func() {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				w.startNode(n)
 			}
 		})
 	}
 }
 
-// share sets the node's part of the rates and sizes that the state service allows all controllers.
-func (w *World) share(n *node, leads bool) {
+// setRateShare sets the node's part of the rates and sizes that the state service allows all
+// controllers.
+func (w *World) setRateShare(n *node, leads bool) {
 	nodes := len(w.nodes)
 	n.meter.SetShare(controller.ReadShare(nodes, leads), controller.WriteShare(nodes, leads), controller.MaxTxnChanges(w.Platform.MaxTxnChanges, leads))
 }
@@ -112,11 +113,11 @@
 	}
 	previous := n.ctl.Role()
 	defer func() {
-		w.decides(n)
+		w.checkRevision(n)
 		if role := n.ctl.Role(); role != previous {
-			w.roleChanged(role)
+			w.deliverKeptReports(role)
 			if n.alive {
-				w.roleBegins(role.String())
+				w.deliverOldReports(role.String())
 			}
 		}
 		w.checkVersion(n)
@@ -135,12 +136,12 @@
 	}
 	if role := w.nodeEndsRole; w.nodeEndsLeft > 0 && previous != role && n.ctl.Role() == role {
 		w.nodeEndsLeft--
-		life := n.life
+		incarnation := n.incarnation
 		w.after(w.nodeEndsDelay, func() {
-			if n.life == life && n.alive && n.ctl.Role() == role {
+			if n.incarnation == incarnation && n.alive && n.ctl.Role() == role {
 				w.note("%s ends while it is %s", n.name, role)
-				w.end(n, w.nodeEndsRestart)
-				w.endedLoading++
+				w.stopNode(n, w.nodeEndsRestart)
+				w.nodesEnded++
 			}
 		})
 	}
@@ -171,11 +172,11 @@
 				fn(e.Status, e.Body)
 			}
 		case controller.RateShare:
-			w.share(n, e.Leads)
+			w.setRateShare(n, e.Leads)
 		case controller.WriteRate:
 			n.meter.SetWrites(e.PerSecond, e.Lowered)
 		case controller.SetLogLevel:
-			w.changes.level[n.name] = e.Level
+			w.changes.logLevel[n.name] = e.Level
 		case controller.Call:
 			if w.limited && e.Target == controller.ToState {
 				n.meter.Add(transport.Metered{
--- a/internal/simulation/node_verbs.go
+++ b/internal/simulation/node_verbs.go
@@ -27,19 +27,19 @@
 // nodeChanges contains the verbs that change one node, the leader or all nodes: VERB NODE, VERB
 // leader, VERB all.
 var nodeChanges = map[string]func(w *World, n *node, o map[string]string){
-	"kill":     func(w *World, n *node, _ map[string]string) { w.end(n, 0) },
+	"kill":     func(w *World, n *node, _ map[string]string) { w.stopNode(n, 0) },
 	"start":    func(w *World, n *node, _ map[string]string) { w.startNode(n) },
 	"restart":  (*World).restart,
-	"deafen":   func(_ *World, n *node, _ map[string]string) { n.deaf = true }, // loses messages from and to workers
-	"undeafen": func(_ *World, n *node, _ map[string]string) { n.deaf = false },
+	"deafen":   func(_ *World, n *node, _ map[string]string) { n.workersUnreachable = true }, // loses messages from and to workers
+	"undeafen": func(_ *World, n *node, _ map[string]string) { n.workersUnreachable = false },
 	"deny":     func(_ *World, n *node, _ map[string]string) { n.denied = true },
 	"admit":    func(_ *World, n *node, _ map[string]string) { n.denied = false },
 	"freeze":   func(_ *World, n *node, _ map[string]string) { n.frozen = true },
 	"thaw":     func(w *World, n *node, _ map[string]string) { w.thaw(n) },
 	"cut":      func(_ *World, n *node, _ map[string]string) { n.cut = true },
 	"join":     func(_ *World, n *node, _ map[string]string) { n.cut = false },
-	"away":     func(_ *World, n *node, _ map[string]string) { n.away = true },
-	"back":     func(w *World, n *node, _ map[string]string) { w.comesBack(n) },
+	"away":     func(_ *World, n *node, _ map[string]string) { n.disconnected = true },
+	"back":     func(w *World, n *node, _ map[string]string) { w.reconnect(n) },
 }
 
 // actNode: VERB NODE|leader|all [OPTION=VALUE ...]: applies a verb of nodeChanges. Without a
@@ -68,7 +68,7 @@
 // restart: restart NODE [after=0.05]: stops a node, which starts again after that many seconds.
 func (w *World) restart(n *node, o map[string]string) {
 	if n.alive {
-		w.end(n, duration(o, "after", 0.05))
+		w.stopNode(n, duration(o, "after", 0.05))
 	}
 }
 
@@ -115,7 +115,7 @@
 // actIfLeads: if-leads VERB: carries out VERB LEADER, with the name of the leader, if there is one.
 func (w *World) actIfLeads(words []string) error {
 	if n := w.leader(); n != nil {
-		return w.act([]string{words[1], n.name})
+		return w.runVerb([]string{words[1], n.name})
 	}
 	return nil
 }
--- a/internal/simulation/old_heartbeats.go
+++ b/internal/simulation/old_heartbeats.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// roleBegins is called when a controller takes a role. If the kept reports are to be delivered at
-// that role, each controller gets copies of all of them.
-func (w *World) roleBegins(role string) {
+// deliverOldReports is called when a controller takes a role. If the kept reports are to be
+// delivered at that role, each controller gets copies of all of them.
+func (w *World) deliverOldReports(role string) {
 	o := &w.oldReports
 	for _, on := range o.roles {
 		if on != role {
--- a/internal/simulation/record_checks.go
+++ b/internal/simulation/record_checks.go
@@ -82,10 +82,10 @@
 		task.Index, _ = strconv.Atoi(index)
 		name := protocol.AttemptName{TaskName: task, Number: order.GetUint64("try")}
 		if !w.recorded.hasHost(m.name) && w.store.keys[records.LegacyHostPrefix+m.name] == nil {
-			w.broken("not recorded: %s, on which %s is launched", m.name, task)
+			w.reportViolation("not recorded: %s, on which %s is launched", m.name, task)
 		}
 		if !w.recorded.hasLaunch(name, m.name) {
-			w.broken("not recorded: launch of %s on %s", task, m.name)
+			w.reportViolation("not recorded: launch of %s on %s", task, m.name)
 		}
 	}
 }
--- a/internal/simulation/rollouts.go
+++ b/internal/simulation/rollouts.go
@@ -11,7 +11,8 @@
 	"mapleslip/internal/rollout"
 )
 
-// behaviour is what the instances of an image do: how they answer health checks, or that they crash.
+// behaviour is what the instances of an image do: how they answer health checks, or that they
+// crash.
 type behaviour struct {
 	what  string // passes, fails, hangs, flaps, crashes; "" is passes
 	after micros // time that an instance runs before it does this; until then it passes
@@ -53,9 +54,9 @@
 	return 10000 + int((rollout.Number(ref)+uint64(index))%50000)
 }
 
-// describe returns a job that a user of the trace submitted. Other jobs, which a roll-out
+// findJob returns a job that a user of the trace submitted. Other jobs, which a roll-out
 // submitted, are read from their record in the state service. It returns nil if there is none.
-func (w *World) describe(ref string) *userJob {
+func (w *World) findJob(ref string) *userJob {
 	if j := w.jobs[ref]; j != nil {
 		return j
 	}
@@ -68,7 +69,7 @@
 	}
 	record, err := records.DecodeJob([]byte(e.value))
 	if err != nil {
-		w.broken("damaged record of %s: %v", ref, err)
+		w.reportViolation("damaged record of %s: %v", ref, err)
 		return nil
 	}
 	j := &userJob{spec: record.Spec, run: record.Spec.EstimatedRuntime, results: make([]bool, record.Spec.Tasks), accepted: true}
@@ -101,12 +102,12 @@
 func (w *World) checkInstance(n *node, c controller.Call, backFrom func(zone string) func(int, string)) {
 	host, port, _ := strings.Cut(c.Addr, ":")
 	m := w.machines[host]
-	if m == nil || n.deaf || m.apart[n.name] || m.hung || m.phase != "running" {
+	if m == nil || n.workersUnreachable || m.unreachableNodes[n.name] || m.hung || m.phase != "running" {
 		return
 	}
-	w.cross(n.zone, m.zone, func() {
+	w.deliverAcrossZones(n.zone, m.zone, func() {
 		for _, t := range m.sorted() {
-			if t.on && t.state == "running" && port == strconv.Itoa(instancePort(t.job.spec.Ref, t.index)) {
+			if t.onMachine && t.state == "running" && port == strconv.Itoa(instancePort(t.job.spec.Ref, t.index)) {
 				if status := w.healthStatus(t); status > 0 {
 					backFrom(m.zone)(status, "")
 				}
@@ -147,13 +148,13 @@
 			s.AdoptJobs = strings.Split(o["adopt"], ",")
 			for _, ref := range s.AdoptJobs {
 				if j := w.jobs[ref]; j != nil {
-					j.asked = true // the roll-out cancels it
+					j.cancelRequested = true // the roll-out cancels it
 				}
 			}
 		}
 		body = string(protocol.AppendRollout(nil, s))
 	}
-	w.insist(what, body, func(status int, answer []byte) bool {
+	w.requestUntilFinal(what, body, func(status int, answer []byte) bool {
 		if status == 503 || status == 0 {
 			return false
 		}
--- a/internal/simulation/service_verbs.go
+++ b/internal/simulation/service_verbs.go
@@ -21,7 +21,7 @@
 		"list-lag":   func(w *World, words []string) error { w.listLag = seconds(words[1]); return nil },
 		// announce value=2048 ops=4 changes=24: sets the announced next limits for controllers that
 		// start from now on.
-		"announce":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
+		"announce":        func(w *World, words []string) error { return w.setupAnnouncedLimits(words[1:]) },
 		"limits-fall":     func(w *World, words []string) error { return w.actLimitsFall(words[1:]) },
 		"spoil-record":    (*World).actSpoilRecord,
 		"forget-launches": (*World).actForgetLaunches,
@@ -34,14 +34,14 @@
 // it if there is no value.
 func (w *World) actSpoilRecord(words []string) error {
 	if w.changes != nil {
-		w.changes.spoilt = true
+		w.changes.recordOverwritten = true
 	}
 	w.store.revision++
 	if len(words) == 2 {
 		w.store.remove(words[1])
 		return nil
 	}
-	w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
+	w.store.set(words[1], &entry{value: words[2], revision: w.store.revision})
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	}
 	w.store.keys[records.KeyEpoch].value = strconv.FormatUint(epoch.Number, 10)
 	w.versions.active = 0
-	for _, key := range slices.Clone(w.store.order) {
+	for _, key := range slices.Clone(w.store.sortedKeys) {
 		if strings.HasPrefix(key, records.LaunchShardPrefix) || key == featuregate.KeyLevel {
 			w.store.remove(key)
 		}
@@ -69,7 +69,7 @@
 		"late-writes":   (*World).actLate,
 		"late-reports":  (*World).actLate,
 		"late-commands": (*World).actLate,
-		"in-zone":       (*World).actTrouble,
+		"in-zone":       (*World).actFault,
 		"link":          (*World).actLink,
 		"unlink":        (*World).actLink,
 		// copies SECONDS: a copy of each request arrives that long after it; 0 ends this.
--- a/internal/simulation/scene.go
+++ b/internal/simulation/setup.go
@@ -9,37 +9,37 @@
 	"mapleslip/internal/rollout"
 )
 
-// sceneWords contains the verbs of lines without a time, which set up the scene: the deployment at
-// the start of a trace.
-var sceneWords = map[string]verb{
-	"nodes":       (*World).sceneNodes,
-	"team":        (*World).sceneTeam,
-	"type":        (*World).sceneType,
-	"machine":     (*World).sceneMachine,
-	"fleet":       (*World).sceneFleet,
-	"aim":         (*World).sceneObjective,
-	"record":      (*World).sceneRecord,
-	"workers":     (*World).sceneWorkers,
-	"operator":    (*World).sceneOperator,
-	"limits":      (*World).sceneLimits,
-	"connections": (*World).sceneConnections,
-	"capacity":    (*World).sceneCapacity,
+// setupVerbs contains the verbs of lines without a time, which set up the deployment at the start
+// of a trace.
+var setupVerbs = map[string]verb{
+	"nodes":       (*World).setupNodes,
+	"team":        (*World).setupTeam,
+	"type":        (*World).setupType,
+	"machine":     (*World).setupMachine,
+	"fleet":       (*World).setupFleet,
+	"aim":         (*World).setupObjective,
+	"record":      (*World).setupRecord,
+	"workers":     (*World).setupWorkers,
+	"operator":    (*World).setupOperator,
+	"limits":      (*World).setupLimits,
+	"connections": (*World).setupConnections,
+	"capacity":    (*World).setupCapacity,
 	// value-bytes N: largest size of a value in the state service.
 	"value-bytes": func(w *World, words []string) error { return setInt(&w.Platform.MaxValueBytes, words[1]) },
 	// txn-changes N: largest number of changes in a transaction of the state service.
 	"txn-changes": func(w *World, words []string) error { return setInt(&w.Platform.MaxTxnChanges, words[1]) },
-	"next":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
+	"next":        func(w *World, words []string) error { return w.setupAnnouncedLimits(words[1:]) },
 	"no-capacity": func(w *World, _ []string) error { w.noCapacity = true; return nil },
 	// changes: turns on changes of the configuration.
-	"changes": func(w *World, _ []string) error { w.judgeChanges(); return nil },
+	"changes": func(w *World, _ []string) error { w.enableConfigChanges(); return nil },
 	// production N: the first N controllers run the version that is in production.
-	"production": (*World).sceneProduction,
-	"rollouts":   (*World).sceneRollouts,
+	"production": (*World).setupProduction,
+	"rollouts":   (*World).setupRollouts,
 }
 
-// scene carries out a line without a time.
-func (w *World) scene(words []string) error {
-	set := sceneWords[words[0]]
+// setup carries out a line without a time.
+func (w *World) setup(words []string) error {
+	set := setupVerbs[words[0]]
 	if set == nil {
 		return fmt.Errorf("unknown word %s", words[0])
 	}
@@ -54,8 +54,8 @@
 	return err
 }
 
-// sceneNodes: nodes 2 a b: sets the number of controllers and their zones.
-func (w *World) sceneNodes(words []string) error {
+// setupNodes: nodes 2 a b: sets the number of controllers and their zones.
+func (w *World) setupNodes(words []string) error {
 	n, err := strconv.Atoi(words[1])
 	if err != nil || n < 1 || n > cap(w.nodes) {
 		return fmt.Errorf("one to %d nodes", cap(w.nodes))
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// sceneTeam: team red gpus=4 max=6: adds a team with its guarantee and limit of GPUs.
-func (w *World) sceneTeam(words []string) error {
+// setupTeam: team red gpus=4 max=6: adds a team with its guarantee and limit of GPUs.
+func (w *World) setupTeam(words []string) error {
 	o := options(words[2:])
 	w.Platform.Teams[words[1]] = protocol.Team{
 		Name:      words[1],
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// sceneType: type small cpus=8 gpus=2 mem=64 boot=10 fetch=1 zones=a,b: adds a machine type.
-func (w *World) sceneType(words []string) error {
+// setupType: type small cpus=8 gpus=2 mem=64 boot=10 fetch=1 zones=a,b: adds a machine type.
+func (w *World) setupType(words []string) error {
 	o := options(words[2:])
 	w.Types = append(w.Types, &protocol.MachineType{
 		Name: words[1],
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// sceneMachine: machine n-000001 small a [spot]: adds a machine of a type in a zone.
-func (w *World) sceneMachine(words []string) error {
+// setupMachine: machine n-000001 small a [spot]: adds a machine of a type in a zone.
+func (w *World) setupMachine(words []string) error {
 	m := w.addMachine(words[1], words[2], words[3], len(words) > 4 && words[4] == "spot")
 	if w.typeOf(m) == nil {
 		return fmt.Errorf("unknown type %s", words[2])
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// sceneFleet: fleet 400 big a: adds that many machines of a type in a zone.
-func (w *World) sceneFleet(words []string) error {
+// setupFleet: fleet 400 big a: adds that many machines of a type in a zone.
+func (w *World) setupFleet(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil {
 		return err
@@ -116,24 +116,24 @@
 	return nil
 }
 
-// sceneObjective: aim KIND CLASS within=15: adds an objective for a class of jobs, such as aim
+// setupObjective: aim KIND CLASS within=15: adds an objective for a class of jobs, such as aim
 // wait.
-func (w *World) sceneObjective(words []string) error {
+func (w *World) setupObjective(words []string) error {
 	o := options(words[3:])
 	w.Platform.Objectives = append(w.Platform.Objectives, protocol.Objective{Kind: words[1], Class: words[2], Within: duration(o, "within", 10)})
 	return nil
 }
 
-// sceneRecord: record KEY VALUE: adds a key to the state service.
-func (w *World) sceneRecord(words []string) error {
+// setupRecord: record KEY VALUE: adds a key to the state service.
+func (w *World) setupRecord(words []string) error {
 	w.store.revision++
-	w.store.set(words[1], &entry{value: words[2], stamp: w.store.revision})
+	w.store.set(words[1], &entry{value: words[2], revision: w.store.revision})
 	return nil
 }
 
-// sceneWorkers: workers report=2.5 lease=16 cancel=46: sets the heartbeat interval and the lease of
+// setupWorkers: workers report=2.5 lease=16 cancel=46: sets the heartbeat interval and the lease of
 // the workers and the time-out of cancellations, in seconds.
-func (w *World) sceneWorkers(words []string) error {
+func (w *World) setupWorkers(words []string) error {
 	o, p := options(words[1:]), &w.Platform
 	p.HeartbeatInterval = duration(o, "report", p.HeartbeatInterval.Seconds())
 	p.WorkerLease = duration(o, "lease", p.WorkerLease.Seconds())
@@ -141,30 +141,30 @@
 	return nil
 }
 
-// sceneOperator: operator cut-keep=600: sets the operators' setting for how long the machines of a
+// setupOperator: operator cut-keep=600: sets the operators' setting for how long the machines of a
 // zone that is cut off are kept, in seconds.
-func (w *World) sceneOperator(words []string) error {
+func (w *World) setupOperator(words []string) error {
 	w.Operator.PartitionRetention = duration(options(words[1:]), "cut-keep", 0)
 	return nil
 }
 
-// sceneLimits: limits changes=35: turns on the metering of calls and the state service's limit on
+// setupLimits: limits changes=35: turns on the metering of calls and the state service's limit on
 // the rate of changes, which it sets, in changes per second.
-func (w *World) sceneLimits(words []string) error {
+func (w *World) setupLimits(words []string) error {
 	w.limited, w.Platform.StateWriteRate = true, number(options(words[1:]), "changes", 35)
 	return nil
 }
 
-// sceneConnections: connections peers=24: limits the calls that a node has in flight to other
+// setupConnections: connections peers=24: limits the calls that a node has in flight to other
 // controllers.
-func (w *World) sceneConnections(words []string) error {
+func (w *World) setupConnections(words []string) error {
 	w.maxPeerCalls = int(number(options(words[1:]), "peers", 24))
 	return nil
 }
 
-// sceneCapacity: capacity big/a=3 big/a/spot=1: limits the machines that the cloud has left, by
+// setupCapacity: capacity big/a=3 big/a/spot=1: limits the machines that the cloud has left, by
 // type, zone and price.
-func (w *World) sceneCapacity(words []string) error {
+func (w *World) setupCapacity(words []string) error {
 	w.capacity = make(map[string]int)
 	o := options(words[1:])
 	for kind := range o {
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// sceneRollouts: rollouts: turns on roll-outs.
-func (w *World) sceneRollouts([]string) error {
+// setupRollouts: rollouts: turns on roll-outs.
+func (w *World) setupRollouts([]string) error {
 	w.rollouts = &rollout.Settings{ChecksPerS: 50, MaxInFlight: 20, MaxServices: 4}
 	return nil
 }
--- a/internal/simulation/shrink_test.go
+++ b/internal/simulation/shrink_test.go
@@ -24,18 +24,18 @@
 }
 
 // shrinkTrace removes timed lines from a trace as long as it still fails in the same way: first
-// many lines at a time, then single ones. The lines of the scene stay.
+// many lines at a time, then single ones. The setup lines stay.
 func shrinkTrace(text, kind string) string {
-	var scene, lines []string
+	var setup, lines []string
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, "at ") {
 			lines = append(lines, line)
 		} else {
-			scene = append(scene, line)
+			setup = append(setup, line)
 		}
 	}
 	trials := 0
-	join := func(lines []string) string { return strings.Join(slices.Concat(scene, lines), "") }
+	join := func(lines []string) string { return strings.Join(slices.Concat(setup, lines), "") }
 	fails := func(lines []string) bool {
 		trials++
 		_, err := playTrace(join(lines), nil)
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -73,10 +73,10 @@
 			if _, tracked := s.submittedAt[ref]; !tracked {
 				continue
 			}
-			if t.on && s.startedAt[ref] == 0 {
+			if t.onMachine && s.startedAt[ref] == 0 {
 				s.startedAt[ref] = s.now
 			}
-			if t.on {
+			if t.onMachine {
 				s.endedAt[ref] = s.now
 			}
 		}
@@ -90,7 +90,7 @@
 		s.Run(from + micros(i)*singleTaskInterval)
 		s.observeTasks()
 		if leaderEnds && i == s.count/2 {
-			s.end(s.leader(), 5*protocol.Second)
+			s.stopNode(s.leader(), 5*protocol.Second)
 		}
 		if i%jobsPerService == jobsPerService/2 {
 			s.submit(tb, fmt.Sprintf("req-%06d", 900000+i), "service class=pick tasks=2 gpus=0 cpus=1 mem=1 rank=critical size=0.1 image=pick")
@@ -110,7 +110,7 @@
 // unreportedJobs returns the arrays whose end was not reported to a user.
 func (s *singleTaskLoad) unreportedJobs() (refs []string) {
 	for ref := range s.submittedAt {
-		if j := s.jobs[ref]; j.spec.Kind != protocol.Service && !j.toldDone && j.toldCancelled == 0 {
+		if j := s.jobs[ref]; j.spec.Kind != protocol.Service && !j.reportedDone && j.cancelReportedAt == 0 {
 			refs = append(refs, ref)
 		}
 	}
@@ -136,8 +136,8 @@
 // maxReportDelay returns the longest time between the end of a job and its report as done.
 func (s *singleTaskLoad) maxReportDelay() (most micros) {
 	for ref := range s.submittedAt {
-		if j := s.jobs[ref]; j.toldDone {
-			most = max(most, j.toldAt-s.endedAt[ref])
+		if j := s.jobs[ref]; j.reportedDone {
+			most = max(most, j.endReportedAt-s.endedAt[ref])
 		}
 	}
 	return most
@@ -150,7 +150,7 @@
 	w := loadedFleetOf(t, NewWorld(3), 1300)
 	w.limited = true
 	for _, n := range w.nodes {
-		w.share(n, n == w.leader())
+		w.setRateShare(n, n == w.leader())
 	}
 	w.Run(45 * protocol.Second)
 	for _, j := range w.jobs {
@@ -231,7 +231,7 @@
 				w := loadedFleetOf(b, NewWorld(3), 1300)
 				w.limited = true
 				for _, n := range w.nodes {
-					w.share(n, n == w.leader())
+					w.setRateShare(n, n == w.leader())
 				}
 				w.Run(45 * protocol.Second)
 				var spent, longest time.Duration
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -67,9 +67,9 @@
 	w := loadedFleet(t, 2)
 	w.limited = true
 	for _, n := range w.nodes {
-		w.share(n, n == w.leader())
+		w.setRateShare(n, n == w.leader())
 	}
-	writtenBefore, questionsBefore := w.store.written, w.questions
+	writtenBefore, questionsBefore := w.store.written, w.emptyCalls
 	w.leader().alive = false
 	w.Run(w.now + 8*protocol.Second)
 	if w.leader() == nil {
@@ -84,7 +84,7 @@
 	if stale > 0 {
 		t.Errorf("%d machines have not seen the new epoch", stale)
 	}
-	if n := w.questions - questionsBefore; n > fleetSize {
+	if n := w.emptyCalls - questionsBefore; n > fleetSize {
 		t.Errorf("%d machines were queried %d times", fleetSize, n)
 	}
 	if n := w.store.written - writtenBefore; n > 60 {
--- a/internal/simulation/smallest_limits_test.go
+++ b/internal/simulation/smallest_limits_test.go
@@ -108,7 +108,7 @@
 	if yielded := strings.Contains(w.store.keys["epoch"].value, `"yields"`); !yielded {
 		t.Error("no leader released its lease")
 	}
-	if slices.ContainsFunc(w.store.order, func(key string) bool { return len(w.store.keys[key].value) > protocol.MinValueBytes }) {
+	if slices.ContainsFunc(w.store.sortedKeys, func(key string) bool { return len(w.store.keys[key].value) > protocol.MinValueBytes }) {
 		t.Error("a record is too large")
 	}
 }
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -67,11 +67,11 @@
 		tb.Fatal(err)
 	}
 	if announced {
-		l := w.store.fallen.StateLimits
+		l := w.store.loweredLimits.StateLimits
 		w.Platform.AnnouncedStateLimits = &l
 	}
 	for _, n := range w.nodes {
-		w.end(n, 3*protocol.Second)
+		w.stopNode(n, 3*protocol.Second)
 	}
 	written, commits, started, began := w.store.written, w.store.commits, w.started, w.now
 	for step := 0; (s.fitsAfter == 0 || s.startedAfter == 0) && w.now < began+300*protocol.Second; step++ {
@@ -113,8 +113,8 @@
 			if announced {
 				maxRefused = 1 // the first that splits a record, which would have written all its parts at once
 			}
-			if s.fitsAfter == 0 || s.fitsAfter > 40*protocol.Second || s.leaderAfter > 9*protocol.Second || s.startedAfter == 0 || w.store.fallen.count > maxRefused || s.largeBefore < 30 {
-				t.Errorf("%+v, %d transactions refused for their size", s, w.store.fallen.count)
+			if s.fitsAfter == 0 || s.fitsAfter > 40*protocol.Second || s.leaderAfter > 9*protocol.Second || s.startedAfter == 0 || w.store.loweredLimits.refusedCount > maxRefused || s.largeBefore < 30 {
+				t.Errorf("%+v, %d transactions refused for their size", s, w.store.loweredLimits.refusedCount)
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 				b.ReportMetric(float64(s.records), "records")
 				b.ReportMetric(float64(s.commits), "transactions")
 				b.ReportMetric(float64(s.written), "changes")
-				b.ReportMetric(float64(w.store.fallen.count), "refused_size")
+				b.ReportMetric(float64(w.store.loweredLimits.refusedCount), "refused_size")
 				b.ReportMetric(float64(w.store.refused), "refused_rate")
 			}
 		})
@@ -237,17 +237,17 @@
 // killed repeatedly while they split the records, and some writes are late. Completed tasks don't
 // run again, the others run, and in the end every record fits the limit.
 func TestLargeRecordsOfAnEarlierLeader(t *testing.T) {
-	for _, scene := range []string{"next\n", ""} {
+	for _, setup := range []string{"next\n", ""} {
 		for _, faults := range []string{"", "at 1 ends-in leading 3 after=0.3 back=0.2\n", "at 1 ends-in leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
-			text := "nodes 3\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nlimits changes=35\n" + scene + "fleet 60 large a\n" + earlierRecords(t) +
+			text := "nodes 3\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nlimits changes=35\n" + setup + "fleet 60 large a\n" + earlierRecords(t) +
 				"at 0 limits-fall\n" + faults + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
 			w, err := playTrace(text, nil)
 			if err != nil {
-				t.Errorf("%q %q: %v\n%s", scene, faults, err, strings.Join(w.Log, "\n"))
+				t.Errorf("%q %q: %v\n%s", setup, faults, err, strings.Join(w.Log, "\n"))
 			}
 			for key := range w.store.keys {
 				if strings.HasPrefix(key, "j/") {
-					t.Errorf("%q %q: %s has not ended", scene, faults, key)
+					t.Errorf("%q %q: %s has not ended", setup, faults, key)
 				}
 			}
 		}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -28,28 +28,28 @@
 
 	down              bool
 	keys              map[string]*entry
-	order             []string // the keys, sorted
+	sortedKeys        []string // the keys, sorted
 	bytes             int      // size of all keys and values
 	revision          uint64
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
 	watches           []*watch
-	changes           []change // the latest changes, sorted by stamp, see maxKeptChanges
-	compactedRevision uint64   // stamp of the last change that was removed from changes
+	changes           []change // the latest changes, sorted by revision, see maxKeptChanges
+	compactedRevision uint64   // revision of the last change that was removed from changes
 	written           int      // puts and deletes of the transactions in commits
 	commits           int      // transactions that no rate or lowered limit refused
 	refused           int      // transactions refused because of the rate of changes
-	conflict          int      // transactions of which a condition was not met
+	conflicts         int      // transactions of which a condition was not met
 	served            int      // requests
 	writes            tokenBucket
 	requests          tokenBucket
-	fallen            *fallenLimits // lowered limits, nil if those of platform apply
+	loweredLimits     *loweredLimits // lowered limits, nil if those of platform apply
 }
 
 type entry struct {
-	value string
-	stamp uint64 // revision of the last change
-	lease uint64 // ID of the lease that the key is bound to, 0 for none
+	value    string
+	revision uint64 // revision of the last change
+	lease    uint64 // ID of the lease that the key is bound to, 0 for none
 }
 
 type lease struct {
@@ -58,12 +58,12 @@
 
 type change struct {
 	key, value string // value is "" if the key was deleted
-	stamp      uint64
+	revision   uint64
 }
 
 type watch struct {
 	prefix  string
-	since   uint64 // stamp after which changes are reported
+	since   uint64 // revision after which changes are reported
 	expires micros
 	changed bool // a key with the prefix has changed since
 	answer  func(int, string)
@@ -71,19 +71,19 @@
 
 // tokenBucket limits a rate. It holds at most the tokens of some seconds.
 type tokenBucket struct {
-	room       float64
+	tokens     float64
 	refilledAt micros
 }
 
 // take adds the tokens for the time since the last call, up to those of the given seconds, and
 // removes n tokens if there are that many.
 func (b *tokenBucket) take(now micros, rate, seconds, n float64) bool {
-	b.room = min(rate*seconds, b.room+rate*(now-b.refilledAt).Seconds())
+	b.tokens = min(rate*seconds, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
-	if b.room < n {
+	if b.tokens < n {
 		return false
 	}
-	b.room -= n
+	b.tokens -= n
 	return true
 }
 
@@ -91,8 +91,8 @@
 // full, as after a while without changes.
 func newStore(w *World) *store {
 	return &store{
-		now: func() micros { return w.now }, platform: &w.Platform, writesLimited: func() bool { return w.limited }, reportViolation: w.broken, applied: w.committed,
-		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: tokenBucket{room: math.Inf(1)},
+		now: func() micros { return w.now }, platform: &w.Platform, writesLimited: func() bool { return w.limited }, reportViolation: w.reportViolation, applied: w.handleCommit,
+		keys: make(map[string]*entry), leases: make(map[uint64]*lease), writes: tokenBucket{tokens: math.Inf(1)},
 	}
 }
 
@@ -100,8 +100,8 @@
 func (s *store) set(key string, e *entry) {
 	old := s.keys[key]
 	if old == nil {
-		i, _ := slices.BinarySearch(s.order, key)
-		s.order = slices.Insert(s.order, i, key)
+		i, _ := slices.BinarySearch(s.sortedKeys, key)
+		s.sortedKeys = slices.Insert(s.sortedKeys, i, key)
 		s.bytes += len(key)
 	} else {
 		s.bytes -= len(old.value)
@@ -112,8 +112,8 @@
 
 // remove deletes a key, which must exist.
 func (s *store) remove(key string) {
-	i, _ := slices.BinarySearch(s.order, key)
-	s.order = slices.Delete(s.order, i, i+1)
+	i, _ := slices.BinarySearch(s.sortedKeys, key)
+	s.sortedKeys = slices.Delete(s.sortedKeys, i, i+1)
 	s.bytes -= len(key) + len(s.keys[key].value)
 	delete(s.keys, key)
 }
@@ -156,7 +156,7 @@
 	}
 	s.answerWatches()
 	if n := len(s.changes) - maxKeptChanges; n > maxKeptChanges/10 {
-		s.compactedRevision = s.changes[n-1].stamp
+		s.compactedRevision = s.changes[n-1].revision
 		s.changes = append([]change(nil), s.changes[n:]...)
 	}
 }
@@ -181,7 +181,7 @@
 
 // firstChangeAfter returns the index in changes of the first change after a revision.
 func (s *store) firstChangeAfter(revision uint64) int {
-	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].stamp > revision })
+	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].revision > revision })
 }
 
 // watchEvents returns the changes that a watch has to report.
@@ -192,9 +192,9 @@
 			continue
 		}
 		if c.value == "" {
-			list = append(list, fmt.Sprintf(`{"drop":%q,"stamp":%d}`, c.key, c.stamp))
+			list = append(list, fmt.Sprintf(`{"drop":%q,"stamp":%d}`, c.key, c.revision))
 		} else {
-			list = append(list, fmt.Sprintf(`{"set":%q,"data":%s,"stamp":%d}`, c.key, c.value, c.stamp))
+			list = append(list, fmt.Sprintf(`{"set":%q,"data":%s,"stamp":%d}`, c.key, c.value, c.revision))
 		}
 	}
 	return list
@@ -243,7 +243,7 @@
 			answer(404, fmt.Sprintf(`{"generation":%d}`, s.revision))
 			return
 		}
-		answer(200, fmt.Sprintf(`{"path":%q,"data":%s,"stamp":%d,"hold":%d}`, key, e.value, e.stamp, e.lease))
+		answer(200, fmt.Sprintf(`{"path":%q,"data":%s,"stamp":%d,"hold":%d}`, key, e.value, e.revision, e.lease))
 	case method == "GET" && path == "/store":
 		page, _ := strconv.Atoi(args["page"])
 		answer(200, s.list(args["under"], args["since"], page))
@@ -300,8 +300,8 @@
 		answer(429, `{}`)
 		return
 	}
-	if s.fallen != nil {
-		if problem := s.fallen.refuses(body, then); problem != "" {
+	if s.loweredLimits != nil {
+		if problem := s.loweredLimits.refuses(body, then); problem != "" {
 			answer(400, fmt.Sprintf(`{"error":%q}`, problem))
 			return
 		}
@@ -321,11 +321,11 @@
 	var failed []string
 	for _, c := range v.GetArray("when") {
 		key := string(c.GetStringBytes("path"))
-		var stamp uint64
+		var revision uint64
 		if e := s.keys[key]; e != nil {
-			stamp = e.stamp
+			revision = e.revision
 		}
-		if stamp != c.GetUint64("stamp") {
+		if revision != c.GetUint64("stamp") {
 			failed = append(failed, strconv.Quote(key))
 		}
 	}
@@ -336,7 +336,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		s.conflict++
+		s.conflicts++
 		answer(409, fmt.Sprintf(`{"failed":[%s],"generation":%d}`, strings.Join(failed, ","), s.revision))
 		return
 	}
@@ -373,17 +373,17 @@
 	if page <= 0 || page > maxPageKeys {
 		page = maxPageKeys
 	}
-	i, _ := slices.BinarySearch(s.order, prefix)
+	i, _ := slices.BinarySearch(s.sortedKeys, prefix)
 	if after >= prefix {
 		var found bool
-		if i, found = slices.BinarySearch(s.order, after); found {
+		if i, found = slices.BinarySearch(s.sortedKeys, after); found {
 			i++
 		}
 	}
 	var items strings.Builder
 	more := false
-	for n := 0; i < len(s.order) && strings.HasPrefix(s.order[i], prefix); n, i = n+1, i+1 {
-		k, e := s.order[i], s.keys[s.order[i]]
+	for n := 0; i < len(s.sortedKeys) && strings.HasPrefix(s.sortedKeys[i], prefix); n, i = n+1, i+1 {
+		k, e := s.sortedKeys[i], s.keys[s.sortedKeys[i]]
 		if n == page || n > 0 && items.Len()+len(k)+len(e.value)+64 > maxPageBytes {
 			more = true
 			break
@@ -391,7 +391,7 @@
 		if n > 0 {
 			items.WriteByte(',')
 		}
-		fmt.Fprintf(&items, `{"path":%q,"data":%s,"stamp":%d}`, k, e.value, e.stamp)
+		fmt.Fprintf(&items, `{"path":%q,"data":%s,"stamp":%d}`, k, e.value, e.revision)
 	}
 	return fmt.Sprintf(`{"entries":[%s],"truncated":%t,"generation":%d}`, items.String(), more, s.revision)
 }
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -11,7 +11,7 @@
 
 // A trace is a script for one run of the simulation: it lists what a deployment contains, the
 // events and their times, and what is expected. Lines that start with "at" have a time in seconds;
-// the others set up the deployment at the start, which is called the scene. "#" begins a comment.
+// the others, the setup lines, set up the deployment at the start. "#" begins a comment.
 //
 //	nodes 2
 //	team red gpus=4 max=6
@@ -57,7 +57,7 @@
 			return fmt.Errorf("line %d (%s): %s", lineNumber, strings.TrimSpace(line), fmt.Sprintf(format, args...))
 		}
 		if words[0] != "at" {
-			if err := w.scene(words); err != nil {
+			if err := w.setup(words); err != nil {
 				return fail("%v", err)
 			}
 			continue
@@ -74,7 +74,7 @@
 			return fail("%v", err)
 		}
 		w.Run(protocol.FromSeconds(at))
-		if err := w.act(words[2:]); err != nil {
+		if err := w.runVerb(words[2:]); err != nil {
 			return fail("%v", err)
 		}
 	}
--- a/internal/simulation/upgrade_in_trouble_test.go
+++ b/internal/simulation/upgrade_in_trouble_test.go
@@ -25,9 +25,9 @@
 func drawUpgradeInTrouble(t *rapid.T) string {
 	const machines = 9
 	nodes := rapid.SampledFrom([]int{3, 5}).Draw(t, "nodes")
-	scene := fmt.Sprintf("nodes %d a b c a b\nproduction %d\nteam red\ntype big cpus=32 gpus=2 mem=128 boot=10 zones=a,b,c\nlimits changes=35\n", nodes, nodes)
+	setup := fmt.Sprintf("nodes %d a b c a b\nproduction %d\nteam red\ntype big cpus=32 gpus=2 mem=128 boot=10 zones=a,b,c\nlimits changes=35\n", nodes, nodes)
 	for _, zone := range []string{"a", "b", "c"} {
-		scene += fmt.Sprintf("fleet %d big %s\n", machines/3, zone)
+		setup += fmt.Sprintf("fleet %d big %s\n", machines/3, zone)
 	}
 
 	upgrade := &upgradeDraw{T: t}
@@ -36,7 +36,7 @@
 	if rapid.Bool().Draw(t, "once the level is active") {
 		chains.submitTrigger = "when set:level"
 	}
-	scene += chains.limitsFall(upgrade.from, upgrade.to)
+	setup += chains.limitsFall(upgrade.from, upgrade.to)
 	chains.jobsBeforeUpgrade()
 	cancelled := chains.jobs()
 	chains.faults(nodes, machines)
@@ -51,7 +51,7 @@
 	h.at(upgradeHistoryEnd, "expect unanswered 80")
 	h.at(upgradeHistoryEnd, "expect fits 2048")
 	h.at(upgradeHistoryEnd, "expect unfit 8")
-	return h.text(scene)
+	return h.text(setup)
 }
 
 // jobsBeforeUpgrade draws jobs that run when the upgrade begins: many small tasks on each
@@ -63,9 +63,9 @@
 }
 
 // limitsFall lowers the limits of the state service before, during or after an upgrade. They
-// are announced from the start, by a line of the scene that limitsFall returns, or to the
+// are announced from the start, by a setup line that limitsFall returns, or to the
 // controllers that start from some time on, or not at all.
-func (d *chainDraw) limitsFall(from, to float64) (scene string) {
+func (d *chainDraw) limitsFall(from, to float64) (setup string) {
 	var at float64
 	switch rapid.SampledFrom([]string{"before", "in", "after"}).Draw(d.t, "limits fall") {
 	case "before":
@@ -78,11 +78,11 @@
 	d.h.at(at, "limits-fall %s", lowerLimits)
 	switch rapid.SampledFrom([]string{"from the start", "to new ones", "no"}).Draw(d.t, "announced") {
 	case "from the start":
-		scene = "next " + lowerLimits + "\n"
+		setup = "next " + lowerLimits + "\n"
 	case "to new ones":
 		d.h.at(min(from, at)-0.5, "announce %s", lowerLimits)
 	}
-	return scene
+	return setup
 }
 
 // A whole deployment is upgraded to this version while the limits of the state service are
--- a/internal/simulation/user_verbs.go
+++ b/internal/simulation/user_verbs.go
@@ -25,10 +25,10 @@
 		"expect-over-known": (*World).actIfKnown,
 		"cancel-once":       func(w *World, words []string) error { return w.cancelOnce(words[1]) },
 		"cancel-at":         (*World).actCancelAt,
-		"cancel-now":        (*World).actTrouble,
-		"cancel-at-end":     (*World).actTrouble,
-		"cancel-asked":      (*World).actTrouble,
-		"odd-requests":      (*World).actTrouble,
+		"cancel-now":        (*World).actFault,
+		"cancel-at-end":     (*World).actFault,
+		"cancel-asked":      (*World).actFault,
+		"odd-requests":      (*World).actFault,
 		"ask-at":            (*World).actAskAt,
 		"ask-everywhere":    func(w *World, words []string) error { return w.askEverywhere(words[1]) },
 		"close-looks":       (*World).actCloseLooks,
@@ -100,9 +100,9 @@
 // command and of changes of leader, and the longest times for which queries stay unanswered and
 // jobs wait beside room.
 func (w *World) actCount([]string) error {
-	w.written, w.asked, w.led = w.store.written, w.questions, w.leaders
+	w.writtenAtCount, w.emptyCallsAtCount, w.leadersAtCount = w.store.written, w.emptyCalls, w.leaders
 	w.unanswered = 0
-	w.countWaiting()
+	w.resetWaiting()
 	for _, j := range w.jobs {
 		j.answeredAt = w.now
 	}
@@ -125,9 +125,9 @@
 		check := func(status int, body []byte) {
 			switch {
 			case j.accepted && (status == 404 || status == 400 || status == 422):
-				w.broken("forgotten: %s got %d", ref, status)
-			case (status == 200 || status == 201) && (j.toldAt == 0 || j.toldAt <= sentAt):
-				w.heard(j, fastjson.GetString(body, "phase"))
+				w.reportViolation("forgotten: %s got %d", ref, status)
+			case (status == 200 || status == 201) && (j.endReportedAt == 0 || j.endReportedAt <= sentAt):
+				w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 			}
 		}
 		w.request(n, "query", ref, check)
@@ -138,14 +138,14 @@
 
 // cancelOnce: cancel-once REF: the user of a job requests its cancellation once, without a retry.
 func (w *World) cancelOnce(ref string) error {
-	j, n := w.jobs[ref], w.upNode()
+	j, n := w.jobs[ref], w.nextReachableNode()
 	if j == nil || n == nil {
 		return fmt.Errorf("no such job, or no node")
 	}
-	j.asked = true
+	j.cancelRequested = true
 	w.request(n, "cancel", ref, func(status int, body []byte) {
 		if status == 200 {
-			w.heard(j, fastjson.GetString(body, "phase"))
+			w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 		}
 	})
 	return nil
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -14,24 +14,24 @@
 // userJob is a submitted job: the submission, how its tasks run, and what controllers reported
 // about it to its user.
 type userJob struct {
-	spec          *protocol.JobSpec
-	body          []byte // body of the submission
-	run           micros // actual run time of a task
-	fails         bool   // every task fails
-	tries         int    // launches of its tasks that machines carried out
-	results       []bool // by task: whether it completed
-	accepted      bool
-	status        int    // status of the last answer to a submission, 0 if none came in time
-	phase         string // last phase that a controller reported to the user
-	done, running int    // numbers of tasks in the last answer to a query
-	asked         bool   // the user requested cancellation
-	askedAt       micros // time of the cancellation request of cancel-at
-	toldDone      bool   // a controller reported that the job is done
-	toldAt        micros // time of the first report that it is done or cancelled
-	toldCancelled micros // time of the first report that it is cancelled, 0 if none
-	connectedNode *node  // node that the user is connected to, see stickyUsers
-	answeredAt    micros // time when a query about the job was last answered
-	waiting       waitBeside
+	spec              *protocol.JobSpec
+	body              []byte // body of the submission
+	run               micros // actual run time of a task
+	fails             bool   // every task fails
+	launches          int    // launches of its tasks that machines carried out
+	results           []bool // by task: whether it completed
+	accepted          bool
+	status            int    // status of the last answer to a submission, 0 if none came in time
+	phase             string // last phase that a controller reported to the user
+	done, running     int    // numbers of tasks in the last answer to a query
+	cancelRequested   bool   // the user requested cancellation
+	cancelRequestedAt micros // time of the cancellation request of cancel-at
+	reportedDone      bool   // a controller reported that the job is done
+	endReportedAt     micros // time of the first report that it is done or cancelled
+	cancelReportedAt  micros // time of the first report that it is cancelled, 0 if none
+	connectedNode     *node  // node that the user is connected to, see stickyUsers
+	answeredAt        micros // time when a query about the job was last answered
+	waiting           roomWait
 }
 
 // userTimeouts contains the time for which users wait for an answer, by kind of request.
@@ -40,7 +40,7 @@
 // request sends a request of a kind to a controller and passes the answer to answer, with status 0
 // if none comes in time.
 func (w *World) request(n *node, kind, body string, answer func(int, []byte)) {
-	answer = w.compared(n, kind, body, answer)
+	answer = w.comparingHandler(n, kind, body, answer)
 	w.nextConn++
 	conn := w.nextConn
 	w.answers[conn] = answer
@@ -71,15 +71,15 @@
 	}
 }
 
-// upNode returns the node for a user's next request: userNode or else, by round-robin, the next
-// node that is reachable and in the load balancer's rotation, nil if there is none.
-func (w *World) upNode() *node {
+// nextReachableNode returns the node for a user's next request: userNode or else, by round-robin,
+// the next node that is reachable and in the load balancer's rotation, nil if there is none.
+func (w *World) nextReachableNode() *node {
 	if w.userNode != nil {
 		return w.userNode
 	}
 	for range w.nodes {
 		w.nodeCursor++
-		if n := w.nodes[w.nodeCursor%len(w.nodes)]; w.reachable(n) && !n.out {
+		if n := w.nodes[w.nodeCursor%len(w.nodes)]; w.reachable(n) && !n.outOfRotation {
 			return n
 		}
 	}
@@ -92,9 +92,9 @@
 	return n.alive && !n.cut && !slices.Contains(w.cutZones, n.zone)
 }
 
-// insist sends a request as a user would: to one node after another, until final reports that the
-// answer is final. It retries up to 60 times, a second after each failure.
-func (w *World) insist(kind, body string, final func(status int, body []byte) bool) {
+// requestUntilFinal sends a request as a user would: to one node after another, until final reports
+// that the answer is final. It retries up to 60 times, a second after each failure.
+func (w *World) requestUntilFinal(kind, body string, final func(status int, body []byte) bool) {
 	var try func(left int)
 	try = func(left int) {
 		retry := func() {
@@ -102,7 +102,7 @@
 				w.after(protocol.Second, func() { try(left - 1) })
 			}
 		}
-		n := w.upNode()
+		n := w.nextReachableNode()
 		if n == nil {
 			retry()
 			return
@@ -120,10 +120,10 @@
 // job that was accepted before.
 func (w *World) submit(j *userJob) {
 	w.jobs[j.spec.Ref] = j
-	nameable := w.nameable(j)
-	w.insist("submit", string(j.body), func(status int, body []byte) bool {
+	dependenciesAccepted := w.dependenciesAccepted(j)
+	w.requestUntilFinal("submit", string(j.body), func(status int, body []byte) bool {
 		j.status = status
-		w.checkChained(j, nameable, status, body)
+		w.checkChained(j, dependenciesAccepted, status, body)
 		switch status {
 		case 200, 201:
 			if w.copyDelay > 0 && !j.accepted {
@@ -133,7 +133,7 @@
 			j.accepted = true
 		case 400, 422:
 			if j.accepted {
-				w.broken("forgotten: %s got %d", j.spec.Ref, status)
+				w.reportViolation("forgotten: %s got %d", j.spec.Ref, status)
 			}
 		default:
 			return false
@@ -144,12 +144,12 @@
 
 // cancel requests the cancellation of a job until a controller confirms it.
 func (w *World) cancel(j *userJob) {
-	j.asked = true
-	w.insist("cancel", j.spec.Ref, func(status int, body []byte) bool {
+	j.cancelRequested = true
+	w.requestUntilFinal("cancel", j.spec.Ref, func(status int, body []byte) bool {
 		if status != 200 {
 			return false
 		}
-		w.heard(j, fastjson.GetString(body, "phase"))
+		w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 		return true
 	})
 }
@@ -181,11 +181,11 @@
 				j.answeredAt = w.now
 			}
 			if status == 404 {
-				w.broken("forgotten: %s", r)
+				w.reportViolation("forgotten: %s", r)
 			}
-			if status == 200 && j.toldAt <= sentAt { // else it may be older than the report of the end
+			if status == 200 && j.endReportedAt <= sentAt { // else it may be older than the report of the end
 				j.done, j.running = fastjson.GetInt(body, "done"), fastjson.GetInt(body, "running")
-				w.heard(j, fastjson.GetString(body, "phase"))
+				w.checkReportedPhase(j, fastjson.GetString(body, "phase"))
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 	}
 	sort.Strings(refs)
 	for i := range count {
-		n := w.upNode()
+		n := w.nextReachableNode()
 		if n == nil {
 			return
 		}
@@ -212,50 +212,50 @@
 		sentAt := w.now
 		w.request(n, "query", ref, func(status int, body []byte) {
 			switch {
-			case status == 200 && known && w.jobs[ref].toldAt > sentAt: // may be older than the report of the end
+			case status == 200 && known && w.jobs[ref].endReportedAt > sentAt: // may be older than the report of the end
 			case status == 200 && known:
-				w.heard(w.jobs[ref], fastjson.GetString(body, "phase"))
+				w.checkReportedPhase(w.jobs[ref], fastjson.GetString(body, "phase"))
 			case status == 200:
-				w.broken("invented: %s", ref)
+				w.reportViolation("invented: %s", ref)
 			case status == 404 && known && w.jobs[ref].accepted:
-				w.broken("forgotten: %s", ref)
+				w.reportViolation("forgotten: %s", ref)
 			case status != 404:
-				w.inVain++
+				w.unansweredQueries++
 			}
 		})
 	}
 }
 
-// heard checks and stores the phase of a job that an answer reports to its user: a finished job
-// must keep its phase, a job is done only if all its tasks completed, and cancelled only if its
-// user, or that of a job that it needs, requested it.
-func (w *World) heard(j *userJob, phase string) {
+// checkReportedPhase checks and stores the phase of a job that an answer reports to its user: a
+// finished job must keep its phase, a job is done only if all its tasks completed, and cancelled
+// only if its user, or that of a job that it needs, requested it.
+func (w *World) checkReportedPhase(j *userJob, phase string) {
 	ref := j.spec.Ref
-	if j.toldDone && phase != "done" || j.toldCancelled > 0 && phase != "cancelled" {
-		w.broken("went_back: %s is %s", ref, phase)
+	if j.reportedDone && phase != "done" || j.cancelReportedAt > 0 && phase != "cancelled" {
+		w.reportViolation("went_back: %s is %s", ref, phase)
 	}
 	if phase != j.phase {
 		w.note("%s is %s", ref, phase)
 	}
 	w.checkOrphaned(j, phase)
 	j.phase = phase
-	if j.toldAt == 0 && (phase == "done" || phase == "cancelled") {
-		j.toldAt = w.now
+	if j.endReportedAt == 0 && (phase == "done" || phase == "cancelled") {
+		j.endReportedAt = w.now
 	}
 	switch phase {
 	case "done":
-		j.toldDone = true
+		j.reportedDone = true
 		for i, ok := range j.results {
 			if !ok {
-				w.broken("not_done: %s/%d", ref, i)
+				w.reportViolation("not_done: %s/%d", ref, i)
 			}
 		}
 	case "cancelled":
 		if !w.askedToCancel(j) {
-			w.broken("went_back: nobody cancelled %s", ref)
+			w.reportViolation("went_back: nobody cancelled %s", ref)
 		}
-		if j.toldCancelled == 0 {
-			j.toldCancelled = w.now
+		if j.cancelReportedAt == 0 {
+			j.cancelReportedAt = w.now
 		}
 	}
 }
@@ -265,9 +265,9 @@
 func (w *World) checkCancelled() {
 	for _, m := range w.sortedMachines() {
 		for _, t := range m.sorted() {
-			if t.on && t.job.toldCancelled > 0 && w.now > t.job.toldCancelled+w.Platform.CancelTimeout {
-				t.job.toldCancelled = w.now // not to report it again at every tick
-				w.broken("ran_cancelled: %s/%d", t.job.spec.Ref, t.index)
+			if t.onMachine && t.job.cancelReportedAt > 0 && w.now > t.job.cancelReportedAt+w.Platform.CancelTimeout {
+				t.job.cancelReportedAt = w.now // not to report it again at every tick
+				w.reportViolation("ran_cancelled: %s/%d", t.job.spec.Ref, t.index)
 			}
 		}
 	}
--- a/internal/simulation/verbs.go
+++ b/internal/simulation/verbs.go
@@ -34,8 +34,8 @@
 	errNoSuchMachine = errors.New("no such machine")
 )
 
-// act carries out a line of a trace, without its time.
-func (w *World) act(words []string) error {
+// runVerb carries out a line of a trace, without its time.
+func (w *World) runVerb(words []string) error {
 	w.note("-- %s", strings.Join(words, " "))
 	v := verbs[words[0]]
 	if v == nil {
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -25,8 +25,8 @@
 	active featuregate.Level // the active level in the state service
 }
 
-// generation has the versions that a controller runs.
-type generation struct {
+// nodeVersions has the versions that a controller runs.
+type nodeVersions struct {
 	nextVersion version // of its next process
 	running     version // of its current process, or of the last one
 }
@@ -55,9 +55,9 @@
 	n.ctl.SetFeatureRange(featuregate.Range{High: n.running.serves()}, "rehearsal")
 }
 
-// sceneProduction carries out production COUNT: the first COUNT controllers run the version in
+// setupProduction carries out production COUNT: the first COUNT controllers run the version in
 // production.
-func (w *World) sceneProduction(words []string) error {
+func (w *World) setupProduction(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil || count > len(w.nodes) {
 		return fmt.Errorf("production COUNT, after nodes")
@@ -92,7 +92,7 @@
 		o := options(words[2:])
 		n.nextVersion = version{production: words[0] == "downgrade", fewerLevels: featuregate.Level(number(o, "less", 0))}
 		if n.alive {
-			w.end(n, protocol.FromSeconds(number(o, "after", 3)))
+			w.stopNode(n, protocol.FromSeconds(number(o, "after", 3)))
 		}
 	}
 	return nil
@@ -109,13 +109,13 @@
 		}
 		level, err := featuregate.DecodeLevel(c.Get("data").MarshalTo(nil))
 		if err != nil || level <= v.active {
-			w.broken("feature level: %s after %d, %v", c.Get("data"), v.active, err)
+			w.reportViolation("feature level: %s after %d, %v", c.Get("data"), v.active, err)
 		}
 		v.active = level
 		w.note("feature level %d is active", level)
 		for _, n := range w.nodes {
 			if n.running.serves() < level {
-				w.broken("feature level %d is active, and %s serves up to %d", level, n.name, n.running.serves())
+				w.reportViolation("feature level %d is active, and %s serves up to %d", level, n.name, n.running.serves())
 			}
 		}
 	}
@@ -123,16 +123,16 @@
 		value := c.Get("data")
 		key := string(c.GetStringBytes("set"))
 		if strings.HasPrefix(key, records.JobPrefix) && len(value.GetArray("job", "awaits")) > 0 && v.active < featuregate.ChainedJobs.From {
-			w.broken("%s awaits others at feature level %d", key, v.active)
+			w.reportViolation("%s awaits others at feature level %d", key, v.active)
 		}
 		switch key {
 		case records.KeyEpoch:
 			if e, err := records.DecodeEpoch(value.MarshalTo(nil)); err != nil || e.Level != v.active {
-				w.broken("the epoch's record is %s at feature level %d", value, v.active)
+				w.reportViolation("the epoch's record is %s at feature level %d", value, v.active)
 			}
 		case records.KeyMachineTypes:
 			if _, versioned, err := records.DecodeMachineTypes(value.MarshalTo(nil)); err != nil || versioned != (v.active > 0) {
-				w.broken("the machine types are %s at feature level %d", value, v.active)
+				w.reportViolation("the machine types are %s at feature level %d", value, v.active)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 	}
 	switch n.ctl.Role() {
 	case controller.RoleRecovering, controller.RoleLeader, controller.RoleLeaseUncertain:
-		w.broken("%s serves up to %d and leads at feature level %d", n.name, n.running.serves(), w.versions.active)
+		w.reportViolation("%s serves up to %d and leads at feature level %d", n.name, n.running.serves(), w.versions.active)
 	case controller.RoleFollower, controller.RoleAcquiringLease, controller.RoleClaiming:
 	}
 }
@@ -155,12 +155,12 @@
 // active level must neither claim leadership nor accept jobs, and no controller may send a
 // transaction that was refused for its size.
 func (w *World) checkSends(n *node, c controller.Call) {
-	if fallen := w.store.fallen; fallen != nil && c.Target == controller.ToState && fallen.refused[string(c.Body)] {
-		w.broken("%s sends a transaction that was refused", n.name)
+	if lowered := w.store.loweredLimits; lowered != nil && c.Target == controller.ToState && lowered.refused[string(c.Body)] {
+		w.reportViolation("%s sends a transaction that was refused", n.name)
 	}
 	if n.running.serves() < w.versions.active && c.Target == controller.ToState && c.Path == "/commit" &&
 		(strings.Contains(string(c.Body), `"set":"`+records.JobPrefix) || strings.Contains(string(c.Body), `"set":"`+records.KeyLeader)) {
-		w.broken("%s serves up to %d and writes at feature level %d: %s", n.name, n.running.serves(), w.versions.active, c.Body)
+		w.reportViolation("%s serves up to %d and writes at feature level %d: %s", n.name, n.running.serves(), w.versions.active, c.Body)
 	}
 }
 
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -15,8 +15,8 @@
 // drawUpgrade adds an upgrade to a generated history: some controllers run the production
 // version, and are upgraded to this one while faults occur.
 func drawUpgrade(t *rapid.T, history string) string {
-	scene, _, _ := strings.Cut(history, "\n")
-	nodes, err := strconv.Atoi(strings.Fields(scene)[1])
+	setup, _, _ := strings.Cut(history, "\n")
+	nodes, err := strconv.Atoi(strings.Fields(setup)[1])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// lineInstant returns the time of a line of a trace, or -1 for a line of the scene.
+// lineInstant returns the time of a line of a trace, or -1 for a setup line.
 func lineInstant(line string) float64 {
 	words := strings.Fields(line)
 	if words[0] != "at" {
--- a/internal/simulation/waiting_jobs.go
+++ b/internal/simulation/waiting_jobs.go
@@ -11,8 +11,8 @@
 // team is below its limit. A job that waits like this for 90 s after all faults have ended is
 // regarded by its user as left behind.
 
-// waitBeside is how long a job has been waiting although there is room for it.
-type waitBeside struct {
+// roomWait is how long a job has been waiting although there is room for it.
+type roomWait struct {
 	since   micros // start of the current wait, 0 if there is none
 	longest micros // the longest wait so far
 }
@@ -31,10 +31,10 @@
 	}
 }
 
-// countWaiting resets the waiting times of all jobs.
-func (w *World) countWaiting() {
+// resetWaiting resets the waiting times of all jobs.
+func (w *World) resetWaiting() {
 	for _, j := range w.jobs {
-		j.waiting = waitBeside{}
+		j.waiting = roomWait{}
 	}
 }
 
@@ -51,7 +51,7 @@
 // waitsDespiteRoom reports whether a job has no task that was launched and has not ended, although
 // there is room to begin: for one task, or for all tasks of a gang.
 func (w *World) waitsDespiteRoom(j *userJob) bool {
-	if !j.accepted || j.asked || j.toldDone || j.toldCancelled > 0 {
+	if !j.accepted || j.cancelRequested || j.reportedDone || j.cancelReportedAt > 0 {
 		return false
 	}
 	s := j.spec
@@ -78,7 +78,7 @@
 				used = used.Add(t.job.spec.TaskResources, 1)
 			}
 		}
-		if m.phase != "running" || m.hung || m.spoilt || !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
+		if m.phase != "running" || m.hung || m.failsTasks || !s.AllowsType(m.typ) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
 			continue
 		}
 		for ; room.Covers(s.TaskResources); room = room.Add(s.TaskResources, -1) {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -37,45 +37,45 @@
 
 	// nodeEndsLeft is the number of nodes that still have to end after entering the role
 	// nodeEndsRole, which is RoleRecovering by default.
-	nodeEndsLeft    int
-	nodeEndsRole    controller.Role
-	nodeEndsDelay   micros   // time from entering the role to the end
-	nodeEndsRestart micros   // time from the end to the restart, 0 for no automatic restart
-	endedLoading    int      // number of nodes that ended in this way
-	copyDelay       micros   // time after a request at which a copy of it arrives, 0 for no copies
-	bootFactor      float64  // factor on boot times; 0 if machines never finish booting
-	listLag         micros   // age below which the cloud doesn't list a machine
-	inVain          int      // queries of a storm that got neither 200 nor 404
-	cutZones        []string // zones cut off from all others, but not from each other
-	heldMessages    []func() // messages held at the boundary of cutZones, in order
-	quiet           bool     // Log is not written
+	nodeEndsLeft      int
+	nodeEndsRole      controller.Role
+	nodeEndsDelay     micros   // time from entering the role to the end
+	nodeEndsRestart   micros   // time from the end to the restart, 0 for no automatic restart
+	nodesEnded        int      // number of nodes that ended in this way
+	copyDelay         micros   // time after a request at which a copy of it arrives, 0 for no copies
+	bootFactor        float64  // factor on boot times; 0 if machines never finish booting
+	listLag           micros   // age below which the cloud doesn't list a machine
+	unansweredQueries int      // queries of a storm that got neither 200 nor 404
+	cutZones          []string // zones cut off from all others, but not from each other
+	heldMessages      []func() // messages held at the boundary of cutZones, in order
+	quiet             bool     // Log is not written
 	// limited: controllers meter their calls as the program does, and the state service enforces
 	// its rate of changes.
-	limited        bool
-	maxPeerCalls   int            // calls in flight from a node to other controllers, 0 for any number
-	capacity       map[string]int // machines that the cloud has left, by kind; nil for any number
-	questions      int            // direct calls to workers that carry no command
-	written, asked int            // store.written and questions when the trace began to count
-	leaders, led   int            // how often a node became leader, and that when counting began
-	backlog        int            // waiting events that every tick reports to its node
-	noCapacity     bool
-	released       int
-	rented         int
-	started        int
-	nodeCursor     int   // position in the round-robin choice of nodes for users' requests
-	userNode       *node // node that gets all users' requests, nil for round-robin
-	nextConn       uint64
-	answers        map[uint64]func(int, []byte)
-
-	troubles
+	limited                           bool
+	maxPeerCalls                      int            // calls in flight from a node to other controllers, 0 for any number
+	capacity                          map[string]int // machines that the cloud has left, by kind; nil for any number
+	emptyCalls                        int            // direct calls to workers that carry no command
+	writtenAtCount, emptyCallsAtCount int            // store.written and emptyCalls when the trace began to count
+	leaders, leadersAtCount           int            // how often a node became leader, and that when counting began
+	backlog                           int            // waiting events that every tick reports to its node
+	noCapacity                        bool
+	released                          int
+	rented                            int
+	started                           int
+	nodeCursor                        int   // position in the round-robin choice of nodes for users' requests
+	userNode                          *node // node that gets all users' requests, nil for round-robin
+	nextConn                          uint64
+	answers                           map[uint64]func(int, []byte)
+
+	faults
 	endsOn      endsOn
-	lateWrites  lateness      // transactions that get no answer and are carried out later
-	lateReports lateness      // workers' heartbeats of which a copy arrives later
-	stickyUsers bool          // users keep their connection to a node, see nodeForUser
-	unanswered  micros        // longest time for which no query about one job was answered
-	looks       closeLooks    // queries to all controllers after each change that a user sees
-	lateAnswers []lateAnswers // requests that the state service carries out at once and answers late
-	whenChanged []whenChanged // lines of the trace that run once a key has changed
+	lateWrites  lateness         // transactions that get no answer and are carried out later
+	lateReports lateness         // workers' heartbeats of which a copy arrives later
+	stickyUsers bool             // users keep their connection to a node, see nodeForUser
+	unanswered  micros           // longest time for which no query about one job was answered
+	comparison  answerComparison // states reported to users, and settings of the follow-up requests
+	lateAnswers []lateAnswers    // requests that the state service carries out at once and answers late
+	whenChanged []whenChanged    // lines of the trace that run once a key has changed
 	// cancelLongest is the longest time that a user of cancel-at waited for the answer.
 	cancelLongest micros
 	lost          lostAnswers
@@ -127,7 +127,7 @@
 		Operator: protocol.DefaultOperatorSettings(), machines: make(map[string]*machine), jobs: make(map[string]*userJob),
 		claims: make(map[string]string), answers: make(map[uint64]func(int, []byte)),
 		described: make(map[string]*userJob), behaviours: make(map[string]behaviour), rolloutBy: make(map[string][]byte),
-		looks: closeLooks{jobs: make(map[string]*told)}, bootFactor: 1, nodeEndsRole: controller.RoleRecovering,
+		comparison: answerComparison{jobs: make(map[string]*reportedState)}, bootFactor: 1, nodeEndsRole: controller.RoleRecovering,
 	}
 	w.Logger = slog.New(logChecker{slog.NewTextHandler(io.Discard, nil), w})
 	w.Platform = protocol.Platform{
@@ -154,8 +154,8 @@
 	w.Log = append(w.Log, fmt.Sprintf("%8.2f ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// broken reports a violation of a rule of the protocol.
-func (w *World) broken(format string, args ...any) {
+// reportViolation reports a violation of a rule of the protocol.
+func (w *World) reportViolation(format string, args ...any) {
 	w.note("BROKEN "+format, args...)
 	w.Broken = append(w.Broken, fmt.Sprintf("%.2f: ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
@@ -191,7 +191,7 @@
 		w.checkNodeHealth()
 		w.pollJobs()
 		w.watchWaiting()
-		w.beOdd()
+		w.sendOddRequests()
 		w.after(protocol.Second, poll)
 	}
 	poll()
