--- a/internal/simulation/all_away_test.go
+++ b/internal/simulation/all_away_test.go
@@ -29,7 +29,7 @@
 at 16 hang n-000001
 at 17 kill all
 at %g start all
-at %g if-here n-000001 wake
+at %g if-present n-000001 resume
 at %g expect req-000003 running running=2
 at %g expect req-000001 done
 at %g expect req-000002 done
--- a/internal/simulation/answer_comparison.go
+++ b/internal/simulation/answer_comparison.go
@@ -37,11 +37,11 @@
 // followUpDelays are the delays of the follow-up requests after a new answer.
 var followUpDelays = []micros{0, 1 * protocol.Millisecond, 5 * protocol.Millisecond, 20 * protocol.Millisecond, 100 * protocol.Millisecond, 400 * protocol.Millisecond}
 
-// actCloseLooks carries out close-looks on|off [cancel=N]: from now on users send follow-up
+// actCloseLooks carries out follow-up-requests on|off [cancel=N]: from now on users send follow-up
 // requests, and every N-th job is cancelled as soon as it is accepted.
 func (w *World) actCloseLooks(words []string) error {
 	if len(words) < 2 || words[1] != "on" && words[1] != "off" {
-		return fmt.Errorf("close-looks on|off [cancel=N]")
+		return fmt.Errorf("follow-up-requests on|off [cancel=N]")
 	}
 	w.looks.enabled = words[1] == "on"
 	w.looks.cancelEvery = int(number(options(words[2:]), "cancel", 0))
@@ -117,9 +117,9 @@
 	return isNew
 }
 
-// actLook carries out look REF [every=0.005 for=1]: the user of a job sends follow-up requests
-// to all controllers, also if none has accepted the job yet. With every and for, in seconds,
-// the requests are repeated at that interval for that time.
+// actLook carries out send-follow-ups REF [every=0.005 for=1]: the user of a job sends follow-up
+// requests to all controllers, also if none has accepted the job yet. With every and for, in
+// seconds, the requests are repeated at that interval for that time.
 func (w *World) actLook(words []string) error {
 	ref, o := words[1], options(words[2:])
 	if w.jobs[ref] == nil {
--- a/internal/simulation/answer_comparison_test.go
+++ b/internal/simulation/answer_comparison_test.go
@@ -20,39 +20,39 @@
 at 4 submit req-000002 array tasks=2 gpus=1 run=300
 at 12 expect req-000001 running
 at 12 expect req-000002 running running=2
-at 12 close-looks on
+at 12 follow-up-requests on
 %s
-at 20 look req-000001 every=0.05 for=4
-at 20 look req-000002 every=0.05 for=4
+at 20 send-follow-ups req-000001 every=0.05 for=4
+at 20 send-follow-ups req-000002 every=0.05 for=4
 at 20.1 submit-at node-2 req-000003 array tasks=1 gpus=1 run=8
-at 20.1 look req-000003 every=0.05 for=4
+at 20.1 send-follow-ups req-000003 every=0.05 for=4
 at 20.2 cancel-at node-0 req-000002
-at 20.3 close-looks on cancel=1
+at 20.3 follow-up-requests on cancel=1
 at 20.3 submit-at node-1 req-000004 array tasks=1 gpus=1 run=300
-at 20.3 look req-000004 every=0.05 for=4
-at 26.9 look req-000001 every=0.05 for=0.6
-at 26.9 look req-000002 every=0.05 for=0.6
-at 26.9 look req-000003 every=0.05 for=0.6
-at 26.9 look req-000004 every=0.05 for=0.6
+at 20.3 send-follow-ups req-000004 every=0.05 for=4
+at 26.9 send-follow-ups req-000001 every=0.05 for=0.6
+at 26.9 send-follow-ups req-000002 every=0.05 for=0.6
+at 26.9 send-follow-ups req-000003 every=0.05 for=0.6
+at 26.9 send-follow-ups req-000004 every=0.05 for=0.6
 at 27 state up
 at 27 state-slow 0
-at 27 admit all
+at 27 allow-state all
 at 27 thaw all
-at 27 back all
+at 27 unisolate all
 at 27 link node-0
 at 27 link node-2
 at 27 start all
-at 33 look req-000001
-at 33 look req-000002
-at 33 look req-000003
-at 33 look req-000004
+at 33 send-follow-ups req-000001
+at 33 send-follow-ups req-000002
+at 33 send-follow-ups req-000003
+at 33 send-follow-ups req-000004
 at 70 expect req-000001 done
 at 70 expect req-000002 cancelled
-at 70 expect over req-000003
-at 70 expect over req-000004
+at 70 expect finished req-000003
+at 70 expect finished req-000004
 at 70 expect nothing-stuck
 at 70 expect cancelled-within 60
-at 70 expect at-least 1500 looks
+at 70 expect at-least 1500 compared-answers
 `
 
 // No controller retracts what a controller has answered about a job. The leader or a follower
@@ -64,12 +64,12 @@
 		{"the leader ends", "kill node-2", ""},
 		{"the leader restarts at once", "restart node-2 after=0.05", ""},
 		{"the leader is frozen", "freeze node-2", "thaw node-2"},
-		{"the leader is cut off from the state service", "deny node-2", ""},
+		{"the leader is cut off from the state service", "deny-state node-2", ""},
 		{"the leader is cut off from the followers", "unlink node-2", ""},
-		{"the leader is cut off from both", "away node-2", ""},
-		{"a follower is cut off from the state service", "deny node-0", ""},
+		{"the leader is cut off from both", "isolate node-2", ""},
+		{"a follower is cut off from the state service", "deny-state node-0", ""},
 		{"a follower is cut off from the other controllers", "unlink node-0", ""},
-		{"a follower is cut off from both", "away node-0", ""},
+		{"a follower is cut off from both", "isolate node-0", ""},
 		{"the state service is down", "state down", "state up"},
 		{"the state service answers slowly", "state-slow 0.3", ""},
 	}
--- a/internal/simulation/cancel_at_end_test.go
+++ b/internal/simulation/cancel_at_end_test.go
@@ -46,15 +46,15 @@
 			end := lastTaskEnd(t, scene)
 			phases := make(map[string]int)
 			playCancelAt := func(cancelAt float64) {
-				text := scene + fmt.Sprintf("at %.4f ask-everywhere req-000001\nat %.4f cancel req-000001\n", cancelAt, cancelAt)
+				text := scene + fmt.Sprintf("at %.4f query-all req-000001\nat %.4f cancel req-000001\n", cancelAt, cancelAt)
 				for _, delay := range []float64{0.001, 0.004, 0.008, 0.012, 0.02, 0.05, 0.2, 0.6, 2, 3} {
-					text += fmt.Sprintf("at %.4f ask-everywhere req-000001\n", cancelAt+delay)
+					text += fmt.Sprintf("at %.4f query-all req-000001\n", cancelAt+delay)
 				}
 				text += fmt.Sprintf("at %.4f cancel req-000001\nat %.4f kill leader\n", cancelAt+2.5, cancelAt+3.5)
 				for _, delay := range []float64{3.6, 5.4, 5.8, 6.2, 8} {
-					text += fmt.Sprintf("at %.4f ask-everywhere req-000001\n", cancelAt+delay)
+					text += fmt.Sprintf("at %.4f query-all req-000001\n", cancelAt+delay)
 				}
-				text += fmt.Sprintf("at %.4f start all\nat %.4f expect over req-000001\nat %.4f expect on req-000001/0 nowhere\n", cancelAt+9, cancelAt+12, cancelAt+12)
+				text += fmt.Sprintf("at %.4f start all\nat %.4f expect finished req-000001\nat %.4f expect on req-000001/0 nowhere\n", cancelAt+9, cancelAt+12, cancelAt+12)
 				w, err := playTrace(text, nil)
 				if err != nil {
 					t.Fatalf("%v\ntrace:\n%s\nevent log:\n%s", err, text, strings.Join(w.Log, "\n"))
--- a/internal/simulation/changes.go
+++ b/internal/simulation/changes.go
@@ -379,7 +379,7 @@
 		got = strconv.FormatUint(g.reportedInForce, 10)
 	case "writes": // puts in the state service for changes of the configuration
 		got = strconv.Itoa(g.writes)
-	case "goes-by": // goes-by NODE REVISION|nothing: the revision that a controller applies
+	case "applies-revision": // applies-revision NODE REVISION|nothing: the revision that a controller applies
 		got = "nothing"
 		if r, ok := w.nodeNamed(words[1]).ctl.EffectiveRevision(); ok {
 			got = strconv.FormatUint(r, 10)
--- a/internal/simulation/changes_test.go
+++ b/internal/simulation/changes_test.go
@@ -68,9 +68,9 @@
 	for range rapid.IntRange(0, 4).Draw(t, "nodes in trouble") {
 		who := rapid.SampledFrom([]string{"leader", node(), node()}).Draw(t, "who")
 		b, e := span("node", 40)
-		what := rapid.SampledFrom([][2]string{{"freeze", "thaw"}, {"freeze", "thaw"}, {"cut", "join"}, {"away", "back"}, {"kill", "start"}, {"deny", "admit"}}).Draw(t, "trouble")
+		what := rapid.SampledFrom([][2]string{{"freeze", "thaw"}, {"freeze", "thaw"}, {"cut", "join"}, {"isolate", "unisolate"}, {"kill", "start"}, {"deny-state", "allow-state"}}).Draw(t, "trouble")
 		if who == "leader" {
-			h.at(b, "if-leads %s", what[0])
+			h.at(b, "if-leader %s", what[0])
 			h.at(e, "%s all", what[1])
 			continue
 		}
@@ -99,10 +99,10 @@
 		h.at(e, "late-writes every=0")
 	}
 	if rapid.IntRange(0, 2).Draw(t, "copies") == 0 {
-		h.at(1, "copies %g", rapid.SampledFrom([]float64{0.1, 4, 30}).Draw(t, "copies after"))
-		h.at(to, "copies 0")
+		h.at(1, "duplicate-requests %g", rapid.SampledFrom([]float64{0.1, 4, 30}).Draw(t, "copies after"))
+		h.at(to, "duplicate-requests 0")
 	}
-	for _, all := range []string{"thaw all", "join all", "back all", "admit all", "start all"} {
+	for _, all := range []string{"thaw all", "join all", "unisolate all", "allow-state all", "start all"} {
 		h.at(to+0.5, "%s", all)
 	}
 	// Without faults every request is answered, and every change is in the history.
--- a/internal/simulation/dependencies.go
+++ b/internal/simulation/dependencies.go
@@ -131,8 +131,8 @@
 	switch {
 	case j == nil || !j.accepted:
 		return nil
-	case words[0] == "expect-over-known":
-		return w.expect([]string{"over", words[1]})
+	case words[0] == "expect-finished-known":
+		return w.expect([]string{"finished", words[1]})
 	}
 	return w.act([]string{strings.TrimSuffix(words[0], "-known"), words[1]})
 }
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -85,12 +85,12 @@
 		d.h.at(to, "state up")
 	} else if d.oneIn("refused, then an outage", 4) {
 		from, _ := d.span("refused", 1)
-		d.h.at(from, "if-leads deny")
+		d.h.at(from, "if-leader deny-state")
 		out := from + d.between("refused for", 6, 20)
 		d.h.at(out, "state down")
 		d.h.at(out+d.between("down for", 5, 50), "state up")
 		d.h.at(faultsTo+20, "state up")
-		d.h.at(faultsTo, "admit all")
+		d.h.at(faultsTo, "allow-state all")
 	}
 	for range rapid.IntRange(0, 4).Draw(d.t, "restarts") {
 		from, _ := d.span("restart", 1)
@@ -100,8 +100,8 @@
 		}
 	}
 	if d.oneIn("copies", 2) {
-		d.h.at(1, "copies %g", rapid.SampledFrom([]float64{0.1, 4, 45}).Draw(d.t, "copies after"))
-		d.h.at(faultsTo, "copies 0")
+		d.h.at(1, "duplicate-requests %g", rapid.SampledFrom([]float64{0.1, 4, 45}).Draw(d.t, "copies after"))
+		d.h.at(faultsTo, "duplicate-requests 0")
 	}
 	if d.oneIn("late writes", 2) {
 		from, to := d.span("late writes", 80)
@@ -116,7 +116,7 @@
 	}
 	for range rapid.IntRange(0, 2).Draw(d.t, "nodes in trouble") {
 		from, to := d.span("node", 40)
-		what := rapid.SampledFrom([][2]string{{"freeze", "thaw"}, {"deny", "admit"}, {"deafen", "undeafen"}, {"cut", "join"}}).Draw(d.t, "trouble")
+		what := rapid.SampledFrom([][2]string{{"freeze", "thaw"}, {"deny-state", "allow-state"}, {"drop-worker-traffic", "allow-worker-traffic"}, {"cut", "join"}}).Draw(d.t, "trouble")
 		n := rapid.IntRange(0, nodes-1).Draw(d.t, "node")
 		d.h.at(from, "%s node-%d", what[0], n)
 		d.h.at(to, "%s node-%d", what[1], n)
@@ -124,9 +124,9 @@
 	for range rapid.IntRange(0, 2).Draw(d.t, "machines in trouble") {
 		from, to := d.span("machine", 40)
 		m := rapid.IntRange(1, machines).Draw(d.t, "machine")
-		what := rapid.SampledFrom([][2]string{{"hang", "wake"}, {"lose-answers", "pass-answers"}, {"hold-reports", "deliver-reports"}}).Draw(d.t, "what")
-		d.h.at(from, "if-here n-%06d %s", m, what[0])
-		d.h.at(to, "if-here n-%06d %s", m, what[1])
+		what := rapid.SampledFrom([][2]string{{"hang", "resume"}, {"lose-answers", "pass-answers"}, {"hold-reports", "deliver-reports"}}).Draw(d.t, "what")
+		d.h.at(from, "if-present n-%06d %s", m, what[0])
+		d.h.at(to, "if-present n-%06d %s", m, what[1])
 	}
 }
 
@@ -146,7 +146,7 @@
 	cancelled := d.jobs()
 	d.faults(nodes, machines)
 	for _, ref := range cancelled {
-		d.h.at(historyEnd+60, "expect-over-known %s", ref)
+		d.h.at(historyEnd+60, "expect-finished-known %s", ref)
 	}
 	d.h.at(historyEnd+60, "expect nothing-stuck")
 	d.h.at(historyEnd+60, "expect unanswered 80")
--- a/internal/simulation/drawn_jobs_test.go
+++ b/internal/simulation/drawn_jobs_test.go
@@ -59,21 +59,21 @@
 		}
 	}
 	mute := rapid.SampledFrom([]string{"all", "zone=a", "zone=b", "n-000002"}).Draw(t, "who is mute")
-	fault("mute", 2, 80, "mute "+mute, "unmute all")
+	fault("mute", 2, 80, "drop-outbound "+mute, "allow-outbound all")
 	fault("cut", 3, 80, "cut-zone a", "heal-zone")
 	fault("outage", 3, 45, "state down", "state up")
 	fault("cloud", 3, 60, "cloud down", "cloud up")
 	fault("slow", 3, 60, "state-slow 0.8", "state-slow 0")
-	fault("away", 3, 60, "if-leads away", "back all")
-	fault("refused", 3, 60, "if-leads deny", "admit all")
+	fault("away", 3, 60, "if-leader isolate", "unisolate all")
+	fault("refused", 3, 60, "if-leader deny-state", "allow-state all")
 	fault("old reports", 3, 60, "late-reports every=2 by=10 to=leader", "late-reports every=0")
 	for range rapid.IntRange(0, 4).Draw(t, "restarts") {
 		who := rapid.SampledFrom([]string{"leader", "leader", "all"}).Draw(t, "who ends")
 		fault("restart", 1, 1, fmt.Sprintf("restart %s after=%g", who, rapid.SampledFrom([]float64{0.1, 3, 25}).Draw(t, "back")), "")
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "machines in trouble") {
-		what := rapid.SampledFrom([][2]string{{"die"}, {"hang", "wake"}, {"hang", "wake"}, {"deaf", "hears"}, {"hold-calls", "deliver-calls"}}).Draw(t, "what")
-		machine := fmt.Sprintf("if-here n-%06d ", rapid.IntRange(1, machines).Draw(t, "machine"))
+		what := rapid.SampledFrom([][2]string{{"fail"}, {"hang", "resume"}, {"hang", "resume"}, {"drop-inbound", "allow-inbound"}, {"hold-calls", "deliver-calls"}}).Draw(t, "what")
+		machine := fmt.Sprintf("if-present n-%06d ", rapid.IntRange(1, machines).Draw(t, "machine"))
 		ends := ""
 		if what[1] != "" {
 			ends = machine + what[1]
@@ -99,9 +99,9 @@
 	h.drawJobFaults(t, machines)
 	h.at(jobsCountedFrom, "count")
 	for _, ref := range cancelled {
-		h.at(jobsEnd, "expect over %s", ref)
+		h.at(jobsEnd, "expect finished %s", ref)
 	}
-	for _, what := range []string{"nothing-stuck", "unanswered 75", "waits-beside-room 90"} {
+	for _, what := range []string{"nothing-stuck", "unanswered 75", "waits-despite-room 90"} {
 		h.at(jobsEnd, "expect %s", what)
 	}
 	sort.SliceStable(h.lines, func(a, b int) bool { return h.lines[a].at < h.lines[b].at })
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -22,29 +22,29 @@
 	"at-most":     (*World).expectCount,
 	"at-least":    (*World).expectCount,
 	"all":         (*World).expectAll,
-	// ended-loading N: so many nodes ended because of ends-loading or ends-in.
+	// ended-loading N: so many nodes ended because of end-while-loading or end-in-role.
 	"ended-loading": func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.endedLoading), words[1]) },
 	"config":        func(w *World, words []string) error { return w.expectConfig(words[1:]) },
 	"rollout":       func(w *World, words []string) error { return w.expectRollout(words[1:]) },
 	"due":           (*World).expectDue,
-	"over":          (*World).expectOver,
+	"finished":      (*World).expectOver,
 	"nothing-stuck": (*World).expectNothingStuck,
 	// unanswered SECONDS: no job's user was without an answer for longer.
 	"unanswered": func(w *World, words []string) error { return checkAtMost(w.unanswered, words[1]) },
 	// cancelled-within SECONDS: no user of cancel-at waited longer for the answer.
 	"cancelled-within": func(w *World, words []string) error { return checkAtMost(w.cancelLongest, words[1]) },
-	// waits-beside-room SECONDS: since the last "count", no job has waited longer while there was
+	// waits-despite-room SECONDS: since the last "count", no job has waited longer while there was
 	// room for it.
-	"waits-beside-room": func(w *World, words []string) error { return w.expectWaits(seconds(words[1])) },
-	"health":            (*World).expectHealth,
-	"old-reports":       (*World).expectOldReports,
-	"lost-answers":      (*World).expectLost,
-	"conflicts":         (*World).expectLost,
-	"written-again":     (*World).expectLost,
-	"starts":            func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.started), words[1]) },
-	"kept":              (*World).expectKept,
-	"fits":              (*World).expectLimits,
-	"unfit":             (*World).expectLimits,
+	"waits-despite-room": func(w *World, words []string) error { return w.expectWaits(seconds(words[1])) },
+	"health":             (*World).expectHealth,
+	"old-reports":        (*World).expectOldReports,
+	"lost-answers":       (*World).expectLost,
+	"conflicts":          (*World).expectLost,
+	"written-again":      (*World).expectLost,
+	"starts":             func(w *World, words []string) error { return checkEqual(strconv.Itoa(w.started), words[1]) },
+	"kept":               (*World).expectKept,
+	"fits":               (*World).expectLimits,
+	"unfit":              (*World).expectLimits,
 	// submitted REF STATUS: the status in the answer to the job's last submission.
 	"submitted": func(w *World, words []string) error {
 		return checkEqual(strconv.Itoa(w.jobs[words[1]].status), words[2])
@@ -130,11 +130,11 @@
 	return checkEqual(strconv.Itoa(n), words[2])
 }
 
-// expectMachine checks machine NAME here|gone.
+// expectMachine checks machine NAME present|absent.
 func (w *World) expectMachine(words []string) error {
-	got := "here"
+	got := "present"
 	if w.machines[words[1]] == nil {
-		got = "gone"
+		got = "absent"
 	}
 	return checkEqual(got, words[2])
 }
@@ -169,7 +169,7 @@
 		return w.rented
 	case "starts":
 		return w.started
-	case "looks": // answers compared while close looks were on
+	case "compared-answers": // answers compared while close looks were on
 		return w.looks.answers
 	case "cancelled": // jobs reported to a user as cancelled
 		cancelled := 0
@@ -179,7 +179,7 @@
 			}
 		}
 		return cancelled
-	case "in-vain": // queries of storms that got neither 200 nor 404
+	case "unanswered-queries": // queries of storms that got neither 200 nor 404
 		return w.inVain
 	case "tries": // tries REF: attempts of a job's tasks that machines accepted
 		return w.jobs[words[1]].tries
@@ -206,7 +206,7 @@
 	return checkEqual(fmt.Sprintf("%d %d", got.Served, got.Missed), words[3]+" "+words[4])
 }
 
-// expectOver checks over REF: if the job was accepted, it was reported to its user as done or
+// expectOver checks finished REF: if the job was accepted, it was reported to its user as done or
 // cancelled.
 func (w *World) expectOver(words []string) error {
 	if j := w.jobs[words[1]]; j.accepted && !j.toldDone && j.toldCancelled == 0 {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// actTrouble carries out the verbs in-zone, cancel-now, cancel-at-end, cancel-asked and
-// odd-requests.
+// actTrouble carries out the verbs in-zone, cancel-now, cancel-at-end, retry-cancels and
+// unusual-requests.
 func (w *World) actTrouble(words []string) error {
 	switch words[0] {
 	case "in-zone": // in-zone ZONE|all VERB: VERB for all machines of the zone
@@ -84,13 +84,13 @@
 			return err
 		}
 		w.cancelAtEnd = every
-	case "cancel-asked": // users whose job has not been reported as over repeat the cancellation
+	case "retry-cancels": // users whose job has not been reported as over repeat the cancellation
 		for _, ref := range w.sortedJobs() {
 			if j := w.jobs[ref]; j.asked && !j.toldDone && j.toldCancelled == 0 {
 				w.cancel(j)
 			}
 		}
-	case "odd-requests": // odd-requests on|off, see beOdd
+	case "unusual-requests": // unusual-requests on|off, see beOdd
 		w.oddRequests = words[1] == "on"
 	}
 	return nil
@@ -136,7 +136,7 @@
 			}
 			hung++
 			m.hung = true
-			w.after(hang, func() { w.actMachine("wake", m) })
+			w.after(hang, func() { w.actMachine("resume", m) })
 		}
 	}
 }
--- a/internal/simulation/fresh_machine_test.go
+++ b/internal/simulation/fresh_machine_test.go
@@ -36,12 +36,12 @@
 // when the leader is killed. The old leader's command is delivered before the machine's
 // heartbeats.
 func heldMessages(machine string) string {
-	return fmt.Sprintf("at 5.2 if-here %[1]s hold-calls\nat ENDS if-here %[1]s hold-reports\nat ENDS+4 if-here %[1]s deliver-calls\nat ENDS+5 if-here %[1]s deliver-reports\n", machine)
+	return fmt.Sprintf("at 5.2 if-present %[1]s hold-calls\nat ENDS if-present %[1]s hold-reports\nat ENDS+4 if-present %[1]s deliver-calls\nat ENDS+5 if-present %[1]s deliver-reports\n", machine)
 }
 
 // heldCommands delays only the messages to a machine; the answers to its heartbeats are lost.
 func heldCommands(machine string) string {
-	return fmt.Sprintf("at 5.2 if-here %[1]s hold-calls\nat ENDS if-here %[1]s lose-answers\nat ENDS+4 if-here %[1]s deliver-calls\nat ENDS+5 if-here %[1]s pass-answers\n", machine)
+	return fmt.Sprintf("at 5.2 if-present %[1]s hold-calls\nat ENDS if-present %[1]s lose-answers\nat ENDS+4 if-present %[1]s deliver-calls\nat ENDS+5 if-present %[1]s pass-answers\n", machine)
 }
 
 var freshSteps = flag.Int("fresh-steps", 22, "number of instants at which the leader is killed in TestFreshMachines")
--- a/internal/simulation/handover_test.go
+++ b/internal/simulation/handover_test.go
@@ -87,13 +87,13 @@
 			fmt.Fprintf(&submits, "at 4 submit req-%06d array tasks=1 gpus=1 run=%.1f\n", 1000+i, at-startedAt)
 		}
 	}
-	return handoverScene + submits.String() + inOrder("at 12 close-looks on\nat 12 count\n"+triggers.String()+h.setup+sweep.String()) + fmt.Sprintf(`
+	return handoverScene + submits.String() + inOrder("at 12 follow-up-requests on\nat 12 count\n"+triggers.String()+h.setup+sweep.String()) + fmt.Sprintf(`
 at %.2f expect at-least 1 leaders
 at 40 state-slow 0
 at 40 thaw all
-at 40 admit all
-at 40 back all
-at 40 undeafen all
+at 40 allow-state all
+at 40 unisolate all
+at 40 allow-worker-traffic all
 at 40 link node-2
 at 40 start all
 at 44 expect leader some
@@ -132,9 +132,9 @@
 		}
 	}
 	b.WriteString("at 18 submit req-002000 array tasks=6 gpus=1 image=img-2 size=5 run=300 rank=high\n")
-	machines(18.6, "cut-off")
+	machines(18.6, "disconnect-machine")
 	b.WriteString("at 12 when set:lead after=0.015 cancel req-002000\n")
-	machines(29, "reach")
+	machines(29, "reconnect-machine")
 	return b.String()
 }
 
@@ -144,12 +144,12 @@
 // receives a status older than an earlier one.
 func TestCancelledInAHandOver(t *testing.T) {
 	for _, h := range []handoverCase{
-		{name: "yields", setup: "at 12 deafen node-2\n", releasesLease: true},
-		{name: "yields, the answer is lost", setup: "at 12 deafen node-2\nat 12 late-answers with={\"drop\":\"lead\"} by=1.4\nat 12 when drop:lead unlink node-2\n", releasesLease: true},
+		{name: "yields", setup: "at 12 drop-worker-traffic node-2\n", releasesLease: true},
+		{name: "yields, the answer is lost", setup: "at 12 drop-worker-traffic node-2\nat 12 late-answers with={\"drop\":\"lead\"} by=1.4\nat 12 when drop:lead unlink node-2\n", releasesLease: true},
 		{name: "ends", fault: "kill node-2"},
 		{name: "restarts at once", fault: "restart node-2 after=0.05"},
-		{name: "is refused by the state service", fault: "deny node-2"},
-		{name: "is cut off from the other controllers and the state service", fault: "away node-2"},
+		{name: "is refused by the state service", fault: "deny-state node-2"},
+		{name: "is cut off from the other controllers and the state service", fault: "isolate node-2"},
 		{name: "is frozen", setup: "at 12 when set:lead after=0.2 thaw node-2\n", fault: "freeze node-2"},
 		{name: "ends, machines unreachable", setup: unreachableMachines(), fault: "kill node-2"},
 		{name: "ends, slow answers", setup: "at 18 state-slow 0.15\n", fault: "kill node-2"},
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -83,7 +83,7 @@
 	d.at(settledAt, "count")
 	d.at(lastingFaultsTo-0.1, "expect leader some")
 	d.at(lastingFaultsTo-0.1, "expect at-most 2 leaders")
-	d.at(lastingFaultsTo+12, "cancel-asked") // in case users gave up on the first request
+	d.at(lastingFaultsTo+12, "retry-cancels") // in case users gave up on the first request
 	d.at(historyEnd, "expect nothing-stuck")
 	d.at(historyEnd, "expect unanswered 75")
 	return d.text(scene)
@@ -217,12 +217,12 @@
 	if d.oneIn(3, "refused, then an outage") {
 		from, _ := d.span("refused", 1)
 		out := from + float64(d.number("refused for", 1, 20))
-		d.at(from, "if-leads deny")
+		d.at(from, "if-leader deny-state")
 		d.cancelNear(from)
 		d.at(out, "state down")
 		d.at(out+float64(d.number("down for", 5, 60)), "state up")
 		d.at(faultsTo+20, "state up")
-		d.at(faultsTo+20, "admit all")
+		d.at(faultsTo+20, "allow-state all")
 	}
 }
 
@@ -257,22 +257,22 @@
 	}
 	if d.oneIn(2, "ends in an election") {
 		from, _ := d.span("ends in", 1)
-		d.at(from, "ends-in %s %d after=%g back=%g", pick(d, "role", "leasing", "claiming", "loading", "leading", "doubtful"),
+		d.at(from, "end-in-role %s %d after=%g back=%g", pick(d, "role", "leasing", "claiming", "loading", "leading", "doubtful"),
 			d.number("how many", 1, 6), pick(d, "ends after", 0, 0.02, 1), pick(d, "ends back", 0.05, 0.4))
 		d.at(from+0.1, "restart leader")
-		d.at(faultsTo, "ends-in leading 0")
+		d.at(faultsTo, "end-in-role leading 0")
 	}
 	if d.oneIn(4, "ten leaders") {
-		how := pick(d, "how they change", [2]string{"freeze", "thaw"}, [2]string{"deny", "admit"}, [2]string{"cut", "join"}, [2]string{"away", "back"}, [2]string{"kill", "start"})
+		how := pick(d, "how they change", [2]string{"freeze", "thaw"}, [2]string{"deny-state", "allow-state"}, [2]string{"cut", "join"}, [2]string{"isolate", "unisolate"}, [2]string{"kill", "start"})
 		for i := range 10 {
 			at := faultsFrom + 9*float64(i)
-			d.at(at, "if-leads %s", how[0])
+			d.at(at, "if-leader %s", how[0])
 			d.at(at+8.5, "%s all", how[1])
 		}
 	}
 	if d.oneIn(2, "copies") {
-		d.at(1, "copies %g", pick(d, "copies after", 0.1, 4, 45))
-		d.at(faultsTo, "copies 0")
+		d.at(1, "duplicate-requests %g", pick(d, "copies after", 0.1, 4, 45))
+		d.at(faultsTo, "duplicate-requests 0")
 	}
 }
 
@@ -280,8 +280,8 @@
 	for range d.number("nodes in trouble", 0, 3) {
 		n := d.node()
 		from, to := d.span("node", 40)
-		what := pick(d, "trouble", [2]string{"kill", "start"}, [2]string{"freeze", "thaw"}, [2]string{"deny", "admit"}, [2]string{"deafen", "undeafen"}, [2]string{"cut", "join"})
-		if what[0] == "deafen" {
+		what := pick(d, "trouble", [2]string{"kill", "start"}, [2]string{"freeze", "thaw"}, [2]string{"deny-state", "allow-state"}, [2]string{"drop-worker-traffic", "allow-worker-traffic"}, [2]string{"cut", "join"})
+		if what[0] == "drop-worker-traffic" {
 			to = d.faultEnd("deaf", to)
 		}
 		d.at(from, "%s %s", what[0], n)
@@ -291,12 +291,12 @@
 		n := pick(d, "who is away", "leader", d.node())
 		from, to := d.span("away", 80)
 		if n == "leader" {
-			d.at(from, "if-leads away")
+			d.at(from, "if-leader isolate")
 		} else {
-			d.at(from, "away %s", n)
+			d.at(from, "isolate %s", n)
 		}
 		d.cancelNear(from + 6) // when there is a new leader
-		d.at(to, "back all")
+		d.at(to, "unisolate all")
 	}
 }
 
@@ -305,30 +305,30 @@
 		from, to := d.span("machine", 40)
 		m := d.machine()
 		if d.oneIn(2, "hangs") {
-			d.at(from, "if-here %s hang", m)
-			d.at(to, "if-here %s wake", m)
+			d.at(from, "if-present %s hang", m)
+			d.at(to, "if-present %s resume", m)
 		} else {
-			d.at(from, "if-here %s die", m)
+			d.at(from, "if-present %s fail", m)
 		}
 	}
 	for range d.number("deaf machines, or held commands", 0, 2) * d.machines / 8 {
 		from, to := d.span("deaf", 60)
 		m := d.machine()
-		what := pick(d, "what", [2]string{"deaf", "hears"}, [2]string{"hold-calls", "deliver-calls"}, [2]string{"lose-answers", "pass-answers"})
-		d.at(from, "if-here %s %s", m, what[0])
-		d.at(to, "if-here %s %s", m, what[1])
+		what := pick(d, "what", [2]string{"drop-inbound", "allow-inbound"}, [2]string{"hold-calls", "deliver-calls"}, [2]string{"lose-answers", "pass-answers"})
+		d.at(from, "if-present %s %s", m, what[0])
+		d.at(to, "if-present %s %s", m, what[1])
 	}
 	if d.oneIn(4, "zone deaf") {
 		from, to := d.span("zone deaf", 60)
 		z := pick(d, "which zone", d.zones...)
-		d.at(from, "in-zone %s deaf", z)
-		d.at(to, "in-zone %s hears", z)
+		d.at(from, "in-zone %s drop-inbound", z)
+		d.at(to, "in-zone %s allow-inbound", z)
 	}
 	if d.oneIn(4, "mute") {
 		from, to := d.span("mute", 60)
 		who := pick(d, "who is mute", "all", d.machine(), d.machine(), "zone=a", "zone=b", "zone=d")
-		d.at(from, "mute %s", who)
-		d.at(to, "unmute all")
+		d.at(from, "drop-outbound %s", who)
+		d.at(to, "allow-outbound all")
 	}
 }
 
@@ -360,13 +360,13 @@
 	}
 	if d.oneIn(2, "close looks") {
 		from, to := d.span("close looks", 60)
-		d.at(pick(d, "looks from", 1, from), "close-looks on cancel=%d", pick(d, "looks cancel", 0, 0, 3, 6))
-		d.at(to, "close-looks off")
+		d.at(pick(d, "looks from", 1, from), "follow-up-requests on cancel=%d", pick(d, "looks cancel", 0, 0, 3, 6))
+		d.at(to, "follow-up-requests off")
 	}
 	if d.oneIn(2, "odd requests") {
 		from, to := d.span("odd requests", 90)
-		d.at(from, "odd-requests on")
-		d.at(d.faultEnd("odd requests", to), "odd-requests off")
+		d.at(from, "unusual-requests on")
+		d.at(d.faultEnd("odd requests", to), "unusual-requests off")
 	}
 }
 
@@ -393,22 +393,22 @@
 		default:
 			misses := ""
 			if !d.oneIn(4, "misses nothing") {
-				misses = fmt.Sprintf(" misses=%s lasts=%d", pick(d, "misses", "hang", "deaf", "hold-calls", "hold-reports", "hold-reports", "lose-answers", "cut-off", "die"), pick(d, "misses for", 6, 14, 18, 24, 45))
+				misses = fmt.Sprintf(" fault=%s lasts=%d", pick(d, "misses", "hang", "drop-inbound", "hold-calls", "hold-reports", "hold-reports", "lose-answers", "disconnect-machine", "fail"), pick(d, "misses for", 6, 14, 18, 24, 45))
 			}
-			d.at(near("ends on")-0.9, "ends-on %s after=%g back=%g%s", pick(d, "said", `"launch"`, `"launch"`, `"launch"`, `"stop"`, `"forget"`, `"j/req`, `"f/req`, `"lp/`, `"dp/`, `"hp/`),
+			d.at(near("ends on")-0.9, "end-on-call %s after=%g back=%g%s", pick(d, "said", `"launch"`, `"launch"`, `"launch"`, `"stop"`, `"forget"`, `"j/req`, `"f/req`, `"lp/`, `"dp/`, `"hp/`),
 				pick(d, "ends so long after", 0, 0.004, 0.02, 0.5, 2.1), pick(d, "ends and is back", 0.05, 0.4, 3), misses)
-			d.at(faultsTo, "ends-on nothing")
+			d.at(faultsTo, "end-on-call nothing")
 		case 0:
 			d.at(near("leader ends")+0.5, "restart leader after=%g", pick(d, "leader back", 0.05, 0.4, 3))
 		case 1:
-			d.at(near("leader ends")+0.5, "if-leads kill")
+			d.at(near("leader ends")+0.5, "if-leader kill")
 			d.at(faultsTo, "start all")
 		case 2:
-			addFault("leader frozen", "if-leads freeze", "thaw all")
+			addFault("leader frozen", "if-leader freeze", "thaw all")
 		case 3:
-			addFault("leader away", "if-leads away", "back all")
+			addFault("leader away", "if-leader isolate", "unisolate all")
 		case 4:
-			addFault("leader refused", "if-leads deny", "admit all")
+			addFault("leader refused", "if-leader deny-state", "allow-state all")
 		}
 	}
 	if d.oneIn(2, "writes late there") {
@@ -425,13 +425,13 @@
 	}
 	for i := range d.number("what machines miss", 0, 2) {
 		name := fmt.Sprintf("missing %d", i)
-		what := pick(d, name, [2]string{"deaf", "hears"}, [2]string{"lose-answers", "pass-answers"}, [2]string{"hold-calls", "deliver-calls"}, [2]string{"hold-reports", "deliver-reports"},
-			[2]string{"cut-off", "reach"}, [2]string{"hang", "wake"})
+		what := pick(d, name, [2]string{"drop-inbound", "allow-inbound"}, [2]string{"lose-answers", "pass-answers"}, [2]string{"hold-calls", "deliver-calls"}, [2]string{"hold-reports", "deliver-reports"},
+			[2]string{"disconnect-machine", "reconnect-machine"}, [2]string{"hang", "resume"})
 		zone := pick(d, name+" where", append([]string{"all", "all"}, d.zones...)...)
 		addFault(name, "in-zone "+zone+" "+what[0], "in-zone "+zone+" "+what[1])
 	}
 	if d.oneIn(3, "one dies there") {
-		d.at(near("dies"), "if-here %s die", d.machine())
+		d.at(near("dies"), "if-present %s fail", d.machine())
 	}
 	if d.oneIn(4, "out there") {
 		addFault("out", "state down", "state up")
@@ -455,7 +455,7 @@
 	in(at-0.1, "lose-answers")
 	d.at(at, "submit req-000060 array tasks=%d gpus=2 team=blue run=50", d.number("old session's tasks", 2, 8))
 	ended := at + float64(d.number("ends in old session", 8, 40))/10
-	d.at(ended, "if-leads %s", pick(d, "how it ends", "kill", "freeze"))
+	d.at(ended, "if-leader %s", pick(d, "how it ends", "kill", "freeze"))
 	in(ended, "hold-reports")
 	in(ended+float64(d.number("reports again", 30, 90))/10, "deliver-reports")
 	in(ended+float64(d.number("calls again", 60, 160))/10, "deliver-calls")
--- a/internal/simulation/leader_end.go
+++ b/internal/simulation/leader_end.go
@@ -21,22 +21,22 @@
 
 // reverseVerbs has for each fault of a machine the verb that ends it; "": none does.
 var reverseVerbs = map[string]string{
-	"hang": "wake", "deaf": "hears", "hold-calls": "deliver-calls", "hold-reports": "deliver-reports",
-	"lose-answers": "pass-answers", "cut-off": "reach", "die": "",
+	"hang": "resume", "drop-inbound": "allow-inbound", "hold-calls": "deliver-calls", "hold-reports": "deliver-reports",
+	"lose-answers": "pass-answers", "disconnect-machine": "reconnect-machine", "fail": "",
 }
 
-// actEndsOn carries out ends-on TEXT [after=0] [back=0] [misses=VERB] [lasts=10]: the leader ends
-// that long after its next call, to any target, whose body contains TEXT. If the call is to a
-// worker, VERB (such as hang, deaf or die) is carried out for that machine right after it has
-// got the call, and reversed after the time in lasts. ends-on nothing: no more.
+// actEndsOn carries out end-on-call TEXT [after=0] [back=0] [fault=VERB] [lasts=10]: the leader
+// ends that long after its next call, to any target, whose body contains TEXT. If the call is to a
+// worker, VERB (such as hang, drop-inbound or fail) is carried out for that machine right after it
+// has got the call, and reversed after the time in lasts. end-on-call nothing: no more.
 func (w *World) actEndsOn(words []string) error {
 	o := options(words[2:])
-	if _, known := reverseVerbs[o["misses"]]; o["misses"] != "" && !known {
-		return fmt.Errorf("misses=%s", o["misses"])
+	if _, known := reverseVerbs[o["fault"]]; o["fault"] != "" && !known {
+		return fmt.Errorf("fault=%s", o["fault"])
 	}
 	w.endsOn = endsOn{
 		text: words[1], after: protocol.FromSeconds(number(o, "after", 0)), restartAfter: protocol.FromSeconds(number(o, "back", 0)),
-		fault: o["misses"], faultDuration: protocol.FromSeconds(number(o, "lasts", 10)),
+		fault: o["fault"], faultDuration: protocol.FromSeconds(number(o, "lasts", 10)),
 	}
 	if words[1] == "nothing" {
 		w.endsOn.text = ""
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// actLimitsFall carries out limits-fall value=2048 ops=4 changes=24: the state service enforces
+// actLimitsFall carries out lower-limits value=2048 ops=4 changes=24: the state service enforces
 // these lower limits from now on, without notice.
 func (w *World) actLimitsFall(words []string) error {
 	w.limited = true
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -178,7 +178,7 @@
 				if line := strings.ReplaceAll(word, "MACHINE", m); line != word {
 					h.at(at, "%s", line)
 				} else {
-					h.at(at, "if-here %s %s", m, word)
+					h.at(at, "if-present %s %s", m, word)
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 	}
 	for _, m := range w.sortedMachines() {
 		if c.partitionedFrom != "" && !slices.Contains(affected, m.name) {
-			h.at(c.faultFrom, "part %s %s", m.name, c.partitionedFrom)
+			h.at(c.faultFrom, "unlink-worker %s %s", m.name, c.partitionedFrom)
 		}
 	}
 	if !c.cloudUp {
@@ -219,23 +219,23 @@
 	}
 	faults := []limitCase{
 		// The machines hang for less than the lease, for longer, and for the whole test.
-		{fault: "hang", recovery: "wake", faultFrom: 18.5, faultTo: 31, proven: 33, provenWithoutCloud: 34.5},
-		{fault: "hang", recovery: "wake", faultFrom: 18.5, faultTo: 45, proven: 45, provenWithoutCloud: 48},
+		{fault: "hang", recovery: "resume", faultFrom: 18.5, faultTo: 31, proven: 33, provenWithoutCloud: 34.5},
+		{fault: "hang", recovery: "resume", faultFrom: 18.5, faultTo: 45, proven: 45, provenWithoutCloud: 48},
 		{fault: "hang", faultFrom: 18.5, proven: 45, provenWithoutCloud: 62},
 		// The messages are held, and delivered when the machines can be reached again.
-		{fault: "cut-off", recovery: "reach", faultFrom: 18.5, faultTo: 48, proven: 45, provenWithoutCloud: 50},
+		{fault: "disconnect-machine", recovery: "reconnect-machine", faultFrom: 18.5, faultTo: 48, proven: 45, provenWithoutCloud: 50},
 		// A controller that is not part of the simulation goes on answering the workers.
-		{fault: "cut-off,answer-behind", recovery: "reach,answer-no-more", faultFrom: 18.5, faultTo: 55, proven: 45},
+		{fault: "disconnect-machine,renew-lease", recovery: "reconnect-machine,stop-renewing-lease", faultFrom: 18.5, faultTo: 55, proven: 45},
 		{fault: "cut-zone b", recovery: "heal-zone", faultFrom: 18.5, faultTo: 60, proven: 54.5, provenWithoutCloud: 62.5},
-		{fault: "deaf", recovery: "hears", faultFrom: 18.5, faultTo: 60, proven: 47, provenWithoutCloud: 62},
+		{fault: "drop-inbound", recovery: "allow-inbound", faultFrom: 18.5, faultTo: 60, proven: 47, provenWithoutCloud: 62},
 	}
 	// The leader is cut off from the state service and the other controllers, and goes on
 	// answering the workers of the affected machines, which reach no other controller. The other
 	// machines, which have seen the next epoch, don't reach it. The next leader receives copies
 	// of heartbeats.
 	reachOldLeader := limitCase{
-		fault: "part MACHINE node-0,part MACHINE node-1", partitionedFrom: "node-2", faultFrom: 18.5, cancelAt: 28, leaderChange: "old one goes on",
-		events: []string{"18.5 balance", "20 away node-2", "22 late-reports every=1 by=3 to=leader", "27 late-reports every=0", "66 back all"}, proven: 55, provenWithoutCloud: 63,
+		fault: "unlink-worker MACHINE node-0,unlink-worker MACHINE node-1", partitionedFrom: "node-2", faultFrom: 18.5, cancelAt: 28, leaderChange: "old one goes on",
+		events: []string{"18.5 balance", "20 isolate node-2", "22 late-reports every=1 by=3 to=leader", "27 late-reports every=0", "66 unisolate all"}, proven: 55, provenWithoutCloud: 63,
 	}
 	// The new leader has received heartbeats of the machines before their zone is cut off, along
 	// with a controller in it that answers them.
@@ -333,8 +333,8 @@
 	}
 	h := &historyBuilder{}
 	for _, m := range w.hostsOfJob("req-000001") {
-		h.at(18.5, "if-here %s cut-off", m)
-		h.at(until, "if-here %s reach", m)
+		h.at(18.5, "if-present %s disconnect-machine", m)
+		h.at(until, "if-present %s reconnect-machine", m)
 	}
 	if !cloud {
 		h.at(18.5, "cloud down")
--- a/internal/simulation/lost_answers.go
+++ b/internal/simulation/lost_answers.go
@@ -25,7 +25,7 @@
 	every       int    // every N-th of these calls is selected
 	remaining   int    // calls that may still be selected
 	delay       micros // delay of the answer, 0: it never arrives
-	action      string // stays, ends, or away (cut off from the state service and other controllers)
+	action      string // stays, ends, or isolated (cut off from the state service and other controllers)
 	returnAfter micros // time until the controller is back; 0: an ended one stays down
 	seen        int    // calls that matched so far
 }
@@ -52,7 +52,7 @@
 }
 
 // loseAnswersOf carries out lose-answers-of with=TEXT|path=END|method=POST [every=1] [most=1]
-// [by=0] [then=stays|ends|away] [back=SECONDS], which adds a rule, see answerLoss, and
+// [by=0] [then=stays|ends|isolated] [back=SECONDS], which adds a rule, see answerLoss, and
 // lose-answers-of nothing, which removes all rules.
 func (w *World) loseAnswersOf(words []string) error {
 	if words[1] == "nothing" {
@@ -101,7 +101,7 @@
 	case "ends":
 		w.note("%s ends", n.name)
 		w.end(n, l.returnAfter)
-	case "away":
+	case "isolated":
 		n.away = true
 		w.after(l.returnAfter, func() {
 			if n.life == life {
--- a/internal/simulation/lost_answers_test.go
+++ b/internal/simulation/lost_answers_test.go
@@ -59,9 +59,9 @@
 13 submit req-000002 array tasks=2 gpus=1 run=5`},
 	{name: "lease released", lost: `11.5 with={"drop":"lead"`, lines: `
 4 submit req-000001 array tasks=8 gpus=1 run=40
-12 deafen leader
+12 drop-worker-traffic leader
 30 submit req-000002 array tasks=2 gpus=1 run=5
-50 undeafen all`},
+50 allow-worker-traffic all`},
 	{name: "accepted by the leader", lost: `3 with={"set":"j/req-000001"`, lines: `
 4 submit-at leader req-000001 array tasks=4 gpus=1 run=10`, expected: `submitted req-000001 200`},
 	{name: "accepted by a follower", lost: `3 with={"set":"j/req-000001"`, lines: `
@@ -75,10 +75,10 @@
 12 hang n-000003
 12 hang n-000004
 12.1 cancel req-000001
-15 if-here n-000001 wake
-15 if-here n-000002 wake
-15 if-here n-000003 wake
-15 if-here n-000004 wake`, expected: `req-000001 cancelled`, linesIfRunning: `
+15 if-present n-000001 resume
+15 if-present n-000002 resume
+15 if-present n-000003 resume
+15 if-present n-000004 resume`, expected: `req-000001 cancelled`, linesIfRunning: `
 50 expect conflicts 2`},
 	{name: "completions of small arrays", lost: `5 with={"set":"dp/`, lines: `
 4 submit req-000001 array tasks=20 gpus=1 run=8
@@ -147,7 +147,7 @@
 	"the writer restarts at once":               "then=ends back=0.05",
 	"the writer restarts later":                 "then=ends back=3",
 	"the writer ends, another controller leads": "then=ends",
-	"the writer is cut off":                     "then=away back=1.6",
+	"the writer is cut off":                     "then=isolated back=1.6",
 }
 
 // trace returns the trace of the case.
--- a/internal/simulation/machine_verbs.go
+++ b/internal/simulation/machine_verbs.go
@@ -7,16 +7,16 @@
 // machineVerbs returns the verbs for faults and changes of machines and their workers.
 func machineVerbs() map[string]verb {
 	table := map[string]verb{
-		"part":    (*World).actPart,
-		"rejoin":  (*World).actPart,
-		"if-here": (*World).actIfHere,
-		"mute":    (*World).actMute,
-		"unmute":  (*World).actMute,
-		"evict":   (*World).actEvict,
-		"image":   (*World).actImage,
-		// boots FACTOR: multiplies the boot times of machines rented from now on; with 0 they never
-		// finish booting.
-		"boots":       func(w *World, words []string) error { w.bootFactor = parseNumber(words[1], 1); return nil },
+		"unlink-worker":  (*World).actPart,
+		"link-worker":    (*World).actPart,
+		"if-present":     (*World).actIfHere,
+		"drop-outbound":  (*World).actMute,
+		"allow-outbound": (*World).actMute,
+		"evict":          (*World).actEvict,
+		"image":          (*World).actImage,
+		// boot-factor FACTOR: multiplies the boot times of machines rented from now on; with 0 they
+		// never finish booting.
+		"boot-factor": func(w *World, words []string) error { w.bootFactor = parseNumber(words[1], 1); return nil },
 		"old-reports": (*World).actOldReports,
 	}
 	for name := range machineChanges {
@@ -28,23 +28,23 @@
 // machineChanges contains the verbs that change one machine: VERB MACHINE.
 var machineChanges = map[string]func(w *World, m *machine){
 	"hang":            func(_ *World, m *machine) { m.hung = true },
-	"wake":            (*World).deliverCalls,
-	"die":             (*World).failMachine,
-	"spoil":           func(_ *World, m *machine) { m.spoilt = true },
-	"deaf":            func(_ *World, m *machine) { m.inboundCut = true },
-	"hears":           func(_ *World, m *machine) { m.inboundCut = false },
+	"resume":          (*World).deliverCalls,
+	"fail":            (*World).failMachine,
+	"fail-tasks":      func(_ *World, m *machine) { m.spoilt = true },
+	"drop-inbound":    func(_ *World, m *machine) { m.inboundCut = true },
+	"allow-inbound":   func(_ *World, m *machine) { m.inboundCut = false },
 	"lose-answers":    func(_ *World, m *machine) { m.answersLost = true },
 	"pass-answers":    func(_ *World, m *machine) { m.answersLost = false },
 	"hold-reports":    func(_ *World, m *machine) { m.holdReports = true },
 	"deliver-reports": (*World).deliverReports,
 	"hold-calls":      func(_ *World, m *machine) { m.holdCalls = true },
 	"deliver-calls":   (*World).deliverCalls,
-	// cut-off holds heartbeats and direct commands on the way; answers are lost.
-	"cut-off": func(_ *World, m *machine) { m.holdReports, m.holdCalls, m.answersLost = true, true, true },
-	"reach":   (*World).restoreConnection,
-	// answer-behind: a controller outside the simulation continues to renew the worker's lease.
-	"answer-behind":  func(_ *World, m *machine) { m.leaseRenewed = true },
-	"answer-no-more": func(_ *World, m *machine) { m.leaseRenewed = false },
+	// disconnect-machine holds heartbeats and direct commands on the way; answers are lost.
+	"disconnect-machine": func(_ *World, m *machine) { m.holdReports, m.holdCalls, m.answersLost = true, true, true },
+	"reconnect-machine":  (*World).restoreConnection,
+	// renew-lease: a controller outside the simulation continues to renew the worker's lease.
+	"renew-lease":         func(_ *World, m *machine) { m.leaseRenewed = true },
+	"stop-renewing-lease": func(_ *World, m *machine) { m.leaseRenewed = false },
 }
 
 // actMachineNamed: VERB MACHINE: applies a verb of machineChanges to a machine.
@@ -83,7 +83,7 @@
 	m.heldReports = nil
 }
 
-// restoreConnection ends cut-off.
+// restoreConnection ends disconnect-machine.
 func (w *World) restoreConnection(m *machine) {
 	m.answersLost = false
 	w.deliverCalls(m)
@@ -99,8 +99,8 @@
 	m.phase = "failed"
 }
 
-// actPart: part MACHINE NODE: messages between the worker and the controller are lost, until rejoin
-// MACHINE NODE.
+// actPart: unlink-worker MACHINE NODE: messages between the worker and the controller are lost,
+// until link-worker MACHINE NODE.
 func (w *World) actPart(words []string) error {
 	m, n := w.machines[words[1]], w.nodeNamed(words[2])
 	if m == nil || n == nil {
@@ -109,11 +109,11 @@
 	if m.apart == nil {
 		m.apart = make(map[string]bool)
 	}
-	m.apart[n.name] = words[0] == "part"
+	m.apart[n.name] = words[0] == "unlink-worker"
 	return nil
 }
 
-// actIfHere: if-here MACHINE VERB: applies a verb of machineChanges unless the machine is gone.
+// actIfHere: if-present MACHINE VERB: applies a verb of machineChanges unless the machine is gone.
 func (w *World) actIfHere(words []string) error {
 	if m := w.machines[words[1]]; m != nil {
 		w.actMachine(words[2], m)
--- a/internal/simulation/node_verbs.go
+++ b/internal/simulation/node_verbs.go
@@ -10,13 +10,13 @@
 // nodeVerbs returns the verbs for faults and changes of controllers.
 func nodeVerbs() map[string]verb {
 	table := map[string]verb{
-		"upgrade":      (*World).actUpgrade,
-		"downgrade":    (*World).actUpgrade,
-		"backlog":      (*World).actBacklog,
-		"ends-on":      (*World).actEndsOn,
-		"ends-loading": (*World).actEndsLoading,
-		"ends-in":      (*World).actEndsIn,
-		"if-leads":     (*World).actIfLeads,
+		"upgrade":           (*World).actUpgrade,
+		"downgrade":         (*World).actUpgrade,
+		"backlog":           (*World).actBacklog,
+		"end-on-call":       (*World).actEndsOn,
+		"end-while-loading": (*World).actEndsLoading,
+		"end-in-role":       (*World).actEndsIn,
+		"if-leader":         (*World).actIfLeads,
 	}
 	for name := range nodeChanges {
 		table[name] = (*World).actNode
@@ -27,19 +27,19 @@
 // nodeChanges contains the verbs that change one node, the leader or all nodes: VERB NODE, VERB
 // leader, VERB all.
 var nodeChanges = map[string]func(w *World, n *node, o map[string]string){
-	"kill":     func(w *World, n *node, _ map[string]string) { w.end(n, 0) },
-	"start":    func(w *World, n *node, _ map[string]string) { w.startNode(n) },
-	"restart":  (*World).restart,
-	"deafen":   func(_ *World, n *node, _ map[string]string) { n.deaf = true }, // loses messages from and to workers
-	"undeafen": func(_ *World, n *node, _ map[string]string) { n.deaf = false },
-	"deny":     func(_ *World, n *node, _ map[string]string) { n.denied = true },
-	"admit":    func(_ *World, n *node, _ map[string]string) { n.denied = false },
-	"freeze":   func(_ *World, n *node, _ map[string]string) { n.frozen = true },
-	"thaw":     func(w *World, n *node, _ map[string]string) { w.thaw(n) },
-	"cut":      func(_ *World, n *node, _ map[string]string) { n.cut = true },
-	"join":     func(_ *World, n *node, _ map[string]string) { n.cut = false },
-	"away":     func(_ *World, n *node, _ map[string]string) { n.away = true },
-	"back":     func(w *World, n *node, _ map[string]string) { w.comesBack(n) },
+	"kill":                 func(w *World, n *node, _ map[string]string) { w.end(n, 0) },
+	"start":                func(w *World, n *node, _ map[string]string) { w.startNode(n) },
+	"restart":              (*World).restart,
+	"drop-worker-traffic":  func(_ *World, n *node, _ map[string]string) { n.deaf = true }, // loses messages from and to workers
+	"allow-worker-traffic": func(_ *World, n *node, _ map[string]string) { n.deaf = false },
+	"deny-state":           func(_ *World, n *node, _ map[string]string) { n.denied = true },
+	"allow-state":          func(_ *World, n *node, _ map[string]string) { n.denied = false },
+	"freeze":               func(_ *World, n *node, _ map[string]string) { n.frozen = true },
+	"thaw":                 func(w *World, n *node, _ map[string]string) { w.thaw(n) },
+	"cut":                  func(_ *World, n *node, _ map[string]string) { n.cut = true },
+	"join":                 func(_ *World, n *node, _ map[string]string) { n.cut = false },
+	"isolate":              func(_ *World, n *node, _ map[string]string) { n.away = true },
+	"unisolate":            func(w *World, n *node, _ map[string]string) { w.comesBack(n) },
 }
 
 // actNode: VERB NODE|leader|all [OPTION=VALUE ...]: applies a verb of nodeChanges. Without a
@@ -78,7 +78,7 @@
 	return err
 }
 
-// actEndsLoading: ends-loading COUNT SECONDS: the next COUNT nodes that start to recover the
+// actEndsLoading: end-while-loading COUNT SECONDS: the next COUNT nodes that start to recover the
 // records as a new leader stop that long afterwards, if they still recover them, without a restart.
 func (w *World) actEndsLoading(words []string) error {
 	count, err := strconv.Atoi(words[1])
@@ -90,9 +90,9 @@
 	return nil
 }
 
-// actEndsIn: ends-in ROLE COUNT [after=SECONDS] [back=SECONDS]: the next COUNT nodes that enter a
-// role stop once the time in after has passed (default 0), if they are still in the role, and start
-// again once the time in back has passed (default 0.05).
+// actEndsIn: end-in-role ROLE COUNT [after=SECONDS] [back=SECONDS]: the next COUNT nodes that enter
+// a role stop once the time in after has passed (default 0), if they are still in the role, and
+// start again once the time in back has passed (default 0.05).
 func (w *World) actEndsIn(words []string) error {
 	count, err := strconv.Atoi(words[2])
 	if err != nil {
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// actIfLeads: if-leads VERB: carries out VERB LEADER, with the name of the leader, if there is one.
+// actIfLeads: if-leader VERB: carries out VERB LEADER, with the name of the leader, if there is
+// one.
 func (w *World) actIfLeads(words []string) error {
 	if n := w.leader(); n != nil {
 		return w.act([]string{words[1], n.name})
--- a/internal/simulation/old_heartbeats_test.go
+++ b/internal/simulation/old_heartbeats_test.go
@@ -25,9 +25,9 @@
 at 5 old-reports keep
 at 8 lose-answers n-000005
 at 16 old-reports stop
-at 16 if-here %s die
+at 16 if-present %s fail
 at 20 cancel req-000003
-at 30 if-here n-000005 pass-answers
+at 30 if-present n-000005 pass-answers
 at 31 submit req-000005 array tasks=4 gpus=1 run=30
 at 32 cancel req-000004
 at 36 old-reports deliver on=%s after=%g order=%s
@@ -55,7 +55,7 @@
 func TestOldReportsAtTakeOver(t *testing.T) {
 	type outcome struct{ started, leaders int }
 	leaderEnds := map[string][2]string{
-		"the leader ends":               {"kill leader", "if-leads kill"},
+		"the leader ends":               {"kill leader", "if-leader kill"},
 		"the leader ends, back at once": {"restart leader after=0.05", "restart leader after=0.05"},
 	}
 	for name, leaderEnd := range leaderEnds {
--- a/internal/simulation/scene.go
+++ b/internal/simulation/scene.go
@@ -17,7 +17,7 @@
 	"type":        (*World).sceneType,
 	"machine":     (*World).sceneMachine,
 	"fleet":       (*World).sceneFleet,
-	"aim":         (*World).sceneObjective,
+	"objective":   (*World).sceneObjective,
 	"record":      (*World).sceneRecord,
 	"workers":     (*World).sceneWorkers,
 	"operator":    (*World).sceneOperator,
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// sceneObjective: aim KIND CLASS within=15: adds an objective for a class of jobs, such as aim
-// wait.
+// sceneObjective: objective KIND CLASS within=15: adds an objective for a class of jobs, such as
+// objective wait.
 func (w *World) sceneObjective(words []string) error {
 	o := options(words[3:])
 	w.Platform.Objectives = append(w.Platform.Objectives, protocol.Objective{Kind: words[1], Class: words[2], Within: duration(o, "within", 10)})
--- a/internal/simulation/service_verbs.go
+++ b/internal/simulation/service_verbs.go
@@ -21,17 +21,17 @@
 		"list-lag":   func(w *World, words []string) error { w.listLag = seconds(words[1]); return nil },
 		// announce value=2048 ops=4 changes=24: sets the announced next limits for controllers that
 		// start from now on.
-		"announce":        func(w *World, words []string) error { return w.sceneNext(words[1:]) },
-		"limits-fall":     func(w *World, words []string) error { return w.actLimitsFall(words[1:]) },
-		"spoil-record":    (*World).actSpoilRecord,
-		"forget-launches": (*World).actForgetLaunches,
-		"lose-answers-of": (*World).loseAnswersOf,
-		"late-answers":    (*World).actLateAnswers,
+		"announce":         func(w *World, words []string) error { return w.sceneNext(words[1:]) },
+		"lower-limits":     func(w *World, words []string) error { return w.actLimitsFall(words[1:]) },
+		"overwrite-record": (*World).actSpoilRecord,
+		"forget-launches":  (*World).actForgetLaunches,
+		"lose-answers-of":  (*World).loseAnswersOf,
+		"late-answers":     (*World).actLateAnswers,
 	}
 }
 
-// actSpoilRecord: spoil-record KEY [VALUE]: a client that is no controller writes a key, or deletes
-// it if there is no value.
+// actSpoilRecord: overwrite-record KEY [VALUE]: a client that is no controller writes a key, or
+// deletes it if there is no value.
 func (w *World) actSpoilRecord(words []string) error {
 	if w.changes != nil {
 		w.changes.spoilt = true
@@ -72,8 +72,9 @@
 		"in-zone":       (*World).actTrouble,
 		"link":          (*World).actLink,
 		"unlink":        (*World).actLink,
-		// copies SECONDS: a copy of each request arrives that long after it; 0 ends this.
-		"copies": func(w *World, words []string) error { w.copyDelay = seconds(words[1]); return nil },
+		// duplicate-requests SECONDS: a copy of each request arrives that long after it; 0 ends
+		// this.
+		"duplicate-requests": func(w *World, words []string) error { w.copyDelay = seconds(words[1]); return nil },
 		// cut-zone a b: cuts zones off from all others, but not from each other; messages are held.
 		"cut-zone":  func(w *World, words []string) error { w.cutZones = words[1:]; return nil },
 		"heal-zone": func(w *World, _ []string) error { w.heal(); return nil },
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -194,7 +194,7 @@
 		{16, protocol.Second * 14 / 10, protocol.Second * 18 / 10, 35 * protocol.Second, 50},
 	} {
 		t.Run(fmt.Sprintf("%d changes", c.changes), func(t *testing.T) {
-			w, err := playTrace(fmt.Sprintf("nodes 3\nteam red\naim wait pick within=12\nlimits changes=%d\ntype big cpus=32 gpus=2 mem=64 zones=a\nno-capacity\nfleet 100 big a\nat 4 expect leader some", c.changes),
+			w, err := playTrace(fmt.Sprintf("nodes 3\nteam red\nobjective wait pick within=12\nlimits changes=%d\ntype big cpus=32 gpus=2 mem=64 zones=a\nno-capacity\nfleet 100 big a\nat 4 expect leader some", c.changes),
 				func(w *World) { w.Operator.IdleScaleInDelay = protocol.FromSeconds(3600) })
 			if err != nil {
 				t.Fatal(err)
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -30,7 +30,7 @@
 	w.Platform.HeartbeatInterval = 5 * protocol.Second
 	w.Platform.StateWriteRate = 35
 	var b strings.Builder
-	fmt.Fprintf(&b, "team red\nteam guests\nno-capacity\naim wait pick within=12\n")
+	fmt.Fprintf(&b, "team red\nteam guests\nno-capacity\nobjective wait pick within=12\n")
 	fmt.Fprintf(&b, "type small cpus=12 gpus=2 mem=48 boot=25 fetch=0.4 zones=a,b\ntype large cpus=32 gpus=4 mem=128 boot=35 fetch=0.4 zones=a,b,c\n")
 	for i := range machines {
 		fmt.Fprintf(&b, "machine n-%06d %s %s\n", i+1, []string{"small", "large"}[i%2], []string{"a", "b", "c"}[i%3/(2-i%2)])
--- a/internal/simulation/smallest_limits_test.go
+++ b/internal/simulation/smallest_limits_test.go
@@ -57,8 +57,8 @@
 at 128 expect kept d/req-000002/2 no
 at 130 cut-zone b
 at 160 heal-zone
-at 175 deafen leader
-at 215 undeafen all
+at 175 drop-worker-traffic leader
+at 215 allow-worker-traffic all
 at 300 expect nothing-stuck
 `)
 	return b.String()
--- a/internal/simulation/state_limits_test.go
+++ b/internal/simulation/state_limits_test.go
@@ -151,7 +151,7 @@
 				w := NewWorld(3)
 				w.quiet = true
 				w.Platform.StateWriteRate = 35
-				text := "team red\nno-capacity\ntype large cpus=320 gpus=4 mem=1280 boot=35 zones=a,b\nnext\nfleet 300 large a\nfleet 300 large b\nat 20 limits-fall\n"
+				text := "team red\nno-capacity\ntype large cpus=320 gpus=4 mem=1280 boot=35 zones=a,b\nnext\nfleet 300 large a\nfleet 300 large b\nat 20 lower-limits\n"
 				if err := w.play(text); err != nil {
 					b.Fatal(err)
 				}
@@ -238,9 +238,9 @@
 // run again, the others run, and in the end every record fits the limit.
 func TestLargeRecordsOfAnEarlierLeader(t *testing.T) {
 	for _, scene := range []string{"next\n", ""} {
-		for _, faults := range []string{"", "at 1 ends-in leading 3 after=0.3 back=0.2\n", "at 1 ends-in leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
+		for _, faults := range []string{"", "at 1 end-in-role leading 3 after=0.3 back=0.2\n", "at 1 end-in-role leading 4 after=0.7 back=0.2\nat 1 late-writes every=4 by=5 with=p/\nat 20 late-writes every=0\n"} {
 			text := "nodes 3\nteam red\ntype large cpus=32 gpus=4 mem=128 boot=35 zones=a\nno-capacity\nlimits changes=35\n" + scene + "fleet 60 large a\n" + earlierRecords(t) +
-				"at 0 limits-fall\n" + faults + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
+				"at 0 lower-limits\n" + faults + "at 60 expect leader some\nat 60 expect fits 2048\nat 60 expect starts 120\nat 60 expect at-most 120 starts\n"
 			w, err := playTrace(text, nil)
 			if err != nil {
 				t.Errorf("%q %q: %v\n%s", scene, faults, err, strings.Join(w.Log, "\n"))
--- a/internal/simulation/unreachable_controllers.go
+++ b/internal/simulation/unreachable_controllers.go
@@ -6,13 +6,13 @@
 // commands and status requests still reach it and are answered. Heartbeats don't arrive, so the
 // worker's lease expires although each controller can query which tasks are on the machine.
 
-// actMute: mute MACHINE|zone=ZONE|all, unmute MACHINE|zone=ZONE|all: sets or clears outboundCut on
-// one machine, those of a zone or all. It ignores a machine that is gone.
+// actMute: drop-outbound MACHINE|zone=ZONE|all, allow-outbound MACHINE|zone=ZONE|all: sets or
+// clears outboundCut on one machine, those of a zone or all. It ignores a machine that is gone.
 func (w *World) actMute(words []string) error {
 	zone := options(words[1:])["zone"]
 	for _, m := range w.sortedMachines() {
 		if words[1] == "all" || m.name == words[1] || zone != "" && m.zone == zone {
-			m.outboundCut = words[0] == "mute"
+			m.outboundCut = words[0] == "drop-outbound"
 		}
 	}
 	return nil
--- a/internal/simulation/upgrade_in_trouble_test.go
+++ b/internal/simulation/upgrade_in_trouble_test.go
@@ -43,7 +43,7 @@
 
 	h := &chains.h
 	for _, ref := range cancelled {
-		h.at(upgradeHistoryEnd, "expect-over-known %s", ref)
+		h.at(upgradeHistoryEnd, "expect-finished-known %s", ref)
 	}
 	h.at(upgradeHistoryEnd, "expect level 1")
 	h.at(upgradeHistoryEnd, "expect leader some")
@@ -75,7 +75,7 @@
 	case "after":
 		at = min(faultsTo, to+d.between("fall after", 0, 40))
 	}
-	d.h.at(at, "limits-fall %s", lowerLimits)
+	d.h.at(at, "lower-limits %s", lowerLimits)
 	switch rapid.SampledFrom([]string{"from the start", "to new ones", "no"}).Draw(d.t, "announced") {
 	case "from the start":
 		scene = "next " + lowerLimits + "\n"
@@ -111,7 +111,7 @@
 // made by the network does not, and is refused as well.
 func TestRefusedTransactionComesAgain(t *testing.T) {
 	w := NewWorld(3)
-	if err := w.play("at 1 limits-fall " + lowerLimits + "\n"); err != nil {
+	if err := w.play("at 1 lower-limits " + lowerLimits + "\n"); err != nil {
 		t.Fatal(err)
 	}
 	large := []byte(`{"when":[],"then":[{"set":"x","data":"` + strings.Repeat("x", 2048) + `"}]}`)
--- a/internal/simulation/user_verbs.go
+++ b/internal/simulation/user_verbs.go
@@ -12,31 +12,31 @@
 // userVerbs returns the verbs for the actions of users.
 func userVerbs() map[string]verb {
 	return map[string]verb{
-		"submit":            (*World).actSubmit,
-		"burst":             (*World).actBurst,
-		"submit-at":         (*World).actSubmitAt,
-		"submit-again":      func(w *World, words []string) error { w.submit(w.jobs[words[1]]); return nil },
-		"submit-after":      (*World).submitAfter,
-		"chain":             (*World).actChain,
-		"resubmit":          (*World).actResubmit,
-		"resubmit-known":    (*World).actIfKnown,
-		"cancel":            (*World).actCancel,
-		"cancel-known":      (*World).actIfKnown,
-		"expect-over-known": (*World).actIfKnown,
-		"cancel-once":       func(w *World, words []string) error { return w.cancelOnce(words[1]) },
-		"cancel-at":         (*World).actCancelAt,
-		"cancel-now":        (*World).actTrouble,
-		"cancel-at-end":     (*World).actTrouble,
-		"cancel-asked":      (*World).actTrouble,
-		"odd-requests":      (*World).actTrouble,
-		"ask-at":            (*World).actAskAt,
-		"ask-everywhere":    func(w *World, words []string) error { return w.askEverywhere(words[1]) },
-		"close-looks":       (*World).actCloseLooks,
-		"look":              (*World).actLook,
-		"storm":             (*World).actStorm,
-		"balance":           func(w *World, _ []string) error { w.stickyUsers = true; return nil },
-		"count":             (*World).actCount,
-		"when":              (*World).actWhen,
+		"submit":                (*World).actSubmit,
+		"burst":                 (*World).actBurst,
+		"submit-at":             (*World).actSubmitAt,
+		"submit-again":          func(w *World, words []string) error { w.submit(w.jobs[words[1]]); return nil },
+		"submit-after":          (*World).submitAfter,
+		"chain":                 (*World).actChain,
+		"resubmit":              (*World).actResubmit,
+		"resubmit-known":        (*World).actIfKnown,
+		"cancel":                (*World).actCancel,
+		"cancel-known":          (*World).actIfKnown,
+		"expect-finished-known": (*World).actIfKnown,
+		"cancel-once":           func(w *World, words []string) error { return w.cancelOnce(words[1]) },
+		"cancel-at":             (*World).actCancelAt,
+		"cancel-now":            (*World).actTrouble,
+		"cancel-at-end":         (*World).actTrouble,
+		"retry-cancels":         (*World).actTrouble,
+		"unusual-requests":      (*World).actTrouble,
+		"query-at":              (*World).actAskAt,
+		"query-all":             func(w *World, words []string) error { return w.askEverywhere(words[1]) },
+		"follow-up-requests":    (*World).actCloseLooks,
+		"send-follow-ups":       (*World).actLook,
+		"query-burst":           (*World).actStorm,
+		"balance":               func(w *World, _ []string) error { w.stickyUsers = true; return nil },
+		"count":                 (*World).actCount,
+		"when":                  (*World).actWhen,
 	}
 }
 
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// actAskAt: ask-at NODE REF: sends one query about a job to that node.
+// actAskAt: query-at NODE REF: sends one query about a job to that node.
 func (w *World) actAskAt(words []string) error {
 	n := w.nodeNamed(words[1])
 	if n == nil {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// actStorm: storm COUNT: sends COUNT queries at once, to one node after another, half of them about
-// submitted jobs and half about jobs that no user submitted.
+// actStorm: query-burst COUNT: sends COUNT queries at once, to one node after another, half of them
+// about submitted jobs and half about jobs that no user submitted.
 func (w *World) actStorm(words []string) error {
 	count, err := strconv.Atoi(words[1])
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// askEverywhere: ask-everywhere REF: the user of a job queries it and repeats its submission at all
+// askEverywhere: query-all REF: the user of a job queries it and repeats its submission at all
 // controllers at once. No answer may report a phase older than one that was reported before the
 // requests were sent, nor that an accepted job doesn't exist.
 func (w *World) askEverywhere(ref string) error {
--- a/internal/simulation/versions_test.go
+++ b/internal/simulation/versions_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := strings.Replace(string(text), "at 7 downgrade node-2\n", "at 7 downgrade node-2\nat 8 spoil-record epoch {\"form\":2,\"epoch\":9}\n", 1)
+	changed := strings.Replace(string(text), "at 7 downgrade node-2\n", "at 7 downgrade node-2\nat 8 overwrite-record epoch {\"form\":2,\"epoch\":9}\n", 1)
 	if w, err := playTrace(changed, nil); err == nil || !strings.Contains(strings.Join(w.Broken, "\n"), "serves up to 0 and leads") {
 		t.Errorf("%v, %s", err, w.Broken)
 	}
