--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// actFault carries out the verbs in-zone, cancel-now, cancel-at-end, cancel-asked and
-// odd-requests.
+// actFault carries out the verbs in-zone, cancel-now, cancel-at-end, retry-cancels and
+// unusual-requests.
 func (w *World) actFault(words []string) error {
 	switch words[0] {
 	case "in-zone": // in-zone ZONE|all VERB: VERB for all machines of the zone
@@ -84,13 +84,13 @@
 			return err
 		}
 		w.cancelAtEnd = every
-	case "cancel-asked": // users whose job has not been reported as over repeat the cancellation
+	case "retry-cancels": // users whose job has not been reported as over repeat the cancellation
 		for _, ref := range w.sortedJobs() {
 			if j := w.jobs[ref]; j.cancelRequested && !j.reportedDone && j.cancelReportedAt == 0 {
 				w.cancel(j)
 			}
 		}
-	case "odd-requests": // odd-requests on|off, see sendOddRequests
+	case "unusual-requests": // unusual-requests on|off, see sendOddRequests
 		w.oddRequests = words[1] == "on"
 	}
 	return nil
@@ -136,7 +136,7 @@
 			}
 			hung++
 			m.hung = true
-			w.after(hang, func() { w.actMachine("wake", m) })
+			w.after(hang, func() { w.actMachine("resume", m) })
 		}
 	}
 }
--- a/internal/simulation/setup.go
+++ b/internal/simulation/setup.go
@@ -17,7 +17,7 @@
 	"type":        (*World).setupType,
 	"machine":     (*World).setupMachine,
 	"fleet":       (*World).setupFleet,
-	"aim":         (*World).setupObjective,
+	"objective":   (*World).setupObjective,
 	"record":      (*World).setupRecord,
 	"workers":     (*World).setupWorkers,
 	"operator":    (*World).setupOperator,
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// setupObjective: aim KIND CLASS within=15: adds an objective for a class of jobs, such as aim
-// wait.
+// setupObjective: objective KIND CLASS within=15: adds an objective for a class of jobs, such as
+// objective wait.
 func (w *World) setupObjective(words []string) error {
 	o := options(words[3:])
 	w.Platform.Objectives = append(w.Platform.Objectives, protocol.Objective{Kind: words[1], Class: words[2], Within: duration(o, "within", 10)})
