--- a/internal/controller/config_history.go
+++ b/internal/controller/config_history.go
@@ -61,8 +61,7 @@
 }
 
 // historyBody returns a reply with the entries before a revision, or all if before is 0. The
-// reply tells that there are more entries if more is true, or if it does not have all those before
-// the revision.
+// reply's field "more" is true if the argument is, or if maxHistoryBytes leaves some of them out.
 func historyBody(entries []configuration.Entry, before uint64, more bool) []byte {
 	b := []byte(`{"history":[`)
 	for i, e := range slices.Backward(entries) {
--- a/internal/controller/record_shards.go
+++ b/internal/controller/record_shards.go
@@ -8,7 +8,8 @@
 	"mapleslip/internal/protocol"
 )
 
-// shardWriteState tells whether a record is being written to the state service, and how urgently.
+// shardWriteState indicates whether a record is being written to the state service, and how
+// urgently.
 type shardWriteState uint8
 
 const (
--- a/internal/controller/slottable/cost.go
+++ b/internal/controller/slottable/cost.go
@@ -56,7 +56,7 @@
 	onDemandCost         = 6 * protocol.Second // a task that allows spot takes an on-demand machine
 	evictionCost         = 3 * protocol.Second // opportunistic tasks have to be evicted
 	releaseCost          = 8 * protocol.Second // a machine may be released under an opportunistic task
-	preferredCost        = -1                  // preemption made room here: less than any other cost
+	preferredCost        = -1                  // the whole cost, below any other, of room that preemption made
 )
 
 // fragmentationCost returns the cost of the free resources that a task leaves on a machine. It
--- a/internal/scale/users/run.go
+++ b/internal/scale/users/run.go
@@ -275,8 +275,8 @@
 	return a
 }
 
-// retry schedules another attempt of a request that failed, unless retryLimit is over by then.
-// It reports whether the user gave up.
+// retry schedules another attempt of a request that failed, unless that attempt would start
+// later than retryLimit after start. It reports whether the user gave up.
 func (l *load) retry(a answer, start int64, try func(due int64)) (gaveUp bool) {
 	// The factor keeps the jitter from shortening the delay below its minimum.
 	wait := l.jitter(max(minRetryDelay, min(a.retryAfter, maxRetryDelay)) * 5 / 4)
--- a/internal/simulation/answer_comparison.go
+++ b/internal/simulation/answer_comparison.go
@@ -10,9 +10,9 @@
 )
 
 // Comparison of the answers that users get. Each answer to a submission, query or cancellation
-// is compared with the earlier answers about the same job. With close-looks switched on, users
-// also send follow-up requests: within milliseconds after any controller reported that a job
-// is accepted, done or cancelled, they query all controllers and repeat the submission.
+// is compared with the earlier answers about the same job. While follow-up-requests is on,
+// users also send such requests: within milliseconds after any controller reported that a job is
+// accepted, done or cancelled, they query all controllers and repeat the submission.
 
 // answerComparison has the states of all jobs that controllers reported to users, and the settings
 // of the follow-up requests.
--- a/internal/simulation/expectations.go
+++ b/internal/simulation/expectations.go
@@ -169,7 +169,7 @@
 		return w.rented
 	case "starts":
 		return w.started
-	case "compared-answers": // answers compared while close-looks was on
+	case "compared-answers": // answers compared while follow-up-requests was on
 		return w.comparison.answers
 	case "cancelled": // jobs reported to a user as cancelled
 		cancelled := 0
@@ -179,7 +179,7 @@
 			}
 		}
 		return cancelled
-	case "unanswered-queries": // queries of storms that got neither 200 nor 404
+	case "unanswered-queries": // queries of query bursts that got neither 200 nor 404
 		return w.unansweredQueries
 	case "tries": // tries REF: attempts of a job's tasks that machines accepted
 		return w.jobs[words[1]].launches
--- a/internal/simulation/old_heartbeats_test.go
+++ b/internal/simulation/old_heartbeats_test.go
@@ -10,7 +10,7 @@
 
 // oldReportsTrace is a trace in which outdated heartbeats arrive when leaders change: from an
 // earlier session (n-000005), from earlier terms, and about attempts that have ended since (on
-// a machine that has died, of jobs that are over, and one that failed).
+// a machine that has died, of jobs that have ended, and one that failed).
 const oldReportsTrace = `nodes 3
 team red max=12
 type big cpus=8 gpus=2 mem=64 boot=10 zones=a,b
--- a/internal/simulation/overlap_test.go
+++ b/internal/simulation/overlap_test.go
@@ -34,7 +34,7 @@
 const historiesPerCheck = 5
 
 // Faults overlap at random. While persistent faults don't change, leadership is stable. No task
-// keeps running once its job has been reported as cancelled. When the faults are over, every
+// keeps running once its job has been reported as cancelled. When the faults have ended, every
 // accepted job ends and every cancellation is answered. Each history is drawn with its own
 // seed, which is the name of its subtest. To play the history of seed 47 again:
 //
--- a/internal/simulation/size_test.go
+++ b/internal/simulation/size_test.go
@@ -197,7 +197,7 @@
 	b.ReportAllocs()
 	var w *World
 	for i := range b.N {
-		if i%30 == 0 { // the array is over after a minute
+		if i%30 == 0 { // the array completes after a minute
 			b.StopTimer()
 			w = longArray(b)
 			b.StartTimer()
--- a/internal/simulation/upgrade_in_trouble_test.go
+++ b/internal/simulation/upgrade_in_trouble_test.go
@@ -12,7 +12,7 @@
 const (
 	// upgradeHistories is how many histories are played unless -rapid.checks is given.
 	upgradeHistories = 40
-	// upgradeHistoryEnd is the time in seconds by which the last chains have to be over.
+	// upgradeHistoryEnd is the time in seconds by which the last chains must have finished.
 	upgradeHistoryEnd = 500.0
 	// lowerLimits are the limits of the state service after they were lowered.
 	lowerLimits = "value=2048 ops=4 changes=24"
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -45,7 +45,7 @@
 	copyDelay         micros   // time after a request at which a copy of it arrives, 0 for no copies
 	bootFactor        float64  // factor on boot times; 0 if machines never finish booting
 	listLag           micros   // age below which the cloud doesn't list a machine
-	unansweredQueries int      // queries of a storm that got neither 200 nor 404
+	unansweredQueries int      // queries of query bursts that got neither 200 nor 404
 	cutZones          []string // zones cut off from all others, but not from each other
 	heldMessages      []func() // messages held at the boundary of cutZones, in order
 	quiet             bool     // Log is not written
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -44,7 +44,7 @@
 
 func (k Kind) String() string { return [...]string{"class", "team", "largest"}[k] }
 
-// State tells whether enough jobs of a group were served.
+// State indicates whether enough jobs of a group were served.
 type State uint8
 
 // States of a group.
